--- /dev/null
+++ b/crates/greenroom/tests/compatibility.rs
@@ -0,0 +1,191 @@
+//! Bytes that must not change: messages between the system's own processes, frames, error kinds and statuses. The
+//! fixtures were written by the version of 2 December 2026 (commit df0c55a); a roll runs both versions side by side.
+
+use greenroom::kinds::TABLE;
+use greenroom::link::Link;
+use greenroom::wire::*;
+use prost::Message;
+use std::time::Duration;
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpListener;
+use tokio::task::LocalSet;
+
+const MESSAGES: &str = include_str!("fixtures/messages.txt");
+
+fn server() -> ServerRow {
+    ServerRow {
+        id: "i-1".into(),
+        service: "spindle-status".into(),
+        address: "10.0.0.9:8080".into(),
+        zone: "akl-penrose".into(),
+        version: "r7".into(),
+        slots: 12,
+        state: 1,
+        cold_ms: 1300,
+        calls: 77,
+        silent: true,
+        heard_ago: 412,
+    }
+}
+
+fn member() -> MemberRow {
+    MemberRow {
+        name: "edge-1".into(),
+        life: 0xfeed_beef_0001,
+        beat: 5,
+        front: "10.0.0.1:8686".into(),
+        inner: "10.0.0.1:7742".into(),
+        zone: "akl-penrose".into(),
+        region: "akl".into(),
+        state: 2,
+        lapsed: true,
+        heard_ago: 90,
+        edition: 31,
+    }
+}
+
+fn notice() -> NoticeRow {
+    NoticeRow {
+        server: "i-1".into(),
+        observer: "edge-1".into(),
+        life: 0xfeed_beef_0001,
+        seq: 3,
+        failing: vec![120, -40],
+        slow: vec![-7, 700],
+        unreached: 250,
+        goods: 6,
+        ago: 33,
+    }
+}
+
+fn decided() -> Decided {
+    Decided {
+        config: "{}".into(),
+        taken: vec![Taken { version: 2, digest: 9 }],
+        empty: vec!["chc-hornby".into()],
+        steps: vec![3, 1],
+        digests: vec![0xabcd, 0xef01],
+    }
+}
+
+fn follow() -> Follow {
+    Follow {
+        name: "edge-1".into(),
+        epoch: 11,
+        seen: 12,
+        edition: 31,
+        each: true,
+        hold: 500,
+        member: Some(member()),
+        core: 4,
+        notices: vec![notice()],
+        digest: 0x1234_5678_9abc_def0,
+        plain: true,
+        core_ip: 0x0a00_0001,
+        keen: true,
+    }
+}
+
+fn news() -> News {
+    News {
+        epoch: 11,
+        seen: 13,
+        whole: true,
+        warm: true,
+        servers: vec![server()],
+        members: vec![member()],
+        edition: 31,
+        decided: Some(decided()),
+        fresh_ago: Some(250),
+        held: 40,
+        limiters: 9,
+        time: 123_456.5,
+        core: Some(Core { version: 4, ips: vec![0x0a00_0001, 0x0a00_0002] }),
+        notices: vec![notice()],
+        digest: 0x1234_5678_9abc_def0,
+    }
+}
+
+fn messages() -> Vec<(&'static str, Vec<u8>)> {
+    let table = Table {
+        title: "servers".into(),
+        columns: vec!["id".into(), "zone".into()],
+        rows: vec![Row { cells: vec!["i-1".into(), "z".into()] }],
+        error: "none".into(),
+    };
+    let outcome = OutcomeTold { proxy: "edge-1".into(), fate: 4, why: "reset".into(), server: "i-1".into(), age: 8 };
+    vec![
+        ("follow", follow().encode_to_vec()),
+        ("news", news().encode_to_vec()),
+        ("counts", Counts { counts: vec![Count { name: 0x55, add: 1.5, ttl: 5000.0 }] }.encode_to_vec()),
+        ("totals", Totals { totals: vec![0.5, 17.0] }.encode_to_vec()),
+        ("query", Query { words: vec!["servers".into(), "x".into()], near: true }.encode_to_vec()),
+        ("table", table.encode_to_vec()),
+        ("outcome asked", OutcomeAsk { try_id: "k-1".into() }.encode_to_vec()),
+        ("outcome", outcome.encode_to_vec()),
+    ]
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+#[test]
+fn messages_between_processes_have_the_bytes_of_the_version_before() {
+    let written: String = messages().iter().map(|(name, bytes)| format!("{name}: {}\n", hex(bytes))).collect();
+    assert_eq!(written, MESSAGES);
+}
+
+#[test]
+fn messages_of_the_version_before_are_read() {
+    let bytes = |name: &str| -> Vec<u8> {
+        let line = MESSAGES.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": ")).unwrap();
+        (0..line.len()).step_by(2).map(|at| u8::from_str_radix(&line[at..at + 2], 16).unwrap()).collect()
+    };
+    assert_eq!(Follow::decode(&bytes("follow")[..]).unwrap(), follow());
+    assert_eq!(News::decode(&bytes("news")[..]).unwrap(), news());
+}
+
+#[test]
+fn kinds_of_calls_keep_their_numbers() {
+    assert_eq!([call::FOLLOW, call::COUNT, call::QUERY, call::OUTCOME], [40, 41, 42, 43]);
+}
+
+#[test]
+fn kinds_of_errors_keep_their_words_and_statuses() {
+    let table: Vec<(&str, u16)> = TABLE.iter().map(|row| (row.1, row.2)).collect();
+    let expected = [
+        ("invalid", 400),
+        ("no_key", 401),
+        ("unknown", 404),
+        ("method", 405),
+        ("repeated", 409),
+        ("stale", 412),
+        ("too_long", 413),
+        ("too_slow", 408),
+        ("quota", 429),
+        ("busy", 503),
+        ("starting", 503),
+        ("unsure", 504),
+        ("failed", 502),
+        ("late", 504),
+    ];
+    assert_eq!(table, expected);
+}
+
+#[test]
+fn a_frame_is_a_length_a_kind_an_id_and_the_payload() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    LocalSet::new().block_on(&runtime, async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let link = Link::new(listener.local_addr().unwrap());
+        tokio::task::spawn_local(async move {
+            let _ = link.call(call::QUERY, b"payload".to_vec(), Duration::from_secs(5)).await;
+        });
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let mut frame = [0; 20];
+        stream.read_exact(&mut frame).await.unwrap();
+        assert_eq!(hex(&frame[..5]), "000000102a");
+        assert_eq!(&frame[13..], b"payload");
+    });
+}
