--- a/benches/src/bin/changes.rs
+++ b/benches/src/bin/changes.rs
@@ -5,10 +5,10 @@
 //! longest configuration.
 
 use oatbank_cluster_state::messages::LONGEST_CONFIG;
-use oatbank_config_store::client::{who, Caller};
-use oatbank_config_store::messages::Ballot;
-use oatbank_config_store::storage::Disk;
-use oatbank_config_store::voter::{Terms, Voter};
+use oatbank_config_store::client::{request_local_state, ChosenValue, RegisterClient};
+use oatbank_config_store::messages::ProposalNumber;
+use oatbank_config_store::storage::StateFile;
+use oatbank_config_store::voter::{Voter, VoterOptions};
 use oatbank_node_runtime::rpc::{self, Link};
 use std::convert::Infallible;
 use std::net::{SocketAddr, TcpListener};
@@ -31,11 +31,16 @@
     let folder = PathBuf::from(&terms[2]);
     run_here(async {
         let listener = tokio::net::TcpListener::bind(seeds[at]).await.expect("its address");
-        let terms =
-            Terms { address: seeds[at], seeds, first_start: terms[1] == "first", folder, tolerates: 1 };
+        let terms = VoterOptions {
+            address: seeds[at],
+            seeds,
+            first_start: terms[1] == "first",
+            folder,
+            tolerated_failures: 1,
+        };
         let voter = Voter::start(terms).expect("its disk");
-        spawn_local(voter.clone().vote());
-        spawn_local(voter.clone().look());
+        spawn_local(voter.clone().run());
+        spawn_local(voter.clone().maintain_voters());
         rpc::serve(listener, voter.handler()).await;
     });
 }
@@ -59,15 +64,15 @@
 }
 
 async fn held(link: &Link) -> Option<u64> {
-    let here = who(link, Ballot::default(), Duration::from_millis(300)).await?;
+    let here = request_local_state(link, ProposalNumber::default(), Duration::from_millis(300)).await?;
     Some(here.record.map_or(0, |record| record.edition))
 }
 
-async fn change(caller: &Caller, n: usize, bytes: usize) -> Duration {
+async fn change(client: &RegisterClient, n: usize, bytes: usize) -> Duration {
     let began = Instant::now();
     let next = |_: Option<&[u8]>, _: u64| Ok::<_, Infallible>(vec![n as u8; bytes]);
     let mut tries = 1;
-    while caller.change(next, WITHIN).await.is_err() {
+    while client.change(next, WITHIN).await.is_err() {
         tries += 1;
         assert!(tries < 100, "no majority");
     }
@@ -80,17 +85,17 @@
     let addresses: Vec<SocketAddr> = listeners.iter().map(|l| l.local_addr().expect("an address")).collect();
     drop(listeners);
     let mut voters: Vec<Child> = (0..3).map(|at| start(at, true, folder, &addresses)).collect();
-    let caller = Caller::new(1);
-    while caller.voters().is_empty() {
-        caller.look(&addresses, Duration::from_millis(300)).await;
+    let client = RegisterClient::new(1);
+    while client.voters().is_empty() {
+        client.discover_voters(&addresses, Duration::from_millis(300)).await;
     }
-    change(&caller, 0, bytes).await;
+    change(&client, 0, bytes).await;
     voters[2].kill().and_then(|()| voters[2].wait()).expect("a kill");
     let began = Instant::now();
     let mut times = Vec::with_capacity(changes);
     let mut largest = 0f64;
     for n in 0..changes {
-        times.push(change(&caller, n, bytes).await.as_secs_f64() * 1e3);
+        times.push(change(&client, n, bytes).await.as_secs_f64() * 1e3);
         largest = largest.max(file_mb(folder, 0));
     }
     let all = began.elapsed().as_secs_f64();
@@ -106,18 +111,18 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     let answers = began.elapsed();
-    let fresh = Caller::new(2);
+    let fresh = RegisterClient::new(2);
     while fresh.voters().is_empty() {
-        fresh.look(&addresses[2..], Duration::from_millis(300)).await;
+        fresh.discover_voters(&addresses[2..], Duration::from_millis(300)).await;
     }
-    let (edition, value) = fresh.read(WITHIN).await.expect("a majority");
+    let ChosenValue { edition, value } = fresh.read(WITHIN).await.expect("a majority");
     // One whose end was not known was made again.
     assert!(edition > changes as u64 && value.is_some_and(|value| value.len() == bytes), "edition {edition}");
     let read = began.elapsed();
     // A change goes to whom there is a connection; to one that was away it is made by the first of them.
     let (changed, mut more) = (Instant::now(), 0);
     while held(&link).await < Some(edition + 1) {
-        change(&caller, changes + more, bytes).await;
+        change(&client, changes + more, bytes).await;
         more += 1;
         assert!(more < 100, "it never catches up");
     }
@@ -135,8 +140,8 @@
         voter.kill().and_then(|()| voter.wait()).expect("a kill");
     }
     let began = Instant::now();
-    let (_, _, record) = Disk::open(&folder.join("0")).expect("whole").expect("there");
-    let length = record.map_or(0, |record| record.value.len());
+    let opened = StateFile::open(&folder.join("0")).expect("whole").expect("there");
+    let length = opened.record.map_or(0, |record| record.value.len());
     println!(
         "  read from the disk after a kill: {length} bytes in {:.1} ms",
         began.elapsed().as_secs_f64() * 1e3
--- a/benches/src/scale/decisions.rs
+++ b/benches/src/scale/decisions.rs
@@ -6,9 +6,9 @@
 use oatbank_cluster_state::state::Book;
 use oatbank_config_model::{Playbill, Proposal, Table};
 use oatbank_config_store::acceptor::Acceptor;
-use oatbank_config_store::messages::{Accept, Cast, Kept, Record};
-use oatbank_config_store::proposer::{Action as Step, Known, Operation, Outcome as Ballots, Task};
-use oatbank_config_store::storage::Disk;
+use oatbank_config_store::messages::{Accept, PersistentState, Record, VoterConfiguration};
+use oatbank_config_store::proposer::{Action as Step, KnownRecord, Operation, Outcome as Ballots, Task};
+use oatbank_config_store::storage::{StateFile, StateWriter};
 use oatbank_limiter_core::interface::*;
 use oatbank_limiter_core::logic::{Gateway, Quotas};
 use oatbank_proxy::counter_owner::keeper;
@@ -146,14 +146,19 @@
 fn ballots(bytes: usize) -> f64 {
     let names: Vec<String> = (1..=3).map(|n| format!("10.0.0.{n}:1")).collect();
     let mut voters: Vec<Acceptor> = names.iter().map(|_| Acceptor::founded(names.clone())).collect();
-    let (mut known, mut highest) = (Known::default(), 0);
+    let (mut known, mut highest) = (KnownRecord::default(), 0);
     took(|n| {
         let change = |_: Option<&[u8]>, _: u64| Ok::<_, ()>(vec![n as u8; bytes]);
-        let mut operation =
-            Operation::new(Task::Change(change), 1, Cast::founders(&names), highest, known.clone());
-        let mut step = operation.begin();
+        let mut operation = Operation::new(
+            Task::Change(change),
+            1,
+            VoterConfiguration::founders(&names),
+            highest,
+            known.clone(),
+        );
+        let mut step = operation.begin_round();
         loop {
-            let token = operation.token();
+            let phase_id = operation.phase_id();
             let mut answers = Vec::new();
             match &step {
                 Step::Prepare(asked) => {
@@ -169,21 +174,21 @@
                 other => panic!("{other:?}"),
             }
             for (name, answer) in names.iter().zip(answers) {
-                let next = operation.answer(token, name, answer);
+                let next = operation.on_response(phase_id, name, answer);
                 if next != Step::Wait {
                     step = next;
                     break;
                 }
             }
         }
-        (known, highest) = (operation.known().clone(), operation.highest());
+        (known, highest) = (operation.known().clone(), operation.highest_round());
     })
 }
 
 fn disk(bytes: usize) -> f64 {
     let folder = std::env::temp_dir().join(format!("scale-{}", std::process::id()));
-    let kept = Kept { id: 1, ..Kept::default() };
-    let mut disk = Disk::create(&folder, &kept, None).expect("a disk");
+    let kept = PersistentState { disk_id: 1, ..PersistentState::default() };
+    let mut disk = StateFile::create(&folder, &kept, None).expect("a disk");
     let record = Record { edition: 1, value: vec![7; bytes].into(), ..Record::default() };
     let took = took_both(|_| disk.write(&kept, Some(&record), true).expect("written")).1;
     drop(disk);
--- a/crates/config-store/src/acceptor.rs
+++ b/crates/config-store/src/acceptor.rs
@@ -1,142 +1,152 @@
-//! A voter: what it has promised and accepted. No I/O; each answer says what must be durable before it goes out.
+//! The acceptor of Paxos: what a voter has promised and accepted. No I/O; each response says what must be durable before
+//! it is sent.
 //!
-//! Every core machine is one, whether it has a say or not: who asks counts only the answers of those in the cast.
+//! Every core machine runs one, whether it has a vote or not: a proposer counts only the responses of the voters in
+//! the [`VoterConfiguration`] in force.
 
-use crate::messages::{Accept, Answer, Ballot, Cast, Fetch, Here, Kept, Prepare, Record, Verdict, Who};
+use crate::messages::{
+    Accept, Fetch, LocalState, LocalStateRequest, PersistentState, Prepare, ProposalNumber, Record,
+    ResponseStatus, VoterConfiguration, VoterResponse,
+};
 
-/// What must be durable before the answer goes out.
+/// What must be durable before the response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Write {
-    /// Nothing new.
+pub enum RequiredWrite {
+    /// Nothing has changed.
     Nothing,
-    /// What [`Acceptor::kept`] gives.
-    Kept,
-    /// That and the record.
-    Record,
+    /// [`Acceptor::state`].
+    State,
+    /// [`Acceptor::state`] and [`Acceptor::record`].
+    StateAndRecord,
 }
 
-/// A voter.
+/// One acceptor.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
-    kept: Kept,
+    /// Invariant: `state.accepted <= state.promised`.
+    state: PersistentState,
+    /// Invariant: present exactly if `state.accepted` is not the zero proposal.
     record: Option<Record>,
 }
 
 impl Acceptor {
-    /// A founder's first life.
+    /// A founder on its first disk.
     pub fn founded(founders: Vec<String>) -> Acceptor {
-        Acceptor { kept: Kept { founders, ..Kept::default() }, record: None }
+        Acceptor { state: PersistentState { founders, ..PersistentState::default() }, record: None }
     }
 
-    /// One that holds nothing yet; `id` is a random number that no disk of this machine had before.
-    pub fn fresh(id: u64) -> Acceptor {
-        Acceptor { kept: Kept { id: id.max(1), ..Kept::default() }, record: None }
+    /// An acceptor on an empty disk. `disk_id` is a random number that no earlier disk of this machine had.
+    pub fn fresh(disk_id: u64) -> Acceptor {
+        let state = PersistentState { disk_id: disk_id.max(1), ..PersistentState::default() };
+        Acceptor { state, record: None }
     }
 
-    /// A voter from what was durable; `None` if it does not fit together.
-    pub fn restored(kept: Kept, record: Option<Record>) -> Option<Acceptor> {
-        let fits = record.is_some() == (kept.accepted != Ballot::default())
-            && (kept.id != 0 || !kept.founders.is_empty());
-        fits.then_some(Acceptor { kept, record })
+    /// An acceptor from what was durable; `None` if the two parts contradict each other.
+    pub fn restored(state: PersistentState, record: Option<Record>) -> Option<Acceptor> {
+        let has_accepted = state.accepted != ProposalNumber::default();
+        let is_identified = state.disk_id != 0 || !state.founders.is_empty();
+        (record.is_some() == has_accepted && is_identified).then_some(Acceptor { state, record })
     }
 
-    /// All that is durable, besides the record.
-    pub fn kept(&self) -> &Kept {
-        &self.kept
+    /// All that must be durable besides the record.
+    pub fn state(&self) -> &PersistentState {
+        &self.state
     }
 
-    /// The record it holds.
+    /// The accepted record.
     pub fn record(&self) -> Option<&Record> {
         self.record.as_ref()
     }
 
-    fn cast(&self) -> Option<&Cast> {
-        self.record.as_ref().and_then(|record| record.cast.as_ref())
+    fn configuration(&self) -> Option<&VoterConfiguration> {
+        self.record.as_ref().and_then(|record| record.configuration.as_ref())
     }
 
-    /// [`Cast::made`] of the record it holds.
-    pub fn cast_made(&self) -> Ballot {
-        self.cast().map_or_else(Ballot::default, |cast| cast.made)
+    /// [`VoterConfiguration::proposed_in`] of the accepted record.
+    pub fn configuration_proposed_in(&self) -> ProposalNumber {
+        self.configuration().map_or_else(ProposalNumber::default, |configuration| configuration.proposed_in)
     }
 
-    /// Whether the voters change by the record it holds.
+    /// Whether the accepted record is a joint configuration.
     pub fn is_changing(&self) -> bool {
-        self.cast().is_some_and(Cast::is_changing)
+        self.configuration().is_some_and(VoterConfiguration::is_changing)
     }
 
-    /// An answer that gives nothing away but the state.
-    pub fn answer(&self, verdict: Verdict) -> Answer {
-        Answer {
-            verdict: verdict as i32,
-            id: self.kept.id,
-            promised: self.kept.promised,
-            accepted: self.kept.accepted,
-            adopted: self.kept.adopted,
+    /// A response with the current state and no record.
+    pub fn respond(&self, status: ResponseStatus) -> VoterResponse {
+        VoterResponse {
+            status: status as i32,
+            disk_id: self.state.disk_id,
+            promised: self.state.promised,
+            accepted: self.state.accepted,
+            adopted: self.state.adopted,
             edition: self.record.as_ref().map_or(0, |record| record.edition),
             record: None,
-            cast_made: self.cast_made(),
+            configuration_proposed_in: self.configuration_proposed_in(),
         }
     }
 
-    fn newer(&self, known: Ballot) -> Option<Record> {
-        self.record.clone().filter(|_| self.kept.accepted > known)
+    fn record_newer_than(&self, known: ProposalNumber) -> Option<Record> {
+        self.record.clone().filter(|_| self.state.accepted > known)
     }
 
-    /// Promises to take part in no lower ballot. The same ballot is not promised twice.
-    pub fn prepare(&mut self, asked: &Prepare) -> (Answer, Write) {
-        if asked.ballot <= self.kept.promised {
-            return (self.answer(Verdict::Rejected), Write::Nothing);
+    /// Promises not to take part in any lower proposal. The same number is promised only once.
+    pub fn prepare(&mut self, request: &Prepare) -> (VoterResponse, RequiredWrite) {
+        if request.proposal <= self.state.promised {
+            return (self.respond(ResponseStatus::Rejected), RequiredWrite::Nothing);
         }
-        self.kept.promised = asked.ballot;
-        (Answer { record: self.newer(asked.known), ..self.answer(Verdict::Given) }, Write::Kept)
+        self.state.promised = request.proposal;
+        let record = self.record_newer_than(request.known);
+        (VoterResponse { record, ..self.respond(ResponseStatus::Granted) }, RequiredWrite::State)
     }
 
-    /// Accepts, unless a higher ballot was promised.
-    pub fn accept(&mut self, asked: &Accept) -> (Answer, Write) {
-        if asked.ballot < self.kept.promised {
-            return (self.answer(Verdict::Rejected), Write::Nothing);
+    /// Accepts the record, unless a higher proposal was promised.
+    pub fn accept(&mut self, request: &Accept) -> (VoterResponse, RequiredWrite) {
+        if request.proposal < self.state.promised {
+            return (self.respond(ResponseStatus::Rejected), RequiredWrite::Nothing);
         }
-        if asked.ballot == self.kept.accepted && !self.kept.adopted {
-            return (self.answer(Verdict::Given), Write::Nothing);
+        if request.proposal == self.state.accepted && !self.state.adopted {
+            return (self.respond(ResponseStatus::Granted), RequiredWrite::Nothing);
         }
-        self.kept.promised = asked.ballot;
-        self.kept.accepted = asked.ballot;
-        self.kept.adopted = false;
-        self.record = Some(asked.record.clone());
-        (self.answer(Verdict::Given), Write::Record)
-    }
-
-    /// Keeps a record that it was told of, if it is newer. That is no vote: it tells the record in its promises, and is
-    /// not counted among those who accepted it.
-    pub fn adopt(&mut self, ballot: Ballot, record: &Record) -> Write {
-        if ballot <= self.kept.accepted {
-            return Write::Nothing;
+        self.state.promised = request.proposal;
+        self.state.accepted = request.proposal;
+        self.state.adopted = false;
+        self.record = Some(request.record.clone());
+        (self.respond(ResponseStatus::Granted), RequiredWrite::StateAndRecord)
+    }
+
+    /// Stores a record learned from another process, if it is newer. This is no vote: later prepare responses carry the
+    /// record, but this acceptor is not counted among those that accepted it.
+    pub fn adopt(&mut self, proposal: ProposalNumber, record: &Record) -> RequiredWrite {
+        if proposal <= self.state.accepted {
+            return RequiredWrite::Nothing;
         }
-        self.kept.promised = self.kept.promised.max(ballot);
-        self.kept.accepted = ballot;
-        self.kept.adopted = true;
+        self.state.promised = self.state.promised.max(proposal);
+        self.state.accepted = proposal;
+        self.state.adopted = true;
         self.record = Some(record.clone());
-        Write::Record
+        RequiredWrite::StateAndRecord
     }
 
-    /// Which ballot and edition it holds.
-    pub fn peek(&self) -> Answer {
-        self.answer(Verdict::Given)
+    /// The accepted proposal and its edition, without the record.
+    pub fn peek(&self) -> VoterResponse {
+        self.respond(ResponseStatus::Granted)
     }
 
-    /// The record, if it is newer than what is known.
-    pub fn fetch(&self, asked: &Fetch) -> Answer {
-        Answer { record: self.newer(asked.known), ..self.answer(Verdict::Given) }
+    /// The record, if it is newer than what the caller knows.
+    pub fn fetch(&self, request: &Fetch) -> VoterResponse {
+        let record = self.record_newer_than(request.known);
+        VoterResponse { record, ..self.respond(ResponseStatus::Granted) }
     }
 
-    /// Who votes, as far as this one knows.
-    pub fn here(&self, asked: &Who, seeds: Vec<String>) -> Here {
-        Here {
-            founders: self.kept.founders.clone(),
+    /// Who the voters are, as far as this acceptor knows.
+    pub fn local_state(&self, request: &LocalStateRequest, seeds: Vec<String>) -> LocalState {
+        LocalState {
+            founders: self.state.founders.clone(),
             seeds,
-            id: self.kept.id,
-            accepted: self.kept.accepted,
-            record: self.newer(asked.known),
+            disk_id: self.state.disk_id,
+            accepted: self.state.accepted,
+            record: self.record_newer_than(request.known),
             unable: false,
         }
     }
--- a/crates/config-store/src/client.rs
+++ b/crates/config-store/src/client.rs
@@ -1,7 +1,11 @@
-//! The register as other programs use it: rounds over links to the voters, on one thread, in a `LocalSet`.
+//! The register as other programs use it: rounds over the network to the voters, on one thread, in a `LocalSet`.
 
-use crate::messages::{kind, Answer, Ballot, Cast, Fetch, Here, Peek, Who};
-use crate::proposer::{sight, Action, Known, Operation, Outcome, Task, Token, Turn};
+use crate::known_record::KnownRecord;
+use crate::messages::{
+    kind, Fetch, LocalState, LocalStateRequest, Peek, ProposalNumber, VoterConfiguration, VoterResponse,
+};
+use crate::peek::summarize_peek;
+use crate::proposer::{Action, Operation, Outcome, PhaseId, Task, VoterChange};
 use bytes::Bytes;
 use oatbank_node_runtime::random::chance;
 use oatbank_node_runtime::rpc::{Link, LinkError};
@@ -10,6 +14,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
+use std::convert::Infallible;
 use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,26 +22,30 @@
 use tokio::sync::{mpsc, Mutex};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How long a question of a round waits for those that are slow.
-pub const PHASE: Duration = Duration::from_millis(350);
-/// The longest back-off between two rounds, in milliseconds.
-const LONGEST_BACK_OFF: u64 = 240;
+/// How long a phase of a round waits for voters that are slow.
+pub const PHASE_TIMEOUT: Duration = Duration::from_millis(350);
+/// The shortest upper bound of the random back-off between two rounds, in ms; it doubles with each round.
+const FIRST_BACK_OFF_MS: u64 = 20;
+/// The longest upper bound of that back-off, in ms.
+const LONGEST_BACK_OFF_MS: u64 = 240;
+/// After so many quorum reads that found other voters in force, a read runs a round.
+const QUORUM_READS: usize = 3;
 
 /// Why a change has no result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeError<R> {
-    /// The function refused what was chosen last. The change is not made and never will be.
-    Refused(R),
+    /// The function rejected the newest chosen value. The change is not made and never will be.
+    Rejected(R),
     /// No majority could be reached in time. The change is not made and never will be.
     Unreachable,
-    /// It may have been made, or may be made yet.
+    /// The change may have been made, or may be made yet.
     Unknown,
 }
 
 impl<R: fmt::Debug> fmt::Display for ChangeError<R> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ChangeError::Refused(refusal) => write!(f, "refused: {refusal:?}"),
+            ChangeError::Rejected(rejection) => write!(f, "rejected: {rejection:?}"),
             ChangeError::Unreachable => f.write_str("not made: no majority could be reached"),
             ChangeError::Unknown => f.write_str("it may or may not have been made"),
         }
@@ -45,318 +54,335 @@
 
 impl<R: fmt::Debug> std::error::Error for ChangeError<R> {}
 
-/// What a majority says it holds.
+/// A value that is known to be chosen.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ChosenValue {
+    /// Counts the changes of the value; 0 before the first.
+    pub edition: u64,
+    /// The value; `None` before the first change.
+    pub value: Option<Bytes>,
+}
+
+/// What a quorum read found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Peeked {
-    /// The ballot a majority agrees on, otherwise the highest seen.
-    pub ballot: Ballot,
+pub struct PeekResult {
+    /// The proposal that a majority has accepted, otherwise the highest accepted by any.
+    pub proposal: ProposalNumber,
     /// Its edition; 0 before the first change.
     pub edition: u64,
-    /// Whether a majority agrees on it: then it is chosen, and nothing newer was chosen before the call began.
+    /// Whether a majority has accepted it: then it is chosen, and nothing newer was chosen before the call began.
     pub agreed: bool,
-    /// Whether the caller holds the value of this very ballot.
-    pub known: bool,
+    /// Whether the client holds the value of this very proposal.
+    pub is_known: bool,
 }
 
-type Never = std::convert::Infallible;
-type NoChange = fn(Option<&[u8]>, u64) -> Result<Vec<u8>, Never>;
-type Incoming = mpsc::UnboundedReceiver<(String, Result<Answer, LinkError>)>;
+/// An operation ran out of time.
+struct TimedOut {
+    /// Whether its change may have been chosen or may be chosen yet.
+    may_be_chosen: bool,
+}
+
+/// The function of an operation that changes no value.
+type NoValueChange = fn(Option<&[u8]>, u64) -> Result<Vec<u8>, Infallible>;
+/// Responses to one request, each with the address of its voter.
+type Responses = mpsc::UnboundedReceiver<(String, Result<VoterResponse, LinkError>)>;
 
 /// One program's access to the register.
-pub struct Caller {
-    by: u64,
-    /// They vote where no record says otherwise.
-    founders: RefCell<Cast>,
+pub struct RegisterClient {
+    proposer_id: u64,
+    /// The voters where no record names any.
+    founders: RefCell<VoterConfiguration>,
     links: RefCell<BTreeMap<SocketAddr, Rc<Link>>>,
-    /// The highest round seen.
-    highest: Rc<Cell<u64>>,
-    known: Rc<RefCell<Known>>,
-    /// The last one that was certainly chosen.
-    confirmed: RefCell<Known>,
-    chance: RefCell<Pcg64Mcg>,
+    /// The highest round seen. Invariant: no round of this proposer is ever used twice.
+    highest_round: Cell<u64>,
+    /// The newest record seen, chosen or not.
+    known: RefCell<KnownRecord>,
+    /// The newest record that is certainly chosen.
+    confirmed: RefCell<KnownRecord>,
+    random: RefCell<Pcg64Mcg>,
     /// A proposer runs one operation at a time.
-    turn: Mutex<()>,
+    operating: Mutex<()>,
 }
 
-impl fmt::Debug for Caller {
+impl fmt::Debug for RegisterClient {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Caller({:x}, {:?})", self.by, self.cast())
+        write!(f, "RegisterClient({:x}, {:?})", self.proposer_id, self.configuration())
     }
 }
 
-impl Caller {
-    /// A caller that knows of no voters yet; `me` helps to tell callers apart.
-    pub fn new(me: u64) -> Caller {
-        let by = chance().wrapping_add(me);
-        Caller {
-            by,
+impl RegisterClient {
+    /// A client that knows of no voters yet; `salt` helps to tell the clients of one machine apart.
+    pub fn new(salt: u64) -> RegisterClient {
+        let proposer_id = chance().wrapping_add(salt);
+        RegisterClient {
+            proposer_id,
             founders: RefCell::default(),
             links: RefCell::default(),
-            highest: Rc::default(),
-            known: Rc::default(),
+            highest_round: Cell::default(),
+            known: RefCell::default(),
             confirmed: RefCell::default(),
-            chance: RefCell::new(Pcg64Mcg::seed_from_u64(by)),
-            turn: Mutex::new(()),
+            random: RefCell::new(Pcg64Mcg::seed_from_u64(proposer_id)),
+            operating: Mutex::new(()),
         }
     }
 
-    /// Takes what a program of the store says of the voters.
-    pub fn learn(&self, here: &Here) {
-        if self.founders.borrow().members.is_empty() {
-            *self.founders.borrow_mut() = Cast::founders(&here.founders);
+    /// Takes in what a process of the store knows of the voters.
+    pub fn learn(&self, state: &LocalState) {
+        if self.founders.borrow().voters.is_empty() {
+            *self.founders.borrow_mut() = VoterConfiguration::founders(&state.founders);
         }
-        self.known.borrow_mut().learn_from(here);
+        self.known.borrow_mut().learn_from(state);
     }
 
-    /// The voters, as far as known; without members before any are.
-    pub fn cast(&self) -> Cast {
-        self.known.borrow().cast(&self.founders.borrow()).clone()
+    /// The voters, as far as known; empty before any are.
+    pub fn configuration(&self) -> VoterConfiguration {
+        self.known.borrow().configuration(&self.founders.borrow()).clone()
     }
 
-    /// The newest record it was told of, chosen or not, with its ballot.
-    pub fn known(&self) -> Known {
+    /// The newest record seen, chosen or not.
+    pub fn known(&self) -> KnownRecord {
         self.known.borrow().clone()
     }
 
     /// How many voters are known.
     pub fn voters_count(&self) -> usize {
-        self.known.borrow().cast(&self.founders.borrow()).members.len()
+        self.known.borrow().configuration(&self.founders.borrow()).voters.len()
     }
 
     /// The addresses of the voters, as far as known.
     pub fn voters(&self) -> Vec<SocketAddr> {
-        self.cast().names().iter().filter_map(|name| name.parse().ok()).collect()
+        self.configuration().addresses().iter().filter_map(|address| address.parse().ok()).collect()
     }
 
-    /// Asks those at `among`, those whom they name, and the voters known, who votes. What each one said.
-    pub async fn look(&self, among: &[SocketAddr], within: Duration) -> BTreeMap<SocketAddr, Here> {
+    /// Asks the processes at `seeds`, those they name, and the known voters who the voters are. Returns the state of each
+    /// one that answered in time.
+    pub async fn discover_voters(
+        &self,
+        seeds: &[SocketAddr],
+        within: Duration,
+    ) -> BTreeMap<SocketAddr, LocalState> {
         let until = Instant::now() + within;
-        let (sender, mut answers) = mpsc::unbounded_channel::<(SocketAddr, Option<Here>)>();
+        let (sender, mut incoming) = mpsc::unbounded_channel::<(SocketAddr, Option<LocalState>)>();
         let mut asked: BTreeSet<SocketAddr> = BTreeSet::new();
-        let mut next: Vec<SocketAddr> = among.to_vec();
+        let mut next: Vec<SocketAddr> = seeds.to_vec();
         let mut pending = 0;
-        let mut heard = BTreeMap::new();
+        let mut states = BTreeMap::new();
         loop {
             next.extend(self.voters());
             for to in next.drain(..) {
                 if asked.insert(to) {
                     pending += 1;
                     let (link, sender) = (self.link(to), sender.clone());
-                    let known = self.known.borrow().ballot;
+                    let known = self.known.borrow().proposal;
                     tokio::task::spawn_local(async move {
-                        let _ = sender.send((to, who(&link, known, within).await));
+                        let _ = sender.send((to, request_local_state(&link, known, within).await));
                     });
                 }
             }
             if pending == 0 {
-                return heard;
+                return states;
             }
-            let Ok(Some((at, here))) = timeout_at(until, answers.recv()).await else { return heard };
+            let Ok(Some((from, state))) = timeout_at(until, incoming.recv()).await else { return states };
             pending -= 1;
-            let Some(here) = here else { continue };
-            self.learn(&here);
-            if self.cast().members.is_empty() {
-                next.extend(here.seeds.iter().filter_map(|seed| seed.parse::<SocketAddr>().ok()));
+            let Some(state) = state else { continue };
+            self.learn(&state);
+            if self.configuration().voters.is_empty() {
+                next.extend(state.seeds.iter().filter_map(|seed| seed.parse::<SocketAddr>().ok()));
             }
-            heard.insert(at, here);
+            states.insert(from, state);
         }
     }
 
-    /// Changes who votes. Done once it is chosen, or was so already; `false` if it did not come so far in time.
-    pub async fn recast(&self, turn: Turn, within: Duration) -> bool {
+    /// Changes the voters. Returns whether the change is known to be chosen, now or already before; `false` if it may
+    /// not have come that far in time.
+    pub async fn change_voters(&self, change: VoterChange, within: Duration) -> bool {
         let until = Instant::now() + within;
-        let Ok(_turn) = timeout_at(until, self.turn.lock()).await else { return false };
-        self.operate::<NoChange, Never>(Task::Turn(turn), until).await.is_ok()
+        let Ok(_operating) = timeout_at(until, self.operating.lock()).await else { return false };
+        self.operate::<NoValueChange, Infallible>(Task::ChangeVoters(change), until).await.is_ok()
     }
 
     fn link(&self, to: SocketAddr) -> Rc<Link> {
         self.links.borrow_mut().entry(to).or_insert_with(|| Link::new(to)).clone()
     }
 
-    /// The newest edition and value that this caller knows to have been chosen.
-    pub fn confirmed(&self) -> (u64, Option<Bytes>) {
+    /// The newest value that this client knows to be chosen.
+    pub fn confirmed(&self) -> ChosenValue {
         let confirmed = self.confirmed.borrow();
-        (confirmed.edition(), confirmed.value().cloned())
+        ChosenValue { edition: confirmed.edition(), value: confirmed.value().cloned() }
     }
 
-    /// Changes the value. `change` gets the newest one (`None` before the first) with its edition and gives the next
-    /// or refuses; it may be asked several times. Gives the edition and the value that it made.
-    pub async fn change<F, R>(&self, change: F, within: Duration) -> Result<(u64, Bytes), ChangeError<R>>
+    /// Changes the value. `change` is handed the newest value (`None` before the first) and its edition, and returns the
+    /// next value or rejects; it may be called several times. Returns what it made.
+    ///
+    /// # Errors
+    /// [`ChangeError::Unknown`] if the change may have been made; with the others it certainly was not.
+    pub async fn change<F, R>(&self, change: F, within: Duration) -> Result<ChosenValue, ChangeError<R>>
     where
         F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
     {
         let until = Instant::now() + within;
-        let Ok(_turn) = timeout_at(until, self.turn.lock()).await else {
+        let Ok(_operating) = timeout_at(until, self.operating.lock()).await else {
             return Err(ChangeError::Unreachable);
         };
         match self.operate(Task::Change(change), until).await {
-            Ok(Outcome::Chosen(edition, value)) => Ok((edition, value.unwrap_or_default())),
-            Ok(Outcome::Refused(refusal)) => Err(ChangeError::Refused(refusal)),
-            Ok(Outcome::Unknown) | Err(true) => Err(ChangeError::Unknown),
-            Err(false) => Err(ChangeError::Unreachable),
+            Ok(Outcome::Chosen(edition, value)) => Ok(ChosenValue { edition, value }),
+            Ok(Outcome::Rejected(rejection)) => Err(ChangeError::Rejected(rejection)),
+            Ok(Outcome::Unknown) | Err(TimedOut { may_be_chosen: true }) => Err(ChangeError::Unknown),
+            Err(TimedOut { may_be_chosen: false }) => Err(ChangeError::Unreachable),
         }
     }
 
-    /// The newest edition and value at some moment during the call, both 0 and `None` before the first change; `None`
-    /// where no majority answered in time. Without a change since the last reading, and with a majority that agrees,
-    /// this is one question to the voters and nothing is written.
-    pub async fn read(&self, within: Duration) -> Option<(u64, Option<Bytes>)> {
+    /// The newest value at some moment during the call (a linearizable read); `None` if no majority answered in time.
+    /// Without a change since the last read, and with a majority that agrees, this is one request to each voter and
+    /// nothing is written.
+    pub async fn read(&self, within: Duration) -> Option<ChosenValue> {
         let until = Instant::now() + within;
-        for _ in 0..3 {
+        for _ in 0..QUORUM_READS {
             let Some(peeked) = timeout_at(until, self.peek()).await.ok()? else { break };
-            let known = peeked.known || timeout_at(until, self.fetch(peeked.ballot)).await.ok()?;
-            match (peeked.agreed, known) {
+            let is_known = peeked.is_known || timeout_at(until, self.fetch(peeked.proposal)).await.ok()?;
+            match (peeked.agreed, is_known) {
                 (true, true) => return Some(self.confirm()),
-                // Other voters were in what came: they are asked once more.
-                (false, true) if !peeked.known => {}
+                // The fetched record may name other voters: they are asked.
+                (false, true) if !peeked.is_known => {}
                 _ => break,
             }
         }
-        let _turn = timeout_at(until, self.turn.lock()).await.ok()?;
-        match self.operate::<NoChange, Never>(Task::Read, until).await {
-            Ok(Outcome::Chosen(edition, value)) => Some((edition, value)),
+        let _operating = timeout_at(until, self.operating.lock()).await.ok()?;
+        match self.operate::<NoValueChange, Infallible>(Task::Read, until).await {
+            Ok(Outcome::Chosen(edition, value)) => Some(ChosenValue { edition, value }),
             _ => None,
         }
     }
 
-    /// Asks each voter what it holds; those of the cast known, with what each one said in time.
-    pub async fn roll(&self) -> (Cast, BTreeMap<String, Answer>) {
-        let cast = self.cast();
-        let mut answers = BTreeMap::new();
-        let mut incoming = self.ask(&cast.names(), kind::PEEK, Peek {}.encode_to_vec());
-        let until = Instant::now() + PHASE;
-        while let Ok(Some((voter, answer))) = timeout_at(until, incoming.recv()).await {
-            answers.extend(answer.ok().map(|answer| (voter, answer)));
+    /// Asks each known voter what it holds. Returns the voters in force and the responses that came in time, by address.
+    pub async fn poll_voters(&self) -> (VoterConfiguration, BTreeMap<String, VoterResponse>) {
+        let configuration = self.configuration();
+        let mut responses = BTreeMap::new();
+        let mut incoming = self.request(&configuration.addresses(), kind::PEEK, Peek {}.encode_to_vec());
+        let until = Instant::now() + PHASE_TIMEOUT;
+        while let Ok(Some((voter, response))) = timeout_at(until, incoming.recv()).await {
+            responses.extend(response.ok().map(|response| (voter, response)));
         }
-        (cast, answers)
+        (configuration, responses)
     }
 
-    /// Asks what a majority holds. Ends as soon as a majority agrees, otherwise after [`PHASE`] at the latest; `None`
-    /// below a majority.
-    pub async fn peek(&self) -> Option<Peeked> {
-        let cast = self.cast();
-        let mut answers: BTreeMap<String, Answer> = BTreeMap::new();
-        let mut incoming = self.ask(&cast.names(), kind::PEEK, Peek {}.encode_to_vec());
-        let until = Instant::now() + PHASE;
-        let mut seen = None;
-        while let Ok(Some((voter, answer))) = timeout_at(until, incoming.recv()).await {
-            let Ok(answer) = answer else { continue };
-            answers.insert(voter, answer);
-            seen = sight(&cast, &answers);
-            if seen.is_some_and(|sight| sight.agreed) {
+    /// Asks what a majority holds (a quorum read). Ends as soon as a majority agrees, otherwise after [`PHASE_TIMEOUT`]
+    /// at the latest; `None` below a majority.
+    pub async fn peek(&self) -> Option<PeekResult> {
+        let configuration = self.configuration();
+        let mut responses: BTreeMap<String, VoterResponse> = BTreeMap::new();
+        let mut incoming = self.request(&configuration.addresses(), kind::PEEK, Peek {}.encode_to_vec());
+        let until = Instant::now() + PHASE_TIMEOUT;
+        let mut summary = None;
+        while let Ok(Some((voter, response))) = timeout_at(until, incoming.recv()).await {
+            let Ok(response) = response else { continue };
+            responses.insert(voter, response);
+            summary = summarize_peek(&configuration, &responses);
+            if summary.is_some_and(|summary| summary.agreed) {
                 break;
             }
         }
-        let seen = seen?;
-        self.highest.set(self.highest.get().max(seen.highest));
-        let known = self.known.borrow().ballot == seen.ballot;
-        if seen.agreed && known {
+        let summary = summary?;
+        self.raise_highest_round(summary.highest_round);
+        let is_known = self.known.borrow().proposal == summary.proposal;
+        if summary.agreed && is_known {
             self.confirm();
         }
-        Some(Peeked { ballot: seen.ballot, edition: seen.edition, agreed: seen.agreed, known })
+        let (proposal, edition) = (summary.proposal, summary.edition);
+        Some(PeekResult { proposal, edition, agreed: summary.agreed, is_known })
     }
 
-    fn confirm(&self) -> (u64, Option<Bytes>) {
+    /// The newest record seen is chosen.
+    fn confirm(&self) -> ChosenValue {
         let known = self.known.borrow();
         let mut confirmed = self.confirmed.borrow_mut();
-        if known.ballot > confirmed.ballot {
+        if known.proposal > confirmed.proposal {
             confirmed.clone_from(&known);
         }
-        (known.edition(), known.value().cloned())
+        ChosenValue { edition: known.edition(), value: known.value().cloned() }
     }
 
-    /// Gets the record of this ballot from whoever has it; says whether it is what is known now.
-    async fn fetch(&self, ballot: Ballot) -> bool {
-        let fetch = Fetch { known: self.known.borrow().ballot };
-        let mut incoming = self.ask(&self.cast().names(), kind::FETCH, fetch.encode_to_vec());
-        let until = Instant::now() + PHASE;
-        while let Ok(Some((_, answer))) = timeout_at(until, incoming.recv()).await {
-            // A newer one may not be chosen yet; rounds may go on from it, but this reading is not it.
-            match answer {
-                Ok(answer) if answer.accepted == ballot => self.known.borrow_mut().learn(&answer),
+    fn raise_highest_round(&self, seen: u64) {
+        self.highest_round.set(self.highest_round.get().max(seen));
+    }
+
+    /// Fetches the record of this proposal from any voter that has it; whether it is the newest known afterwards.
+    async fn fetch(&self, proposal: ProposalNumber) -> bool {
+        let fetch = Fetch { known: self.known.borrow().proposal };
+        let mut incoming =
+            self.request(&self.configuration().addresses(), kind::FETCH, fetch.encode_to_vec());
+        let until = Instant::now() + PHASE_TIMEOUT;
+        while let Ok(Some((_, response))) = timeout_at(until, incoming.recv()).await {
+            // A newer record may not be chosen yet; rounds may build on it, but this read must not return it.
+            match response {
+                Ok(response) if response.accepted == proposal => self.known.borrow_mut().learn(&response),
                 _ => continue,
             }
-            if self.known.borrow().ballot == ballot {
+            if self.known.borrow().proposal == proposal {
                 return true;
             }
         }
         false
     }
 
-    /// Sends one question to these.
-    fn ask(&self, whom: &[String], kind: u8, body: Vec<u8>) -> Incoming {
+    /// Sends one request to these voters.
+    fn request(&self, recipients: &[String], kind: u8, body: Vec<u8>) -> Responses {
         let (sender, receiver) = mpsc::unbounded_channel();
-        for voter in whom {
-            let Ok(at) = voter.parse() else { continue };
-            let (link, voter, sender, body) = (self.link(at), voter.clone(), sender.clone(), body.clone());
+        for voter in recipients {
+            let Ok(address) = voter.parse() else { continue };
+            let (link, voter, sender, body) =
+                (self.link(address), voter.clone(), sender.clone(), body.clone());
             tokio::task::spawn_local(async move {
-                let call = link.call(kind, body, PHASE);
-                // Whoever asked may have enough already; what is being sent is sent, but nobody waits for it.
-                let answer = tokio::select! {
+                let call = link.call(kind, body, PHASE_TIMEOUT);
+                // The caller may have enough responses already: what is being sent is sent, but nobody waits for it.
+                let response = tokio::select! {
                     biased;
-                    answer = call => answer,
+                    response = call => response,
                     () = sender.closed() => return,
                 };
-                let answer = answer.and_then(|answer| Answer::decode(answer).map_err(|_| LinkError::Lost));
-                let _ = sender.send((voter, answer));
+                let response =
+                    response.and_then(|bytes| VoterResponse::decode(bytes).map_err(|_| LinkError::Lost));
+                let _ = sender.send((voter, response));
             });
         }
         receiver
     }
 
-    /// `Err` says whether it may have been or may yet be chosen.
-    async fn operate<F, R>(&self, task: Task<F>, until: Instant) -> Result<Outcome<R>, bool>
+    async fn operate<F, R>(&self, task: Task<F>, until: Instant) -> Result<Outcome<R>, TimedOut>
     where
         F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
     {
         let known = self.known.borrow().clone();
-        let mut operation =
-            Operation::new(task, self.by, self.founders.borrow().clone(), self.highest.get(), known);
-        let result = self.rounds(&mut operation, until).await;
-        self.highest.set(self.highest.get().max(operation.highest()));
-        if operation.known().ballot > self.known.borrow().ballot {
+        let founders = self.founders.borrow().clone();
+        let mut operation = Operation::new(task, self.proposer_id, founders, self.highest_round.get(), known);
+        let outcome = self.run_rounds(&mut operation, until).await;
+        self.raise_highest_round(operation.highest_round());
+        if operation.known().proposal > self.known.borrow().proposal {
             self.known.borrow_mut().clone_from(operation.known());
         }
-        match result {
-            Some(outcome) => {
-                if !matches!(outcome, Outcome::Unknown) {
-                    self.confirm();
-                }
-                Ok(outcome)
-            }
-            None => Err(operation.open()),
+        let outcome = outcome.ok_or(TimedOut { may_be_chosen: operation.may_be_chosen() })?;
+        if !matches!(outcome, Outcome::Unknown) {
+            self.confirm();
         }
+        Ok(outcome)
     }
 
-    async fn rounds<F, R>(&self, operation: &mut Operation<F, R>, until: Instant) -> Option<Outcome<R>>
+    /// Runs rounds until one succeeds; `None` when the operation's time is over.
+    async fn run_rounds<F, R>(&self, operation: &mut Operation<F, R>, until: Instant) -> Option<Outcome<R>>
     where
         F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
     {
         for round in 0u32.. {
-            let before = operation.highest();
-            let mut action = operation.begin();
-            loop {
-                // The numbers of a round are never used again, whatever becomes of this call.
-                self.highest.set(self.highest.get().max(operation.highest()));
-                let (kind, body) = match &action {
-                    Action::Prepare(prepare) => (kind::PREPARE, prepare.encode_to_vec()),
-                    Action::Accept(accept) => (kind::ACCEPT, accept.encode_to_vec()),
-                    _ => break,
-                };
-                let token = operation.token();
-                let incoming = self.ask(operation.whom(), kind, body);
-                action = self.phase(operation, token, incoming, until).await?;
-            }
-            if let Action::Done(outcome) = action {
+            let highest_before = operation.highest_round();
+            if let Action::Done(outcome) = self.run_round(operation, until).await? {
                 return Some(outcome);
             }
-            // The first time the round was only too low, mostly: it is known now, so there is nothing to wait for.
-            if round > 0 || operation.highest() <= before + 1 {
-                let longest = LONGEST_BACK_OFF.min(20 << round.min(8));
-                let wait = self.chance.borrow_mut().next_u64() % longest;
-                if timeout_at(until, sleep(Duration::from_millis(wait))).await.is_err() {
-                    return None;
-                }
+            // The first round mostly fails only because its number was too low. The right one is known now, so there is
+            // nothing to wait for.
+            if round > 0 || operation.highest_round() <= highest_before + 1 {
+                let bound = LONGEST_BACK_OFF_MS.min(FIRST_BACK_OFF_MS << round.min(8));
+                let wait = self.random.borrow_mut().next_u64() % bound;
+                timeout_at(until, sleep(Duration::from_millis(wait))).await.ok()?;
             }
             if Instant::now() >= until {
                 return None;
@@ -365,25 +391,43 @@
         None
     }
 
-    /// Waits for the answers to one question; `None` when the operation's time is over.
-    async fn phase<F, R>(
-        &self,
+    /// Runs one round; the action that ended it, or `None` when the operation's time is over.
+    async fn run_round<F, R>(&self, operation: &mut Operation<F, R>, until: Instant) -> Option<Action<R>>
+    where
+        F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
+    {
+        let mut action = operation.begin_round();
+        loop {
+            self.raise_highest_round(operation.highest_round());
+            let (kind, body) = match &action {
+                Action::Prepare(prepare) => (kind::PREPARE, prepare.encode_to_vec()),
+                Action::Accept(accept) => (kind::ACCEPT, accept.encode_to_vec()),
+                _ => return Some(action),
+            };
+            let phase_id = operation.phase_id();
+            let incoming = self.request(operation.recipients(), kind, body);
+            action = Self::run_phase(operation, phase_id, incoming, until).await?;
+        }
+    }
+
+    /// Waits for the responses of one phase; `None` when the operation's time is over.
+    async fn run_phase<F, R>(
         operation: &mut Operation<F, R>,
-        token: Token,
-        mut incoming: Incoming,
+        phase_id: PhaseId,
+        mut incoming: Responses,
         until: Instant,
     ) -> Option<Action<R>>
     where
         F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
     {
-        let phase = Instant::now() + PHASE;
+        let phase_ends = Instant::now() + PHASE_TIMEOUT;
         loop {
-            let action = match timeout_at(phase.min(until), incoming.recv()).await {
-                Ok(Some((voter, Ok(answer)))) => operation.answer(token, &voter, answer),
-                Ok(Some((voter, Err(_)))) => operation.failed(token, &voter),
-                Ok(None) => operation.over(),
+            let action = match timeout_at(phase_ends.min(until), incoming.recv()).await {
+                Ok(Some((voter, Ok(response)))) => operation.on_response(phase_id, &voter, response),
+                Ok(Some((voter, Err(_)))) => operation.on_failure(phase_id, &voter),
+                Ok(None) => operation.on_timeout(),
                 Err(_) if Instant::now() >= until => return None,
-                Err(_) => operation.over(),
+                Err(_) => operation.on_timeout(),
             };
             if !matches!(action, Action::Wait) {
                 return Some(action);
@@ -392,7 +436,9 @@
     }
 }
 
-/// Asks one program who votes.
-pub async fn who(link: &Link, known: Ballot, within: Duration) -> Option<Here> {
-    Here::decode(link.call(kind::WHO, Who { known }.encode_to_vec(), within).await.ok()?).ok()
+/// Asks one process of the store who the voters are; `None` if it does not answer in time.
+pub async fn request_local_state(link: &Link, known: ProposalNumber, within: Duration) -> Option<LocalState> {
+    let request = LocalStateRequest { known }.encode_to_vec();
+    let response = link.call(kind::LOCAL_STATE, request, within).await.ok()?;
+    LocalState::decode(response).ok()
 }
--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -1,6 +1,6 @@
-//! The program `oatbank-config-store`: runs on every core machine and votes on what is agreed.
+//! The program `oatbank-config-store`: runs on every core machine and votes on the configuration.
 
-use oatbank_config_store::voter::{Terms, Voter};
+use oatbank_config_store::voter::{Voter, VoterOptions};
 use oatbank_node_runtime::log;
 use oatbank_node_runtime::process::{self, listen, Program, Signals, Told, Word};
 use oatbank_node_runtime::rpc;
@@ -12,12 +12,13 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
-/// The wait before the disk is tried again at the start.
-const DISK_AGAIN: Duration = Duration::from_millis(250);
-/// It ends within this once it is told to.
-const LEAVING: Duration = Duration::from_millis(1500);
+/// Wait before the disk is tried again at the start.
+const DISK_RETRY: Duration = Duration::from_millis(250);
+/// How long leaving the voters may delay a planned shutdown.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 fn main() -> ExitCode {
     let about = "the store of configuration: keeps what a majority of the core machines agrees on";
@@ -28,66 +29,70 @@
     settings.seeds.iter().map(|seed| settings.inner_of(*seed.ip(), STORE)).collect()
 }
 
-fn terms(settings: &Settings) -> Result<Terms, String> {
+fn options(settings: &Settings) -> Result<VoterOptions, String> {
     let folder = settings.data.as_ref().ok_or("dataFolder: is missing; allowed: a folder")?;
-    Ok(Terms {
+    Ok(VoterOptions {
         address: settings.inner_address(STORE),
         seeds: seeds(settings),
         first_start: settings.first_start,
         folder: PathBuf::from(folder),
-        tolerates: settings.tolerate.0 as usize,
+        tolerated_failures: settings.tolerate.0 as usize,
     })
 }
 
 /// Opens the disk, again and again if it refuses.
-async fn start(terms: Terms) -> Rc<Voter> {
-    let mut said = false;
+async fn start(options: VoterOptions) -> Rc<Voter> {
+    let mut is_logged = false;
     loop {
-        match Voter::start(terms.clone()) {
+        match Voter::start(options.clone()) {
             Ok(voter) => return voter,
             Err(error) => {
-                if !said {
+                if !is_logged {
                     log::error!("store: cannot start yet: {}", error);
                 }
-                said = true;
-                tokio::time::sleep(DISK_AGAIN).await;
+                is_logged = true;
+                tokio::time::sleep(DISK_RETRY).await;
             }
         }
     }
 }
 
-/// A voter, and its watch over the others.
-type Started = (Rc<Voter>, AbortHandle);
+/// A voter that has started.
+struct Started {
+    voter: Rc<Voter>,
+    maintenance: AbortHandle,
+}
 
 async fn serve(told: Rc<Told>, mut signals: Signals) -> Result<(), String> {
     let settings = told.settings();
-    let terms = terms(&settings)?;
-    let listener = listen(terms.address)?;
-    log::info!("store: {} listens at {}", settings.node, terms.address);
-    let shared: Rc<RefCell<Option<Started>>> = Rc::default();
-    let started = shared.clone();
-    tokio::task::spawn_local(async move {
-        let voter = start(terms).await;
-        tokio::task::spawn_local(voter.clone().vote());
-        let look = tokio::task::spawn_local(voter.clone().look());
-        *started.borrow_mut() = Some((voter.clone(), look.abort_handle()));
-        rpc::serve(listener, voter.handler()).await;
-    });
-    // Of its settings only the seeds may change in its life.
+    let options = options(&settings)?;
+    let listener = listen(options.address)?;
+    log::info!("store: {} listens at {}", settings.node, options.address);
+    let started: Rc<RefCell<Option<Started>>> = Rc::default();
+    tokio::task::spawn_local(run_voter(options, listener, started.clone()));
+    // Only the seeds may change while it runs.
     while signals.next().await != Word::End {
         if told.reread() {
-            if let Some((voter, _)) = &*shared.borrow() {
-                voter.seeds(seeds(&told.settings()));
+            if let Some(Started { voter, .. }) = &*started.borrow() {
+                voter.set_seeds(seeds(&told.settings()));
             }
             log::info!("settings: taken again");
         }
     }
-    let started = shared.take();
-    if let Some((voter, look)) = started {
-        look.abort();
-        let _ = tokio::time::timeout(LEAVING, voter.leave()).await;
+    if let Some(Started { voter, maintenance }) = started.take() {
+        maintenance.abort();
+        let _ = tokio::time::timeout(LEAVE_TIMEOUT, voter.leave()).await;
     }
-    // Writes are made whole between two waits, so none is open here: it is as whole as after any loss of power.
+    // Each write is complete before the thread does anything else, so none is open here.
     log::info!("store: {} has ended in order", settings.node);
     std::process::exit(0)
 }
+
+/// Starts the voter and answers calls, without end.
+async fn run_voter(options: VoterOptions, listener: TcpListener, started: Rc<RefCell<Option<Started>>>) {
+    let voter = start(options).await;
+    tokio::task::spawn_local(voter.clone().run());
+    let maintenance = tokio::task::spawn_local(voter.clone().maintain_voters()).abort_handle();
+    *started.borrow_mut() = Some(Started { voter: voter.clone(), maintenance });
+    rpc::serve(listener, voter.handler()).await;
+}
--- a/crates/config-store/src/membership.rs
+++ b/crates/config-store/src/membership.rs
@@ -1,139 +1,204 @@
-//! What a cast bears, and which voters are gone. No I/O; time is handed in.
+//! Which voters to add and to remove. No I/O; the time is handed in.
 //!
-//! Two rules, both only where that raises how many of those who are there may be lost yet. One silent voter of an even
-//! number goes soon: an odd number decides whenever the even one could, so it costs nothing even if the silent one is
-//! well. Two of an odd number go as soon where those who stay bear as much as the platform may take, otherwise only
-//! after a silence that no freeze, cut or restart takes.
+//! A voter is removed only where that raises the number of the remaining ones that may still be lost:
+//!
+//! - One unreachable voter of an even number is removed after [`REMOVE_SPARE_AFTER`]. An odd number has a quorum
+//!   whenever the even number could have one, so this costs nothing even if the unreachable voter is healthy.
+//! - Two unreachable voters of an odd number are removed that soon if the remaining ones tolerate as many losses as
+//!   the platform may cause, otherwise only after [`REMOVE_AFTER`], which no freeze, partition or restart lasts.
 
-use crate::messages::{Cast, Member, MOST};
+use crate::messages::{VoterConfiguration, VoterId, MAX_VOTERS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A voter that is silent for so long is gone.
-pub const GONE: Duration = Duration::from_secs(20);
-/// One that is silent for so long, and to so many looks in a row, goes where that takes nothing from the others.
-pub const SILENT: (Duration, u32) = (Duration::from_secs(2), 2);
-/// Who has not looked for longer than this was not awake, and has heard nothing.
-const AWAKE: Duration = Duration::from_secs(6);
-/// So many voters stay, whoever is silent.
-const LEAST: usize = 3;
+/// A voter that has been unreachable for this long is gone for good.
+pub const REMOVE_AFTER: Duration = Duration::from_secs(20);
+/// A voter that has been unreachable for this long is removed where the others tolerate as many losses without it.
+pub const REMOVE_SPARE_AFTER: Duration = Duration::from_secs(2);
+/// So many observations in a row must have missed a voter before [`REMOVE_SPARE_AFTER`] applies.
+const MIN_MISSES: u32 = 2;
+/// After a longer gap between two observations this process was paused, and earlier observations say nothing.
+const MAX_OBSERVATION_GAP: Duration = Duration::from_secs(6);
+/// The number of voters is never reduced below this.
+const MIN_VOTERS: usize = 3;
 
-/// How many more voters may be lost, whichever they are, with a quorum left; `None` where there is none already.
-pub fn borne(cast: &Cast, lost: impl Fn(&Member) -> bool) -> Option<usize> {
-    // A lost machine is one voter less of each set, and those of one set can be lost one after the other.
-    let spare = |of: &[Member]| {
-        let there = of.iter().filter(|member| !lost(member)).count();
-        there.checked_sub(of.len() / 2 + 1)
+/// How many more voters may be lost, whichever they are, with a quorum left; `None` if there is no quorum now.
+pub fn tolerated_losses(
+    configuration: &VoterConfiguration,
+    is_lost: impl Fn(&VoterId) -> bool,
+) -> Option<usize> {
+    // A lost machine is one voter less in each set, and the losses may all fall into one of the sets.
+    let spare = |voters: &[VoterId]| {
+        let remaining = voters.iter().filter(|voter| !is_lost(voter)).count();
+        remaining.checked_sub(voters.len() / 2 + 1)
     };
-    match cast.is_changing() {
-        true => Some(spare(&cast.members)?.min(spare(&cast.before)?)),
-        false => spare(&cast.members),
+    if configuration.is_changing() {
+        Some(spare(&configuration.voters)?.min(spare(&configuration.outgoing)?))
+    } else {
+        spare(&configuration.voters)
     }
 }
 
-/// Which of those that are not there make room, so that the others bear more: one of an even number, or two of an odd
-/// one if those who stay would bear `least` with all of them there.
-pub fn make_room(cast: &Cast, absent: &[Member], least: usize) -> Vec<Member> {
-    let voters = cast.members.len();
-    // One less of an odd number bears no loss more.
-    let enough = 1 + voters % 2;
-    if cast.is_changing() || absent.len() < enough || voters < LEAST + enough {
+/// Which of the unreachable voters to remove so that the others tolerate more losses: one of an even number, or two of
+/// an odd number if the remaining ones would tolerate `min_tolerated` losses with all of them reachable.
+pub fn removable_voters(
+    configuration: &VoterConfiguration,
+    unreachable: &[VoterId],
+    min_tolerated: usize,
+) -> Vec<VoterId> {
+    let voters = configuration.voters.len();
+    // Removing a single voter of an odd number does not raise the number of tolerated losses.
+    let removed = 1 + voters % 2;
+    if configuration.is_changing() || unreachable.len() < removed || voters < MIN_VOTERS + removed {
         return Vec::new();
     }
-    if enough == 2 && (voters - enough - 1) / 2 < least {
+    if removed == 2 && (voters - removed - 1) / 2 < min_tolerated {
         return Vec::new();
     }
-    absent[..enough].to_vec()
+    unreachable[..removed].to_vec()
 }
 
-/// Who votes no more once `me` has ended in order: `me`, with an absent one where it takes two. Nobody where the
-/// others bear no more without it than with its place kept.
-pub fn leave(cast: &Cast, me: &Member, absent: &[Member], least: usize) -> Vec<Member> {
-    if !cast.members.contains(me) {
+/// Which voters to remove when `this_voter` shuts down: itself, with an unreachable one where it takes two. Empty if the
+/// others tolerate no more losses without it than with its place kept.
+pub fn removable_on_shutdown(
+    configuration: &VoterConfiguration,
+    this_voter: &VoterId,
+    unreachable: &[VoterId],
+    min_tolerated: usize,
+) -> Vec<VoterId> {
+    if !configuration.voters.contains(this_voter) {
         return Vec::new();
     }
-    let others = absent.iter().filter(|member| *member != me);
-    let goes: Vec<Member> = std::iter::once(me).chain(others).cloned().collect();
-    make_room(cast, &goes, least)
+    let others = unreachable.iter().filter(|voter| *voter != this_voter);
+    let candidates: Vec<VoterId> = std::iter::once(this_voter).chain(others).cloned().collect();
+    removable_voters(configuration, &candidates, min_tolerated)
 }
 
-/// Whether this machine asks to be taken in: it does not vote, and there is room, or there will be as one is silent.
-pub fn may_join(cast: &Cast, me: &Member, hears: impl Fn(&Member) -> bool) -> bool {
-    let takes_its_place = cast.members.iter().any(|member| member.name == me.name);
-    let room = MOST + usize::from(!cast.members.iter().all(hears));
-    !cast.members.contains(me) && (takes_its_place || cast.members.len() < room)
+/// Whether this machine should ask to become a voter: it is none, and there is room, or an unreachable voter will be
+/// removed to make room.
+pub fn may_join(
+    configuration: &VoterConfiguration,
+    this_voter: &VoterId,
+    is_reachable: impl Fn(&VoterId) -> bool,
+) -> bool {
+    let voters = &configuration.voters;
+    let replaces_own_disk = voters.iter().any(|voter| voter.address == this_voter.address);
+    let room = MAX_VOTERS + usize::from(!voters.iter().all(is_reachable));
+    !voters.contains(this_voter) && (replaces_own_disk || voters.len() < room)
 }
 
-/// Whom to let go.
+/// What an observation of the voters leads to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Gone {
-    /// Nobody now.
-    Nobody,
-    /// Nobody yet, but some are silent whom to let go would help: look again soon.
-    Soon,
-    /// These, at once.
-    These(Vec<Member>),
+pub enum RemovalDecision {
+    /// All voters stay.
+    KeepAll,
+    /// All stay for now, but removing some that are unreachable would help: observe again soon.
+    CheckSoon,
+    /// Remove these now.
+    Remove(Vec<VoterId>),
 }
 
-/// When a voter was heard last, or first missed, and how many looks in a row have missed it.
+/// What the observations so far say of one voter.
 #[derive(Clone, Copy, Debug)]
-struct Heard(Duration, u32);
+struct Liveness {
+    /// When it was last reachable, or first observed.
+    last_seen: Duration,
+    /// How many observations in a row have missed it.
+    misses: u32,
+}
 
-/// One voter's watch over the others.
+/// One voter's record of which others are reachable.
 #[derive(Debug, Default)]
-pub struct Watch {
-    /// What the platform may take at once.
-    tolerates: usize,
-    last: Option<Duration>,
-    heard: BTreeMap<Member, Heard>,
-    /// Machines that were let go and not heard since. One that votes again all the same is heard by others, and not let
-    /// go as soon again.
-    let_go: BTreeSet<String>,
+pub struct LivenessTracker {
+    /// How many machines the platform may take away at once.
+    tolerated_failures: usize,
+    last_observation: Option<Duration>,
+    voters: BTreeMap<VoterId, Liveness>,
+    /// Addresses of voters that were removed and have not been reachable since. One that votes again all the same is
+    /// reachable for others, and not removed as soon again.
+    recently_removed: BTreeSet<String>,
 }
 
-impl Watch {
-    /// A watch where so many machines may be lost at once.
-    pub fn new(tolerates: usize) -> Watch {
-        Watch { tolerates, ..Watch::default() }
+impl LivenessTracker {
+    /// A tracker where so many machines may be lost at once.
+    pub fn new(tolerated_failures: usize) -> LivenessTracker {
+        LivenessTracker { tolerated_failures, ..LivenessTracker::default() }
     }
 
-    /// Looks at who was heard just now, by `me`.
-    pub fn look(&mut self, now: Duration, cast: &Cast, me: &Member, hears: impl Fn(&Member) -> bool) -> Gone {
-        let awake = self.last.is_some_and(|last| now - last <= AWAKE);
-        self.last = Some(now);
-        let in_touch = cast.quorum(&hears) && cast.members.contains(me);
-        if !awake || !in_touch {
-            self.heard.clear();
+    /// Takes in which voters `this_voter` has just reached, and decides which to remove.
+    pub fn observe(
+        &mut self,
+        now: Duration,
+        configuration: &VoterConfiguration,
+        this_voter: &VoterId,
+        is_reachable: impl Fn(&VoterId) -> bool,
+    ) -> RemovalDecision {
+        let voters = &configuration.voters;
+        let in_touch = configuration.quorum(&is_reachable) && voters.contains(this_voter);
+        self.update(now, voters, in_touch, &is_reachable);
+        // Only the first reachable voter acts. Changes are agreed on, so two that acted would do no harm.
+        let is_first = voters.iter().find(|voter| is_reachable(voter)) == Some(this_voter);
+        if !in_touch || configuration.is_changing() || !is_first {
+            return RemovalDecision::KeepAll;
         }
-        let before = std::mem::take(&mut self.heard);
-        for member in &cast.members {
-            let Heard(last, missed) = before.get(member).copied().unwrap_or(Heard(now, 0));
-            let missed = if hears(member) || !in_touch { Heard(now, 0) } else { Heard(last, missed + 1) };
-            self.heard.insert(member.clone(), missed);
+        self.decide(now, configuration)
+    }
+
+    fn update(
+        &mut self,
+        now: Duration,
+        voters: &[VoterId],
+        in_touch: bool,
+        is_reachable: &impl Fn(&VoterId) -> bool,
+    ) {
+        let was_running = self.last_observation.is_some_and(|last| now - last <= MAX_OBSERVATION_GAP);
+        self.last_observation = Some(now);
+        if !was_running || !in_touch {
+            self.voters.clear();
         }
-        self.let_go.retain(|name| !cast.members.iter().any(|m| m.name == *name && hears(m)));
-        // One of them acts; a change is agreed on, so two would do no harm.
-        if !in_touch || cast.is_changing() || cast.members.iter().find(|member| hears(member)) != Some(me) {
-            return Gone::Nobody;
+        let before = std::mem::take(&mut self.voters);
+        for voter in voters {
+            let known = before.get(voter).copied().unwrap_or(Liveness { last_seen: now, misses: 0 });
+            let liveness = if is_reachable(voter) || !in_touch {
+                Liveness { last_seen: now, misses: 0 }
+            } else {
+                Liveness { misses: known.misses + 1, ..known }
+            };
+            self.voters.insert(voter.clone(), liveness);
         }
-        let which = |applies: &dyn Fn(&Member, &Heard) -> bool| -> Vec<Member> {
-            self.heard.iter().filter(|(m, heard)| applies(m, heard)).map(|(m, _)| m.clone()).collect()
+        let is_back =
+            |address: &String| voters.iter().any(|voter| voter.address == *address && is_reachable(voter));
+        self.recently_removed.retain(|address| !is_back(address));
+    }
+
+    fn decide(&self, now: Duration, configuration: &VoterConfiguration) -> RemovalDecision {
+        let select = |applies: &dyn Fn(&VoterId, &Liveness) -> bool| -> Vec<VoterId> {
+            let selected = self.voters.iter().filter(|(voter, liveness)| applies(voter, liveness));
+            selected.map(|(voter, _)| voter.clone()).collect()
         };
-        let was_let_go = |m: &Member| self.let_go.contains(&m.name);
-        let silent = which(&|m, Heard(_, missed)| *missed > 0 && !was_let_go(m));
-        let soon =
-            which(&|m, Heard(last, missed)| now - *last >= SILENT.0 && *missed >= SILENT.1 && !was_let_go(m));
-        let gone = which(&|_, Heard(last, _)| now - *last >= GONE);
-        let goes = [make_room(cast, &soon, self.tolerates), make_room(cast, &gone, 0)];
-        match goes.into_iter().find(|goes| !goes.is_empty()) {
-            Some(goes) => Gone::These(goes),
-            None if make_room(cast, &silent, self.tolerates).is_empty() => Gone::Nobody,
-            None => Gone::Soon,
+        let was_removed = |voter: &VoterId| self.recently_removed.contains(&voter.address);
+        let missed = select(&|voter, liveness| liveness.misses > 0 && !was_removed(voter));
+        let spare = select(&|voter, liveness| {
+            now - liveness.last_seen >= REMOVE_SPARE_AFTER
+                && liveness.misses >= MIN_MISSES
+                && !was_removed(voter)
+        });
+        let gone = select(&|_, liveness| now - liveness.last_seen >= REMOVE_AFTER);
+        let removable = [
+            removable_voters(configuration, &spare, self.tolerated_failures),
+            removable_voters(configuration, &gone, 0),
+        ];
+        match removable.into_iter().find(|voters| !voters.is_empty()) {
+            Some(voters) => RemovalDecision::Remove(voters),
+            None if removable_voters(configuration, &missed, self.tolerated_failures).is_empty() => {
+                RemovalDecision::KeepAll
+            }
+            None => RemovalDecision::CheckSoon,
         }
     }
 
-    /// These were let go.
-    pub fn has_let_go(&mut self, gone: &[Member]) {
-        self.let_go.extend(gone.iter().map(|member| member.name.clone()));
+    /// These voters were removed.
+    pub fn record_removed(&mut self, removed: &[VoterId]) {
+        self.recently_removed.extend(removed.iter().map(|voter| voter.address.clone()));
     }
 }
--- a/crates/config-store/src/messages.rs
+++ b/crates/config-store/src/messages.rs
@@ -1,243 +1,251 @@
-//! What is said between programs, and what is kept on disk. One [`Answer`] serves all that is asked of a voter.
+//! Messages between processes, and what a voter keeps on its disk. One [`VoterResponse`] serves all requests to a voter.
+//!
+//! Field tags and message kinds are fixed: a roll runs two versions side by side, and a voter reads the file of the
+//! version before (`tests/compatibility.rs`).
 
 use bytes::Bytes;
 use prost::{Enumeration, Message};
 use std::fmt;
 
-/// Kinds of frames.
+/// Kinds of requests, as they stand in a frame.
 pub mod kind {
-    /// [`super::Prepare`], answered with [`super::Answer`].
+    /// [`super::Prepare`], answered with [`super::VoterResponse`].
     pub const PREPARE: u8 = 1;
-    /// [`super::Accept`], answered with [`super::Answer`].
+    /// [`super::Accept`], answered with [`super::VoterResponse`].
     pub const ACCEPT: u8 = 2;
-    /// [`super::Peek`], answered with [`super::Answer`].
+    /// [`super::Peek`], answered with [`super::VoterResponse`].
     pub const PEEK: u8 = 3;
-    /// [`super::Fetch`], answered with [`super::Answer`].
+    /// [`super::Fetch`], answered with [`super::VoterResponse`].
     pub const FETCH: u8 = 4;
-    /// [`super::Who`], answered with [`super::Here`].
-    pub const WHO: u8 = 6;
+    /// [`super::LocalStateRequest`], answered with [`super::LocalState`].
+    pub const LOCAL_STATE: u8 = 6;
 }
 
-/// The number of a round. No two rounds have the same one; the zero ballot comes before all.
+/// The number of a proposal (Paxos' ballot). Unique: no two rounds of any proposers have the same one. The default, zero,
+/// comes before all others.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Message)]
-pub struct Ballot {
-    /// Counts up.
+pub struct ProposalNumber {
+    /// The round; it only rises.
     #[prost(uint64, tag = "1")]
     pub round: u64,
-    /// Which life of which proposer.
+    /// The proposer; it differs between a program's incarnations.
     #[prost(uint64, tag = "2")]
-    pub by: u64,
+    pub proposer_id: u64,
 }
 
-impl fmt::Display for Ballot {
+impl fmt::Display for ProposalNumber {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{:x}", self.round, self.by)
+        write!(f, "{}.{:x}", self.round, self.proposer_id)
     }
 }
 
-/// A voter: a machine's address, and which of its disks. A machine that lost its disk is another voter.
+/// A voter: a machine together with one of its disks. A machine that has lost its disk is another voter.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Message)]
-pub struct Member {
-    /// Its address.
+pub struct VoterId {
+    /// The machine's address, with the port of the store.
     #[prost(string, tag = "1")]
-    pub name: String,
-    /// Drawn when its file was made; 0 for a founder's first one.
+    pub address: String,
+    /// Drawn at random when the disk's file was made; 0 for a founder's first disk.
     #[prost(uint64, tag = "2")]
-    pub id: u64,
+    pub disk_id: u64,
 }
 
-/// The voters, as part of what is agreed.
+/// The voters, as part of what is agreed on (`ConfState` elsewhere).
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Cast {
-    /// They vote.
+pub struct VoterConfiguration {
+    /// The voters.
     #[prost(message, repeated, tag = "1")]
-    pub members: Vec<Member>,
-    /// During a change the voters before it: a majority of both is needed then. Empty otherwise.
+    pub voters: Vec<VoterId>,
+    /// During a change the voters before it: a majority of both sets is needed (joint consensus). Empty otherwise.
     #[prost(message, repeated, tag = "2")]
-    pub before: Vec<Member>,
-    /// The ballot in which it was proposed, which tells it from all others; zero for the founders.
+    pub outgoing: Vec<VoterId>,
+    /// The proposal in which it was proposed, which identifies it; zero for the founders.
     #[prost(message, required, tag = "3")]
-    pub made: Ballot,
+    pub proposed_in: ProposalNumber,
 }
 
-/// No more voters than this: each one more makes a change dearer.
-pub const MOST: usize = 9;
+/// The most voters there are: each further one makes a change more expensive.
+pub const MAX_VOTERS: usize = 9;
 
-impl Cast {
-    /// The voters at the founding.
-    pub fn founders(names: &[String]) -> Cast {
-        let members = names.iter().map(|name| Member { name: name.clone(), id: 0 }).collect();
-        Cast { members, ..Cast::default() }
+impl VoterConfiguration {
+    /// The founders: the voters before any change.
+    pub fn founders(addresses: &[String]) -> VoterConfiguration {
+        let founder = |address: &String| VoterId { address: address.clone(), disk_id: 0 };
+        VoterConfiguration {
+            voters: addresses.iter().map(founder).collect(),
+            ..VoterConfiguration::default()
+        }
     }
 
-    /// Whether those of which this holds are a majority, of the voters before as well while they change.
-    pub fn quorum(&self, holds: impl Fn(&Member) -> bool) -> bool {
-        let majority = |of: &[Member]| 2 * of.iter().filter(|member| holds(member)).count() > of.len();
-        majority(&self.members) && (self.before.is_empty() || majority(&self.before))
+    /// Whether the voters for which `holds` is true are a majority, during a change of both sets.
+    pub fn quorum(&self, holds: impl Fn(&VoterId) -> bool) -> bool {
+        let majority = |of: &[VoterId]| 2 * of.iter().filter(|voter| holds(voter)).count() > of.len();
+        majority(&self.voters) && (self.outgoing.is_empty() || majority(&self.outgoing))
     }
 
-    /// Whether it is being changed.
+    /// Whether this is a joint configuration.
     pub fn is_changing(&self) -> bool {
-        !self.before.is_empty()
+        !self.outgoing.is_empty()
     }
 
-    /// The addresses of all that have a say, each once.
-    pub fn names(&self) -> Vec<String> {
-        let mut names: Vec<String> = Vec::new();
-        for member in self.members.iter().chain(&self.before) {
-            if !names.contains(&member.name) {
-                names.push(member.name.clone());
+    /// The addresses of all voters of both sets, each once.
+    pub fn addresses(&self) -> Vec<String> {
+        let mut addresses: Vec<String> = Vec::new();
+        for voter in self.voters.iter().chain(&self.outgoing) {
+            if !addresses.contains(&voter.address) {
+                addresses.push(voter.address.clone());
             }
         }
-        names
+        addresses
     }
 }
 
-/// How many origins a record names.
-pub const LINEAGE: usize = 16;
+/// The most proposals that [`Record::lineage`] names.
+pub const MAX_LINEAGE: usize = 16;
 
-/// A value with its place in the chain.
+/// What is agreed on: a value, with its history, and the voters.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Record {
     /// Counts the changes of the value, from 1; 0 while only the voters have changed.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
-    /// The ballots in which this edition and those before it were made, newest first, [`LINEAGE`] at most.
+    /// The proposals that made this edition and those before it, newest first, at most [`MAX_LINEAGE`]. By it a proposer
+    /// whose round was cut short finds out whether its change was made.
     #[prost(message, repeated, tag = "2")]
-    pub lineage: Vec<Ballot>,
+    pub lineage: Vec<ProposalNumber>,
     /// The value.
     #[prost(bytes = "bytes", tag = "3")]
     pub value: Bytes,
-    /// The voters; none for the founders.
+    /// The voters; `None` means the founders.
     #[prost(message, optional, tag = "4")]
-    pub cast: Option<Cast>,
+    pub configuration: Option<VoterConfiguration>,
 }
 
-/// Asks for a promise.
+/// Phase 1 of a round: asks for a promise.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Prepare {
     /// The round's number.
     #[prost(message, required, tag = "1")]
-    pub ballot: Ballot,
-    /// A record accepted in this ballot, or before it, need not be sent.
+    pub proposal: ProposalNumber,
+    /// A record accepted in this proposal or before it need not be sent.
     #[prost(message, required, tag = "2")]
-    pub known: Ballot,
+    pub known: ProposalNumber,
 }
 
-/// Asks to accept a record.
+/// Phase 2 of a round: asks to accept a record.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Accept {
     /// The round's number.
     #[prost(message, required, tag = "1")]
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
     /// The record.
     #[prost(message, required, tag = "2")]
     pub record: Record,
 }
 
-/// Asks in which ballot the voter has accepted, and which edition.
+/// Asks which proposal and edition the voter has accepted.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Peek {}
 
 /// Asks for the accepted record.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Fetch {
-    /// Not sent if it was accepted in this ballot or before it.
+    /// A record accepted in this proposal or before it need not be sent.
     #[prost(message, required, tag = "1")]
-    pub known: Ballot,
+    pub known: ProposalNumber,
 }
 
-/// What came of a question.
+/// What came of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
-pub enum Verdict {
-    /// It cannot be read.
-    Unread = 0,
-    /// Done, and durable.
-    Given = 1,
-    /// Another ballot is in the way.
+pub enum ResponseStatus {
+    /// The request could not be decoded.
+    Unreadable = 0,
+    /// Granted, and durable.
+    Granted = 1,
+    /// A higher proposal was promised.
     Rejected = 2,
-    /// The disk did not take it.
-    Unable = 3,
+    /// The disk did not take the write.
+    StorageUnavailable = 3,
 }
 
-/// A voter's answer.
+/// A voter's response.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Answer {
-    /// What came of it.
-    #[prost(enumeration = "Verdict", tag = "1")]
-    pub verdict: i32,
-    /// The voter's own [`Member::id`].
+pub struct VoterResponse {
+    /// What came of the request.
+    #[prost(enumeration = "ResponseStatus", tag = "1")]
+    pub status: i32,
+    /// The voter's own [`VoterId::disk_id`].
     #[prost(uint64, tag = "2")]
-    pub id: u64,
-    /// The highest ballot promised.
+    pub disk_id: u64,
+    /// The highest proposal promised.
     #[prost(message, required, tag = "4")]
-    pub promised: Ballot,
-    /// The ballot of the record it holds; zero if none.
+    pub promised: ProposalNumber,
+    /// The proposal in which the record it holds was accepted; zero if it holds none.
     #[prost(message, required, tag = "5")]
-    pub accepted: Ballot,
-    /// It holds the record because others told it, not because it accepted it.
+    pub accepted: ProposalNumber,
+    /// It learned the record from another process and has not voted for it.
     #[prost(bool, tag = "6")]
     pub adopted: bool,
     /// The edition of the record it holds.
     #[prost(uint64, tag = "7")]
     pub edition: u64,
-    /// The record, where it is newer than what the asker knows.
+    /// The record, where it is newer than what the caller knows.
     #[prost(message, optional, tag = "8")]
     pub record: Option<Record>,
-    /// [`Cast::made`] of the record it holds.
+    /// [`VoterConfiguration::proposed_in`] of the record it holds.
     #[prost(message, required, tag = "10")]
-    pub cast_made: Ballot,
+    pub configuration_proposed_in: ProposalNumber,
 }
 
-/// Asks a program who votes.
+/// Asks a process of the store who the voters are.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Who {
-    /// A record accepted in this ballot, or before it, need not be sent.
+pub struct LocalStateRequest {
+    /// A record accepted in this proposal or before it need not be sent.
     #[prost(message, required, tag = "1")]
-    pub known: Ballot,
+    pub known: ProposalNumber,
 }
 
-/// Says who votes, as far as this program knows.
+/// Who the voters are, as far as one process of the store knows.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Here {
-    /// Addresses of the founders; empty if not known. They vote where no record says otherwise.
+pub struct LocalState {
+    /// Addresses of the founders, which vote where no record names the voters; empty if unknown.
     #[prost(string, repeated, tag = "1")]
     pub founders: Vec<String>,
-    /// Whom else it would ask.
+    /// Addresses of further processes to ask.
     #[prost(string, repeated, tag = "4")]
     pub seeds: Vec<String>,
-    /// The program's own [`Member::id`].
+    /// The process's own [`VoterId::disk_id`].
     #[prost(uint64, tag = "5")]
-    pub id: u64,
-    /// The ballot of the record it holds.
+    pub disk_id: u64,
+    /// The proposal in which the record it holds was accepted.
     #[prost(message, required, tag = "6")]
-    pub accepted: Ballot,
-    /// The record, where it is newer than what the asker knows.
+    pub accepted: ProposalNumber,
+    /// The record, where it is newer than what the caller knows.
     #[prost(message, optional, tag = "7")]
     pub record: Option<Record>,
-    /// Its disk takes no writes: it gives no votes now.
+    /// Its disk takes no writes, so it grants nothing now.
     #[prost(bool, tag = "8")]
     pub unable: bool,
 }
 
-/// What a voter keeps on its disk, besides the record. The layout before had the voter's place, its incarnation and
-/// the others' incarnations in tags 2 to 4: such a voter is a founder, with the id 0.
+/// What a voter keeps on its disk besides the record. The layout before this one had the voter's index, its incarnation
+/// and the others' incarnations in tags 2 to 4: such a voter is a founder, with the disk id 0.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Kept {
-    /// Addresses of the founders, where it is one.
+pub struct PersistentState {
+    /// Addresses of the founders, if it is one of them.
     #[prost(string, repeated, tag = "1")]
     pub founders: Vec<String>,
-    /// The highest ballot promised.
+    /// The highest proposal promised.
     #[prost(message, required, tag = "5")]
-    pub promised: Ballot,
-    /// The ballot of the record.
+    pub promised: ProposalNumber,
+    /// The proposal in which the record was accepted.
     #[prost(message, required, tag = "6")]
-    pub accepted: Ballot,
-    /// See [`Answer::adopted`].
+    pub accepted: ProposalNumber,
+    /// See [`VoterResponse::adopted`].
     #[prost(bool, tag = "7")]
     pub adopted: bool,
-    /// Its [`Member::id`].
+    /// Its [`VoterId::disk_id`].
     #[prost(uint64, tag = "8")]
-    pub id: u64,
+    pub disk_id: u64,
 }
--- a/crates/config-store/src/proposer.rs
+++ b/crates/config-store/src/proposer.rs
@@ -1,184 +1,100 @@
-//! The asking side: one operation on the register over as many rounds as it takes. No I/O; events in, actions out.
-
-use crate::messages::{Accept, Answer, Ballot, Cast, Here, Member, Prepare, Record, Verdict, LINEAGE, MOST};
+//! The proposer of Paxos: one operation on the register, over as many rounds as it takes. No I/O and no clock: events in,
+//! [`Action`]s out.
+//!
+//! A round has two phases. In the first the voters are asked to promise (prepare), in the second to accept a record. The
+//! caller sends what an action names to [`Operation::recipients`] and hands each response in, with the
+//! [`PhaseId`] of the phase in which it was asked.
+
+use crate::guard::{is_disabled, Guard};
+pub use crate::known_record::KnownRecord;
+use crate::messages::{
+    Accept, Prepare, ProposalNumber, Record, ResponseStatus, VoterConfiguration, VoterId, VoterResponse,
+    MAX_LINEAGE,
+};
+use crate::peek::granted_by;
+pub use crate::voter_change::VoterChange;
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether the model has taken this guard out, to see that its checker finds it missing.
-#[cfg(test)]
-pub(crate) fn is_without(guard: Guard) -> bool {
-    WITHOUT.with(|without| without.get() == Some(guard))
-}
-
-#[cfg(not(test))]
-fn is_without(_: Guard) -> bool {
-    false
-}
-
-#[cfg(test)]
-thread_local! {
-    pub(crate) static WITHOUT: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
-}
-
-/// What a change of the voters rests on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Guard {
-    /// Voters before and after decide together while they change.
-    Together,
-    /// The next change comes after one that is chosen.
-    ChosenFirst,
-    /// A machine with another disk is another voter.
-    SameDisk,
-}
-
-/// The newest record that a proposer has seen, with the ballot it was accepted in.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Known {
-    /// Zero if none was seen.
-    pub ballot: Ballot,
-    /// The record.
-    pub record: Option<Record>,
-}
-
-impl Known {
-    /// The edition; 0 if none.
-    pub fn edition(&self) -> u64 {
-        self.record.as_ref().map_or(0, |record| record.edition)
-    }
-
-    /// The value; `None` if none was ever set.
-    pub fn value(&self) -> Option<&Bytes> {
-        self.record.as_ref().filter(|record| record.edition > 0).map(|record| &record.value)
-    }
-
-    /// Who votes by it.
-    pub fn cast<'a>(&'a self, founders: &'a Cast) -> &'a Cast {
-        self.record.as_ref().and_then(|record| record.cast.as_ref()).unwrap_or(founders)
-    }
-
-    /// Takes what an answer holds, if it is newer.
-    pub fn learn(&mut self, answer: &Answer) {
-        if answer.accepted > self.ballot && answer.record.is_some() {
-            *self = Known { ballot: answer.accepted, record: answer.record.clone() };
-        }
-    }
-
-    /// Takes what a program of the store says that it holds, if it is newer.
-    pub fn learn_from(&mut self, here: &Here) {
-        if here.accepted > self.ballot && here.record.is_some() {
-            *self = Known { ballot: here.accepted, record: here.record.clone() };
-        }
-    }
-}
-
-/// A change of the voters.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// This machine votes from then on, in place of any disk that it had before.
-    TakeIn(Member),
-    /// These vote no more, if the cast is still the one made in that ballot.
-    LetGo(Vec<Member>, Ballot),
-}
-
-impl Turn {
-    /// The cast to be proposed after one that is chosen; `None` where there is nothing left to do. Every change is
-    /// first made together with the voters before it, and then alone.
-    pub fn next(&self, cast: &Cast) -> Option<Cast> {
-        if cast.is_changing() {
-            return Some(Cast { members: cast.members.clone(), ..Cast::default() });
-        }
-        let mut members = cast.members.clone();
-        match self {
-            Turn::TakeIn(member) if members.contains(member) => return None,
-            Turn::TakeIn(member) => {
-                members.retain(|other| other.name != member.name);
-                members.push(member.clone());
-            }
-            Turn::LetGo(_, made) if *made != cast.made => return None,
-            Turn::LetGo(gone, _) => members.retain(|member| !gone.contains(member)),
-        }
-        // One more than that makes room for itself: it comes for one that is silent.
-        let changes = members != cast.members && !members.is_empty() && members.len() <= MOST + 1;
-        let before = if is_without(Guard::Together) { Vec::new() } else { cast.members.clone() };
-        changes.then(|| Cast { members, before, ..Cast::default() })
-    }
-}
-
 /// What an operation is for.
 #[derive(Debug)]
 pub enum Task<F> {
-    /// The newest value.
+    /// Reads the newest value.
     Read,
-    /// Another value.
+    /// Changes the value by this function, which may be called several times.
     Change(F),
-    /// Other voters.
-    Turn(Turn),
+    /// Changes the voters.
+    ChangeVoters(VoterChange),
 }
 
-/// What a change gave.
+/// What an operation came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome<R> {
-    /// A majority holds it. For a change: the edition it made and its value, also if later ones followed already. For
-    /// a reading: the newest.
+    /// Edition and value that a majority has accepted. For a change, those it made, even if later ones have followed;
+    /// for a read, the newest.
     Chosen(u64, Option<Bytes>),
-    /// The function refused the newest value; nothing of this operation is or will be chosen.
-    Refused(R),
-    /// More editions followed than the lineage names: it may or may not have been one of them.
+    /// The function rejected the newest value; nothing of this operation is or will be chosen.
+    Rejected(R),
+    /// More editions have followed than [`Record::lineage`] names: the change may or may not be among them.
     Unknown,
 }
 
-/// What the shell does next.
+/// What the caller does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action<R> {
-    /// Waits for more answers.
+    /// Wait for more responses.
     Wait,
-    /// Sends it to [`Operation::whom`].
+    /// Send this to [`Operation::recipients`].
     Prepare(Prepare),
-    /// Sends it to [`Operation::whom`].
+    /// Send this to [`Operation::recipients`].
     Accept(Accept),
-    /// This round came to nothing: wait a random while, then [`Operation::begin`].
+    /// This round has failed: wait for a random time, then call [`Operation::begin_round`].
     BackOff,
-    /// It is over.
+    /// The operation is complete.
     Done(Outcome<R>),
 }
 
-/// Which question an answer belongs to.
+/// The phase that a response belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Token {
-    /// The round.
-    pub ballot: Ballot,
-    /// Of its first question (promise) or the second (accept).
+pub struct PhaseId {
+    /// The round's proposal number.
+    pub proposal: ProposalNumber,
+    /// Whether this is the second phase (accept) of the round.
     pub accepting: bool,
 }
 
+/// An edition that an earlier round of this operation proposed.
 struct Attempt {
     edition: u64,
-    origin: Ballot,
+    origin: ProposalNumber,
     value: Bytes,
 }
 
+/// What is reported once the proposed record is chosen.
 enum Goal<R> {
     Made(u64, Bytes),
     Read,
-    Refuse(R),
-    /// One step of a change of the voters.
-    Step,
+    Reject(R),
+    /// Nothing yet: one step of a change of the voters.
+    ConfigurationStep,
 }
 
 /// One operation, over as many rounds as it takes.
 pub struct Operation<F, R> {
     task: Task<F>,
-    by: u64,
-    founders: Cast,
-    highest: u64,
-    known: Known,
-    /// The record of this ballot was found to be chosen.
-    sure: Option<Ballot>,
-    token: Token,
-    asked: Vec<String>,
-    answers: BTreeMap<String, Answer>,
+    proposer_id: u64,
+    founders: VoterConfiguration,
+    /// The highest round seen anywhere; the next round of this proposer is higher.
+    highest_round: u64,
+    known: KnownRecord,
+    /// The record of this proposal is certainly chosen.
+    chosen_in: Option<ProposalNumber>,
+    phase_id: PhaseId,
+    recipients: Vec<String>,
+    granted: BTreeMap<String, VoterResponse>,
     failed: BTreeSet<String>,
-    waiting: bool,
+    /// Whether the current phase still takes responses.
+    is_waiting: bool,
     attempts: Vec<Attempt>,
     proposed: Option<Record>,
     goal: Option<Goal<R>>,
@@ -188,300 +104,290 @@
 where
     F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
 {
-    /// An operation by `by` (one life of one proposer; it runs one operation at a time). `founders` vote where no
-    /// record says otherwise; `highest` is the highest round it has seen.
-    pub fn new(task: Task<F>, by: u64, founders: Cast, highest: u64, known: Known) -> Operation<F, R> {
+    /// An operation of the proposer `proposer_id`, which differs between incarnations and runs one operation at a time.
+    /// `founders` are the voters where no record names any; `highest_round` is the highest round the proposer has seen.
+    pub fn new(
+        task: Task<F>,
+        proposer_id: u64,
+        founders: VoterConfiguration,
+        highest_round: u64,
+        known: KnownRecord,
+    ) -> Operation<F, R> {
         Operation {
             task,
-            by,
+            proposer_id,
             founders,
-            highest: highest.max(known.ballot.round),
+            highest_round: highest_round.max(known.proposal.round),
             known,
-            sure: None,
-            token: Token { ballot: Ballot::default(), accepting: false },
-            asked: Vec::new(),
-            answers: BTreeMap::new(),
+            chosen_in: None,
+            phase_id: PhaseId { proposal: ProposalNumber::default(), accepting: false },
+            recipients: Vec::new(),
+            granted: BTreeMap::new(),
             failed: BTreeSet::new(),
-            waiting: false,
+            is_waiting: false,
             attempts: Vec::new(),
             proposed: None,
             goal: None,
         }
     }
 
-    /// Begins a round, the first one or after a back-off.
-    pub fn begin(&mut self) -> Action<R> {
-        self.highest += 1;
-        let mut whom = self.known.cast(&self.founders).names();
-        if let Task::Turn(Turn::TakeIn(member)) = &self.task {
-            if !whom.contains(&member.name) {
-                whom.push(member.name.clone());
+    /// Begins a round: the first one, or the next after a back-off.
+    pub fn begin_round(&mut self) -> Action<R> {
+        self.highest_round += 1;
+        let mut recipients = self.known.configuration(&self.founders).addresses();
+        if let Task::ChangeVoters(VoterChange::AddVoter(voter)) = &self.task {
+            if !recipients.contains(&voter.address) {
+                recipients.push(voter.address.clone());
             }
         }
-        self.ask(Token { ballot: Ballot { round: self.highest, by: self.by }, accepting: false }, whom);
-        Action::Prepare(Prepare { ballot: self.token.ballot, known: self.known.ballot })
+        let proposal = ProposalNumber { round: self.highest_round, proposer_id: self.proposer_id };
+        self.begin_phase(PhaseId { proposal, accepting: false }, recipients);
+        Action::Prepare(Prepare { proposal, known: self.known.proposal })
     }
 
-    /// Whom the question goes to.
-    pub fn whom(&self) -> &[String] {
-        &self.asked
+    /// Addresses that the current phase's request goes to.
+    pub fn recipients(&self) -> &[String] {
+        &self.recipients
     }
 
-    /// The question that answers are taken for now.
-    pub fn token(&self) -> Token {
-        self.token
+    /// The phase whose responses are taken now.
+    pub fn phase_id(&self) -> PhaseId {
+        self.phase_id
     }
 
     /// The newest record seen.
-    pub fn known(&self) -> &Known {
+    pub fn known(&self) -> &KnownRecord {
         &self.known
     }
 
     /// The highest round seen.
-    pub fn highest(&self) -> u64 {
-        self.highest
+    pub fn highest_round(&self) -> u64 {
+        self.highest_round
     }
 
-    /// Whether, if it ended now, it may have been or may yet be chosen.
-    pub fn open(&self) -> bool {
+    /// Whether, if it were given up now, its change may have been chosen or may be chosen yet.
+    pub fn may_be_chosen(&self) -> bool {
         !self.attempts.is_empty()
     }
 
-    fn ask(&mut self, token: Token, whom: Vec<String>) {
-        self.token = token;
-        self.asked = whom;
-        self.answers.clear();
+    fn begin_phase(&mut self, phase_id: PhaseId, recipients: Vec<String>) {
+        self.phase_id = phase_id;
+        self.recipients = recipients;
+        self.granted.clear();
         self.failed.clear();
-        self.waiting = true;
+        self.is_waiting = true;
     }
 
-    /// A voter's answer to the question `token`.
-    pub fn answer(&mut self, token: Token, voter: &str, answer: Answer) -> Action<R> {
-        self.highest = self.highest.max(answer.promised.round);
-        self.known.learn(&answer);
-        if token != self.token || !self.waiting {
+    /// A voter's response in the phase `phase_id`.
+    pub fn on_response(&mut self, phase_id: PhaseId, voter: &str, response: VoterResponse) -> Action<R> {
+        self.highest_round = self.highest_round.max(response.promised.round);
+        self.known.learn(&response);
+        if phase_id != self.phase_id || !self.is_waiting {
             return Action::Wait;
         }
-        if answer.verdict() == Verdict::Given {
-            self.answers.insert(voter.to_owned(), answer);
+        if response.status() == ResponseStatus::Granted {
+            self.granted.insert(voter.to_owned(), response);
         } else {
             self.failed.insert(voter.to_owned());
         }
-        self.go_on()
+        self.evaluate()
     }
 
-    /// No answer will come from this voter.
-    pub fn failed(&mut self, token: Token, voter: &str) -> Action<R> {
-        if token != self.token || !self.waiting {
+    /// No response will come from this voter in the phase `phase_id`.
+    pub fn on_failure(&mut self, phase_id: PhaseId, voter: &str) -> Action<R> {
+        if phase_id != self.phase_id || !self.is_waiting {
             return Action::Wait;
         }
         self.failed.insert(voter.to_owned());
-        self.go_on()
+        self.evaluate()
     }
 
-    /// The time for this question is over.
-    pub fn over(&mut self) -> Action<R> {
-        if !self.waiting {
+    /// The time for the current phase is over.
+    pub fn on_timeout(&mut self) -> Action<R> {
+        if !self.is_waiting {
             return Action::Wait;
         }
-        self.waiting = false;
+        self.is_waiting = false;
         Action::BackOff
     }
 
-    /// Whose majority is needed: that of the newest record seen, and for an acceptance that of the record itself.
-    fn cast(&self) -> &Cast {
+    /// The voters whose majority is needed: those of the newest record seen, and in the second phase those of the
+    /// proposed record itself.
+    fn configuration(&self) -> &VoterConfiguration {
         match &self.proposed {
-            Some(record) if self.token.accepting => record.cast.as_ref().unwrap_or(&self.founders),
-            _ => self.known.cast(&self.founders),
+            Some(record) if self.phase_id.accepting => {
+                record.configuration.as_ref().unwrap_or(&self.founders)
+            }
+            _ => self.known.configuration(&self.founders),
         }
     }
 
-    fn go_on(&mut self) -> Action<R> {
-        let given = |member: &Member| counts(&self.answers, member).is_some();
-        if self.cast().quorum(given) {
-            self.waiting = false;
-            return if self.token.accepting { self.chosen() } else { self.promised() };
+    /// Decides whether the phase has its majority, can still get one, or has failed.
+    fn evaluate(&mut self) -> Action<R> {
+        let has_granted = |voter: &VoterId| granted_by(&self.granted, voter).is_some();
+        if self.configuration().quorum(has_granted) {
+            self.is_waiting = false;
+            return if self.phase_id.accepting { self.on_accepted() } else { self.on_promised() };
         }
-        if self.cast().quorum(|member| given(member) || self.is_silent(&member.name)) {
+        if self.configuration().quorum(|voter| has_granted(voter) || self.is_pending(&voter.address)) {
             return Action::Wait;
         }
-        self.waiting = false;
-        let asked = |member: &Member| self.asked.contains(&member.name);
-        if !self.token.accepting && !self.cast().quorum(asked) {
-            // Others vote now, and have not been asked.
-            return self.begin();
+        self.is_waiting = false;
+        let was_asked = |voter: &VoterId| self.recipients.contains(&voter.address);
+        if !self.phase_id.accepting && !self.configuration().quorum(was_asked) {
+            // Other voters are in force now, and have not been asked.
+            return self.begin_round();
         }
         Action::BackOff
     }
 
-    fn promised(&mut self) -> Action<R> {
-        let at = self.known.ballot;
-        // What all of a majority accepted in the same ballot is chosen already. (A record newer than theirs that is
-        // known from elsewhere was proposed properly in its ballot, so it may be gone on from as well.)
-        let holds =
-            |member: &Member| counts(&self.answers, member).is_some_and(|a| a.accepted == at && !a.adopted);
-        let agreed = self.sure == Some(at) || self.cast().quorum(holds);
-        let goal = match self.mine() {
+    /// A majority has promised: propose a new record, or complete the newest one.
+    fn on_promised(&mut self) -> Action<R> {
+        let is_chosen = self.is_known_record_chosen();
+        let goal = match self.find_own_attempt() {
             Ok(Some(goal)) => goal,
-            Err(()) => return Action::Done(Outcome::Unknown),
+            Err(LineageTooShort) => return Action::Done(Outcome::Unknown),
             Ok(None) => match &self.task {
                 Task::Read => Goal::Read,
                 Task::Change(change) => {
                     let value = self.known.value().map(|value| &value[..]);
                     match change(value, self.known.edition()) {
-                        Err(refusal) => Goal::Refuse(refusal),
-                        Ok(value) => return self.propose(value.into()),
+                        Err(rejection) => Goal::Reject(rejection),
+                        Ok(value) => return self.propose_value(value.into()),
                     }
                 }
-                // Other voters come only after a cast that is chosen.
-                Task::Turn(turn) if agreed || is_without(Guard::ChosenFirst) => {
-                    match turn.next(self.cast()) {
+                // Other voters are proposed only after a configuration that is chosen.
+                Task::ChangeVoters(change) if is_chosen || is_disabled(Guard::ChosenBeforeNext) => {
+                    match change.next(self.configuration()) {
                         None => Goal::Read,
-                        Some(next) if self.is_there(turn, &next) => return self.step(next),
-                        // More may answer yet.
+                        Some(next) if self.has_quorum_of(change, &next) => {
+                            return self.propose_configuration(next)
+                        }
+                        // More may respond yet.
                         Some(_) => return self.wait_for_more(),
                     }
                 }
-                Task::Turn(_) => Goal::Step,
+                Task::ChangeVoters(_) => Goal::ConfigurationStep,
             },
         };
-        if agreed {
-            return self.done(goal);
+        if is_chosen {
+            return self.finish(goal);
         }
-        // To be told to anyone, what was read has to be chosen: the same record again in this ballot.
+        // A value may be reported only once it is chosen: the same record is proposed again in this round.
         let Some(record) = self.known.record.clone() else { return Action::BackOff };
         self.goal = Some(goal);
-        self.send(record)
+        self.send_accept(record)
     }
 
-    /// Whether a majority of the next voters is there: without one, nothing more could be agreed after this step. Who
-    /// comes in is one of those who are, by a promise that its disk has taken: one that is not would be a voter more
-    /// and a vote less.
-    fn is_there(&self, turn: &Turn, next: &Cast) -> bool {
-        let there = |member: &Member| counts(&self.answers, member).is_some();
-        let comes = match turn {
-            Turn::TakeIn(member) => !next.members.contains(member) || there(member),
-            Turn::LetGo(..) => true,
+    /// Whether the newest record is chosen already: all of a majority accepted it in the same proposal. (A newer record
+    /// that is known from elsewhere was properly proposed in its round, so it may be built on as well.)
+    fn is_known_record_chosen(&self) -> bool {
+        let proposal = self.known.proposal;
+        let has_accepted = |voter: &VoterId| {
+            granted_by(&self.granted, voter)
+                .is_some_and(|response| response.accepted == proposal && !response.adopted)
         };
-        comes && next.quorum(there)
+        self.chosen_in == Some(proposal) || self.configuration().quorum(has_accepted)
+    }
+
+    /// Whether a majority of the next voters has responded: without one, nothing more could be agreed after this step.
+    /// An added voter must be among them, with a promise that its disk has taken: otherwise it would be one voter more
+    /// and one vote less.
+    fn has_quorum_of(&self, change: &VoterChange, next: &VoterConfiguration) -> bool {
+        let has_responded = |voter: &VoterId| granted_by(&self.granted, voter).is_some();
+        let added_has_responded = match change {
+            VoterChange::AddVoter(voter) => !next.voters.contains(voter) || has_responded(voter),
+            VoterChange::RemoveVoters(..) => true,
+        };
+        added_has_responded && next.quorum(has_responded)
     }
 
     fn wait_for_more(&mut self) -> Action<R> {
-        self.waiting = self.asked.iter().any(|name| self.is_silent(name));
-        if self.waiting {
+        self.is_waiting = self.recipients.iter().any(|address| self.is_pending(address));
+        if self.is_waiting {
             Action::Wait
         } else {
             Action::BackOff
         }
     }
 
-    fn is_silent(&self, name: &String) -> bool {
-        self.asked.contains(name) && !self.answers.contains_key(name) && !self.failed.contains(name)
+    /// Whether this recipient has not responded yet.
+    fn is_pending(&self, address: &String) -> bool {
+        self.recipients.contains(address)
+            && !self.granted.contains_key(address)
+            && !self.failed.contains(address)
     }
 
-    fn step(&mut self, next: Cast) -> Action<R> {
-        let cast = Some(Cast { made: self.token.ballot, ..next });
-        self.goal = Some(Goal::Step);
-        self.send(Record { cast, ..self.known.record.clone().unwrap_or_default() })
+    fn propose_configuration(&mut self, next: VoterConfiguration) -> Action<R> {
+        let configuration = Some(VoterConfiguration { proposed_in: self.phase_id.proposal, ..next });
+        self.goal = Some(Goal::ConfigurationStep);
+        self.send_accept(Record { configuration, ..self.known.record.clone().unwrap_or_default() })
     }
 
-    /// Whether an earlier round of this operation made an edition that the newest record comes after.
-    fn mine(&self) -> Result<Option<Goal<R>>, ()> {
+    /// The edition that an earlier round of this operation made, if the newest record descends from it.
+    fn find_own_attempt(&self) -> Result<Option<Goal<R>>, LineageTooShort> {
         let Some(record) = &self.known.record else { return Ok(None) };
         for attempt in &self.attempts {
-            let Some(back) = record.edition.checked_sub(attempt.edition) else { continue };
-            match record.lineage.get(back as usize) {
+            let Some(editions_back) = record.edition.checked_sub(attempt.edition) else { continue };
+            match record.lineage.get(editions_back as usize) {
                 Some(origin) if *origin == attempt.origin => {
                     return Ok(Some(Goal::Made(attempt.edition, attempt.value.clone())))
                 }
                 Some(_) => {}
-                None => return Err(()),
+                None => return Err(LineageTooShort),
             }
         }
         Ok(None)
     }
 
-    fn propose(&mut self, value: Bytes) -> Action<R> {
+    fn propose_value(&mut self, value: Bytes) -> Action<R> {
         let edition = self.known.edition() + 1;
-        let origin = self.token.ballot;
+        let origin = self.phase_id.proposal;
         let before = self.known.record.as_ref().map_or(&[][..], |record| &record.lineage);
-        let lineage = std::iter::once(origin).chain(before.iter().copied()).take(LINEAGE).collect();
-        let cast = self.known.record.as_ref().and_then(|record| record.cast.clone());
+        let lineage = std::iter::once(origin).chain(before.iter().copied()).take(MAX_LINEAGE).collect();
+        let configuration = self.known.record.as_ref().and_then(|record| record.configuration.clone());
         self.attempts.push(Attempt { edition, origin, value: value.clone() });
         self.goal = Some(Goal::Made(edition, value.clone()));
-        self.send(Record { edition, lineage, value, cast })
+        self.send_accept(Record { edition, lineage, value, configuration })
     }
 
-    fn send(&mut self, record: Record) -> Action<R> {
-        let ballot = self.token.ballot;
-        let whom = record.cast.as_ref().unwrap_or(&self.founders).names();
+    fn send_accept(&mut self, record: Record) -> Action<R> {
+        let proposal = self.phase_id.proposal;
+        let recipients = record.configuration.as_ref().unwrap_or(&self.founders).addresses();
         self.proposed = Some(record.clone());
-        self.ask(Token { ballot, accepting: true }, whom);
-        Action::Accept(Accept { ballot, record })
+        self.begin_phase(PhaseId { proposal, accepting: true }, recipients);
+        Action::Accept(Accept { proposal, record })
     }
 
-    fn chosen(&mut self) -> Action<R> {
-        if self.token.ballot > self.known.ballot {
-            self.known = Known { ballot: self.token.ballot, record: self.proposed.take() };
+    /// A majority has accepted: the proposed record is chosen.
+    fn on_accepted(&mut self) -> Action<R> {
+        if self.phase_id.proposal > self.known.proposal {
+            self.known = KnownRecord { proposal: self.phase_id.proposal, record: self.proposed.take() };
         }
-        self.sure = Some(self.token.ballot);
+        self.chosen_in = Some(self.phase_id.proposal);
+        let configuration = self.known.configuration(&self.founders);
         match (self.goal.take(), &self.task) {
-            (Some(Goal::Step), Task::Turn(turn)) if turn.next(self.known.cast(&self.founders)).is_some() => {
-                self.begin()
+            (Some(Goal::ConfigurationStep), Task::ChangeVoters(change))
+                if change.next(configuration).is_some() =>
+            {
+                self.begin_round()
             }
-            (Some(Goal::Step), _) => self.done(Goal::Read),
-            (Some(goal), _) => self.done(goal),
+            (Some(Goal::ConfigurationStep), _) => self.finish(Goal::Read),
+            (Some(goal), _) => self.finish(goal),
             (None, _) => Action::BackOff,
         }
     }
 
-    fn done(&mut self, goal: Goal<R>) -> Action<R> {
+    fn finish(&mut self, goal: Goal<R>) -> Action<R> {
         Action::Done(match goal {
             Goal::Made(edition, value) => Outcome::Chosen(edition, Some(value)),
-            Goal::Read | Goal::Step => Outcome::Chosen(self.known.edition(), self.known.value().cloned()),
-            Goal::Refuse(refusal) => Outcome::Refused(refusal),
+            Goal::Read | Goal::ConfigurationStep => {
+                Outcome::Chosen(self.known.edition(), self.known.value().cloned())
+            }
+            Goal::Reject(rejection) => Outcome::Rejected(rejection),
         })
     }
 }
 
-/// The answer of this very voter: not that of another disk of its machine.
-fn counts<'a>(answers: &'a BTreeMap<String, Answer>, member: &Member) -> Option<&'a Answer> {
-    let same = |answer: &Answer| answer.id == member.id || is_without(Guard::SameDisk);
-    answers.get(&member.name).filter(|answer| same(answer) && answer.verdict() == Verdict::Given)
-}
-
-/// What the answers to a peek say.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sight {
-    /// The ballot that a majority agrees on, otherwise the highest seen.
-    pub ballot: Ballot,
-    /// Its edition.
-    pub edition: u64,
-    /// Whether a majority agrees on it: its record is chosen, and nothing newer was before the first was asked.
-    pub agreed: bool,
-    /// The highest round promised to anyone.
-    pub highest: u64,
-}
-
-/// Judges the answers to a peek by the voters known; `None` below a majority of them.
-pub fn sight(cast: &Cast, answers: &BTreeMap<String, Answer>) -> Option<Sight> {
-    if !cast.quorum(|member| counts(answers, member).is_some()) {
-        return None;
-    }
-    let given: Vec<&Answer> =
-        cast.members.iter().chain(&cast.before).filter_map(|member| counts(answers, member)).collect();
-    // Only a record with these very voters is theirs to choose.
-    let agreed = given.iter().map(|answer| answer.accepted).find(|ballot| {
-        cast.quorum(|member| {
-            counts(answers, member)
-                .is_some_and(|a| a.accepted == *ballot && !a.adopted && a.cast_made == cast.made)
-        })
-    });
-    let ballot = agreed.or_else(|| given.iter().map(|answer| answer.accepted).max())?;
-    Some(Sight {
-        ballot,
-        edition: given.iter().find(|a| a.accepted == ballot).map_or(0, |a| a.edition),
-        agreed: agreed.is_some(),
-        highest: given.iter().map(|answer| answer.promised.round).max().unwrap_or(0),
-    })
-}
+/// The newest record's lineage does not reach back to an attempt of this operation.
+struct LineageTooShort;
--- /dev/null
+++ b/crates/config-store/src/tests/cases.rs
@@ -0,0 +1,187 @@
+//! Cases that chance seldom finds.
+
+use super::*;
+
+struct ThreeVoters {
+    voters: Vec<Acceptor>,
+}
+
+type PlainChange = fn(Option<&[u8]>, u64) -> Result<Vec<u8>, ()>;
+
+fn addresses(voters: usize) -> Vec<String> {
+    (0..voters).map(|voter| voter.to_string()).collect()
+}
+
+fn operation(proposer_id: u64, highest: u64, task: Task<PlainChange>) -> Operation<PlainChange, ()> {
+    Operation::new(
+        task,
+        proposer_id,
+        VoterConfiguration::founders(&addresses(3)),
+        highest,
+        KnownRecord::default(),
+    )
+}
+
+impl ThreeVoters {
+    fn new() -> ThreeVoters {
+        ThreeVoters { voters: (0..3).map(|_| Acceptor::founded(addresses(3))).collect() }
+    }
+
+    fn prepare(&mut self, voter: usize, action: &Action<()>) -> VoterResponse {
+        assert_matches!(action, Action::Prepare(prepare) => self.voters[voter].prepare(prepare).0)
+    }
+
+    fn accept(&mut self, voter: usize, action: &Action<()>) -> VoterResponse {
+        assert_matches!(action, Action::Accept(accept) => self.voters[voter].accept(accept).0)
+    }
+}
+
+#[test]
+fn a_lost_disk_makes_another_voter_that_counts_once_it_is_taken_in() {
+    let mut cluster = ThreeVoters::new();
+    let mut one = operation(1, 0, Task::Change(|_, _| Ok(b"one".to_vec())));
+    let prepare = one.begin_round();
+    let phase_id = one.phase_id();
+    assert_eq!(one.on_response(phase_id, "0", cluster.prepare(0, &prepare)), Action::Wait);
+    let accept = one.on_response(phase_id, "1", cluster.prepare(1, &prepare));
+    let phase_id = one.phase_id();
+    assert_eq!(one.on_response(phase_id, "0", cluster.accept(0, &accept)), Action::Wait);
+    // 0 loses its disk before 1 accepts; what it accepted with the old one, and what it says now, are two things.
+    cluster.voters[0] = Acceptor::fresh(9);
+    let mut two = operation(2, 1, Task::Read);
+    let asked = two.begin_round();
+    let reported = two.phase_id();
+    assert_eq!(two.on_response(reported, "0", cluster.prepare(0, &asked)), Action::Wait);
+    assert_eq!(two.on_response(reported, "2", cluster.prepare(2, &asked)), Action::Wait);
+    assert_eq!(two.on_failure(reported, "1"), Action::BackOff);
+    // It is taken in: first together with the voters before, then alone.
+    let this_voter = VoterId { address: "0".into(), disk_id: 9 };
+    let mut joins = operation(3, 2, Task::ChangeVoters(VoterChange::AddVoter(this_voter.clone())));
+    let mut action = joins.begin_round();
+    let mut accepted: Vec<(usize, usize)> = Vec::new();
+    loop {
+        let (phase_id, recipients) = (joins.phase_id(), joins.recipients().to_vec());
+        if let Action::Accept(accept) = &action {
+            let configuration = accept.record.configuration.as_ref().unwrap();
+            accepted.push((configuration.voters.len(), configuration.outgoing.len()));
+        }
+        for name in recipients {
+            let voter = name.parse().unwrap();
+            let response = match &action {
+                Action::Prepare(_) => cluster.prepare(voter, &action),
+                _ => cluster.accept(voter, &action),
+            };
+            let next = joins.on_response(phase_id, &name, response);
+            if !matches!(next, Action::Wait) {
+                action = next;
+                break;
+            }
+        }
+        if matches!(action, Action::Done(_)) {
+            break;
+        }
+    }
+    assert_eq!(accepted, [(3, 3), (3, 0)]);
+    assert_eq!(action, Action::Done(Outcome::Chosen(0, None)));
+    assert!(joins.known().configuration(&VoterConfiguration::default()).voters.contains(&this_voter));
+    // The acceptance from before it comes in late: 1 has promised more since.
+    assert_eq!(cluster.accept(1, &accept).status(), ResponseStatus::Rejected);
+}
+
+/// Five voters; two are let go, and only one of those who stay accepts that before its proposer is gone. What the next
+/// proposer goes on with: how many voters there are, and how many before them.
+fn after_a_change_that_one_accepted(guard: Option<Guard>) -> (usize, usize) {
+    DISABLED_GUARD.with(|without| without.set(guard));
+    let mut voters: Vec<Acceptor> = (0..5).map(|_| Acceptor::founded(addresses(5))).collect();
+    let founders = VoterConfiguration::founders(&addresses(5));
+    let mut propose = |proposer_id: u64, highest_round: u64, turn: VoterChange| {
+        let task: Task<PlainChange> = Task::ChangeVoters(turn);
+        let mut operation = Operation::<_, ()>::new(
+            task,
+            proposer_id,
+            founders.clone(),
+            highest_round,
+            KnownRecord::default(),
+        );
+        let prepare = operation.begin_round();
+        let phase_id = operation.phase_id();
+        for (voter, name) in addresses(5).iter().enumerate() {
+            let response = assert_matches!(&prepare, Action::Prepare(p) => voters[voter].prepare(p).0);
+            if let Action::Accept(accept) = operation.on_response(phase_id, name, response) {
+                voters[0].accept(&accept);
+                let configuration = accept.record.configuration.unwrap();
+                return (configuration.voters.len(), configuration.outgoing.len());
+            }
+        }
+        panic!("no majority of five");
+    };
+    let lost_disks = founders.voters[3..].to_vec();
+    assert_eq!(propose(1, 0, VoterChange::RemoveVoters(lost_disks, ProposalNumber::default())), (3, 5));
+    propose(2, 1, VoterChange::AddVoter(founders.voters[0].clone()))
+}
+
+#[test]
+fn a_change_of_the_voters_is_finished_only_once_it_is_chosen() {
+    // The others hold nothing of it, and could choose without those who stay.
+    assert_eq!(after_a_change_that_one_accepted(None), (3, 5));
+    // Chance finds what comes of this once in some ten thousand schedules.
+    assert_eq!(after_a_change_that_one_accepted(Some(Guard::ChosenBeforeNext)), (3, 0));
+    DISABLED_GUARD.with(|without| without.set(None));
+}
+
+#[test]
+fn a_file_of_the_layout_before_is_a_founders() {
+    // Voters, own place, incarnation, known incarnations, promise, acceptance.
+    let bytes = [
+        &b"\x0a\x01a\x0a\x01b\x0a\x01c\x10\x01\x18\x07\x22\x03\x07\x07\x07"[..],
+        &b"\x2a\x04\x08\x05\x10\x02\x32\x04\x08\x04\x10\x02"[..],
+    ];
+    let state = PersistentState::decode(&bytes.concat()[..]).unwrap();
+    let record = Record { edition: 1, value: Bytes::from_static(b"x"), ..Record::default() };
+    let acceptor = Acceptor::restored(state, Some(record)).unwrap();
+    let local_state =
+        acceptor.local_state(&LocalStateRequest { known: ProposalNumber::default() }, Vec::new());
+    assert_eq!(
+        (local_state.founders.join(""), local_state.disk_id, local_state.accepted.round),
+        ("abc".into(), 0, 4)
+    );
+    assert_eq!(acceptor.state().promised, ProposalNumber { round: 5, proposer_id: 2 });
+}
+
+#[test]
+fn a_change_found_made_by_an_earlier_round_is_not_made_again() {
+    let mut cluster = ThreeVoters::new();
+    let mut one = operation(1, 0, Task::Change(|before, _| Ok([before.unwrap_or_default(), b"x"].concat())));
+    let prepare = one.begin_round();
+    let phase_id = one.phase_id();
+    one.on_response(phase_id, "0", cluster.prepare(0, &prepare));
+    let accept = one.on_response(phase_id, "1", cluster.prepare(1, &prepare));
+    // Both accept and neither answer arrives; another one builds on it.
+    cluster.accept(0, &accept);
+    cluster.accept(1, &accept);
+    assert_eq!(one.on_timeout(), Action::BackOff);
+    let mut two = operation(2, 1, Task::Change(|before, _| Ok([before.unwrap_or_default(), b"y"].concat())));
+    let asked = two.begin_round();
+    let reported = two.phase_id();
+    two.on_response(reported, "1", cluster.prepare(1, &asked));
+    let accept = two.on_response(reported, "2", cluster.prepare(2, &asked));
+    cluster.accept(1, &accept);
+    let mut action = one.begin_round();
+    // The other round is in the way, and known then.
+    for voter in 1..3 {
+        let response = cluster.prepare(voter, &action);
+        let next = one.on_response(one.phase_id(), &voter.to_string(), response);
+        if voter == 2 {
+            assert_eq!(next, Action::BackOff);
+        }
+    }
+    action = one.begin_round();
+    let phase_id = one.phase_id();
+    one.on_response(phase_id, "1", cluster.prepare(1, &action));
+    let accept = one.on_response(phase_id, "2", cluster.prepare(2, &action));
+    assert_matches!(&accept, Action::Accept(accept) => assert_eq!(&accept.record.value[..], b"xy"));
+    let phase_id = one.phase_id();
+    one.on_response(phase_id, "1", cluster.accept(1, &accept));
+    let done = one.on_response(phase_id, "2", cluster.accept(2, &accept));
+    assert_eq!(done, Action::Done(Outcome::Chosen(1, Some(Bytes::from_static(b"x")))));
+}
--- /dev/null
+++ b/crates/config-store/src/tests/clients.rs
@@ -0,0 +1,255 @@
+//! What clients do: read, change the value, change the voters.
+
+use super::*;
+
+impl World {
+    /// Hears from a site what it holds: a hint, chosen or not.
+    pub(super) fn learn_from_site(&mut self, client: usize, site: usize) {
+        if let (Some(acceptor), true) = (&self.sites[site].up, self.sites[site].unsynced.is_empty()) {
+            let local_state =
+                acceptor.local_state(&LocalStateRequest { known: ProposalNumber::default() }, Vec::new());
+            self.clients[client].known.learn_from(&local_state);
+        }
+    }
+
+    pub(super) fn begin(&mut self, client: usize) -> Result<(), String> {
+        if self.one_in(2) {
+            let site = self.below(SITES);
+            self.learn_from_site(client, site);
+        }
+        if client >= CLIENTS {
+            return self.begin_voter_change(client);
+        }
+        let floor = self.checker.chain.len();
+        let what = self.below(4);
+        let expects = self.one_in(2);
+        let this_client = &mut self.clients[client];
+        this_client.floor = floor;
+        this_client.serial += 1;
+        if what == 0 {
+            let configuration = this_client.known.configuration(&self.founders).clone();
+            let addresses = configuration.addresses();
+            this_client.state = ClientState::Peeking { configuration, responses: BTreeMap::new() };
+            self.send(client, &addresses, Request::Peek);
+            return Ok(());
+        }
+        let id = (what > 1).then(|| {
+            self.changes += 1;
+            self.changes
+        });
+        let change = id.map(|id| -> Change {
+            Box::new(move |before, edition| {
+                if expects && edition != floor as u64 {
+                    return Err((edition, history(before)));
+                }
+                Ok([before.unwrap_or_default(), &id.to_be_bytes()].concat())
+            })
+        });
+        self.operate(client, change.map_or(Task::Read, Task::Change), id)
+    }
+
+    /// A site asks to be taken in, lets go of one or two, or of itself before it ends in order.
+    pub(super) fn begin_voter_change(&mut self, client: usize) -> Result<(), String> {
+        let at = client - CLIENTS;
+        if self.sites[at].up.is_none() {
+            return Ok(());
+        }
+        self.learn_from_site(client, at);
+        let this_voter = VoterId { address: at.to_string(), disk_id: self.sites[at].disk_id };
+        let change_rarity = self.change_rarity;
+        let known = self.clients[client].known.clone();
+        if let (Some(acceptor), Some(record)) = (&mut self.sites[at].up, &known.record) {
+            // It keeps what it has heard of; that is durable with the next write, and no vote.
+            acceptor.adopt(known.proposal, record);
+        }
+        let configuration = known.configuration(&self.founders).clone();
+        let leaves = removable_on_shutdown(&configuration, &this_voter, &[], 1);
+        let turn = if !leaves.is_empty() && self.one_in(2) {
+            self.clients[client].is_shutting_down = true;
+            VoterChange::RemoveVoters(leaves, configuration.proposed_in)
+        } else if !configuration.voters.contains(&this_voter) || configuration.is_changing() {
+            VoterChange::AddVoter(this_voter)
+        } else if configuration.voters.len() > 3 && self.one_in(change_rarity) {
+            let first = self.below(configuration.voters.len());
+            let second = self.below(configuration.voters.len());
+            let two = [configuration.voters[first].clone(), configuration.voters[second].clone()];
+            VoterChange::RemoveVoters(two.into(), configuration.proposed_in)
+        } else {
+            return Ok(());
+        };
+        self.operate(client, Task::ChangeVoters(turn), None)
+    }
+
+    pub(super) fn operate(
+        &mut self,
+        client: usize,
+        task: Task<Change>,
+        change_id: Option<u32>,
+    ) -> Result<(), String> {
+        let this_client = &mut self.clients[client];
+        this_client.serial += 1;
+        this_client.is_removing = matches!(task, Task::ChangeVoters(VoterChange::RemoveVoters(..)));
+        let operation = Operation::new(
+            task,
+            this_client.proposer_id,
+            self.founders.clone(),
+            this_client.highest_round,
+            this_client.known.clone(),
+        );
+        this_client.state =
+            ClientState::Operating { operation: Box::new(operation), change_id, backing_off: true };
+        self.begin_round(client)
+    }
+
+    /// A round after the back-off.
+    pub(super) fn begin_round(&mut self, client: usize) -> Result<(), String> {
+        let ClientState::Operating { operation, backing_off, .. } = &mut self.clients[client].state else {
+            return Ok(());
+        };
+        *backing_off = false;
+        let action = operation.begin_round();
+        self.act(client, action)
+    }
+
+    pub(super) fn on_response(
+        &mut self,
+        client: usize,
+        serial: u64,
+        phase_id: PhaseId,
+        site: usize,
+        response: VoterResponse,
+    ) -> Result<(), String> {
+        let this_client = &mut self.clients[client];
+        if this_client.serial != serial {
+            return Ok(());
+        }
+        match &mut this_client.state {
+            ClientState::Idle => Ok(()),
+            ClientState::Operating { operation, .. } => {
+                let action = operation.on_response(phase_id, &site.to_string(), response);
+                self.act(client, action)
+            }
+            ClientState::Peeking { configuration, responses } => {
+                responses.insert(site.to_string(), response);
+                let Some(seen) = summarize_peek(configuration, responses).filter(|seen| seen.agreed) else {
+                    return Ok(());
+                };
+                let floor = this_client.floor;
+                this_client.state = ClientState::Idle;
+                let record = self.proposals.get(&seen.proposal);
+                let reported = history(record.map(|record| &record.value[..]));
+                self.checker.reported(seen.edition, &reported, floor)
+            }
+        }
+    }
+
+    pub(super) fn act(&mut self, client: usize, action: Action<(u64, Vec<u32>)>) -> Result<(), String> {
+        let ClientState::Operating { operation, backing_off, change_id } = &mut self.clients[client].state
+        else {
+            return Ok(());
+        };
+        let recipients = operation.recipients().to_vec();
+        match action {
+            Action::Wait => Ok(()),
+            Action::Prepare(prepare) => {
+                self.send(client, &recipients, Request::Prepare(prepare));
+                Ok(())
+            }
+            Action::Accept(accept) => {
+                let reads = change_id.is_none() && client < CLIENTS;
+                let before = self.proposals.insert(accept.proposal, accept.record.clone());
+                if before.is_some_and(|before| before != accept.record) {
+                    return Err(format!("two records in ballot {}", accept.proposal));
+                }
+                if self.fault == Fault::UnconfirmedReads && reads {
+                    let reported = history(Some(&accept.record.value));
+                    return self
+                        .ended(client, Outcome::Chosen(reported.len() as u64, Some(accept.record.value)));
+                }
+                self.send(client, &recipients, Request::Accept(accept));
+                Ok(())
+            }
+            Action::BackOff => {
+                *backing_off = true;
+                Ok(())
+            }
+            Action::Done(outcome) => self.ended(client, outcome),
+        }
+    }
+
+    /// The operation leaves what it has learned.
+    pub(super) fn end_operation(&mut self, client: usize) -> (Option<u32>, bool) {
+        let this_client = &mut self.clients[client];
+        (this_client.is_removing, this_client.is_shutting_down) = (false, false);
+        match std::mem::replace(&mut this_client.state, ClientState::Idle) {
+            ClientState::Operating { operation, change_id, .. } => {
+                this_client.highest_round = operation.highest_round();
+                if operation.known().proposal > this_client.known.proposal {
+                    this_client.known = operation.known().clone();
+                }
+                (change_id, operation.may_be_chosen())
+            }
+            _ => (None, false),
+        }
+    }
+
+    pub(super) fn ended(&mut self, client: usize, outcome: Outcome<(u64, Vec<u32>)>) -> Result<(), String> {
+        let floor = self.clients[client].floor;
+        let is_shutting_down = self.clients[client].is_shutting_down;
+        let (id, _) = self.end_operation(client);
+        if !matches!(outcome, Outcome::Unknown) && self.fault != Fault::UnconfirmedReads {
+            self.chosen = self.chosen.max(self.clients[client].known.proposal);
+        }
+        match (outcome, id) {
+            (Outcome::Chosen(edition, value), id) => {
+                let reported = history(value.as_deref());
+                if let Some(id) = id {
+                    if reported.last() != Some(&id) || reported.len() <= floor {
+                        return Err(format!(
+                            "change {id} acknowledged with {reported:?}, after {floor} changes"
+                        ));
+                    }
+                    self.checker.acknowledged.insert(id);
+                }
+                self.configurations += u32::from(client >= CLIENTS);
+                let floor = if id.is_some() || client >= CLIENTS { 0 } else { floor };
+                if is_shutting_down {
+                    self.crash(client - CLIENTS);
+                }
+                self.checker.reported(edition, &reported, floor)
+            }
+            (Outcome::Rejected((edition, reported)), Some(id)) => {
+                self.checker.reported(edition, &reported, floor)?;
+                self.checker.not_made(id)
+            }
+            (Outcome::Rejected(_), None) => Err("a reading was refused".into()),
+            (Outcome::Unknown, _) => Ok(()),
+        }
+    }
+
+    pub(super) fn give_up(&mut self, client: usize) -> Result<(), String> {
+        match self.end_operation(client) {
+            (Some(id), false) => self.checker.not_made(id),
+            _ => Ok(()),
+        }
+    }
+
+    /// The caller's process ends; the next one knows nothing.
+    pub(super) fn replace_client(&mut self, client: usize) {
+        self.incarnations += 1;
+        self.clients[client] = Client::new(self.incarnations);
+    }
+
+    pub(super) fn send(&mut self, client: usize, recipients: &[String], request: Request) {
+        let this_client = &self.clients[client];
+        let phase_id = match &this_client.state {
+            ClientState::Operating { operation, .. } => operation.phase_id(),
+            _ => PhaseId { proposal: ProposalNumber::default(), accepting: false },
+        };
+        let (proposer_id, serial) = (this_client.proposer_id, this_client.serial);
+        for name in recipients {
+            let (site, request) = (name.parse().unwrap(), request.clone());
+            self.in_flight.push(Envelope::Request { client, proposer_id, serial, phase_id, site, request });
+        }
+    }
+}
--- /dev/null
+++ b/crates/config-store/src/tests/mod.rs
@@ -0,0 +1,212 @@
+//! Seeded random schedules over acceptors, proposers and changes of the voters, judged from outside by a checker that sees
+//! only what clients are told. `SCHEDULES` asks for more of them, `SEED` for one.
+//!
+//! [`World`] holds everything; `voters` is what the sites do, `clients` what proposers do, `events` what chance does.
+
+mod cases;
+mod checker;
+mod clients;
+mod events;
+mod schedules;
+mod voters;
+
+use crate::acceptor::Acceptor;
+use crate::guard::{Guard, DISABLED_GUARD};
+use crate::membership::removable_on_shutdown;
+use crate::messages::{
+    Accept, LocalStateRequest, PersistentState, Prepare, ProposalNumber, Record, ResponseStatus,
+    VoterConfiguration, VoterId, VoterResponse,
+};
+use crate::peek::summarize_peek;
+use crate::proposer::{Action, KnownRecord, Operation, Outcome, PhaseId, Task, VoterChange};
+use assert_matches::assert_matches;
+use bytes::Bytes;
+use prost::Message;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::{BTreeMap, BTreeSet};
+
+use checker::Checker;
+
+/// What is broken on purpose.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Fault {
+    Nothing,
+    /// Acceptors answer before their state is durable.
+    Forgetful,
+    /// One voter's answer counts for another as well.
+    CountedTwice,
+    /// A voter without its disk votes from nothing, as the one that it was.
+    VotesAtOnce,
+    /// A change of the voters lacks this.
+    Without(Guard),
+    /// What was read in a round is told without being chosen.
+    UnconfirmedReads,
+}
+
+/// The history a value stands for: the changes that made it, in their order.
+fn history(value: Option<&[u8]>) -> Vec<u32> {
+    value.unwrap_or_default().chunks(4).map(|id| u32::from_be_bytes(id.try_into().unwrap())).collect()
+}
+
+type Change = Box<dyn Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, (u64, Vec<u32>)>>;
+
+enum ClientState {
+    Idle,
+    Operating {
+        operation: Box<Operation<Change, (u64, Vec<u32>)>>,
+        change_id: Option<u32>,
+        backing_off: bool,
+    },
+    Peeking {
+        configuration: VoterConfiguration,
+        responses: BTreeMap<String, VoterResponse>,
+    },
+}
+
+/// Someone who asks: the first three change and read the value, then comes one for each site, who changes the voters.
+struct Client {
+    proposer_id: u64,
+    highest_round: u64,
+    known: KnownRecord,
+    /// Tells one question for a sight from the next.
+    serial: u64,
+    floor: usize,
+    /// It is about to let go of some.
+    is_removing: bool,
+    /// Its machine ends once this is done.
+    is_shutting_down: bool,
+    state: ClientState,
+}
+
+impl Client {
+    fn new(proposer_id: u64) -> Client {
+        let (known, state) = (KnownRecord::default(), ClientState::Idle);
+        Client {
+            proposer_id,
+            highest_round: 0,
+            known,
+            serial: 0,
+            floor: 0,
+            is_removing: false,
+            is_shutting_down: false,
+            state,
+        }
+    }
+}
+
+const CLIENTS: usize = 3;
+const SITES: usize = 7;
+
+#[derive(Clone)]
+enum Request {
+    Prepare(Prepare),
+    Accept(Accept),
+    Peek,
+}
+
+#[derive(Clone)]
+enum Envelope {
+    Request {
+        client: usize,
+        proposer_id: u64,
+        serial: u64,
+        phase_id: PhaseId,
+        site: usize,
+        request: Request,
+    },
+    Response {
+        client: usize,
+        proposer_id: u64,
+        serial: u64,
+        phase_id: PhaseId,
+        site: usize,
+        response: VoterResponse,
+    },
+}
+
+#[derive(Default)]
+struct Site {
+    /// `None` while it is down, and before it first starts.
+    up: Option<Acceptor>,
+    durable: Option<(PersistentState, Option<Record>)>,
+    /// Answers that wait for the disk.
+    unsynced: Vec<Envelope>,
+    /// The id that it had last.
+    disk_id: u64,
+}
+
+struct World {
+    fault: Fault,
+    random: Pcg64Mcg,
+    founders: VoterConfiguration,
+    sites: Vec<Site>,
+    clients: Vec<Client>,
+    in_flight: Vec<Envelope>,
+    /// Those held up for long.
+    delayed: Vec<Envelope>,
+    /// The more, the fewer crashes.
+    crash_rarity: usize,
+    /// The more, the fewer changes of the voters.
+    change_rarity: usize,
+    proposals: BTreeMap<ProposalNumber, Record>,
+    /// The highest ballot known to be chosen.
+    chosen: ProposalNumber,
+    /// Voters whose disks are lost.
+    lost_disks: BTreeSet<VoterId>,
+    checker: Checker,
+    changes: u32,
+    incarnations: u64,
+    wiped: u32,
+    configurations: u32,
+}
+
+impl World {
+    pub(super) fn new(seed: u64, fault: Fault) -> World {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        let founders = if random.next_u32() % 4 == 0 { 5 } else { 3 };
+        let addresses: Vec<String> = (0..founders).map(|site| site.to_string()).collect();
+        let mut sites: Vec<Site> = (0..SITES).map(|_| Site::default()).collect();
+        for site in &mut sites[..founders] {
+            let acceptor = Acceptor::founded(addresses.clone());
+            site.durable = Some((acceptor.state().clone(), None));
+            site.up = Some(acceptor);
+        }
+        let incarnations = (CLIENTS + SITES) as u64;
+        let crash_rarity = 1 + random.next_u32() as usize % 12;
+        let change_rarity = 1 + random.next_u32() as usize % 6;
+        World {
+            fault,
+            random,
+            founders: VoterConfiguration::founders(&addresses),
+            sites,
+            clients: (1..=incarnations).map(Client::new).collect(),
+            in_flight: Vec::new(),
+            delayed: Vec::new(),
+            crash_rarity,
+            change_rarity,
+            proposals: BTreeMap::new(),
+            chosen: ProposalNumber::default(),
+            lost_disks: BTreeSet::new(),
+            checker: Checker::default(),
+            changes: 0,
+            incarnations,
+            wiped: 0,
+            configurations: 0,
+        }
+    }
+
+    pub(super) fn below(&mut self, limit: usize) -> usize {
+        self.random.next_u32() as usize % limit
+    }
+
+    pub(super) fn one_in(&mut self, odds: usize) -> bool {
+        self.below(odds) == 0
+    }
+
+    /// Someone that this applies to.
+    pub(super) fn any(&mut self, of: usize, applies: impl Fn(&World, usize) -> bool) -> Option<usize> {
+        let some: Vec<usize> = (0..of).filter(|one| applies(self, *one)).collect();
+        (!some.is_empty()).then(|| some[self.below(some.len())])
+    }
+}
--- /dev/null
+++ b/crates/config-store/src/tests/voters.rs
@@ -0,0 +1,115 @@
+//! What sites do: answer, write, crash, start and lose their disks.
+
+use super::*;
+
+impl World {
+    pub(super) fn deliver(&mut self, envelope: Envelope) -> Result<(), String> {
+        match envelope {
+            Envelope::Request { client, proposer_id, serial, phase_id, site: at, request } => {
+                let site = &mut self.sites[at];
+                let Some(acceptor) = &mut site.up else { return Ok(()) };
+                let response = match request {
+                    Request::Prepare(prepare) => acceptor.prepare(&prepare).0,
+                    Request::Accept(accept) => acceptor.accept(&accept).0,
+                    // Only what is durable is shown: the program writes before it hears the next call.
+                    Request::Peek if !site.unsynced.is_empty() => return Ok(()),
+                    Request::Peek => acceptor.peek(),
+                };
+                site.unsynced.push(Envelope::Response {
+                    client,
+                    proposer_id,
+                    serial,
+                    phase_id,
+                    site: at,
+                    response,
+                });
+                if self.fault == Fault::Forgetful {
+                    let answered = std::mem::take(&mut self.sites[at].unsynced);
+                    self.in_flight.extend(answered);
+                }
+                Ok(())
+            }
+            Envelope::Response { client, proposer_id, serial, phase_id, site, response } => {
+                if self.clients[client].proposer_id != proposer_id {
+                    return Ok(());
+                }
+                if self.fault == Fault::CountedTwice {
+                    let other = (site + 1) % SITES;
+                    let forged = VoterResponse { disk_id: self.sites[other].disk_id, ..response.clone() };
+                    self.on_response(client, serial, phase_id, other, forged)?;
+                }
+                self.on_response(client, serial, phase_id, site, response)
+            }
+        }
+    }
+
+    pub(super) fn sync(&mut self, site: usize) {
+        let site = &mut self.sites[site];
+        if let Some(acceptor) = &site.up {
+            site.durable = Some((acceptor.state().clone(), acceptor.record().cloned()));
+        }
+        self.in_flight.append(&mut site.unsynced);
+    }
+
+    pub(super) fn refuse_write(&mut self, site: usize) {
+        let site = &mut self.sites[site];
+        let (Some(acceptor), Some((state, record))) = (&mut site.up, &site.durable) else { return };
+        *acceptor = Acceptor::restored(state.clone(), record.clone()).unwrap();
+        for mut envelope in site.unsynced.drain(..) {
+            if let Envelope::Response { response, .. } = &mut envelope {
+                *response = acceptor.respond(ResponseStatus::StorageUnavailable);
+            }
+            self.in_flight.push(envelope);
+        }
+    }
+
+    pub(super) fn crash(&mut self, at: usize) {
+        let written = self.one_in(2) && self.fault != Fault::Forgetful;
+        let site = &mut self.sites[at];
+        if let (Some(acceptor), true) = (&site.up, written) {
+            // The write was made, the answers were not sent.
+            site.durable = Some((acceptor.state().clone(), acceptor.record().cloned()));
+        }
+        site.unsynced.clear();
+        site.up = None;
+        self.replace_client(CLIENTS + at);
+    }
+
+    pub(super) fn start(&mut self, at: usize) {
+        let id = self.random.next_u64() | 1;
+        let founders: Vec<String> = self.founders.addresses();
+        let site = &mut self.sites[at];
+        let acceptor = match &site.durable {
+            Some((state, record)) => Acceptor::restored(state.clone(), record.clone()).unwrap(),
+            None if self.fault == Fault::VotesAtOnce && site.disk_id != 0 => Acceptor::fresh(site.disk_id),
+            None if self.fault == Fault::VotesAtOnce && at < founders.len() => Acceptor::founded(founders),
+            None => Acceptor::fresh(id),
+        };
+        site.disk_id = acceptor.state().disk_id;
+        site.durable = Some((acceptor.state().clone(), acceptor.record().cloned()));
+        site.up = Some(acceptor);
+    }
+
+    /// As many disks are lost as may be in each cast that is, or may yet come to be, in force.
+    pub(super) fn wipe(&mut self, at: usize) {
+        let voter = VoterId { address: at.to_string(), disk_id: self.sites[at].disk_id };
+        // The program lets go of those only who are lost already, so none of those who stay is one too many.
+        if self.sites[at].durable.is_none() || self.clients.iter().any(|client| client.is_removing) {
+            return;
+        }
+        let mut lost_disks = self.lost_disks.clone();
+        lost_disks.insert(voter);
+        let in_force = self.proposals.range(self.chosen..).map(|(_, record)| record.configuration.as_ref());
+        let mut in_force: Vec<&VoterConfiguration> =
+            in_force.map(|configuration| configuration.unwrap_or(&self.founders)).collect();
+        if self.chosen == ProposalNumber::default() {
+            in_force.push(&self.founders);
+        }
+        if in_force.iter().all(|configuration| configuration.quorum(|voter| !lost_disks.contains(voter))) {
+            self.lost_disks = lost_disks;
+            self.crash(at);
+            self.sites[at].durable = None;
+            self.wiped += 1;
+        }
+    }
+}
--- a/crates/config-store/src/voter.rs
+++ b/crates/config-store/src/voter.rs
@@ -1,93 +1,95 @@
-//! A program of the store: answers calls, and sees to it that its machine votes and that those who are gone do not.
+//! The process of the store on one core machine: opens its file, answers calls, and writes before it answers.
+//!
+//! [`crate::voter_maintenance`] adds this machine to the voters and removes those that are gone.
 
-use crate::acceptor::{Acceptor, Write};
-use crate::client::Caller;
-use crate::membership::{leave, may_join, Gone, Watch};
-use crate::messages::{kind, Accept, Answer, Ballot, Cast, Fetch, Here, Member, Prepare, Verdict, Who};
-use crate::proposer::{Known, Turn};
-use crate::storage::{DiskError, Place, Writes};
+use crate::acceptor::{Acceptor, RequiredWrite};
+use crate::known_record::KnownRecord;
+use crate::messages::{
+    kind, Accept, Fetch, LocalState, LocalStateRequest, Prepare, ProposalNumber, ResponseStatus, VoterId,
+    VoterResponse,
+};
+use crate::storage::{DiskError, OpenedState, StateWriter, StorageLocation};
 use bytes::Bytes;
 use oatbank_node_runtime::log::{error, info, warn};
 use oatbank_node_runtime::random::chance;
 use oatbank_node_runtime::rpc::Answering;
 use prost::Message;
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::{oneshot, Notify};
-use tokio::time::{sleep, Instant};
 
-/// How long others may take to say who votes, and a change of the voters to be made.
-const ASKING: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(1500));
-/// One that ends tries this long to be let go, and so often.
-const LEAVING: (Duration, usize) = (Duration::from_millis(600), 2);
-/// How long it waits before it looks again: one that wants to vote, and one that does.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
-/// The same where one is silent whom to let go would help.
-const SOON: Duration = Duration::from_millis(500);
-/// It says which voters are missing after so long without a majority of them, and again after so long.
-const MISSING: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(60));
-/// The operator's word that the founders of this file found the register anew (see `docs/operators/core.md`).
-const FOUND_AGAIN: &str = "found-again";
+/// Name of the file by which an operator has the founders in it found the register anew (`docs/operators/core.md`).
+pub(crate) const FOUND_AGAIN: &str = "found-again";
 
-/// What a program of the store has to be told.
+/// What a process of the store has to be told.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    /// Where it listens; voters are named so.
+pub struct VoterOptions {
+    /// Where it listens; voters are named by this address.
     pub address: SocketAddr,
-    /// The store's programs it knows of, with the same port.
+    /// Known processes of the store, with the same port.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole system: the seeds found the register.
+    /// Whether this is the first start of the whole system: the seeds are the founders.
     pub first_start: bool,
-    /// Where its file is.
+    /// Folder of its file.
     pub folder: PathBuf,
-    /// How many machines may be lost at once, as the platform says.
-    pub tolerates: usize,
+    /// How many machines the platform may take away at once.
+    pub tolerated_failures: usize,
 }
 
-enum Asked {
+/// A request that may need a write before it is answered.
+pub(crate) enum QueuedRequest {
     Prepare(Prepare),
     Accept(Accept),
-    /// Of its own program: to keep what it was told of, and to write in any case.
-    Keep(Known),
+    /// From this process itself: store a record learned from others, and write in any case.
+    Adopt(KnownRecord),
 }
 
-/// The program, without its sockets.
+/// What the process holds, in memory and on disk.
+pub(crate) struct VoterState {
+    pub(crate) acceptor: Acceptor,
+    writer: Box<dyn StateWriter>,
+}
+
+/// The process, without its sockets.
 pub struct Voter {
-    address: SocketAddr,
-    seeds: RefCell<Vec<SocketAddr>>,
-    state: RefCell<(Acceptor, Box<dyn Writes>)>,
-    pending: RefCell<Vec<(Asked, oneshot::Sender<Answer>)>>,
-    wake: Notify,
-    refusing: Cell<bool>,
-    /// Looks again at once.
-    stirred: Notify,
-    tolerates: usize,
+    pub(crate) address: SocketAddr,
+    pub(crate) seeds: RefCell<Vec<SocketAddr>>,
+    pub(crate) state: RefCell<VoterState>,
+    pending: RefCell<Vec<(QueuedRequest, oneshot::Sender<VoterResponse>)>>,
+    has_pending: Notify,
+    /// The last write failed, so nothing is granted.
+    pub(crate) is_storage_failing: Cell<bool>,
+    /// The set of voters may have changed: check it at once.
+    pub(crate) membership_changed: Notify,
+    pub(crate) tolerated_failures: usize,
 }
 
-fn names(addresses: &[SocketAddr]) -> Vec<String> {
+pub(crate) fn names(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(ToString::to_string).collect()
 }
 
-/// The founders that the operator names for a founding anew.
-fn found_again(place: &dyn Place, terms: &Terms) -> Result<Option<BTreeSet<SocketAddr>>, DiskError> {
-    let Some(text) = place.note(FOUND_AGAIN)? else { return Ok(None) };
-    let path = terms.folder.join(FOUND_AGAIN);
+/// The founders that the operator names for founding the register anew.
+fn operator_named_founders(
+    location: &dyn StorageLocation,
+    options: &VoterOptions,
+) -> Result<Option<BTreeSet<SocketAddr>>, DiskError> {
+    let Some(text) = location.operator_file(FOUND_AGAIN)? else { return Ok(None) };
+    let path = options.folder.join(FOUND_AGAIN);
     let words = text.split([',', ' ', '\n']).filter(|word| !word.is_empty());
-    let port = terms.address.port();
+    let port = options.address.port();
     let founders: Result<BTreeSet<SocketAddr>, _> =
         words.map(|word| word.parse().map(|ip: IpAddr| SocketAddr::new(ip, port))).collect();
-    let (path, own) = (path.display(), terms.address.ip());
+    let (path, own) = (path.display(), options.address.ip());
     let refused = |what: String| DiskError::Refused(std::io::Error::new(ErrorKind::InvalidInput, what));
     match founders {
-        _ if place.was_set_aside()? => Err(refused(format!(
+        _ if location.was_set_aside()? => Err(refused(format!(
             "{path}: a damaged file is beside it, so this machine has voted; take one away"
         ))),
-        Ok(founders) if founders.contains(&terms.address) => Ok(Some(founders)),
+        Ok(founders) if founders.contains(&options.address) => Ok(Some(founders)),
         _ => Err(refused(format!(
             "{path}: {text:?}; allowed: the addresses of all founders, {own} among them, as 10.0.0.4,10.0.0.5"
         ))),
@@ -95,346 +97,223 @@
 }
 
 impl Voter {
-    /// Opens what is on the disk, or founds the register where this is the first start. What is found damaged is set
-    /// aside. An error is one that may pass: try again.
-    pub fn start(terms: Terms) -> Result<Rc<Voter>, DiskError> {
-        let folder = terms.folder.clone();
-        Voter::start_at(&folder, terms)
+    /// Opens the file, or founds the register if this is the first start. A damaged file is set aside.
+    ///
+    /// # Errors
+    /// When the disk refuses now; the caller may try again.
+    pub fn start(options: VoterOptions) -> Result<Rc<Voter>, DiskError> {
+        let folder = options.folder.clone();
+        Voter::start_at(&folder, options)
     }
 
-    /// The same with its file at this place.
-    pub fn start_at(place: &dyn Place, terms: Terms) -> Result<Rc<Voter>, DiskError> {
-        let state = match place.open() {
-            // Nothing was ever agreed with this disk.
-            Ok(Some((disk, kept, None)))
-                if kept.founders.is_empty() && found_again(place, &terms)?.is_some() =>
-            {
-                drop(disk);
-                Voter::begin(place, &terms)?
-            }
-            Ok(Some((disk, kept, record))) => {
-                let edition = record.as_ref().map_or(0, |record| record.edition);
-                match Acceptor::restored(kept, record) {
-                    Some(acceptor) => {
-                        info!("store: Has its file, at edition {edition}.");
-                        if place.forget_note(FOUND_AGAIN)? {
-                            warn!("store: Does not follow {FOUND_AGAIN}: this machine holds its vote.");
-                        }
-                        (acceptor, disk)
-                    }
-                    None => Voter::damaged(place, &terms, "what it holds does not fit together")?,
-                }
-            }
-            Ok(None) => Voter::begin(place, &terms)?,
-            Err(DiskError::Damaged(what)) => Voter::damaged(place, &terms, &what)?,
-            Err(error) => return Err(error),
-        };
+    /// As [`Voter::start`], with the file at this location.
+    ///
+    /// # Errors
+    /// When the disk refuses now; the caller may try again.
+    pub fn start_at(location: &dyn StorageLocation, options: VoterOptions) -> Result<Rc<Voter>, DiskError> {
+        let state = Voter::open_or_create(location, &options)?;
         Ok(Rc::new(Voter {
-            address: terms.address,
-            seeds: RefCell::new(terms.seeds),
+            address: options.address,
+            seeds: RefCell::new(options.seeds),
             state: RefCell::new(state),
             pending: RefCell::default(),
-            wake: Notify::new(),
-            refusing: Cell::new(false),
-            stirred: Notify::new(),
-            tolerates: terms.tolerates.max(1),
+            has_pending: Notify::new(),
+            is_storage_failing: Cell::new(false),
+            membership_changed: Notify::new(),
+            tolerated_failures: options.tolerated_failures.max(1),
         }))
     }
 
-    /// Makes the file: a founder's at the first start, otherwise that of one that never voted with this disk.
-    fn begin(place: &dyn Place, terms: &Terms) -> Result<(Acceptor, Box<dyn Writes>), DiskError> {
-        let founders: BTreeSet<SocketAddr> = terms.seeds.iter().copied().collect();
-        let first = terms.first_start && !place.was_set_aside()?;
-        // The order to found anew holds for one disk, once.
-        let again = found_again(place, terms)?;
-        let acceptor = if let Some(founders) = &again {
+    fn open_or_create(
+        location: &dyn StorageLocation,
+        options: &VoterOptions,
+    ) -> Result<VoterState, DiskError> {
+        match location.open() {
+            // Nothing was ever agreed with this disk.
+            Ok(Some(OpenedState { writer, state, record: None }))
+                if state.founders.is_empty() && operator_named_founders(location, options)?.is_some() =>
+            {
+                drop(writer);
+                Voter::create(location, options)
+            }
+            Ok(Some(opened)) => Voter::restore(location, options, opened),
+            Ok(None) => Voter::create(location, options),
+            Err(DiskError::Damaged(what)) => Voter::replace_damaged(location, options, &what),
+            Err(error) => Err(error),
+        }
+    }
+
+    fn restore(
+        location: &dyn StorageLocation,
+        options: &VoterOptions,
+        opened: OpenedState,
+    ) -> Result<VoterState, DiskError> {
+        let OpenedState { writer, state, record } = opened;
+        let edition = record.as_ref().map_or(0, |record| record.edition);
+        let Some(acceptor) = Acceptor::restored(state, record) else {
+            return Voter::replace_damaged(location, options, "what it holds does not fit together");
+        };
+        info!("store: Has its file, at edition {edition}.");
+        if location.remove_operator_file(FOUND_AGAIN)? {
+            warn!("store: Does not follow {FOUND_AGAIN}: this machine holds its vote.");
+        }
+        Ok(VoterState { acceptor, writer })
+    }
+
+    /// Creates the file: a founder's at the first start, otherwise that of a disk that has never voted.
+    fn create(location: &dyn StorageLocation, options: &VoterOptions) -> Result<VoterState, DiskError> {
+        let seeds: BTreeSet<SocketAddr> = options.seeds.iter().copied().collect();
+        let is_first_start = options.first_start && !location.was_set_aside()?;
+        // The operator's order to found anew holds for one disk, once.
+        let ordered = operator_named_founders(location, options)?;
+        if ordered.is_some() {
             warn!("store: Founds the register anew, as {FOUND_AGAIN} says.");
-            Acceptor::founded(names(&founders.iter().copied().collect::<Vec<_>>()))
-        } else if first && founders.contains(&terms.address) {
-            Acceptor::founded(names(&founders.iter().copied().collect::<Vec<_>>()))
-        } else {
-            Acceptor::fresh(chance())
+        }
+        let is_founder = is_first_start && seeds.contains(&options.address);
+        let acceptor = match ordered.or(is_founder.then_some(seeds)) {
+            Some(founders) => Acceptor::founded(names(&founders.into_iter().collect::<Vec<_>>())),
+            None => Acceptor::fresh(chance()),
         };
-        let disk = place.create(acceptor.kept(), None)?;
-        place.forget_note(FOUND_AGAIN)?;
-        match acceptor.kept().founders.len() {
+        let writer = location.create(acceptor.state(), None)?;
+        location.remove_operator_file(FOUND_AGAIN)?;
+        match acceptor.state().founders.len() {
             0 => info!("store: Begins with an empty disk."),
             founders => info!("store: Founded with {founders} voters."),
         }
-        Ok((acceptor, disk))
+        Ok(VoterState { acceptor, writer })
     }
 
-    fn damaged(
-        place: &dyn Place,
-        terms: &Terms,
+    fn replace_damaged(
+        location: &dyn StorageLocation,
+        options: &VoterOptions,
         what: &str,
-    ) -> Result<(Acceptor, Box<dyn Writes>), DiskError> {
+    ) -> Result<VoterState, DiskError> {
         error!("store: The file is damaged and set aside: {what}.");
-        place.set_aside()?;
-        Voter::begin(place, terms)
+        location.set_aside()?;
+        Voter::create(location, options)
     }
 
-    /// What answers calls.
+    /// Answers calls, for [`oatbank_node_runtime::rpc::serve`].
     pub fn handler(self: &Rc<Voter>) -> Rc<dyn Fn(u8, Bytes) -> Answering> {
         let voter = self.clone();
         Rc::new(move |kind, body| voter.clone().handle(kind, body))
     }
 
     fn handle(self: Rc<Voter>, kind: u8, body: Bytes) -> Answering {
-        let now = |answer: Vec<u8>| -> Answering { Box::pin(std::future::ready(answer)) };
-        let asked = match kind {
-            kind::WHO => {
-                let seeds = names(&self.seeds.borrow());
-                let here = Who::decode(body).map(|who| self.state.borrow().0.here(&who, seeds));
-                let here = here.map(|here| Here { unable: self.refusing.get(), ..here });
-                return now(here.unwrap_or_default().encode_to_vec());
-            }
-            kind::PEEK => return now(self.state.borrow().0.peek().encode_to_vec()),
+        let ready = |response: Vec<u8>| -> Answering { Box::pin(std::future::ready(response)) };
+        let request = match kind {
+            kind::LOCAL_STATE => return ready(self.answer_local_state(body)),
+            kind::PEEK => return ready(self.state.borrow().acceptor.peek().encode_to_vec()),
             kind::FETCH => {
-                let answer = Fetch::decode(body).map(|fetch| self.state.borrow().0.fetch(&fetch));
-                return now(answer.unwrap_or_default().encode_to_vec());
+                let response =
+                    Fetch::decode(body).map(|request| self.state.borrow().acceptor.fetch(&request));
+                return ready(response.unwrap_or_default().encode_to_vec());
             }
-            kind::PREPARE => Prepare::decode(body).map(Asked::Prepare),
-            kind::ACCEPT => Accept::decode(body).map(Asked::Accept),
-            _ => return now(Vec::new()),
+            kind::PREPARE => Prepare::decode(body).map(QueuedRequest::Prepare),
+            kind::ACCEPT => Accept::decode(body).map(QueuedRequest::Accept),
+            _ => return ready(Vec::new()),
         };
-        // What cannot be read is answered with the empty answer.
-        let Ok(asked) = asked else { return now(Vec::new()) };
-        let answer = self.put(asked);
-        Box::pin(async move { answer.await.unwrap_or_default().encode_to_vec() })
+        // What cannot be decoded is answered with an empty response: its status is `Unreadable`.
+        let Ok(request) = request else { return ready(Vec::new()) };
+        let response = self.enqueue(request);
+        Box::pin(async move { response.await.unwrap_or_default().encode_to_vec() })
     }
 
-    /// Asks what needs the disk.
-    fn put(&self, asked: Asked) -> oneshot::Receiver<Answer> {
+    fn answer_local_state(&self, body: Bytes) -> Vec<u8> {
+        let seeds = names(&self.seeds.borrow());
+        let state = LocalStateRequest::decode(body)
+            .map(|request| self.state.borrow().acceptor.local_state(&request, seeds))
+            .map(|state| LocalState { unable: self.is_storage_failing.get(), ..state });
+        state.unwrap_or_default().encode_to_vec()
+    }
+
+    /// Queues a request for the next write.
+    pub(crate) fn enqueue(&self, request: QueuedRequest) -> oneshot::Receiver<VoterResponse> {
         let (sender, receiver) = oneshot::channel();
-        self.pending.borrow_mut().push((asked, sender));
-        self.wake.notify_one();
+        self.pending.borrow_mut().push((request, sender));
+        self.has_pending.notify_one();
         receiver
     }
 
-    /// Votes, without end. All that has come in is answered after one write.
-    pub async fn vote(self: Rc<Voter>) {
+    /// Answers queued requests, without end. All that are queued share one write.
+    pub async fn run(self: Rc<Voter>) {
         loop {
-            self.wake.notified().await;
-            self.batch();
+            self.has_pending.notified().await;
+            self.process_batch();
         }
     }
 
-    fn batch(&self) {
-        let asked = self.pending.take();
+    fn process_batch(&self) {
+        let requests = self.pending.take();
         let mut state = self.state.borrow_mut();
-        let (acceptor, disk) = &mut *state;
+        let VoterState { acceptor, writer } = &mut *state;
         let before = acceptor.clone();
-        let mut needed = Write::Nothing;
-        let mut answers = Vec::with_capacity(asked.len());
-        for (asked, sender) in asked {
-            let (answer, write) = match &asked {
-                Asked::Prepare(prepare) => acceptor.prepare(prepare),
-                Asked::Accept(accept) => acceptor.accept(accept),
-                Asked::Keep(Known { ballot, record }) => {
-                    let write = record.as_ref().map(|record| acceptor.adopt(*ballot, record));
-                    (acceptor.answer(Verdict::Given), write.unwrap_or(Write::Nothing).max(Write::Kept))
-                }
-            };
-            needed = needed.max(write);
-            answers.push((answer, sender));
+        let mut required = RequiredWrite::Nothing;
+        let mut responses = Vec::with_capacity(requests.len());
+        for (request, sender) in requests {
+            let (response, write) = apply(acceptor, &request);
+            required = required.max(write);
+            responses.push((response, sender));
         }
-        let written = match needed {
-            Write::Nothing => Ok(()),
-            _ => disk.write(acceptor.kept(), acceptor.record(), needed == Write::Record),
+        let written = match required {
+            RequiredWrite::Nothing => Ok(()),
+            _ => writer.write(acceptor.state(), acceptor.record(), required == RequiredWrite::StateAndRecord),
         };
         match written {
             Ok(()) => {
-                if acceptor.cast_made() != before.cast_made() && !acceptor.is_changing() {
-                    // Others vote now.
-                    self.stirred.notify_one();
+                let has_changed = acceptor.configuration_proposed_in() != before.configuration_proposed_in();
+                if has_changed && !acceptor.is_changing() {
+                    self.membership_changed.notify_one();
                 }
-                if needed != Write::Nothing && self.refusing.replace(false) {
+                if required != RequiredWrite::Nothing && self.is_storage_failing.replace(false) {
                     info!("store: The disk takes writes again.");
                 }
-                for (answer, sender) in answers {
-                    let _ = sender.send(answer);
+                for (response, sender) in responses {
+                    let _ = sender.send(response);
                 }
             }
             Err(error) => {
-                if !self.refusing.replace(true) {
+                if !self.is_storage_failing.replace(true) {
                     error!("store: Gives no votes: {error}.");
                 }
                 *acceptor = before;
-                for (_, sender) in answers {
-                    let _ = sender.send(acceptor.answer(Verdict::Unable));
+                for (_, sender) in responses {
+                    let _ = sender.send(acceptor.respond(ResponseStatus::StorageUnavailable));
                 }
             }
         }
     }
 
-    /// Core machines to ask from now on.
-    pub fn seeds(&self, seeds: Vec<SocketAddr>) {
+    /// Replaces the core machines to ask for the voters.
+    pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.borrow_mut() = seeds;
-        self.stirred.notify_one();
+        self.membership_changed.notify_one();
     }
 
-    /// What it holds itself.
-    fn here(&self) -> Here {
-        self.state.borrow().0.here(&Who { known: Ballot::default() }, Vec::new())
+    /// Who the voters are, as far as this process knows.
+    pub(crate) fn local_state(&self) -> LocalState {
+        let request = LocalStateRequest { known: ProposalNumber::default() };
+        self.state.borrow().acceptor.local_state(&request, Vec::new())
     }
 
-    fn accepted(&self) -> Ballot {
-        self.state.borrow().0.kept().accepted
+    pub(crate) fn accepted(&self) -> ProposalNumber {
+        self.state.borrow().acceptor.state().accepted
     }
 
-    fn me(&self) -> Member {
-        Member { name: self.address.to_string(), id: self.state.borrow().0.kept().id }
-    }
-
-    /// Sees to it, without end, that this machine is one of the voters, and lets go of those that are gone for good.
-    pub async fn look(self: Rc<Voter>) {
-        let me = self.me();
-        let caller = Caller::new(u64::from(self.address.port()));
-        let began = Instant::now();
-        let mut watch = Watch::new(self.tolerates);
-        let mut said = Said::default();
-        let mut missing = Missing::default();
-        let mut held = self.accepted();
-        loop {
-            // What it holds itself is a hint as good as any other's.
-            caller.learn(&self.here());
-            let among = self.seeds.borrow().clone();
-            let heard = caller.look(&among, ASKING.0).await;
-            let cast = caller.cast();
-            let votes = cast.members.contains(&me);
-            // What is agreed is on its disk before it asks to be taken in; and soon where others agreed without it.
-            let holds_cast = self.state.borrow().0.cast_made() == cast.made;
-            let known = caller.known();
-            let before = std::mem::replace(&mut held, self.accepted());
-            if known.ballot > held && (!votes || !holds_cast || before == held) {
-                let _ = self.put(Asked::Keep(known)).await;
-            } else if self.refusing.get() {
-                let _ = self.put(Asked::Keep(Known::default())).await;
-            }
-            let refuses = self.refusing.get();
-            if !votes || self.state.borrow().0.cast_made() == cast.made {
-                said.cast(&cast, &me);
-            }
-            let hears = hearing(&heard, &me);
-            missing.look(began.elapsed(), &cast, &among, &hears);
-            let mut wait = AGAIN.1;
-            if cast.members.is_empty() || cast.is_changing() || may_join(&cast, &me, &hears) {
-                let turn = Turn::TakeIn(me.clone());
-                // Others that come in at the same moment would meet again without chance in it.
-                wait = AGAIN.0.mul_f64(0.5 + chance() as f64 / u64::MAX as f64);
-                if !refuses && !cast.members.is_empty() && caller.recast(turn, ASKING.1).await {
-                    continue;
-                }
-            }
-            match watch.look(began.elapsed(), &cast, &me, &hears) {
-                Gone::Nobody => {}
-                Gone::Soon => wait = wait.min(SOON),
-                Gone::These(gone) => {
-                    let gone_names: Vec<&str> = gone.iter().map(|member| &member.name[..]).collect();
-                    warn!("store: Silent for long, and votes no more: {}.", gone_names.join(", "));
-                    if caller.recast(Turn::LetGo(gone.clone(), cast.made), ASKING.1).await {
-                        watch.has_let_go(&gone);
-                    }
-                }
-            }
-            tokio::select! {
-                biased;
-                () = sleep(wait) => {}
-                () = self.stirred.notified() => {}
-            }
-        }
-    }
-
-    /// Votes no more, before an end in order, where the others bear as much without it: what is agreed is on a majority
-    /// of theirs then. Otherwise its place is kept, as it may come back. [`Voter::look`] must have ended.
-    pub async fn leave(&self) {
-        let me = self.me();
-        let caller = Caller::new(u64::from(self.address.port()));
-        caller.learn(&self.here());
-        // Three bear nothing more as two, and nobody has to be asked for that.
-        for _ in 0..LEAVING.1 {
-            if caller.cast().members.len() <= 3 && !caller.cast().is_changing() {
-                return;
-            }
-            let heard = caller.look(&[], ASKING.0).await;
-            let cast = caller.cast();
-            let hears = hearing(&heard, &me);
-            let absent: Vec<Member> = cast.members.iter().filter(|member| !hears(member)).cloned().collect();
-            let goes = leave(&cast, &me, &absent, self.tolerates);
-            if goes.is_empty() && !cast.is_changing() {
-                return;
-            }
-            // A change that is under way is finished first.
-            let names: Vec<&str> = goes.iter().map(|member| &member.name[..]).collect();
-            if caller.recast(Turn::LetGo(goes.clone(), cast.made), LEAVING.0).await && !goes.is_empty() {
-                info!("store: Is let go before its end, the others bear as much: {}.", names.join(", "));
-                return;
-            }
-        }
+    pub(crate) fn voter_id(&self) -> VoterId {
+        let disk_id = self.state.borrow().acceptor.state().disk_id;
+        VoterId { address: self.address.to_string(), disk_id }
     }
 }
 
-/// Who was heard just now, with the disk that is named, and one that takes writes.
-fn hearing<'a>(heard: &'a BTreeMap<SocketAddr, Here>, me: &'a Member) -> impl Fn(&Member) -> bool + 'a {
-    move |member| {
-        let at = member.name.parse::<SocketAddr>().ok();
-        let here = at.and_then(|at| heard.get(&at));
-        here.is_some_and(|here| here.id == member.id && !here.unable) || member == me
-    }
-}
-
-/// Says which voters are missing where there is no majority of them for long.
-#[derive(Default)]
-struct Missing {
-    since: Option<Duration>,
-    said: Option<Duration>,
-}
-
-impl Missing {
-    fn look(&mut self, now: Duration, cast: &Cast, among: &[SocketAddr], hears: impl Fn(&Member) -> bool) {
-        if cast.quorum(&hears) {
-            *self = Missing::default();
-            return;
-        }
-        let since = now - *self.since.get_or_insert(now);
-        if since < MISSING.0 || self.said.is_some_and(|said| now - said < MISSING.1) {
-            return;
-        }
-        self.said = Some(now);
-        let seconds = since.as_secs();
-        if cast.members.is_empty() {
-            let among = names(among).join(", ");
-            warn!("store: For {seconds} s nobody says who votes, also none of {among}. If nothing was ever agreed, see {FOUND_AGAIN} in docs/operators/core.md.");
-            return;
-        }
-        let all =
-            cast.members.iter().chain(cast.before.iter().filter(|member| !cast.members.contains(member)));
-        let silent: Vec<&str> = all.filter(|member| !hears(member)).map(|member| &member.name[..]).collect();
-        let silent = silent.join(", ");
-        warn!("store: For {seconds} s no majority of the voters is there: {silent} are silent, or back without the disk that voted.");
-    }
-}
-
-/// What was said of the voters last, so that it is said once.
-#[derive(Default)]
-struct Said(Option<(Ballot, bool)>);
-
-impl Said {
-    fn cast(&mut self, cast: &Cast, me: &Member) {
-        let votes = cast.members.contains(me);
-        if cast.members.is_empty() || cast.is_changing() || self.0 == Some((cast.made, votes)) {
-            return;
-        }
-        let before = self.0.replace((cast.made, votes)).map(|(_, votes)| votes);
-        let voters: Vec<&str> = cast.members.iter().map(|member| &member.name[..]).collect();
-        let voters = voters.join(", ");
-        match (before, votes) {
-            (None, true) => info!("store: Votes; the voters are {voters}."),
-            (Some(true), true) => info!("store: The voters are {voters} now."),
-            (Some(false), true) => info!("store: Is taken in and votes; the voters are {voters}."),
-            (Some(true), false) => warn!("store: Votes no more, and asks to be taken in again."),
-            (_, false) => info!("store: Does not vote yet; the voters are {voters}."),
+fn apply(acceptor: &mut Acceptor, request: &QueuedRequest) -> (VoterResponse, RequiredWrite) {
+    match request {
+        QueuedRequest::Prepare(prepare) => acceptor.prepare(prepare),
+        QueuedRequest::Accept(accept) => acceptor.accept(accept),
+        QueuedRequest::Adopt(KnownRecord { proposal, record }) => {
+            let write = record.as_ref().map(|record| acceptor.adopt(*proposal, record));
+            let write = write.unwrap_or(RequiredWrite::Nothing).max(RequiredWrite::State);
+            (acceptor.respond(ResponseStatus::Granted), write)
         }
     }
 }
--- a/crates/config-store/tests/asleep.rs
+++ b/crates/config-store/tests/asleep.rs
@@ -1,8 +1,9 @@
 //! A proposer that was asleep: for more editions than the lineage names, and while all voters were replaced.
 
 use oatbank_config_store::acceptor::Acceptor;
-use oatbank_config_store::messages::{Answer, Cast, Member, LINEAGE};
-use oatbank_config_store::proposer::{sight, Action, Known, Operation, Outcome, Task, Turn};
+use oatbank_config_store::messages::{VoterConfiguration, VoterId, VoterResponse, MAX_LINEAGE};
+use oatbank_config_store::peek::summarize_peek;
+use oatbank_config_store::proposer::{Action, KnownRecord, Operation, Outcome, Task, VoterChange};
 use std::collections::BTreeMap;
 
 type Change = Box<dyn Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, String>>;
@@ -17,9 +18,10 @@
     founders().into_iter().map(|name| (name, Acceptor::founded(founders()))).collect()
 }
 
-fn begin(task: Task<Change>, by: u64, known: &Known) -> (Work, Action<String>) {
-    let mut work = Operation::new(task, by, Cast::founders(&founders()), 0, known.clone());
-    let action = work.begin();
+fn begin(task: Task<Change>, proposer_id: u64, known: &KnownRecord) -> (Work, Action<String>) {
+    let mut work =
+        Operation::new(task, proposer_id, VoterConfiguration::founders(&founders()), 0, known.clone());
+    let action = work.begin_round();
     (work, action)
 }
 
@@ -32,20 +34,20 @@
 
 /// Carries one question to those whom `reach` names and their answers back; what to do next.
 fn carry(work: &mut Work, action: Action<String>, voters: &mut Voters, reach: &[&str]) -> Action<String> {
-    let token = work.token();
-    for name in work.whom().to_vec() {
+    let phase_id = work.phase_id();
+    for name in work.recipients().to_vec() {
         let voter = voters.get_mut(&name).filter(|_| reach.is_empty() || reach.contains(&&name[..]));
-        let answer = match (&action, voter) {
+        let response = match (&action, voter) {
             (Action::Prepare(prepare), Some(voter)) => voter.prepare(prepare).0,
             (Action::Accept(accept), Some(voter)) => voter.accept(accept).0,
             _ => continue,
         };
-        let next = work.answer(token, &name, answer);
+        let next = work.on_response(phase_id, &name, response);
         if next != Action::Wait {
             return next;
         }
     }
-    work.over()
+    work.on_timeout()
 }
 
 /// Goes on until it is over.
@@ -53,7 +55,7 @@
     for _ in 0..20 {
         action = match action {
             Action::Done(outcome) => return outcome,
-            Action::BackOff => work.begin(),
+            Action::BackOff => work.begin_round(),
             action => carry(work, action, voters, &[]),
         };
     }
@@ -61,8 +63,8 @@
 }
 
 /// A whole operation of another proposer, which learns all.
-fn done(task: Task<Change>, by: u64, voters: &mut Voters) -> (Outcome<String>, Known) {
-    let (mut work, action) = begin(task, by, &Known::default());
+fn done(task: Task<Change>, proposer_id: u64, voters: &mut Voters) -> (Outcome<String>, KnownRecord) {
+    let (mut work, action) = begin(task, proposer_id, &KnownRecord::default());
     let outcome = run(&mut work, action, voters);
     (outcome, work.known().clone())
 }
@@ -79,35 +81,36 @@
     // So many accept what it proposed, before it falls asleep; with two of them it is chosen.
     // What only the last one holds is never found by the others, and comes to nothing.
     for accepted in [&["v2"][..], &["v0"], &["v0", "v1"], &["v0", "v1", "v2"]] {
-        for asleep in [0, 1, LINEAGE - 2, LINEAGE - 1, LINEAGE, LINEAGE + 1, LINEAGE + 50] {
+        for asleep in [0, 1, MAX_LINEAGE - 2, MAX_LINEAGE - 1, MAX_LINEAGE, MAX_LINEAGE + 1, MAX_LINEAGE + 50]
+        {
             let mut voters = voters();
             assert_eq!(done(add(b'a'), 1, &mut voters).0, Outcome::Chosen(1, Some(b"a"[..].into())));
-            let (mut work, action) = begin(add(b'X'), 2, &Known::default());
+            let (mut work, action) = begin(add(b'X'), 2, &KnownRecord::default());
             let action = carry(&mut work, action, &mut voters, &[]);
             // A proposer that comes later has a higher round: the first question of this one is out of date.
             let action = match action {
                 Action::BackOff => {
-                    let again = work.begin();
+                    let again = work.begin_round();
                     carry(&mut work, again, &mut voters, &[])
                 }
                 action => action,
             };
             assert!(matches!(action, Action::Accept(_)), "{action:?}");
             // Its answers are lost.
-            let token = work.token();
+            let phase_id = work.phase_id();
             let Action::Accept(accept) = &action else { return };
             for name in accepted {
                 voters.get_mut(*name).expect("a voter").accept(accept);
             }
-            assert_eq!(work.token(), token);
+            assert_eq!(work.phase_id(), phase_id);
             for n in 0..asleep {
                 // The last of them is alone at work: whoever has it is asked first.
                 assert!(matches!(done(add(b'b'), 10 + n as u64, &mut voters).0, Outcome::Chosen(..)));
             }
             let (_, before) = value(&mut voters);
-            assert_eq!(work.over(), Action::BackOff);
-            assert!(work.open());
-            let again = work.begin();
+            assert_eq!(work.on_timeout(), Action::BackOff);
+            assert!(work.may_be_chosen());
+            let again = work.begin_round();
             let outcome = run(&mut work, again, &mut voters);
             let (edition, after) = value(&mut voters);
             let times = after.iter().filter(|letter| **letter == b'X').count();
@@ -119,13 +122,13 @@
                     assert_eq!(times, 1, "once: {accepted:?} {asleep}");
                     assert_eq!(made_value.expect("a value"), after[..made as usize]);
                     assert!(edition >= made);
-                    assert!(asleep == 0 || followed < LINEAGE, "{accepted:?} {asleep}");
+                    assert!(asleep == 0 || followed < MAX_LINEAGE, "{accepted:?} {asleep}");
                 }
                 Outcome::Unknown => {
-                    assert!(followed >= LINEAGE, "{accepted:?} {asleep}: it could have known");
+                    assert!(followed >= MAX_LINEAGE, "{accepted:?} {asleep}: it could have known");
                     assert_eq!(times, usize::from(was_made), "it does nothing more: {accepted:?} {asleep}");
                 }
-                Outcome::Refused(why) => panic!("{why}"),
+                Outcome::Rejected(why) => panic!("{why}"),
             }
         }
     }
@@ -145,16 +148,19 @@
 }
 
 /// All three founders give way to others, one after the other, and go on answering.
-fn replaced() -> (Voters, Known) {
+fn replaced() -> (Voters, KnownRecord) {
     let mut voters = voters();
     let (_, old) = done(add(b'a'), 1, &mut voters);
     for (n, founder) in founders().into_iter().enumerate() {
-        let member = Member { name: format!("w{n}"), id: 50 + n as u64 };
-        voters.insert(member.name.clone(), Acceptor::fresh(member.id));
-        let (_, known) = done(Task::Turn(Turn::TakeIn(member)), 20 + n as u64, &mut voters);
-        let cast = known.record.and_then(|record| record.cast).expect("a cast");
-        let gone = Turn::LetGo(vec![Member { name: founder, id: 0 }], cast.made);
-        done(Task::Turn(gone), 30 + n as u64, &mut voters);
+        let voter = VoterId { address: format!("w{n}"), disk_id: 50 + n as u64 };
+        voters.insert(voter.address.clone(), Acceptor::fresh(voter.disk_id));
+        let (_, known) = done(Task::ChangeVoters(VoterChange::AddVoter(voter)), 20 + n as u64, &mut voters);
+        let configuration = known.record.and_then(|record| record.configuration).expect("a cast");
+        let gone = VoterChange::RemoveVoters(
+            vec![VoterId { address: founder, disk_id: 0 }],
+            configuration.proposed_in,
+        );
+        done(Task::ChangeVoters(gone), 30 + n as u64, &mut voters);
     }
     (voters, old)
 }
@@ -168,46 +174,46 @@
     for task in [Task::Read, add(b'X')] {
         let changes = matches!(task, Task::Change(_));
         let (mut work, action) = begin(task, 60, &old);
-        assert_eq!(work.whom(), founders());
+        assert_eq!(work.recipients(), founders());
         let outcome = run(&mut work, action, &mut voters);
         let Outcome::Chosen(edition, Some(value)) = outcome else { panic!("{outcome:?}") };
         assert_eq!((edition, &value[..]), if changes { (5, &b"abbbX"[..]) } else { (4, &b"abbb"[..]) });
         assert!(work
             .known()
-            .cast(&Cast::default())
-            .members
+            .configuration(&VoterConfiguration::default())
+            .voters
             .iter()
-            .all(|member| member.name.starts_with('w')));
+            .all(|voter| voter.address.starts_with('w')));
     }
     // Where none of today's voters can be reached, nothing is decided.
     let (mut work, mut action) = begin(add(b'Y'), 61, &old);
     for _ in 0..6 {
         action = match action {
-            Action::BackOff => work.begin(),
+            Action::BackOff => work.begin_round(),
             Action::Done(outcome) => panic!("{outcome:?}"),
             action => carry(&mut work, action, &mut voters, &["v0", "v1", "v2"]),
         };
         assert!(!matches!(action, Action::Accept(_)), "nothing is proposed");
     }
-    assert!(!work.open());
+    assert!(!work.may_be_chosen());
 }
 
 #[test]
 fn a_peek_with_the_voters_of_long_ago_finds_nothing_agreed() {
     let (mut voters, old) = replaced();
     assert!(matches!(done(add(b'b'), 40, &mut voters).0, Outcome::Chosen(..)));
-    let cast = old.cast(&Cast::founders(&founders())).clone();
+    let configuration = old.configuration(&VoterConfiguration::founders(&founders())).clone();
     let all = founders();
     for asked in [&all[..], &all[..2], &all[1..]] {
-        let answers: BTreeMap<String, Answer> =
+        let responses: BTreeMap<String, VoterResponse> =
             asked.iter().map(|name| (name.clone(), voters[name].peek())).collect();
-        let seen = sight(&cast, &answers);
-        assert!(seen.is_none_or(|seen| !seen.agreed || seen.ballot > old.ballot), "{seen:?}");
+        let seen = summarize_peek(&configuration, &responses);
+        assert!(seen.is_none_or(|seen| !seen.agreed || seen.proposal > old.proposal), "{seen:?}");
         // Whatever it sees, it is not what is known to a proposer of then: it asks on.
-        assert!(seen.is_none_or(|seen| seen.ballot != old.ballot), "{seen:?}");
+        assert!(seen.is_none_or(|seen| seen.proposal != old.proposal), "{seen:?}");
     }
     // One of them has lost its disk since, and does not count.
     voters.insert("v0".into(), Acceptor::fresh(99));
-    let answers = ["v0", "v1"].map(|name| (name.to_owned(), voters[name].peek()));
-    assert_eq!(sight(&cast, &answers.into()), None);
+    let responses = ["v0", "v1"].map(|name| (name.to_owned(), voters[name].peek()));
+    assert_eq!(summarize_peek(&configuration, &responses.into()), None);
 }
--- a/crates/config-store/tests/compatibility.rs
+++ b/crates/config-store/tests/compatibility.rs
@@ -3,63 +3,63 @@
 //! change that has begun.
 
 use oatbank_config_store::messages::*;
-use oatbank_config_store::storage::Disk;
+use oatbank_config_store::storage::{OpenedState, StateFile, StateWriter};
 use prost::Message;
 use std::path::{Path, PathBuf};
 
 const MESSAGES: &str = include_str!("fixtures/messages.txt");
 const FILE: &str = "promptbook.redb";
 
-fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: 0xfeed }
+fn proposal(round: u64) -> ProposalNumber {
+    ProposalNumber { round, proposer_id: 0xfeed }
 }
 
-fn voter(name: &str, id: u64) -> Member {
-    Member { name: name.into(), id }
+fn voter(address: &str, disk_id: u64) -> VoterId {
+    VoterId { address: address.into(), disk_id }
 }
 
-fn cast() -> Cast {
-    Cast {
-        members: vec![voter("10.0.0.1:7740", 0), voter("10.0.0.4:7740", 77)],
-        before: vec![voter("10.0.0.1:7740", 0), voter("10.0.0.2:7740", 0), voter("10.0.0.3:7740", 0)],
-        made: ballot(9),
+fn configuration() -> VoterConfiguration {
+    VoterConfiguration {
+        voters: vec![voter("10.0.0.1:7740", 0), voter("10.0.0.4:7740", 77)],
+        outgoing: vec![voter("10.0.0.1:7740", 0), voter("10.0.0.2:7740", 0), voter("10.0.0.3:7740", 0)],
+        proposed_in: proposal(9),
     }
 }
 
 fn record(edition: u64) -> Record {
     let value = format!("value {edition}").into_bytes().into();
-    Record { edition, lineage: vec![ballot(9), ballot(4)], value, cast: Some(cast()) }
+    Record { edition, lineage: vec![proposal(9), proposal(4)], value, configuration: Some(configuration()) }
 }
 
-fn kept() -> Kept {
-    Kept {
+fn state() -> PersistentState {
+    PersistentState {
         founders: vec!["10.0.0.1:7740".into(), "10.0.0.2:7740".into()],
-        promised: ballot(12),
-        accepted: ballot(11),
+        promised: proposal(12),
+        accepted: proposal(11),
         adopted: true,
-        id: 77,
+        disk_id: 77,
     }
 }
 
-fn answer() -> Answer {
-    Answer {
-        verdict: Verdict::Rejected as i32,
-        id: 77,
-        promised: ballot(12),
-        accepted: ballot(11),
+fn response() -> VoterResponse {
+    VoterResponse {
+        status: ResponseStatus::Rejected as i32,
+        disk_id: 77,
+        promised: proposal(12),
+        accepted: proposal(11),
         adopted: true,
         edition: 3,
         record: Some(record(3)),
-        cast_made: ballot(9),
+        configuration_proposed_in: proposal(9),
     }
 }
 
-fn here() -> Here {
-    Here {
+fn local_state() -> LocalState {
+    LocalState {
         founders: vec!["10.0.0.1:7740".into()],
         seeds: vec!["10.0.0.9:7740".into()],
-        id: 77,
-        accepted: ballot(11),
+        disk_id: 77,
+        accepted: proposal(11),
         record: Some(record(3)),
         unable: true,
     }
@@ -67,14 +67,14 @@
 
 fn messages() -> Vec<(u8, &'static str, Vec<u8>)> {
     vec![
-        (kind::PREPARE, "prepare", Prepare { ballot: ballot(12), known: ballot(4) }.encode_to_vec()),
-        (kind::ACCEPT, "accept", Accept { ballot: ballot(12), record: record(3) }.encode_to_vec()),
+        (kind::PREPARE, "prepare", Prepare { proposal: proposal(12), known: proposal(4) }.encode_to_vec()),
+        (kind::ACCEPT, "accept", Accept { proposal: proposal(12), record: record(3) }.encode_to_vec()),
         (kind::PEEK, "peek", Peek {}.encode_to_vec()),
-        (kind::FETCH, "fetch", Fetch { known: ballot(4) }.encode_to_vec()),
-        (kind::WHO, "who", Who { known: ballot(4) }.encode_to_vec()),
-        (0, "answer", answer().encode_to_vec()),
-        (0, "here", here().encode_to_vec()),
-        (0, "state on disk", kept().encode_to_vec()),
+        (kind::FETCH, "fetch", Fetch { known: proposal(4) }.encode_to_vec()),
+        (kind::LOCAL_STATE, "who", LocalStateRequest { known: proposal(4) }.encode_to_vec()),
+        (0, "answer", response().encode_to_vec()),
+        (0, "here", local_state().encode_to_vec()),
+        (0, "state on disk", state().encode_to_vec()),
     ]
 }
 
@@ -101,13 +101,13 @@
     let folder = folder("read");
     let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(FILE);
     std::fs::copy(fixture, folder.join(FILE)).unwrap();
-    let (mut disk, held, held_record) = Disk::open(&folder).unwrap().unwrap();
-    assert_eq!((held, held_record), (kept(), Some(record(3))));
-    let next = Kept { promised: ballot(20), accepted: ballot(20), ..kept() };
-    disk.write(&next, Some(&record(4)), true).unwrap();
-    drop(disk);
-    let (_, held, held_record) = Disk::open(&folder).unwrap().unwrap();
-    assert_eq!((held, held_record), (next, Some(record(4))));
+    let mut opened = StateFile::open(&folder).unwrap().unwrap();
+    assert_eq!((&opened.state, &opened.record), (&state(), &Some(record(3))));
+    let next = PersistentState { promised: proposal(20), accepted: proposal(20), ..state() };
+    opened.writer.write(&next, Some(&record(4)), true).unwrap();
+    drop(opened);
+    let OpenedState { state, record: held, .. } = StateFile::open(&folder).unwrap().unwrap();
+    assert_eq!((state, held), (next, Some(record(4))));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
@@ -115,9 +115,9 @@
 #[ignore = "writes the fixture anew; it was run on the version before"]
 fn write_the_fixture() {
     let folder = folder("write");
-    let mut disk = Disk::create(&folder, &kept(), Some(&record(1))).unwrap();
-    disk.write(&kept(), Some(&record(2)), true).unwrap();
-    disk.write(&kept(), Some(&record(3)), true).unwrap();
+    let mut disk = StateFile::create(&folder, &state(), Some(&record(1))).unwrap();
+    disk.write(&state(), Some(&record(2)), true).unwrap();
+    disk.write(&state(), Some(&record(3)), true).unwrap();
     drop(disk);
     println!("{}", folder.display());
 }
