--- a/crates/config-store/tests/founding.rs
+++ b/crates/config-store/tests/founding.rs
@@ -1,7 +1,9 @@
 //! A founding that was cut short, and the operator's order to found anew.
 
-use oatbank_config_store::messages::{kind, Accept, Ballot, Here, Prepare, Record, Who};
-use oatbank_config_store::voter::{Terms, Voter};
+use oatbank_config_store::messages::{
+    kind, Accept, LocalState, LocalStateRequest, Prepare, ProposalNumber, Record,
+};
+use oatbank_config_store::voter::{Voter, VoterOptions};
 use prost::Message;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,14 +17,14 @@
     folder
 }
 
-fn terms(folder: &Path, first_start: bool) -> Terms {
+fn options(folder: &Path, first_start: bool) -> VoterOptions {
     let at = |last: u8| SocketAddr::from(([10, 0, 0, last], 7000));
-    Terms {
+    VoterOptions {
         address: at(4),
         seeds: vec![at(4), at(5), at(6)],
         first_start,
         folder: folder.into(),
-        tolerates: 1,
+        tolerated_failures: 1,
     }
 }
 
@@ -34,60 +36,64 @@
     folder.join("found-again").exists()
 }
 
-/// Starts, says what it holds, and is gone; `by` is asked of it before.
-async fn start(terms: Terms, by: &[(u8, Vec<u8>)]) -> Result<Here, String> {
-    let voter = Voter::start(terms).map_err(|e| e.to_string())?;
+/// Starts, says what it holds, and is gone; `proposer_id` is asked of it before.
+async fn start(options: VoterOptions, proposer_id: &[(u8, Vec<u8>)]) -> Result<LocalState, String> {
+    let voter = Voter::start(options).map_err(|e| e.to_string())?;
     let handler = voter.handler();
-    for (kind, body) in by {
-        let answer = handler(*kind, body.clone().into());
-        let votes = voter.clone().vote();
+    for (kind, body) in proposer_id {
+        let response = handler(*kind, body.clone().into());
+        let votes = voter.clone().run();
         tokio::select! {
-            answer = answer => assert!(!answer.is_empty()),
+            response = response => assert!(!response.is_empty()),
             () = votes => {}
         }
     }
-    let who = Who { known: Ballot::default() }.encode_to_vec();
-    Ok(Here::decode(&handler(kind::WHO, who.into()).await[..]).unwrap())
+    let who = LocalStateRequest { known: ProposalNumber::default() }.encode_to_vec();
+    Ok(LocalState::decode(&handler(kind::LOCAL_STATE, who.into()).await[..]).unwrap())
 }
 
 async fn scenario() {
     // The power went before its file was durable: it is told that this is no first start, and does not make things up.
     let data = folder("founding");
-    let here = start(terms(&data, false), &[]).await.unwrap();
-    assert!(here.founders.is_empty() && here.id != 0);
-    let promise = Prepare { ballot: Ballot { round: 3, by: 1 }, known: Ballot::default() };
-    start(terms(&data, false), &[(kind::PREPARE, promise.encode_to_vec())]).await.unwrap();
+    let local_state = start(options(&data, false), &[]).await.unwrap();
+    assert!(local_state.founders.is_empty() && local_state.disk_id != 0);
+    let promise =
+        Prepare { proposal: ProposalNumber { round: 3, proposer_id: 1 }, known: ProposalNumber::default() };
+    start(options(&data, false), &[(kind::PREPARE, promise.encode_to_vec())]).await.unwrap();
     // An order that cannot be read is told, and nothing changes.
     for wrong in ["", "10.0.0.5,10.0.0.6", "10.0.0.4,here"] {
         order(&data, wrong);
-        let error = start(terms(&data, false), &[]).await.unwrap_err();
+        let error = start(options(&data, false), &[]).await.unwrap_err();
         assert!(error.contains("found-again") && error.contains("10.0.0.4 among them"), "{error}");
         assert!(is_ordered(&data));
     }
     // It is followed once.
     order(&data, FOUNDERS);
-    let here = start(terms(&data, false), &[]).await.unwrap();
-    assert_eq!((here.founders.len(), here.id, here.accepted), (3, 0, Ballot::default()));
+    let local_state = start(options(&data, false), &[]).await.unwrap();
+    assert_eq!(
+        (local_state.founders.len(), local_state.disk_id, local_state.accepted),
+        (3, 0, ProposalNumber::default())
+    );
     assert!(!is_ordered(&data));
     // As it stands it is a founder's file: a second order changes nothing, and nor does one to a machine with a record.
-    let ballot = Ballot { round: 4, by: 1 };
-    let accept = Accept { ballot, record: Record { edition: 1, value: "x".into(), ..Record::default() } };
+    let proposal = ProposalNumber { round: 4, proposer_id: 1 };
+    let accept = Accept { proposal, record: Record { edition: 1, value: "x".into(), ..Record::default() } };
     for asked in [vec![], vec![(kind::ACCEPT, accept.encode_to_vec())]] {
         order(&data, "10.0.0.4");
-        let here = start(terms(&data, false), &asked).await.unwrap();
-        assert_eq!((here.founders.len(), is_ordered(&data)), (3, false));
+        let local_state = start(options(&data, false), &asked).await.unwrap();
+        assert_eq!((local_state.founders.len(), is_ordered(&data)), (3, false));
     }
     order(&data, "10.0.0.4");
-    let here = start(terms(&data, false), &[]).await.unwrap();
-    assert_eq!((here.founders.len(), here.accepted), (3, ballot));
+    let local_state = start(options(&data, false), &[]).await.unwrap();
+    assert_eq!((local_state.founders.len(), local_state.accepted), (3, proposal));
     // Nor where a damaged file tells that it has voted.
     std::fs::write(data.join("promptbook.redb"), "torn").unwrap();
     order(&data, FOUNDERS);
-    let error = start(terms(&data, false), &[]).await.unwrap_err();
+    let error = start(options(&data, false), &[]).await.unwrap_err();
     assert!(error.contains("this machine has voted"), "{error}");
     std::fs::remove_file(data.join("found-again")).unwrap();
-    let here = start(terms(&data, true), &[]).await.unwrap();
-    assert!(here.founders.is_empty() && here.id != 0);
+    let local_state = start(options(&data, true), &[]).await.unwrap();
+    assert!(local_state.founders.is_empty() && local_state.disk_id != 0);
     std::fs::remove_dir_all(data).unwrap();
 }
 
--- a/crates/config-store/tests/members.rs
+++ b/crates/config-store/tests/members.rs
@@ -1,35 +1,39 @@
 //! What a cast bears at each step of each change of the voters, and who is let go when.
 
-use oatbank_config_store::membership::{borne, leave, make_room, may_join, Gone, Watch};
-use oatbank_config_store::messages::{Ballot, Cast, Member, MOST};
-use oatbank_config_store::proposer::Turn;
+use oatbank_config_store::membership::{
+    may_join, removable_on_shutdown, removable_voters, tolerated_losses, LivenessTracker, RemovalDecision,
+};
+use oatbank_config_store::messages::{ProposalNumber, VoterConfiguration, VoterId, MAX_VOTERS};
+use oatbank_config_store::proposer::VoterChange;
 use std::time::Duration;
 
-fn cast(voters: usize) -> Cast {
-    Cast::founders(&(0..voters).map(|voter| voter.to_string()).collect::<Vec<_>>())
+fn configuration(voters: usize) -> VoterConfiguration {
+    VoterConfiguration::founders(&(0..voters).map(|voter| voter.to_string()).collect::<Vec<_>>())
 }
 
-fn member(name: usize, id: u64) -> Member {
-    Member { name: name.to_string(), id }
+fn voter(number: usize, disk_id: u64) -> VoterId {
+    VoterId { address: number.to_string(), disk_id }
 }
 
 /// Each way in which some of these are lost and a quorum is left.
-fn losses(cast: &Cast) -> impl Iterator<Item = Vec<Member>> + '_ {
-    let of = |bits: usize| -> Vec<Member> {
-        let bit = |(nth, _): &(usize, &Member)| bits >> nth & 1 == 1;
-        cast.members.iter().enumerate().filter(bit).map(|(_, member)| member.clone()).collect()
+fn losses(configuration: &VoterConfiguration) -> impl Iterator<Item = Vec<VoterId>> + '_ {
+    let of = |bits: usize| -> Vec<VoterId> {
+        let bit = |(nth, _): &(usize, &VoterId)| bits >> nth & 1 == 1;
+        configuration.voters.iter().enumerate().filter(bit).map(|(_, voter)| voter.clone()).collect()
     };
-    (0..1usize << cast.members.len()).map(of).filter(|lost| cast.quorum(|member| !lost.contains(member)))
+    (0..1usize << configuration.voters.len())
+        .map(of)
+        .filter(|lost| configuration.quorum(|voter| !lost.contains(voter)))
 }
 
 /// The same by trying: every set of losses more.
-fn borne_by_trying(cast: &Cast, lost: &[Member]) -> Option<usize> {
-    let mut all = cast.members.clone();
-    all.extend(cast.before.iter().filter(|member| !cast.members.contains(member)).cloned());
+fn borne_by_trying(configuration: &VoterConfiguration, lost: &[VoterId]) -> Option<usize> {
+    let mut all = configuration.voters.clone();
+    all.extend(configuration.outgoing.iter().filter(|voter| !configuration.voters.contains(voter)).cloned());
     let quorum = |bits: usize| {
-        cast.quorum(|member| {
-            let nth = all.iter().position(|other| other == member).unwrap();
-            !lost.contains(member) && bits >> nth & 1 == 0
+        configuration.quorum(|voter| {
+            let nth = all.iter().position(|other| other == voter).unwrap();
+            !lost.contains(voter) && bits >> nth & 1 == 0
         })
     };
     let holds =
@@ -38,8 +42,8 @@
 }
 
 /// The joint step, and the one after it.
-fn steps(turn: &Turn, cast: &Cast) -> Vec<Cast> {
-    let joint = turn.next(cast);
+fn steps(turn: &VoterChange, configuration: &VoterConfiguration) -> Vec<VoterConfiguration> {
+    let joint = turn.next(configuration);
     let after = joint.as_ref().and_then(|joint| turn.next(joint));
     joint.into_iter().chain(after).collect()
 }
@@ -47,20 +51,28 @@
 #[test]
 fn what_is_borne_is_what_every_set_of_losses_leaves() {
     for voters in 3..=5 {
-        let cast = cast(voters);
-        for lost in losses(&cast) {
-            assert_eq!(borne(&cast, |m| lost.contains(m)), borne_by_trying(&cast, &lost), "{lost:?}");
-            for turn in [Turn::TakeIn(member(voters, 7)), Turn::TakeIn(member(0, 7))] {
-                for step in steps(&turn, &cast) {
+        let configuration = configuration(voters);
+        for lost in losses(&configuration) {
+            assert_eq!(
+                tolerated_losses(&configuration, |m| lost.contains(m)),
+                borne_by_trying(&configuration, &lost),
+                "{lost:?}"
+            );
+            for turn in [VoterChange::AddVoter(voter(voters, 7)), VoterChange::AddVoter(voter(0, 7))] {
+                for step in steps(&turn, &configuration) {
                     let tried = borne_by_trying(&step, &lost);
-                    assert_eq!(borne(&step, |m| lost.contains(m)), tried, "{step:?} without {lost:?}");
+                    assert_eq!(
+                        tolerated_losses(&step, |m| lost.contains(m)),
+                        tried,
+                        "{step:?} without {lost:?}"
+                    );
                 }
             }
         }
     }
-    let nominal: Vec<_> = (1..=9).map(|voters| borne(&cast(voters), |_| false)).collect();
+    let nominal: Vec<_> = (1..=9).map(|voters| tolerated_losses(&configuration(voters), |_| false)).collect();
     assert_eq!(nominal, [0, 0, 1, 1, 2, 2, 3, 3, 4].map(Some));
-    assert_eq!(borne(&cast(4), |m| ["0", "1"].contains(&&m.name[..])), None);
+    assert_eq!(tolerated_losses(&configuration(4), |m| ["0", "1"].contains(&&m.address[..])), None);
 }
 
 /// From 3 to 9 voters, with every set of them lost that leaves a quorum: no step of any change that the program makes
@@ -69,42 +81,54 @@
 fn no_step_of_a_change_lowers_what_is_borne() {
     let (mut walked, mut raised) = (0, 0);
     for voters in 3..=9 {
-        for tolerates in 1..=(voters - 1) / 2 {
-            let cast = cast(voters);
-            for lost in losses(&cast) {
-                let there = |m: &Member| !lost.contains(m);
-                let before = borne(&cast, |m| !there(m)).unwrap();
+        for tolerated_failures in 1..=(voters - 1) / 2 {
+            let configuration = configuration(voters);
+            for lost in losses(&configuration) {
+                let there = |m: &VoterId| !lost.contains(m);
+                let before = tolerated_losses(&configuration, |m| !there(m)).unwrap();
                 let mut turns = Vec::new();
                 // A machine more, and one that lost its disk; each is there, by its own promise.
-                let joins = member(voters, 7);
-                if may_join(&cast, &joins, there) {
-                    turns.push(Turn::TakeIn(joins));
+                let joins = voter(voters, 7);
+                if may_join(&configuration, &joins, there) {
+                    turns.push(VoterChange::AddVoter(joins));
                 }
-                turns.extend(lost.iter().map(|old| Turn::TakeIn(Member { id: 7, ..old.clone() })));
+                turns.extend(
+                    lost.iter().map(|old| VoterChange::AddVoter(VoterId { disk_id: 7, ..old.clone() })),
+                );
                 // The lost make room; one that ends in order leaves.
-                turns.push(Turn::LetGo(make_room(&cast, &lost, tolerates), cast.made));
-                for me in cast.members.iter().filter(|m| there(m)) {
-                    let gone = leave(&cast, me, &lost, tolerates);
+                turns.push(VoterChange::RemoveVoters(
+                    removable_voters(&configuration, &lost, tolerated_failures),
+                    configuration.proposed_in,
+                ));
+                for this_voter in configuration.voters.iter().filter(|m| there(m)) {
+                    let gone = removable_on_shutdown(&configuration, this_voter, &lost, tolerated_failures);
                     if gone.is_empty() {
                         continue;
                     }
                     // Borne before is what its absence would leave: what it leaves behind must be more.
-                    let kept = borne(&cast, |m| !there(m) || m == me);
-                    let steps = steps(&Turn::LetGo(gone.clone(), cast.made), &cast);
-                    let left = borne(&steps[1], |m| !there(m));
-                    assert!(left > kept, "{me:?} of {cast:?}: {left:?} after {kept:?}");
-                    turns.push(Turn::LetGo(gone, cast.made));
+                    let state = tolerated_losses(&configuration, |m| !there(m) || m == this_voter);
+                    let steps = steps(
+                        &VoterChange::RemoveVoters(gone.clone(), configuration.proposed_in),
+                        &configuration,
+                    );
+                    let left = tolerated_losses(&steps[1], |m| !there(m));
+                    assert!(left > state, "{this_voter:?} of {configuration:?}: {left:?} after {state:?}");
+                    turns.push(VoterChange::RemoveVoters(gone, configuration.proposed_in));
                 }
                 for turn in turns {
-                    let leaves = matches!(&turn, Turn::LetGo(gone, _) if gone.iter().any(there));
-                    for step in steps(&turn, &cast) {
-                        let after = borne(&step, |m| !there(m));
+                    let leaves =
+                        matches!(&turn, VoterChange::RemoveVoters(gone, _) if gone.iter().any(there));
+                    for step in steps(&turn, &configuration) {
+                        let after = tolerated_losses(&step, |m| !there(m));
                         assert!(
                             after >= Some(before),
                             "{turn:?}, {step:?}: {after:?} after {before}, lost {lost:?}"
                         );
-                        let nominal = borne(&step, |_| false).unwrap();
-                        assert!(nominal >= tolerates, "{turn:?}, {step:?}: bears {nominal} of {tolerates}");
+                        let nominal = tolerated_losses(&step, |_| false).unwrap();
+                        assert!(
+                            nominal >= tolerated_failures,
+                            "{turn:?}, {step:?}: bears {nominal} of {tolerated_failures}"
+                        );
                         walked += 1;
                         raised += usize::from(!leaves && !step.is_changing() && after > Some(before));
                     }
@@ -121,11 +145,11 @@
 #[test]
 fn one_less_of_an_even_number_decides_whenever_the_even_number_could() {
     for voters in [4, 6, 8] {
-        let cast = cast(voters);
-        for gone in &cast.members {
-            let turn = Turn::LetGo(vec![gone.clone()], cast.made);
-            let after = steps(&turn, &cast).pop().unwrap();
-            for lost in losses(&cast) {
+        let configuration = configuration(voters);
+        for gone in &configuration.voters {
+            let turn = VoterChange::RemoveVoters(vec![gone.clone()], configuration.proposed_in);
+            let after = steps(&turn, &configuration).pop().unwrap();
+            for lost in losses(&configuration) {
                 assert!(after.quorum(|m| !lost.contains(m)), "without {gone:?}, lost {lost:?}");
             }
         }
@@ -136,22 +160,27 @@
 /// why a promise of the joiner is asked for.
 #[test]
 fn a_joiner_that_cannot_write_would_lower_what_is_borne() {
-    let joins = member(3, 7);
-    let after = steps(&Turn::TakeIn(joins.clone()), &cast(3)).pop().unwrap();
-    assert_eq!(borne(&cast(3), |_| false), Some(1));
-    assert_eq!(borne(&after, |m| *m == joins), Some(0));
+    let joins = voter(3, 7);
+    let after = steps(&VoterChange::AddVoter(joins.clone()), &configuration(3)).pop().unwrap();
+    assert_eq!(tolerated_losses(&configuration(3), |_| false), Some(1));
+    assert_eq!(tolerated_losses(&after, |m| *m == joins), Some(0));
 }
 
 /// Whom the first of so many voters lets go and after how many seconds, with these silent from the start, looking every
 /// two seconds.
-fn gone(voters: usize, tolerates: usize, silent: &[&str]) -> Option<(u64, Vec<String>)> {
-    let cast = cast(voters);
-    let mut watch = Watch::new(tolerates);
-    let hears = |member: &Member| !silent.contains(&&member.name[..]);
+fn gone(voters: usize, tolerated_failures: usize, silent: &[&str]) -> Option<(u64, Vec<String>)> {
+    let configuration = configuration(voters);
+    let mut watch = LivenessTracker::new(tolerated_failures);
+    let is_reachable = |voter: &VoterId| !silent.contains(&&voter.address[..]);
     for second in (0..=100).step_by(2) {
-        let looked = watch.look(Duration::from_secs(second), &cast, &cast.members[0], hears);
-        if let Gone::These(gone) = looked {
-            return Some((second, gone.into_iter().map(|member| member.name).collect()));
+        let looked = watch.observe(
+            Duration::from_secs(second),
+            &configuration,
+            &configuration.voters[0],
+            is_reachable,
+        );
+        if let RemovalDecision::Remove(gone) = looked {
+            return Some((second, gone.into_iter().map(|voter| voter.address).collect()));
         }
     }
     None
@@ -159,15 +188,15 @@
 
 #[test]
 fn the_silent_go_only_where_that_helps_and_soon_only_where_it_costs_nothing() {
-    let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
-    assert_eq!(gone(4, 1, &["2"]), Some((2, names(&["2"]))));
-    assert_eq!(gone(6, 2, &["2", "4"]), Some((2, names(&["2"]))));
+    let addresses = |addresses: &[&str]| addresses.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
+    assert_eq!(gone(4, 1, &["2"]), Some((2, addresses(&["2"]))));
+    assert_eq!(gone(6, 2, &["2", "4"]), Some((2, addresses(&["2"]))));
     // Three of five, four of six bear as much as before without one; two of five gone is another matter: what two
     // lost machines may take is kept as long as they may be back.
     assert_eq!(gone(5, 2, &["2"]), None);
-    assert_eq!(gone(5, 2, &["2", "4"]), Some((20, names(&["2", "4"]))));
-    assert_eq!(gone(5, 1, &["2", "4"]), Some((2, names(&["2", "4"]))));
-    assert_eq!(gone(7, 2, &["2", "4"]), Some((2, names(&["2", "4"]))));
+    assert_eq!(gone(5, 2, &["2", "4"]), Some((20, addresses(&["2", "4"]))));
+    assert_eq!(gone(5, 1, &["2", "4"]), Some((2, addresses(&["2", "4"]))));
+    assert_eq!(gone(7, 2, &["2", "4"]), Some((2, addresses(&["2", "4"]))));
     // Nobody is there to take the place.
     assert_eq!(gone(3, 1, &["2"]), None);
     // Below a majority nobody knows who is cut off.
@@ -176,96 +205,127 @@
 
 #[test]
 fn one_look_that_misses_is_no_silence_and_who_was_let_go_is_not_let_go_as_soon_again() {
-    let cast = cast(4);
-    let me = &cast.members[0];
-    let misses = |member: &Member| member.name != "2";
-    let mut watch = Watch::new(1);
-    let mut look = |ms: u64, hears: &dyn Fn(&Member) -> bool| {
-        let looked = watch.look(Duration::from_millis(ms), &cast, me, hears);
-        if let Gone::These(gone) = &looked {
+    let configuration = configuration(4);
+    let this_voter = &configuration.voters[0];
+    let misses = |voter: &VoterId| voter.address != "2";
+    let mut watch = LivenessTracker::new(1);
+    let mut look = |ms: u64, is_reachable: &dyn Fn(&VoterId) -> bool| {
+        let looked = watch.observe(Duration::from_millis(ms), &configuration, this_voter, is_reachable);
+        if let RemovalDecision::Remove(gone) = &looked {
             // The first change comes to nothing.
             if ms > 5400 {
-                watch.has_let_go(gone);
+                watch.record_removed(gone);
             }
         }
         looked
     };
-    let these = || Gone::These(vec![member(2, 0)]);
-    assert_eq!(look(0, &|_| true), Gone::Nobody);
-    assert_eq!(look(2400, &misses), Gone::Soon);
-    assert_eq!(look(2900, &|_| true), Gone::Nobody);
-    assert_eq!(look(4900, &misses), Gone::Soon);
+    let these = || RemovalDecision::Remove(vec![voter(2, 0)]);
+    assert_eq!(look(0, &|_| true), RemovalDecision::KeepAll);
+    assert_eq!(look(2400, &misses), RemovalDecision::CheckSoon);
+    assert_eq!(look(2900, &|_| true), RemovalDecision::KeepAll);
+    assert_eq!(look(4900, &misses), RemovalDecision::CheckSoon);
     assert_eq!([look(5400, &misses), look(5900, &misses)], [these(), these()]);
     // It was taken in again, and was not heard meanwhile: only by the others, it seems.
     for ms in (6000..22_900).step_by(2000) {
-        assert_eq!(look(ms, &misses), Gone::Nobody, "{ms}");
+        assert_eq!(look(ms, &misses), RemovalDecision::KeepAll, "{ms}");
     }
     assert_eq!(look(22_900, &misses), these());
     // It is heard, and then it is as any other.
-    assert_eq!([look(23_000, &|_| true), look(24_500, &misses)], [Gone::Nobody, Gone::Soon]);
+    assert_eq!(
+        [look(23_000, &|_| true), look(24_500, &misses)],
+        [RemovalDecision::KeepAll, RemovalDecision::CheckSoon]
+    );
     assert_eq!(look(25_000, &misses), these());
 }
 
 #[test]
 fn who_slept_or_was_cut_off_has_not_heard_a_silence() {
-    let cast = cast(4);
-    let me = &cast.members[0];
-    let misses = |member: &Member| member.name != "2";
-    let mut watch = Watch::new(1);
+    let configuration = configuration(4);
+    let this_voter = &configuration.voters[0];
+    let misses = |voter: &VoterId| voter.address != "2";
+    let mut watch = LivenessTracker::new(1);
     for second in [0, 8, 16, 30] {
-        let looked = watch.look(Duration::from_secs(second), &cast, me, misses);
-        assert_eq!(looked, Gone::Soon, "it slept before each");
+        let looked = watch.observe(Duration::from_secs(second), &configuration, this_voter, misses);
+        assert_eq!(looked, RemovalDecision::CheckSoon, "it slept before each");
     }
     // Cut off for one look: it begins again.
-    assert_eq!(watch.look(Duration::from_secs(31), &cast, me, |member| member == me), Gone::Nobody);
-    assert_eq!(watch.look(Duration::from_secs(32), &cast, me, misses), Gone::Soon);
+    assert_eq!(
+        watch.observe(Duration::from_secs(31), &configuration, this_voter, |voter| voter == this_voter),
+        RemovalDecision::KeepAll
+    );
+    assert_eq!(
+        watch.observe(Duration::from_secs(32), &configuration, this_voter, misses),
+        RemovalDecision::CheckSoon
+    );
     // Another voter that is heard acts first.
-    assert_eq!(watch.look(Duration::from_secs(33), &cast, &cast.members[1], misses), Gone::Nobody);
-    assert_eq!(watch.look(Duration::from_secs(34), &cast, me, misses), Gone::These(vec![member(2, 0)]));
+    assert_eq!(
+        watch.observe(Duration::from_secs(33), &configuration, &configuration.voters[1], misses),
+        RemovalDecision::KeepAll
+    );
+    assert_eq!(
+        watch.observe(Duration::from_secs(34), &configuration, this_voter, misses),
+        RemovalDecision::Remove(vec![voter(2, 0)])
+    );
     // Five, where two may be lost: only what is silent for long goes, and who slept begins anew.
-    let five = Cast::founders(&(0..5).map(|voter| voter.to_string()).collect::<Vec<_>>());
-    let me = &five.members[0];
-    let misses = |member: &Member| !["2", "3"].contains(&&member.name[..]);
-    let mut watch = Watch::new(2);
+    let five = VoterConfiguration::founders(&(0..5).map(|voter| voter.to_string()).collect::<Vec<_>>());
+    let this_voter = &five.voters[0];
+    let misses = |voter: &VoterId| !["2", "3"].contains(&&voter.address[..]);
+    let mut watch = LivenessTracker::new(2);
     for second in [0, 2, 4, 30, 32] {
-        assert_eq!(watch.look(Duration::from_secs(second), &five, me, misses), Gone::Nobody);
+        assert_eq!(
+            watch.observe(Duration::from_secs(second), &five, this_voter, misses),
+            RemovalDecision::KeepAll
+        );
     }
-    watch.look(Duration::from_secs(34), &five, me, |member| member == me);
+    watch.observe(Duration::from_secs(34), &five, this_voter, |voter| voter == this_voter);
     for second in (36..54).step_by(2) {
-        assert_eq!(watch.look(Duration::from_secs(second), &five, me, misses), Gone::Nobody, "{second}");
+        assert_eq!(
+            watch.observe(Duration::from_secs(second), &five, this_voter, misses),
+            RemovalDecision::KeepAll,
+            "{second}"
+        );
     }
-    assert_eq!(watch.look(Duration::from_secs(54), &five, &five.members[1], misses), Gone::Nobody);
-    let both = vec![member(2, 0), member(3, 0)];
-    assert_eq!(watch.look(Duration::from_secs(56), &five, me, misses), Gone::These(both));
+    assert_eq!(
+        watch.observe(Duration::from_secs(54), &five, &five.voters[1], misses),
+        RemovalDecision::KeepAll
+    );
+    let both = vec![voter(2, 0), voter(3, 0)];
+    assert_eq!(
+        watch.observe(Duration::from_secs(56), &five, this_voter, misses),
+        RemovalDecision::Remove(both)
+    );
 }
 
 #[test]
 fn whoever_ends_in_order_stays_a_voter_where_its_place_is_worth_more() {
-    let goes = |voters: usize, absent: &[usize], tolerates| {
-        let cast = cast(voters);
-        let absent: Vec<Member> = absent.iter().map(|nth| cast.members[*nth].clone()).collect();
-        leave(&cast, &cast.members[0], &absent, tolerates).iter().map(|m| m.name.clone()).collect::<String>()
+    let goes = |voters: usize, absent: &[usize], tolerated_failures| {
+        let configuration = configuration(voters);
+        let absent: Vec<VoterId> = absent.iter().map(|nth| configuration.voters[*nth].clone()).collect();
+        removable_on_shutdown(&configuration, &configuration.voters[0], &absent, tolerated_failures)
+            .iter()
+            .map(|m| m.address.clone())
+            .collect::<String>()
     };
     assert_eq!([goes(3, &[], 1), goes(5, &[], 2), goes(5, &[], 1)], ["", "", ""]);
     assert_eq!([goes(4, &[], 1), goes(6, &[], 2)], ["0", "0"]);
     // Two that are replaced end one after the other.
     assert_eq!([goes(7, &[3], 2), goes(5, &[3], 2), goes(5, &[3], 1)], ["03", "", "03"]);
     // One that is out already, and while others change: nothing.
-    assert_eq!(leave(&cast(4), &member(9, 1), &[], 1), []);
-    let changing = Turn::TakeIn(member(4, 7)).next(&cast(4)).unwrap();
-    assert_eq!(leave(&changing, &member(0, 0), &[], 1), []);
+    assert_eq!(removable_on_shutdown(&configuration(4), &voter(9, 1), &[], 1), []);
+    let changing = VoterChange::AddVoter(voter(4, 7)).next(&configuration(4)).unwrap();
+    assert_eq!(removable_on_shutdown(&changing, &voter(0, 0), &[], 1), []);
 }
 
 #[test]
 fn one_more_than_most_comes_only_for_one_that_is_silent() {
-    let full = cast(MOST);
-    let spare = member(MOST, 7);
+    let full = configuration(MAX_VOTERS);
+    let spare = voter(MAX_VOTERS, 7);
     assert!(!may_join(&full, &spare, |_| true));
-    assert!(may_join(&full, &spare, |m| m.name != "4"));
-    assert!(may_join(&full, &member(3, 7), |_| true), "a replaced disk has its place");
-    let joined = steps(&Turn::TakeIn(spare.clone()), &full).pop().unwrap();
-    assert_eq!(make_room(&joined, &[member(4, 0)], 4), [member(4, 0)]);
-    assert!(!may_join(&joined, &member(MOST + 1, 7), |m| m.name != "4"), "one at a time");
-    let made = Ballot::default();
-    assert_eq!(Turn::LetGo(vec![], made).next(&full), None);
+    assert!(may_join(&full, &spare, |m| m.address != "4"));
+    assert!(may_join(&full, &voter(3, 7), |_| true), "a replaced disk has its place");
+    let joined = steps(&VoterChange::AddVoter(spare.clone()), &full).pop().unwrap();
+    assert_eq!(removable_voters(&joined, &[voter(4, 0)], 4), [voter(4, 0)]);
+    assert!(!may_join(&joined, &voter(MAX_VOTERS + 1, 7), |m| m.address != "4"), "one at a time");
+    let made = ProposalNumber::default();
+    assert_eq!(VoterChange::RemoveVoters(vec![], made).next(&full), None);
 }
--- a/crates/config-store/tests/program.rs
+++ b/crates/config-store/tests/program.rs
@@ -1,6 +1,6 @@
 //! Programs and callers: founding, changes, a machine less, lost disks, all killed at once, machines that join.
 
-use oatbank_config_store::client::{Caller, ChangeError};
+use oatbank_config_store::client::{ChangeError, RegisterClient};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -70,26 +70,26 @@
         .collect()
 }
 
-async fn append(caller: &Caller, text: &str) -> Result<u64, ChangeError<()>> {
+async fn append(client: &RegisterClient, text: &str) -> Result<u64, ChangeError<()>> {
     let change = |before: Option<&[u8]>, _| Ok([before.unwrap_or_default(), text.as_bytes()].concat());
-    caller.change(change, LONG).await.map(|(edition, _)| edition)
+    client.change(change, LONG).await.map(|chosen| chosen.edition)
 }
 
-async fn value(caller: &Caller) -> Option<(u64, String)> {
-    let (edition, value) = caller.read(LONG).await?;
-    Some((edition, String::from_utf8(value.unwrap_or_default().to_vec()).unwrap()))
+async fn value(client: &RegisterClient) -> Option<(u64, String)> {
+    let chosen = client.read(LONG).await?;
+    Some((chosen.edition, String::from_utf8(chosen.value.unwrap_or_default().to_vec()).unwrap()))
 }
 
 /// Waits until the voters are these and no others, whatever disks they have.
-async fn until_vote(caller: &Caller, among: &[SocketAddr], wanted: &[SocketAddr]) -> Vec<u64> {
+async fn until_vote(client: &RegisterClient, among: &[SocketAddr], wanted: &[SocketAddr]) -> Vec<u64> {
     let voting = async {
         loop {
-            caller.look(among, Duration::from_millis(300)).await;
-            let cast = caller.cast();
-            let mut voters = caller.voters();
+            client.discover_voters(among, Duration::from_millis(300)).await;
+            let configuration = client.configuration();
+            let mut voters = client.voters();
             voters.sort_unstable();
-            if voters == wanted && !cast.is_changing() {
-                return cast.members.iter().map(|member| member.id).collect();
+            if voters == wanted && !configuration.is_changing() {
+                return configuration.voters.iter().map(|voter| voter.disk_id).collect();
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -105,7 +105,7 @@
     for machine in &mut machines[..3] {
         machine.start(founders, true);
     }
-    let (one, two) = (Caller::new(1), Caller::new(2));
+    let (one, two) = (RegisterClient::new(1), RegisterClient::new(2));
     assert_eq!(until_vote(&one, &addresses[1..2], founders).await, [0, 0, 0]);
     until_vote(&two, &addresses[2..3], founders).await;
     assert_eq!(value(&one).await, Some((0, String::new())));
@@ -113,7 +113,7 @@
     assert_eq!(append(&two, "b").await, Ok(2));
     assert_eq!(value(&one).await, Some((2, "ab".into())));
     let refused = one.change(|_, edition| Err::<Vec<u8>, u64>(edition), LONG).await;
-    assert_eq!(refused, Err(ChangeError::Refused(2)));
+    assert_eq!(refused, Err(ChangeError::Rejected(2)));
 
     // A machine less: it goes on. It comes back with its disk lost, and is taken in as another voter.
     machines[0].kill();
@@ -169,9 +169,9 @@
     // A caller that knew only the founders finds the voters, and a spare's seeds name none of them.
     machines[5].start(&addresses[4..5], false);
     until_vote(&one, &[], &addresses).await;
-    assert_eq!(two.read(LONG).await.map(|(edition, _)| edition), Some(6));
+    assert_eq!(two.read(LONG).await.map(|chosen| chosen.edition), Some(6));
     let peeked = two.peek().await.unwrap();
-    assert!(peeked.agreed && peeked.known && peeked.edition == 6);
+    assert!(peeked.agreed && peeked.is_known && peeked.edition == 6);
     drop(machines);
     let _ = std::fs::remove_dir_all(under);
 }
--- a/crates/config-store/tests/stale_cast.rs
+++ b/crates/config-store/tests/stale_configuration.rs
@@ -3,115 +3,125 @@
 //! disk accepted only rises.
 
 use oatbank_config_store::acceptor::Acceptor;
-use oatbank_config_store::messages::{Answer, Cast, Member, Verdict};
-use oatbank_config_store::proposer::{sight, Action, Known, Operation, Outcome, Task, Turn};
+use oatbank_config_store::messages::{ResponseStatus, VoterConfiguration, VoterId, VoterResponse};
+use oatbank_config_store::peek::summarize_peek;
+use oatbank_config_store::proposer::{Action, KnownRecord, Operation, Outcome, Task, VoterChange};
 use std::collections::{BTreeMap, BTreeSet};
 
-type NoChange = fn(Option<&[u8]>, u64) -> Result<Vec<u8>, ()>;
+type PlainChange = fn(Option<&[u8]>, u64) -> Result<Vec<u8>, ()>;
 
 /// Voters by name, with no network between them but who is reached.
 struct Voters {
     voters: BTreeMap<String, Acceptor>,
-    founders: Cast,
-    highest: u64,
-    known: Known,
+    founders: VoterConfiguration,
+    highest_round: u64,
+    known: KnownRecord,
 }
 
 impl Voters {
     fn founded(founders: &[&str], spares: &[&str]) -> Voters {
-        let names: Vec<String> = founders.iter().map(|n| (*n).to_owned()).collect();
+        let addresses: Vec<String> = founders.iter().map(|n| (*n).to_owned()).collect();
         let mut voters = BTreeMap::new();
-        names.iter().for_each(|name| _ = voters.insert(name.clone(), Acceptor::founded(names.clone())));
+        addresses
+            .iter()
+            .for_each(|name| _ = voters.insert(name.clone(), Acceptor::founded(addresses.clone())));
         for (nth, spare) in spares.iter().enumerate() {
             voters.insert((*spare).to_owned(), Acceptor::fresh(nth as u64 + 7));
         }
-        Voters { voters, founders: Cast::founders(&names), highest: 0, known: Known::default() }
+        Voters {
+            voters,
+            founders: VoterConfiguration::founders(&addresses),
+            highest_round: 0,
+            known: KnownRecord::default(),
+        }
     }
 
-    fn member(&self, name: &str) -> Member {
-        Member { name: name.to_owned(), id: self.voters[name].kept().id }
+    fn voter(&self, name: &str) -> VoterId {
+        VoterId { address: name.to_owned(), disk_id: self.voters[name].state().disk_id }
     }
 
-    fn cast(&self) -> Cast {
-        self.known.cast(&self.founders).clone()
+    fn configuration(&self) -> VoterConfiguration {
+        self.known.configuration(&self.founders).clone()
     }
 
     /// Runs one operation; those in `deaf` hear nothing of it. Whether it was done.
-    fn operate(&mut self, task: Task<NoChange>, deaf: &BTreeSet<&str>) -> bool {
-        let mut operation: Operation<NoChange, ()> =
-            Operation::new(task, 5, self.founders.clone(), self.highest, self.known.clone());
-        let mut action = operation.begin();
+    fn operate(&mut self, task: Task<PlainChange>, deaf: &BTreeSet<&str>) -> bool {
+        let mut operation: Operation<PlainChange, ()> =
+            Operation::new(task, 5, self.founders.clone(), self.highest_round, self.known.clone());
+        let mut action = operation.begin_round();
         for _ in 0..40 {
-            let token = operation.token();
-            let asked = operation.whom().to_vec();
-            let answers: Vec<(String, Option<Answer>)> = asked
+            let phase_id = operation.phase_id();
+            let asked = operation.recipients().to_vec();
+            let responses: Vec<(String, Option<VoterResponse>)> = asked
                 .into_iter()
                 .map(|name| {
                     let voter = self.voters.get_mut(&name).filter(|_| !deaf.contains(&name[..]));
-                    let answer = voter.and_then(|voter| match &action {
+                    let response = voter.and_then(|voter| match &action {
                         Action::Prepare(prepare) => Some(voter.prepare(prepare).0),
                         Action::Accept(accept) => Some(voter.accept(accept).0),
                         _ => None,
                     });
-                    (name, answer)
+                    (name, response)
                 })
                 .collect();
             let mut next = Action::Wait;
-            for (name, answer) in answers {
-                let then = match answer {
-                    Some(answer) => operation.answer(token, &name, answer),
-                    None => operation.failed(token, &name),
+            for (name, response) in responses {
+                let then = match response {
+                    Some(response) => operation.on_response(phase_id, &name, response),
+                    None => operation.on_failure(phase_id, &name),
                 };
                 if !matches!(then, Action::Wait) && matches!(next, Action::Wait) {
                     next = then;
                 }
             }
-            (self.highest, self.known) = (operation.highest(), operation.known().clone());
+            (self.highest_round, self.known) = (operation.highest_round(), operation.known().clone());
             action = match next {
                 Action::Done(outcome) => return matches!(outcome, Outcome::Chosen(..)),
-                Action::Wait | Action::BackOff => operation.begin(),
-                go_on => go_on,
+                Action::Wait | Action::BackOff => operation.begin_round(),
+                next => next,
             };
         }
         false
     }
 
     /// What a caller sees that knows this cast.
-    fn peek(&self, cast: &Cast) -> Option<(bool, u64)> {
-        let answers = cast.names().into_iter().map(|name| {
-            let answer = self.voters[&name].peek();
-            assert_eq!(answer.verdict(), Verdict::Given);
-            (name, answer)
+    fn peek(&self, configuration: &VoterConfiguration) -> Option<(bool, u64)> {
+        let responses = configuration.addresses().into_iter().map(|name| {
+            let response = self.voters[&name].peek();
+            assert_eq!(response.status(), ResponseStatus::Granted);
+            (name, response)
         });
-        sight(cast, &answers.collect()).map(|sight| (sight.agreed, sight.edition))
+        summarize_peek(configuration, &responses.collect()).map(|summary| (summary.agreed, summary.edition))
     }
 }
 
 /// Exchanges 1, 2, 3 for 4, 5, 6, one by one; in each step one of those that vote then hears nothing.
 fn exchange(deaf: [&'static str; 6]) -> Option<Voters> {
     let mut all = Voters::founded(&["1", "2", "3"], &["4", "5", "6"]);
-    let put: NoChange = |_, _| Ok(b"old".to_vec());
+    let put: PlainChange = |_, _| Ok(b"old".to_vec());
     let nobody = BTreeSet::new();
     assert!(all.operate(Task::Change(put), &nobody));
-    let mut casts = vec![all.cast()];
+    let mut configurations = vec![all.configuration()];
     let steps = [("4", "1"), ("5", "2"), ("6", "3")];
     for (nth, (comes, goes)) in steps.into_iter().enumerate() {
-        let turn = Turn::TakeIn(all.member(comes));
-        if !all.operate(Task::Turn(turn), &BTreeSet::from([deaf[2 * nth]])) {
+        let turn = VoterChange::AddVoter(all.voter(comes));
+        if !all.operate(Task::ChangeVoters(turn), &BTreeSet::from([deaf[2 * nth]])) {
             return None;
         }
-        casts.push(all.cast());
-        let turn = Turn::LetGo(vec![all.member(goes)], all.cast().made);
-        if !all.operate(Task::Turn(turn), &BTreeSet::from([deaf[2 * nth + 1]])) {
+        configurations.push(all.configuration());
+        let turn = VoterChange::RemoveVoters(vec![all.voter(goes)], all.configuration().proposed_in);
+        if !all.operate(Task::ChangeVoters(turn), &BTreeSet::from([deaf[2 * nth + 1]])) {
             return None;
         }
-        casts.push(all.cast());
+        configurations.push(all.configuration());
     }
-    let put: NoChange = |_, _| Ok(b"new".to_vec());
+    let put: PlainChange = |_, _| Ok(b"new".to_vec());
     assert!(all.operate(Task::Change(put), &nobody));
-    assert_eq!(all.peek(&all.cast()), Some((true, 2)), "{deaf:?}: the voters of now agree");
-    for (nth, cast) in casts.iter().enumerate().filter(|(_, cast)| **cast != all.cast()) {
-        let seen = all.peek(cast);
+    assert_eq!(all.peek(&all.configuration()), Some((true, 2)), "{deaf:?}: the voters of now agree");
+    for (nth, configuration) in
+        configurations.iter().enumerate().filter(|(_, configuration)| **configuration != all.configuration())
+    {
+        let seen = all.peek(configuration);
         assert!(!matches!(seen, Some((true, _))), "{deaf:?}: the cast after {nth} changes agrees: {seen:?}");
     }
     Some(all)
@@ -119,11 +129,11 @@
 
 #[test]
 fn voters_that_were_all_exchanged_agree_on_nothing_any_more() {
-    let names = ["1", "2", "3", "4", "5", "6"];
+    let addresses = ["1", "2", "3", "4", "5", "6"];
     let mut done = 0;
     // Who is deaf in which step: some thousand of the ways, each step with each of the six.
     for code in (0..6usize.pow(6)).step_by(7) {
-        let deaf: Vec<&'static str> = (0..6).map(|nth| names[code / 6usize.pow(nth) % 6]).collect();
+        let deaf: Vec<&'static str> = (0..6).map(|nth| addresses[code / 6usize.pow(nth) % 6]).collect();
         let exchanged = exchange([deaf[0], deaf[1], deaf[2], deaf[3], deaf[4], deaf[5]]).is_some();
         // Who does not hear it is not taken in; all else goes through.
         let hear = ["4", "5", "6"].iter().enumerate().all(|(nth, comes)| deaf[2 * nth] != *comes);
@@ -137,14 +147,14 @@
 fn the_old_voters_may_hold_one_record_and_are_told_apart_by_its_cast() {
     // All three heard the first step, and no other: they hold one ballot, a majority of the cast that the caller knows.
     let mut all = Voters::founded(&["1", "2", "3"], &["4", "5", "6"]);
-    let put: NoChange = |_, _| Ok(b"old".to_vec());
+    let put: PlainChange = |_, _| Ok(b"old".to_vec());
     let nobody = BTreeSet::new();
     assert!(all.operate(Task::Change(put), &nobody));
-    let before = all.cast();
+    let before = all.configuration();
     assert_eq!(all.peek(&before), Some((true, 1)));
-    let turn = Turn::TakeIn(all.member("4"));
-    assert!(all.operate(Task::Turn(turn), &nobody));
-    let held: BTreeSet<_> = ["1", "2", "3"].map(|name| all.voters[name].kept().accepted).into();
+    let turn = VoterChange::AddVoter(all.voter("4"));
+    assert!(all.operate(Task::ChangeVoters(turn), &nobody));
+    let held: BTreeSet<_> = ["1", "2", "3"].map(|name| all.voters[name].state().accepted).into();
     assert_eq!(held.len(), 1, "one ballot at all three");
     assert!(!matches!(all.peek(&before), Some((true, _))));
 }
--- a/crates/config-store/tests/voters.rs
+++ b/crates/config-store/tests/voters.rs
@@ -4,9 +4,11 @@
 //! are taken at each moment, and none that was is gone. `SCHEDULES` asks for more schedules, `SEED` for one.
 
 use oatbank_config_store::acceptor::Acceptor;
-use oatbank_config_store::membership::{leave, may_join, Gone, Watch};
-use oatbank_config_store::messages::{Answer, Ballot, Cast, Member, Verdict, Who};
-use oatbank_config_store::proposer::{Action, Known, Operation, Outcome, Task, Turn};
+use oatbank_config_store::membership::{may_join, removable_on_shutdown, LivenessTracker, RemovalDecision};
+use oatbank_config_store::messages::{
+    LocalStateRequest, ProposalNumber, ResponseStatus, VoterConfiguration, VoterId, VoterResponse,
+};
+use oatbank_config_store::proposer::{Action, KnownRecord, Operation, Outcome, Task, VoterChange};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
@@ -27,52 +29,52 @@
     refuses: bool,
     /// It has been told to end.
     ends: bool,
-    watch: Watch,
-    known: Known,
-    highest: u64,
+    watch: LivenessTracker,
+    known: KnownRecord,
+    highest_round: u64,
     next_look: u64,
-    held: Ballot,
+    held: ProposalNumber,
     /// It counts as lost before this.
     lost_until: u64,
 }
 
 struct World {
     now: u64,
-    tolerates: usize,
-    founders: Cast,
+    tolerated_failures: usize,
+    founders: VoterConfiguration,
     machines: Vec<Machine>,
     ids: u64,
-    lives: u64,
+    incarnations: u64,
     acknowledged: Vec<u8>,
     /// Messages that the proposer of the moment may yet send before it dies.
-    letters: Option<usize>,
+    in_flight: Option<usize>,
 }
 
-fn names(voters: usize) -> Vec<String> {
+fn addresses(voters: usize) -> Vec<String> {
     (0..voters).map(|voter| voter.to_string()).collect()
 }
 
 impl World {
-    fn new(voters: usize, tolerates: usize) -> World {
+    fn new(voters: usize, tolerated_failures: usize) -> World {
         let mut world = World {
             now: 10_000,
-            tolerates,
-            founders: Cast::founders(&names(voters)),
+            tolerated_failures,
+            founders: VoterConfiguration::founders(&addresses(voters)),
             machines: Vec::new(),
             ids: 1,
-            lives: 0,
+            incarnations: 0,
             acknowledged: Vec::new(),
-            letters: None,
+            in_flight: None,
         };
         for _ in 0..voters {
-            world.machines.push(Machine::new(Some(Acceptor::founded(names(voters))), tolerates));
+            world.machines.push(Machine::new(Some(Acceptor::founded(addresses(voters))), tolerated_failures));
         }
         world
     }
 
-    fn me(&self, at: usize) -> Member {
+    fn voter_id(&self, at: usize) -> VoterId {
         let disk = self.machines[at].disk.as_ref().expect("it has been started");
-        Member { name: at.to_string(), id: disk.kept().id }
+        VoterId { address: at.to_string(), disk_id: disk.state().disk_id }
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
@@ -84,13 +86,16 @@
     fn start(&mut self, at: usize) {
         self.ids += 1;
         if at == self.machines.len() {
-            self.machines.push(Machine::new(None, self.tolerates));
+            self.machines.push(Machine::new(None, self.tolerated_failures));
         }
-        let (now, tolerates, id) = (self.now, self.tolerates, self.ids);
+        let (now, tolerated_failures, id) = (self.now, self.tolerated_failures, self.ids);
         let machine = &mut self.machines[at];
         let disk = machine.disk.take().unwrap_or_else(|| Acceptor::fresh(id));
-        *machine =
-            Machine { lost_until: now + CATCH_UP, next_look: now, ..Machine::new(Some(disk), tolerates) };
+        *machine = Machine {
+            lost_until: now + CATCH_UP,
+            next_look: now,
+            ..Machine::new(Some(disk), tolerated_failures)
+        };
     }
 
     fn kill(&mut self, at: usize) {
@@ -111,46 +116,46 @@
     // One operation, at one moment.
 
     /// The question to one machine, and its answer if that arrives.
-    fn ask<R>(&mut self, from: usize, to: usize, action: &Action<R>) -> Option<Answer> {
+    fn ask<R>(&mut self, from: usize, to: usize, action: &Action<R>) -> Option<VoterResponse> {
         let reaches = self.reaches(from, to);
-        if let Some(left) = &mut self.letters {
+        if let Some(left) = &mut self.in_flight {
             *left = left.checked_sub(1)?;
         }
         let machine = &mut self.machines[to];
         let acceptor = machine.disk.as_mut().filter(|_| reaches)?;
         if machine.refuses {
-            return Some(acceptor.answer(Verdict::Unable));
+            return Some(acceptor.respond(ResponseStatus::StorageUnavailable));
         }
         match action {
             Action::Prepare(prepare) => Some(acceptor.prepare(prepare).0),
             Action::Accept(accept) => {
-                let before = acceptor.cast_made();
-                let answer = acceptor.accept(accept).0;
-                if acceptor.cast_made() != before && !acceptor.is_changing() {
+                let before = acceptor.configuration_proposed_in();
+                let response = acceptor.accept(accept).0;
+                if acceptor.configuration_proposed_in() != before && !acceptor.is_changing() {
                     machine.next_look = machine.next_look.min(self.now);
                 }
-                Some(answer)
+                Some(response)
             }
             _ => None,
         }
     }
 
     fn operate(&mut self, at: usize, task: Task<Change>) -> Option<Outcome<()>> {
-        self.lives += 1;
+        self.incarnations += 1;
         let machine = &self.machines[at];
         let (founders, known) = (self.founders.clone(), machine.known.clone());
-        let mut operation = Operation::new(task, self.lives, founders, machine.highest, known);
+        let mut operation = Operation::new(task, self.incarnations, founders, machine.highest_round, known);
         let mut outcome = None;
         'rounds: for _ in 0..12 {
-            let mut action = operation.begin();
+            let mut action = operation.begin_round();
             loop {
-                let (token, whom) = (operation.token(), operation.whom().to_vec());
+                let (phase_id, recipients) = (operation.phase_id(), operation.recipients().to_vec());
                 let mut next = Action::Wait;
-                for name in whom {
-                    let answer = self.ask(at, name.parse().unwrap(), &action);
-                    let step = match answer {
-                        Some(answer) => operation.answer(token, &name, answer),
-                        None => operation.failed(token, &name),
+                for name in recipients {
+                    let response = self.ask(at, name.parse().unwrap(), &action);
+                    let step = match response {
+                        Some(response) => operation.on_response(phase_id, &name, response),
+                        None => operation.on_failure(phase_id, &name),
                     };
                     if !matches!(step, Action::Wait) {
                         next = step;
@@ -168,15 +173,15 @@
             }
         }
         let machine = &mut self.machines[at];
-        machine.highest = operation.highest();
-        if operation.known().ballot > machine.known.ballot {
+        machine.highest_round = operation.highest_round();
+        if operation.known().proposal > machine.known.proposal {
             machine.known = operation.known().clone();
         }
         outcome
     }
 
-    fn recast(&mut self, at: usize, turn: Turn) -> bool {
-        self.operate(at, Task::Turn(turn)).is_some()
+    fn change_voters(&mut self, at: usize, turn: VoterChange) -> bool {
+        self.operate(at, Task::ChangeVoters(turn)).is_some()
     }
 
     /// An order through this machine; whether it was acknowledged.
@@ -201,73 +206,79 @@
 
     // What a program does by itself; the order of `Voter::look`.
 
-    fn hear(&mut self, at: usize) -> BTreeSet<Member> {
-        let mut heard = BTreeSet::new();
+    fn discover(&mut self, at: usize) -> BTreeSet<VoterId> {
+        let mut responses = BTreeSet::new();
         for other in 0..self.machines.len() {
             if !self.reaches(at, other) {
                 continue;
             }
-            let here =
-                self.machines[other].disk.as_ref().map(|d| d.here(&Who { known: Ballot::default() }, vec![]));
-            if let Some(here) = here {
-                self.machines[at].known.learn_from(&here);
+            let local_state = self.machines[other]
+                .disk
+                .as_ref()
+                .map(|d| d.local_state(&LocalStateRequest { known: ProposalNumber::default() }, vec![]));
+            if let Some(local_state) = local_state {
+                self.machines[at].known.learn_from(&local_state);
                 if !self.machines[other].refuses {
-                    heard.insert(self.me(other));
+                    responses.insert(self.voter_id(other));
                 }
             }
         }
-        heard
+        responses
     }
 
     fn look(&mut self, at: usize) {
-        let me = self.me(at);
-        let heard = self.hear(at);
-        let cast = self.machines[at].known.cast(&self.founders).clone();
-        let hears = |member: &Member| heard.contains(member);
-        let votes = cast.members.contains(&me);
+        let this_voter = self.voter_id(at);
+        let responses = self.discover(at);
+        let configuration = self.machines[at].known.configuration(&self.founders).clone();
+        let is_reachable = |voter: &VoterId| responses.contains(voter);
+        let votes = configuration.voters.contains(&this_voter);
         let machine = &mut self.machines[at];
         let disk = machine.disk.as_mut().unwrap();
-        let holds_cast = disk.cast_made() == cast.made;
-        let before = std::mem::replace(&mut machine.held, disk.kept().accepted);
-        let behind = machine.known.ballot > machine.held;
+        let holds_cast = disk.configuration_proposed_in() == configuration.proposed_in;
+        let before = std::mem::replace(&mut machine.held, disk.state().accepted);
+        let behind = machine.known.proposal > machine.held;
         if behind && (!votes || !holds_cast || before == machine.held) && !machine.refuses {
-            disk.adopt(machine.known.ballot, machine.known.record.as_ref().unwrap());
+            disk.adopt(machine.known.proposal, machine.known.record.as_ref().unwrap());
         }
-        let took = if cast.members.iter().all(hears) { 0 } else { WAITS };
+        let took = if configuration.voters.iter().all(is_reachable) { 0 } else { WAITS };
         let mut wait = 2000;
-        if cast.is_changing() || may_join(&cast, &me, hears) {
+        if configuration.is_changing() || may_join(&configuration, &this_voter, is_reachable) {
             wait = 300;
-            if !machine.refuses && self.recast(at, Turn::TakeIn(me.clone())) {
+            if !machine.refuses && self.change_voters(at, VoterChange::AddVoter(this_voter.clone())) {
                 self.machines[at].next_look = self.now + took;
                 return;
             }
         }
         let now = Duration::from_millis(self.now);
-        match self.machines[at].watch.look(now, &cast, &me, hears) {
-            Gone::Nobody => {}
-            Gone::Soon => wait = wait.min(500),
-            Gone::These(gone) => {
-                if self.recast(at, Turn::LetGo(gone.clone(), cast.made)) {
-                    self.machines[at].watch.has_let_go(&gone);
+        match self.machines[at].watch.observe(now, &configuration, &this_voter, is_reachable) {
+            RemovalDecision::KeepAll => {}
+            RemovalDecision::CheckSoon => wait = wait.min(500),
+            RemovalDecision::Remove(gone) => {
+                if self.change_voters(at, VoterChange::RemoveVoters(gone.clone(), configuration.proposed_in))
+                {
+                    self.machines[at].watch.record_removed(&gone);
                 }
             }
         }
         self.machines[at].next_look = self.now + took + wait;
     }
 
-    /// Told to end: as `Voter::leave`.
-    fn leave(&mut self, at: usize) {
+    /// Told to end: as `Voter::removable_on_shutdown`.
+    fn shut_down(&mut self, at: usize) {
         self.machines[at].ends = true;
-        let me = self.me(at);
+        let this_voter = self.voter_id(at);
         for _ in 0..2 {
-            let heard = self.hear(at);
-            let cast = self.machines[at].known.cast(&self.founders).clone();
-            let absent: Vec<Member> = cast.members.iter().filter(|m| !heard.contains(m)).cloned().collect();
-            let goes = leave(&cast, &me, &absent, self.tolerates);
-            if goes.is_empty() && !cast.is_changing() {
+            let responses = self.discover(at);
+            let configuration = self.machines[at].known.configuration(&self.founders).clone();
+            let absent: Vec<VoterId> =
+                configuration.voters.iter().filter(|m| !responses.contains(m)).cloned().collect();
+            let goes = removable_on_shutdown(&configuration, &this_voter, &absent, self.tolerated_failures);
+            if goes.is_empty() && !configuration.is_changing() {
                 break;
             }
-            if self.recast(at, Turn::LetGo(goes.clone(), cast.made)) && !goes.is_empty() {
+            if self.change_voters(at, VoterChange::RemoveVoters(goes.clone(), configuration.proposed_in))
+                && !goes.is_empty()
+            {
                 break;
             }
         }
@@ -288,21 +299,21 @@
     }
 
     fn voters(&mut self, at: usize) -> Vec<String> {
-        self.hear(at);
-        let mut names = self.machines[at].known.cast(&self.founders).names();
-        names.sort();
-        names
+        self.discover(at);
+        let mut addresses = self.machines[at].known.configuration(&self.founders).addresses();
+        addresses.sort();
+        addresses
     }
 
     /// Every order that was acknowledged is read by this machine, and another is taken.
     fn serves(&mut self, at: usize, what: &str) {
-        self.hear(at);
+        self.discover(at);
         let acknowledged = self.acknowledged.clone();
         let read = self.read(at);
         assert!(
             read.is_some(),
             "{what}: no majority, by {at}: {:?}",
-            self.machines[at].known.cast(&self.founders)
+            self.machines[at].known.configuration(&self.founders)
         );
         assert!(read.unwrap().starts_with(&acknowledged), "{what}: an order is gone");
         assert!(self.order(at), "{what}: no order is taken by {at}");
@@ -310,26 +321,26 @@
 }
 
 impl Machine {
-    fn new(disk: Option<Acceptor>, tolerates: usize) -> Machine {
+    fn new(disk: Option<Acceptor>, tolerated_failures: usize) -> Machine {
         Machine {
             disk,
             up: true,
             cut: false,
             refuses: false,
             ends: false,
-            watch: Watch::new(tolerates),
-            known: Known::default(),
-            highest: 0,
+            watch: LivenessTracker::new(tolerated_failures),
+            known: KnownRecord::default(),
+            highest_round: 0,
             next_look: 0,
-            held: Ballot::default(),
+            held: ProposalNumber::default(),
             lost_until: 0,
         }
     }
 }
 
 /// Each pair or single that may be lost of these.
-fn losses(of: &[usize], tolerates: usize) -> Vec<Vec<usize>> {
-    match tolerates {
+fn losses(of: &[usize], tolerated_failures: usize) -> Vec<Vec<usize>> {
+    match tolerated_failures {
         1 => of.iter().map(|one| vec![*one]).collect(),
         _ => of.iter().flat_map(|a| of.iter().filter(move |b| a < b).map(move |b| vec![*a, *b])).collect(),
     }
@@ -339,8 +350,8 @@
 const SIZES: [(usize, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
 
 /// Steady, with some orders taken, the last while one was away.
-fn steady(voters: usize, tolerates: usize) -> World {
-    let mut world = World::new(voters, tolerates);
+fn steady(voters: usize, tolerated_failures: usize) -> World {
+    let mut world = World::new(voters, tolerated_failures);
     world.run(3000);
     world.serves(0, "steady");
     world.kill(voters - 1);
@@ -352,16 +363,16 @@
 
 #[test]
 fn a_successor_comes_and_the_removed_one_is_followed_by_a_loss_at_once() {
-    for (voters, tolerates) in SIZES {
+    for (voters, tolerated_failures) in SIZES {
         for planned in [true, false] {
-            for lost in losses(&(1..=voters).collect::<Vec<_>>(), tolerates) {
+            for lost in losses(&(1..=voters).collect::<Vec<_>>(), tolerated_failures) {
                 let what = format!("{voters} voters, planned {planned}, then {lost:?}");
-                let mut world = steady(voters, tolerates);
+                let mut world = steady(voters, tolerated_failures);
                 if planned {
                     // The new one first; it is told to end once its successor has had its time.
                     world.start(voters);
                     world.run(CATCH_UP);
-                    world.leave(0);
+                    world.shut_down(0);
                 } else {
                     world.kill(0);
                     world.run(1000);
@@ -369,14 +380,14 @@
                     world.run(CATCH_UP);
                 }
                 lost.iter().for_each(|one| world.kill(*one));
-                let by = (1..=voters).find(|one| !lost.contains(one)).unwrap();
-                world.serves(by, &what);
+                let proposer_id = (1..=voters).find(|one| !lost.contains(one)).unwrap();
+                world.serves(proposer_id, &what);
                 // And with their disks.
                 lost.iter().for_each(|one| world.wipe(*one));
                 lost.iter().for_each(|one| world.start(*one));
                 world.run(CATCH_UP);
-                world.kill(by);
-                world.serves((1..=voters).find(|one| *one != by).unwrap(), &what);
+                world.kill(proposer_id);
+                world.serves((1..=voters).find(|one| *one != proposer_id).unwrap(), &what);
             }
         }
     }
@@ -384,9 +395,9 @@
 
 #[test]
 fn a_remove_without_a_successor_and_a_crash_are_two_losses_and_borne_as_such() {
-    for (voters, tolerates) in SIZES {
-        let mut world = steady(voters, tolerates);
-        world.leave(0);
+    for (voters, tolerated_failures) in SIZES {
+        let mut world = steady(voters, tolerated_failures);
+        world.shut_down(0);
         world.kill(1);
         if voters == 3 {
             // Two of three: nothing is taken, nothing is made up, and nothing is lost.
@@ -401,15 +412,15 @@
 /// The proposer of a change dies after each of its messages, with its disk or without.
 #[test]
 fn a_joiner_that_dies_between_any_two_messages_costs_no_more_than_itself() {
-    for (voters, tolerates) in SIZES {
+    for (voters, tolerated_failures) in SIZES {
         for wiped in [false, true] {
-            for letters in 0..60 {
-                let what = format!("{voters} voters, dead after {letters} messages, wiped {wiped}");
-                let mut world = steady(voters, tolerates);
+            for in_flight in 0..60 {
+                let what = format!("{voters} voters, dead after {in_flight} messages, wiped {wiped}");
+                let mut world = steady(voters, tolerated_failures);
                 world.start(voters);
-                world.letters = Some(letters);
+                world.in_flight = Some(in_flight);
                 world.look(voters);
-                world.letters = None;
+                world.in_flight = None;
                 if wiped {
                     world.wipe(voters);
                 } else {
@@ -418,12 +429,12 @@
                 world.serves(0, &what);
                 // All that may be lost besides, once it has been silent for as long as a return takes.
                 world.run(CATCH_UP);
-                (0..tolerates).for_each(|one| world.kill(one));
+                (0..tolerated_failures).for_each(|one| world.kill(one));
                 world.serves(voters - 1, &what);
                 world.start(voters);
-                (0..tolerates).for_each(|one| world.start(one));
+                (0..tolerated_failures).for_each(|one| world.start(one));
                 world.run(CATCH_UP);
-                (1..=tolerates).for_each(|one| world.wipe(one));
+                (1..=tolerated_failures).for_each(|one| world.wipe(one));
                 world.serves(voters, &what);
             }
         }
@@ -432,18 +443,18 @@
 
 #[test]
 fn a_leaver_that_dies_between_any_two_messages_costs_no_more_than_itself() {
-    for (voters, tolerates) in SIZES {
-        for letters in 0..60 {
-            let what = format!("{voters} voters, dead after {letters} messages");
-            let mut world = steady(voters, tolerates);
+    for (voters, tolerated_failures) in SIZES {
+        for in_flight in 0..60 {
+            let what = format!("{voters} voters, dead after {in_flight} messages");
+            let mut world = steady(voters, tolerated_failures);
             world.start(voters);
             world.run(CATCH_UP);
-            world.letters = Some(letters);
-            world.leave(0);
-            world.letters = None;
+            world.in_flight = Some(in_flight);
+            world.shut_down(0);
+            world.in_flight = None;
             world.serves(voters, &what);
             world.run(CATCH_UP);
-            (1..=tolerates).for_each(|one| world.wipe(one));
+            (1..=tolerated_failures).for_each(|one| world.wipe(one));
             world.serves(voters, &what);
         }
     }
@@ -451,22 +462,22 @@
 
 #[test]
 fn a_disk_lost_again_right_after_it_was_taken_in_costs_nothing_more() {
-    for (voters, tolerates) in SIZES {
-        for letters in 0..40 {
-            let what = format!("{voters} voters, {letters} messages");
-            let mut world = steady(voters, tolerates);
-            (0..tolerates).for_each(|one| world.wipe(one));
-            (0..tolerates).for_each(|one| world.start(one));
-            world.letters = Some(letters);
+    for (voters, tolerated_failures) in SIZES {
+        for in_flight in 0..40 {
+            let what = format!("{voters} voters, {in_flight} messages");
+            let mut world = steady(voters, tolerated_failures);
+            (0..tolerated_failures).for_each(|one| world.wipe(one));
+            (0..tolerated_failures).for_each(|one| world.start(one));
+            world.in_flight = Some(in_flight);
             world.look(0);
-            world.letters = None;
+            world.in_flight = None;
             world.wipe(0);
             world.serves(voters - 1, &what);
             world.start(0);
             world.run(CATCH_UP);
-            assert_eq!(world.voters(0), names(voters), "{what}");
+            assert_eq!(world.voters(0), addresses(voters), "{what}");
             // Others now, with their disks; those that were empty are needed.
-            (tolerates..2 * tolerates).for_each(|one| world.wipe(one));
+            (tolerated_failures..2 * tolerated_failures).for_each(|one| world.wipe(one));
             world.serves(0, &what);
         }
     }
@@ -478,14 +489,14 @@
     world.start(3);
     let agreed = world.acknowledged.clone();
     // It is gone at its first message: nobody has heard of it, and it holds what is agreed.
-    world.letters = Some(0);
+    world.in_flight = Some(0);
     world.look(3);
     let record = world.machines[3].disk.as_ref().unwrap().record().cloned().unwrap();
     assert_eq!(&record.value[..], &agreed[..]);
-    assert_eq!(world.voters(0), names(3));
+    assert_eq!(world.voters(0), addresses(3));
     // A voter that was away while others agreed holds it soon, without another change.
     let held = |world: &World| world.machines[2].disk.as_ref().unwrap().record().unwrap().value.to_vec();
-    world.letters = None;
+    world.in_flight = None;
     world.kill(2);
     world.serves(0, "one away");
     world.start(2);
@@ -499,22 +510,22 @@
     let mut world = steady(3, 1);
     world.start(3);
     world.machines[3].refuses = true;
-    let me = world.me(3);
-    world.hear(3);
+    let this_voter = world.voter_id(3);
+    world.discover(3);
     // Also if it asks, which its program does not.
-    assert!(!world.recast(3, Turn::TakeIn(me)));
+    assert!(!world.change_voters(3, VoterChange::AddVoter(this_voter)));
     world.run(CATCH_UP);
-    assert_eq!(world.voters(0), names(3));
+    assert_eq!(world.voters(0), addresses(3));
     world.kill(0);
     world.serves(1, "one of three");
     world.start(0);
     world.machines[3].refuses = false;
     world.run(1000);
-    assert_eq!(world.voters(0), names(4));
+    assert_eq!(world.voters(0), addresses(4));
     // A voter whose disk takes nothing any more counts as silent.
     world.machines[3].refuses = true;
     world.run(CATCH_UP);
-    assert_eq!(world.voters(0), names(3));
+    assert_eq!(world.voters(0), addresses(3));
     world.kill(0);
     world.serves(1, "one of three again");
 }
@@ -530,8 +541,8 @@
                 world.start(6);
                 world.run(CATCH_UP);
                 // One has ended when the other does.
-                world.leave(0);
-                world.leave(1);
+                world.shut_down(0);
+                world.shut_down(1);
             } else {
                 world.kill(0);
                 world.kill(1);
@@ -557,8 +568,8 @@
     world.start(4);
     world.start(0);
     world.run(CATCH_UP);
-    assert_eq!(world.voters(0), names(5));
-    let new = world.me(0);
+    assert_eq!(world.voters(0), addresses(5));
+    let new = world.voter_id(0);
     world.kill(1);
     world.wipe(2);
     world.serves(0, "two of five");
@@ -568,11 +579,15 @@
     // The old disk is back in its machine: it promised and accepted what it did, and is another voter.
     let replaced = std::mem::replace(&mut world.machines[0].disk, old);
     world.start(0);
-    assert_ne!(world.me(0), new);
+    assert_ne!(world.voter_id(0), new);
     world.serves(1, "the old disk is out");
     world.run(CATCH_UP);
-    let cast = world.machines[1].known.cast(&world.founders).clone();
-    assert!(cast.members.contains(&world.me(0)) && !cast.members.contains(&new) && cast.members.len() == 5);
+    let configuration = world.machines[1].known.configuration(&world.founders).clone();
+    assert!(
+        configuration.voters.contains(&world.voter_id(0))
+            && !configuration.voters.contains(&new)
+            && configuration.voters.len() == 5
+    );
     world.wipe(1);
     world.wipe(3);
     world.serves(0, "two of five, with the old disk");
@@ -586,7 +601,7 @@
     world.kill(2);
     world.kill(4);
     world.serves(0, "two of five, with the new disk again");
-    assert!(world.machines[0].known.cast(&world.founders).members.contains(&new));
+    assert!(world.machines[0].known.configuration(&world.founders).voters.contains(&new));
 }
 
 // By chance.
@@ -608,7 +623,7 @@
 impl Drop for Days {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("{} may be lost; {}", self.world.tolerates, self.story.join("; "));
+            eprintln!("{} may be lost; {}", self.world.tolerated_failures, self.story.join("; "));
         }
     }
 }
@@ -616,8 +631,8 @@
 impl Days {
     fn new(seed: u64) -> Days {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let (voters, tolerates) = SIZES[chance.next_u32() as usize % SIZES.len()];
-        let world = World::new(voters, tolerates);
+        let (voters, tolerated_failures) = SIZES[chance.next_u32() as usize % SIZES.len()];
+        let world = World::new(voters, tolerated_failures);
         Days {
             world,
             chance,
@@ -649,7 +664,7 @@
 
     fn event(&mut self) {
         let Some(at) = self.well() else { return };
-        if self.lost() >= self.world.tolerates {
+        if self.lost() >= self.world.tolerated_failures {
             return;
         }
         let (now, what) = (self.world.now, self.below(6) as usize);
@@ -668,7 +683,7 @@
                 self.comes.push((back, at));
             }
             2 => {
-                self.world.leave(at);
+                self.world.shut_down(at);
                 let back = now + 300 + self.below(3000);
                 self.comes.push((back, at));
             }
@@ -694,7 +709,7 @@
                 self.world.run(runs);
                 self.removed.push((at, successor));
                 if self.world.machines[at].up {
-                    self.world.leave(at);
+                    self.world.shut_down(at);
                 }
             }
             _ => return,
@@ -707,9 +722,9 @@
     fn tick(&mut self) {
         self.world.run(100);
         let now = self.world.now;
-        let by = self.world.machines.iter().position(|machine| machine.up && !machine.cut);
-        if let Some(by) = by {
-            let votes = self.world.voters(by).join(" ");
+        let proposer_id = self.world.machines.iter().position(|machine| machine.up && !machine.cut);
+        if let Some(proposer_id) = proposer_id {
+            let votes = self.world.voters(proposer_id).join(" ");
             if self.votes != votes {
                 self.story.push(format!("{now} {votes} vote"));
                 self.votes = votes;
@@ -741,24 +756,24 @@
             if self.below(20) == 0 {
                 self.event();
             }
-            if self.below(4) == 0 && self.lost() <= self.world.tolerates {
-                if let Some(by) = self.well() {
-                    self.world.serves(by, &format!("SEED={seed}, at {} ms", self.world.now));
+            if self.below(4) == 0 && self.lost() <= self.world.tolerated_failures {
+                if let Some(proposer_id) = self.well() {
+                    self.world.serves(proposer_id, &format!("SEED={seed}, at {} ms", self.world.now));
                 }
             }
         }
         // All lose power, and as many as may be their disks as well.
         let running: Vec<usize> =
             (0..self.world.machines.len()).filter(|at| self.world.machines[*at].up).collect();
-        let spare = self.world.tolerates.saturating_sub(self.lost());
+        let spare = self.world.tolerated_failures.saturating_sub(self.lost());
         let wiped: Vec<usize> =
             running.iter().copied().filter(|at| !self.world.is_lost(*at)).take(spare).collect();
         running.iter().for_each(|at| self.world.kill(*at));
         wiped.iter().for_each(|at| self.world.wipe(*at));
         running.iter().for_each(|at| self.world.start(*at));
         self.world.run(2 * CATCH_UP);
-        if let Some(by) = self.well() {
-            self.world.serves(by, &format!("SEED={seed}, after all lost power"));
+        if let Some(proposer_id) = self.well() {
+            self.world.serves(proposer_id, &format!("SEED={seed}, after all lost power"));
         }
     }
 }
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -9,7 +9,7 @@
 use oatbank_cluster_state::messages::{call, Table};
 use oatbank_cluster_state::pause_detector::PULSE;
 use oatbank_cluster_state::replication::{ask, Asking, Heard, Knowledge, Place, Steady};
-use oatbank_config_store::client::Caller;
+use oatbank_config_store::client::RegisterClient;
 use oatbank_node_runtime::log;
 use oatbank_node_runtime::process::Told;
 use oatbank_node_runtime::rpc::{Answering, Link};
@@ -39,7 +39,7 @@
     told: Rc<Told>,
     known: Rc<Knowledge>,
     names: Rc<Names>,
-    caller: Rc<Caller>,
+    client: Rc<RegisterClient>,
     /// Core machines that are followed.
     peers: RefCell<BTreeSet<Ipv4Addr>>,
 }
@@ -50,8 +50,8 @@
         let settings = told.settings();
         let known = Knowledge::new(clock, settings.beat_every);
         let names = Names::new(known.clone());
-        let caller = Rc::new(Caller::new(u64::from(u32::from(settings.ip))));
-        Rc::new(Station { told, known, names, caller, peers: RefCell::default() })
+        let client = Rc::new(RegisterClient::new(u64::from(u32::from(settings.ip))));
+        Rc::new(Station { told, known, names, client, peers: RefCell::default() })
     }
 
     /// What it knows.
@@ -66,11 +66,11 @@
 
     /// Who votes in the store, and what each one holds.
     pub async fn voters(self: Rc<Self>) -> Table {
-        if self.caller.voters().is_empty() {
+        if self.client.voters().is_empty() {
             return refused("no store names its voters yet".into());
         }
-        let (cast, answers) = self.caller.roll().await;
-        voters::show(&cast, &answers)
+        let (configuration, responses) = self.client.poll_voters().await;
+        voters::show(&configuration, &responses)
     }
 
     /// What answers other processes of the system.
@@ -99,7 +99,7 @@
     pub async fn opens(self: &Rc<Self>) -> Rc<Outside> {
         let settings = self.told.settings();
         self.find_voters(&settings).await;
-        let council = Council::new(self.known.clone(), self.caller.clone(), settings.ip);
+        let council = Council::new(self.known.clone(), self.client.clone(), settings.ip);
         tokio::task::spawn_local(council.clone().keep_up());
         tokio::task::spawn_local(self.clone().follow_voters());
         let zones = settings.zones.iter().map(|(zone, _)| zone.clone()).collect();
@@ -109,9 +109,9 @@
     /// Waits until a store names the voters.
     async fn find_voters(&self, settings: &Settings) {
         let mut told = false;
-        while self.caller.voters().is_empty() {
-            self.caller.look(&stores(settings), WHO_WITHIN).await;
-            if !self.caller.voters().is_empty() {
+        while self.client.voters().is_empty() {
+            self.client.discover_voters(&stores(settings), WHO_WITHIN).await;
+            if !self.client.voters().is_empty() {
                 return;
             }
             if !told {
@@ -125,21 +125,21 @@
     /// Follows all core machines that are seeds or vote, as they come. The voters known here change with what is agreed;
     /// where none of them answers any more, the seeds of the moment are asked.
     async fn follow_voters(self: Rc<Self>) {
-        let (known, caller) = (&self.known, &self.caller);
+        let (known, client) = (&self.known, &self.client);
         loop {
             let settings = self.told.settings();
             if !known.in_touch() {
-                caller.look(&stores(&settings), WHO_WITHIN).await;
+                client.discover_voters(&stores(&settings), WHO_WITHIN).await;
             }
-            let voters = caller.voters().into_iter().filter_map(|voter| match voter.ip() {
+            let voters = client.voters().into_iter().filter_map(|voter| match voter.ip() {
                 IpAddr::V4(ip) => Some(ip),
                 IpAddr::V6(_) => None,
             });
             let voters: Vec<Ipv4Addr> = voters.collect();
             self.follow_peers(&settings, settings.seeds.iter().map(|s| *s.ip()).chain(voters.clone()));
-            let cast = caller.cast();
-            if !cast.is_changing() {
-                known.set_core(1 + cast.made.round, voters.into_iter());
+            let configuration = client.configuration();
+            if !configuration.is_changing() {
+                known.set_core(1 + configuration.proposed_in.round, voters.into_iter());
             }
             tokio::time::sleep(VOTERS_EVERY).await;
         }
--- a/crates/registry/src/quorum_client.rs
+++ b/crates/registry/src/quorum_client.rs
@@ -4,7 +4,7 @@
 use crate::operator_command::{change, read, Not, Order, Refusal};
 use oatbank_cluster_state::messages::Decided;
 use oatbank_cluster_state::replication::{Knowledge, Seen, IN_TOUCH};
-use oatbank_config_store::client::{Caller, ChangeError};
+use oatbank_config_store::client::{ChangeError, ChosenValue, RegisterClient};
 use oatbank_node_runtime::error_kind::Kind;
 use oatbank_node_runtime::log;
 use std::collections::HashMap;
@@ -22,20 +22,20 @@
 /// The way to what is agreed.
 pub struct Council {
     known: Rc<Knowledge>,
-    caller: Rc<Caller>,
+    client: Rc<RegisterClient>,
     /// This machine's address.
     ip: Ipv4Addr,
 }
 
 impl Council {
     /// Agrees by this caller, and tells this knowledge.
-    pub fn new(known: Rc<Knowledge>, caller: Rc<Caller>, ip: Ipv4Addr) -> Rc<Self> {
-        Rc::new(Council { known, caller, ip })
+    pub fn new(known: Rc<Knowledge>, client: Rc<RegisterClient>, ip: Ipv4Addr) -> Rc<Self> {
+        Rc::new(Council { known, client, ip })
     }
 
     /// Whether there is no other core machine.
     pub fn is_alone(&self) -> bool {
-        self.caller.voters_count() < 2
+        self.client.voters_count() < 2
     }
 
     /// Whether a majority of the core, this machine among it if it votes, has taken in all up to this. Whoever reaches a
@@ -44,9 +44,11 @@
         let has = |ip: Ipv4Addr| {
             ip == self.ip || seen.values().any(|s| s.each && s.core_ip == Some(ip) && s.seen >= since)
         };
-        self.caller.cast().quorum(|member| match member.name.parse::<SocketAddr>().map(|at| at.ip()) {
-            Ok(IpAddr::V4(ip)) => has(ip),
-            _ => false,
+        self.client.configuration().quorum(|voter| {
+            match voter.address.parse::<SocketAddr>().map(|at| at.ip()) {
+                Ok(IpAddr::V4(ip)) => has(ip),
+                _ => false,
+            }
         })
     }
 
@@ -82,21 +84,21 @@
         }
         let asked = self.known.now();
         let change = |bytes: Option<&[u8]>, edition: u64| change(order, bytes, edition);
-        match self.caller.change(change, AGREE_WITHIN).await {
-            Ok((edition, bytes)) => {
-                self.take(edition, &bytes);
+        match self.client.change(change, AGREE_WITHIN).await {
+            Ok(ChosenValue { edition, value }) => {
+                self.take(edition, &value.unwrap_or_default());
                 // It came after all that was chosen before it was begun.
                 self.known.confirm(asked, edition);
                 Ok(edition)
             }
-            Err(ChangeError::Refused(Not::Needed(edition))) => {
-                if let (confirmed, Some(bytes)) = self.caller.confirmed() {
-                    self.take(confirmed, &bytes);
+            Err(ChangeError::Rejected(Not::Needed(edition))) => {
+                if let ChosenValue { edition: confirmed, value: Some(value) } = self.client.confirmed() {
+                    self.take(confirmed, &value);
                 }
                 self.known.confirm(asked, edition);
                 Ok(edition)
             }
-            Err(ChangeError::Refused(Not::Taken(refusal))) => Err(refusal),
+            Err(ChangeError::Rejected(Not::Taken(refusal))) => Err(refusal),
             Err(ChangeError::Unreachable) => Err(none("no majority of the store answered; nothing was done")),
             Err(ChangeError::Unknown) => {
                 Err(Refusal { kind: Kind::Unsure, problem: "no majority of the store agreed in time".into() })
@@ -119,16 +121,16 @@
     /// Asks the majority once, and catches up if there is something newer; whether what is known here was the newest then.
     async fn ask(&self) -> bool {
         let asked = self.known.now();
-        let Some(peeked) = self.caller.peek().await else { return false };
+        let Some(peeked) = self.client.peek().await else { return false };
         if peeked.agreed && peeked.edition <= self.known.edition() {
             self.known.confirm(asked, peeked.edition);
             return true;
         }
         let asked = self.known.now();
-        match self.caller.read(READ_WITHIN).await {
-            Some((edition, bytes)) => {
-                if let Some(bytes) = bytes {
-                    self.take(edition, &bytes);
+        match self.client.read(READ_WITHIN).await {
+            Some(ChosenValue { edition, value }) => {
+                if let Some(value) = value {
+                    self.take(edition, &value);
                 }
                 self.known.confirm(asked, edition);
                 true
--- a/crates/registry/src/voters.rs
+++ b/crates/registry/src/voters.rs
@@ -1,55 +1,74 @@
-//! Who votes in the store and what each one holds, for the shell.
+//! The table of the store's voters and what each one holds, for `oatbankctl voters`.
 
 use oatbank_cluster_state::admin_query::table;
 use oatbank_cluster_state::messages::Table;
-use oatbank_config_store::membership::borne;
-use oatbank_config_store::messages::{Answer, Ballot, Cast, Member};
+use oatbank_config_store::membership::tolerated_losses;
+use oatbank_config_store::messages::{ProposalNumber, VoterConfiguration, VoterId, VoterResponse};
 use std::collections::BTreeMap;
 
-fn answer_of<'a>(answers: &'a BTreeMap<String, Answer>, member: &Member) -> Option<&'a Answer> {
-    answers.get(&member.name).filter(|answer| answer.id == member.id)
+type Responses = BTreeMap<String, VoterResponse>;
+
+const COLUMNS: [&str; 7] = ["voter", "disk", "place", "state", "edition", "accepted", "promised"];
+
+/// The response of this very voter: not that of another disk of its machine.
+fn response_of<'a>(responses: &'a Responses, voter: &VoterId) -> Option<&'a VoterResponse> {
+    responses.get(&voter.address).filter(|response| response.disk_id == voter.disk_id)
 }
 
-/// The ballot that a quorum holds, by which the others are judged.
-fn agreed(cast: &Cast, answers: &BTreeMap<String, Answer>) -> Option<Ballot> {
-    let mut ballots: Vec<Ballot> = answers.values().map(|answer| answer.accepted).collect();
-    ballots.sort_unstable();
-    let holds = |ballot: Ballot| {
-        cast.quorum(|member| answer_of(answers, member).is_some_and(|answer| answer.accepted >= ballot))
+/// The newest proposal that a quorum holds, by which the others are judged.
+fn agreed_proposal(configuration: &VoterConfiguration, responses: &Responses) -> Option<ProposalNumber> {
+    let mut proposals: Vec<ProposalNumber> = responses.values().map(|response| response.accepted).collect();
+    proposals.sort_unstable();
+    let is_held = |proposal: ProposalNumber| {
+        configuration.quorum(|voter| {
+            response_of(responses, voter).is_some_and(|response| response.accepted >= proposal)
+        })
     };
-    ballots.into_iter().rev().find(|ballot| holds(*ballot))
+    proposals.into_iter().rev().find(|proposal| is_held(*proposal))
 }
 
-/// The voters with what they said; the title says how many more may be lost as it is.
-pub fn show(cast: &Cast, answers: &BTreeMap<String, Answer>) -> Table {
-    let agreed = agreed(cast, answers);
-    let place = |member: &Member| match (cast.members.contains(member), cast.before.contains(member)) {
-        (true, false) if cast.is_changing() => "comes",
+/// Whether a voter joins, leaves or votes; only a change of the voters makes a difference.
+fn place(configuration: &VoterConfiguration, voter: &VoterId) -> &'static str {
+    match (configuration.voters.contains(voter), configuration.outgoing.contains(voter)) {
+        (true, false) if configuration.is_changing() => "comes",
         (false, _) => "goes",
         _ => "votes",
-    };
-    let row = |member: &Member| {
-        let answer = answer_of(answers, member);
-        let state = match (answer, answers.get(&member.name)) {
-            (Some(answer), _) if Some(answer.accepted) >= agreed => "up to date",
-            (Some(_), _) => "behind",
-            (None, Some(_)) => "has another disk",
-            (None, None) => "silent",
+    }
+}
+
+fn state(responses: &Responses, voter: &VoterId, agreed: Option<ProposalNumber>) -> &'static str {
+    match (response_of(responses, voter), responses.get(&voter.address)) {
+        (Some(response), _) if Some(response.accepted) >= agreed => "up to date",
+        (Some(_), _) => "behind",
+        (None, Some(_)) => "has another disk",
+        (None, None) => "silent",
+    }
+}
+
+/// The voters with what they answered; the title says how many more may be lost now.
+pub fn show(configuration: &VoterConfiguration, responses: &Responses) -> Table {
+    let agreed = agreed_proposal(configuration, responses);
+    let row = |voter: &VoterId| {
+        let response = response_of(responses, voter);
+        let cell = |of: &dyn Fn(&VoterResponse) -> String| {
+            response.map_or_else(String::new, |response| of(response))
         };
-        let mut cells = vec![member.name.clone(), format!("{:x}", member.id), place(member).to_owned()];
-        cells.push(state.to_owned());
-        cells.push(answer.map_or_else(String::new, |answer| answer.edition.to_string()));
-        cells.push(answer.map_or_else(String::new, |answer| answer.accepted.to_string()));
-        cells.push(answer.map_or_else(String::new, |answer| answer.promised.to_string()));
-        cells
+        vec![
+            voter.address.clone(),
+            format!("{:x}", voter.disk_id),
+            place(configuration, voter).to_owned(),
+            state(responses, voter, agreed).to_owned(),
+            cell(&|response| response.edition.to_string()),
+            cell(&|response| response.accepted.to_string()),
+            cell(&|response| response.promised.to_string()),
+        ]
     };
-    let leaving = cast.before.iter().filter(|member| !cast.members.contains(member));
-    let rows = cast.members.iter().chain(leaving).map(row).collect();
-    let changing = if cast.is_changing() { ", changing" } else { "" };
-    let borne = match borne(cast, |member| answer_of(answers, member).is_none()) {
+    let outgoing = configuration.outgoing.iter().filter(|voter| !configuration.voters.contains(voter));
+    let rows = configuration.voters.iter().chain(outgoing).map(row).collect();
+    let changing = if configuration.is_changing() { ", changing" } else { "" };
+    let tolerated = match tolerated_losses(configuration, |voter| response_of(responses, voter).is_none()) {
         Some(more) => format!("{more} more may be lost"),
         None => "no majority is there".to_owned(),
     };
-    let title = format!("{} voters{changing}: {borne}", cast.members.len());
-    table(title, &["voter", "disk", "place", "state", "edition", "accepted", "promised"], rows)
+    table(format!("{} voters{changing}: {tolerated}", configuration.voters.len()), &COLUMNS, rows)
 }
--- a/crates/registry/tests/cut_off.rs
+++ b/crates/registry/tests/cut_off.rs
@@ -6,8 +6,8 @@
 use oatbank_cluster_state::replication::{Knowledge, Steady};
 use oatbank_cluster_state::state::{server_state, Book, SESSION};
 use oatbank_config_model::Call;
-use oatbank_config_store::client::Caller;
-use oatbank_config_store::messages::Here;
+use oatbank_config_store::client::RegisterClient;
+use oatbank_config_store::messages::LocalState;
 use oatbank_node_runtime::error_kind::Kind;
 use oatbank_registry::control_api::Outside;
 use oatbank_registry::operator_command::{Order, Refusal};
@@ -40,10 +40,10 @@
 impl One {
     fn of(voters: u8) -> One {
         let known = Knowledge::new(Steady::start(), T);
-        let caller = Rc::new(Caller::new(1));
+        let client = Rc::new(RegisterClient::new(1));
         let founders = (1..=voters).map(|n| format!("{}:9", ip(n))).collect();
-        caller.learn(&Here { founders, ..Here::default() });
-        let council = Council::new(known.clone(), caller, ip(1));
+        client.learn(&LocalState { founders, ..LocalState::default() });
+        let council = Council::new(known.clone(), client, ip(1));
         let outside = Outside::new(known.clone(), council.clone(), vec!["z".into()], 2.0);
         One { known, council, outside }
     }
--- a/crates/registry/tests/one_number.rs
+++ b/crates/registry/tests/one_number.rs
@@ -3,8 +3,8 @@
 
 use oatbank_config_model::{Playbill, Proposal};
 use oatbank_config_store::acceptor::Acceptor;
-use oatbank_config_store::messages::{Accept, Answer, Cast, Member, Prepare};
-use oatbank_config_store::proposer::{Action, Known, Operation, Outcome, Task, Token, Turn};
+use oatbank_config_store::messages::{Accept, Prepare, VoterConfiguration, VoterId, VoterResponse};
+use oatbank_config_store::proposer::{Action, KnownRecord, Operation, Outcome, PhaseId, Task, VoterChange};
 use oatbank_node_runtime::error_kind::Kind;
 use oatbank_registry::operator_command::{self, change, Not, Order};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,13 +23,13 @@
 enum Sent {
     Prepare(Prepare),
     Accept(Accept),
-    Answer(Answer),
+    VoterResponse(VoterResponse),
 }
 
 /// A core machine's proposer.
 struct Machine {
     life: u64,
-    known: Known,
+    known: KnownRecord,
     highest: u64,
 }
 
@@ -38,13 +38,13 @@
     order: usize,
     machine: usize,
     work: Work,
-    under_way: Vec<(Token, String, Sent)>,
+    under_way: Vec<(PhaseId, String, Sent)>,
     rounds: u32,
 }
 
 struct System {
     chance: u64,
-    founders: Cast,
+    founders: VoterConfiguration,
     voters: BTreeMap<String, Acceptor>,
     machines: Vec<Machine>,
     lives: u64,
@@ -58,7 +58,7 @@
         let voter = |name: &String| (name.clone(), Acceptor::founded(names.clone()));
         let mut system = System {
             chance: seed.wrapping_mul(2).wrapping_add(1),
-            founders: Cast::founders(&names),
+            founders: VoterConfiguration::founders(&names),
             voters: names.iter().map(voter).collect(),
             machines: Vec::new(),
             lives: 0,
@@ -77,11 +77,11 @@
     /// All processes end, and begin with what their disks hold.
     fn begin_again(&mut self) {
         for voter in self.voters.values_mut() {
-            let restored = Acceptor::restored(voter.kept().clone(), voter.record().cloned());
+            let restored = Acceptor::restored(voter.state().clone(), voter.record().cloned());
             *voter = restored.expect("whole");
         }
         self.machines = (0..3u64)
-            .map(|n| Machine { life: 100 * self.lives + n + 1, known: Known::default(), highest: 0 })
+            .map(|n| Machine { life: 100 * self.lives + n + 1, known: KnownRecord::default(), highest: 0 })
             .collect();
         self.lives += 1;
     }
@@ -89,7 +89,7 @@
     fn begin(&mut self, order: usize, machine: usize, task: Task<Change>) -> Call {
         let at = &self.machines[machine];
         let mut work = Operation::new(task, at.life, self.founders.clone(), at.highest, at.known.clone());
-        let first = work.begin();
+        let first = work.begin_round();
         let mut call = Call { order, machine, work, under_way: Vec::new(), rounds: 1 };
         send(&mut call, first);
         call
@@ -98,16 +98,16 @@
     /// One message more arrives, or is lost. The end of it, if it has come.
     fn step(&mut self, call: &mut Call) -> Option<Result<Outcome<Not>, ()>> {
         let action = if call.under_way.is_empty() {
-            call.work.over()
+            call.work.on_timeout()
         } else {
             let at = self.draw(call.under_way.len() as u64) as usize;
-            let (token, voter, sent) = call.under_way.swap_remove(at);
+            let (phase_id, voter, sent) = call.under_way.swap_remove(at);
             if self.lost > 0 && self.draw(self.lost) == 0 {
                 return None;
             }
             let answer = match sent {
-                Sent::Answer(answer) => {
-                    let action = call.work.answer(token, &voter, answer);
+                Sent::VoterResponse(answer) => {
+                    let action = call.work.on_response(phase_id, &voter, answer);
                     return self.go_on(call, action);
                 }
                 Sent::Prepare(prepare) => self.voters.get_mut(&voter).map(|v| v.prepare(&prepare).0),
@@ -115,10 +115,10 @@
             };
             match answer {
                 Some(answer) => {
-                    call.under_way.push((token, voter, Sent::Answer(answer)));
+                    call.under_way.push((phase_id, voter, Sent::VoterResponse(answer)));
                     return None;
                 }
-                None => call.work.failed(token, &voter),
+                None => call.work.on_failure(phase_id, &voter),
             }
         };
         self.go_on(call, action)
@@ -130,12 +130,12 @@
             Action::BackOff if call.rounds > 12 => Some(Err(())),
             Action::BackOff => {
                 call.rounds += 1;
-                let again = call.work.begin();
+                let again = call.work.begin_round();
                 send(call, again);
                 None
             }
             // Nothing is under way any more and it waits: its time is over.
-            Action::Wait if call.under_way.is_empty() && call.work.over() == Action::BackOff => {
+            Action::Wait if call.under_way.is_empty() && call.work.on_timeout() == Action::BackOff => {
                 return self.go_on(call, Action::BackOff);
             }
             action => {
@@ -145,8 +145,8 @@
         };
         if ended.is_some() {
             let machine = &mut self.machines[call.machine];
-            machine.highest = machine.highest.max(call.work.highest());
-            if call.work.known().ballot > machine.known.ballot {
+            machine.highest = machine.highest.max(call.work.highest_round());
+            if call.work.known().proposal > machine.known.proposal {
                 machine.known = call.work.known().clone();
             }
         }
@@ -169,13 +169,13 @@
     /// A voter votes with an empty disk from now on, or a new one does.
     fn take_in(&mut self, name: &str, id: u64) {
         self.voters.insert(name.into(), Acceptor::fresh(id));
-        let member = Member { name: name.into(), id };
-        let mut call = self.begin(0, 0, Task::Turn(Turn::TakeIn(member.clone())));
+        let member = VoterId { address: name.into(), disk_id: id };
+        let mut call = self.begin(0, 0, Task::ChangeVoters(VoterChange::AddVoter(member.clone())));
         let lost = std::mem::take(&mut self.lost);
         while self.step(&mut call).is_none() {}
         self.lost = lost;
-        let cast = self.machines[0].known.cast(&self.founders);
-        assert!(cast.members.contains(&member) && !cast.is_changing(), "{cast:?}");
+        let cast = self.machines[0].known.configuration(&self.founders);
+        assert!(cast.voters.contains(&member) && !cast.is_changing(), "{cast:?}");
     }
 
     fn in_force(&mut self) -> String {
@@ -196,14 +196,14 @@
 }
 
 fn send(call: &mut Call, action: Action<Not>) {
-    let token = call.work.token();
-    for voter in call.work.whom().to_vec() {
+    let phase_id = call.work.phase_id();
+    for voter in call.work.recipients().to_vec() {
         let sent = match &action {
             Action::Prepare(prepare) => Sent::Prepare(*prepare),
             Action::Accept(accept) => Sent::Accept(accept.clone()),
             _ => return,
         };
-        call.under_way.push((token, voter, sent));
+        call.under_way.push((phase_id, voter, sent));
     }
 }
 
@@ -214,8 +214,8 @@
 
 fn told(ended: Result<Outcome<Not>, ()>) -> Told {
     match ended {
-        Ok(Outcome::Chosen(..) | Outcome::Refused(Not::Needed(_))) => Told::Taken,
-        Ok(Outcome::Refused(Not::Taken(refusal))) if refusal.kind != Kind::Unsure => {
+        Ok(Outcome::Chosen(..) | Outcome::Rejected(Not::Needed(_))) => Told::Taken,
+        Ok(Outcome::Rejected(Not::Taken(refusal))) if refusal.kind != Kind::Unsure => {
             Told::Refused(refusal.kind)
         }
         _ => Told::Unclear,
--- a/crates/registry/tests/outside.rs
+++ b/crates/registry/tests/outside.rs
@@ -2,8 +2,8 @@
 
 use oatbank_cluster_state::messages::{call, LONGEST_CONFIG};
 use oatbank_cluster_state::replication::{ask, Asking, Knowledge, Place, Steady};
-use oatbank_config_store::client::Caller;
-use oatbank_config_store::voter::{Terms, Voter};
+use oatbank_config_store::client::RegisterClient;
+use oatbank_config_store::voter::{Voter, VoterOptions};
 use oatbank_node_runtime::rpc::{self, Link};
 use oatbank_registry::control_api::Outside;
 use oatbank_registry::quorum_client::Council;
@@ -48,23 +48,23 @@
         let seeds: Vec<SocketAddr> = voters.iter().map(|(_, at)| *at).collect();
         for (listener, address) in voters {
             let folder = folder.join(address.port().to_string());
-            let voter = Voter::start(Terms {
+            let voter = Voter::start(VoterOptions {
                 address,
                 seeds: seeds.clone(),
                 first_start: true,
                 folder,
-                tolerates: 1,
+                tolerated_failures: 1,
             })
             .unwrap();
-            spawn_local(voter.clone().vote());
+            spawn_local(voter.clone().run());
             spawn_local(rpc::serve(listener, voter.handler()));
         }
-        let caller = Rc::new(Caller::new(1));
-        while caller.voters().is_empty() {
-            caller.look(&seeds, Duration::from_millis(800)).await;
+        let client = Rc::new(RegisterClient::new(1));
+        while client.voters().is_empty() {
+            client.discover_voters(&seeds, Duration::from_millis(800)).await;
         }
         let known = Knowledge::new(Steady::start(), 1500.0);
-        let council = Council::new(known.clone(), caller, Ipv4Addr::LOCALHOST);
+        let council = Council::new(known.clone(), client, Ipv4Addr::LOCALHOST);
         let ((outer, control), (listener, inner)) = (bind().await, bind().await);
         spawn_local(Outside::new(known.clone(), council, vec!["east-1".into()], 0.0).serve(outer));
         let telling = known.clone();
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -3,8 +3,8 @@
 
 use crate::process::Life;
 use crate::{ms, Lot};
-use oatbank_config_store::messages::{Kept, Record};
-use oatbank_config_store::storage::{DiskError, Found, Place, Writes};
+use oatbank_config_store::messages::{PersistentState, Record};
+use oatbank_config_store::storage::{DiskError, OpenedState, StateWriter, StorageLocation};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::{Rc, Weak};
@@ -16,11 +16,11 @@
     #[default]
     None,
     Damaged,
-    Whole(Box<(Kept, Option<Record>)>),
+    Whole(Box<(PersistentState, Option<Record>)>),
 }
 
 /// A disk.
-pub struct Disk {
+pub struct StateFile {
     file: RefCell<File>,
     aside: Cell<bool>,
     /// It refuses every write.
@@ -33,10 +33,10 @@
     lot: RefCell<Lot>,
 }
 
-impl Disk {
+impl StateFile {
     /// An empty one.
-    pub fn new(seed: u64) -> Rc<Disk> {
-        Rc::new(Disk {
+    pub fn new(seed: u64) -> Rc<StateFile> {
+        Rc::new(StateFile {
             file: RefCell::default(),
             aside: Cell::new(false),
             full: Cell::new(false),
@@ -67,7 +67,7 @@
     }
 
     /// A write; `Err` where it is refused, and then it may be there or not.
-    fn put(&self, kept: &Kept, record: Option<&Record>) -> Result<(), DiskError> {
+    fn put(&self, kept: &PersistentState, record: Option<&Record>) -> Result<(), DiskError> {
         let full = self.full.get();
         let goes = self.dooms.replace(false);
         let stays = if goes { 0.5 } else { 0.2 };
@@ -95,30 +95,34 @@
 
 /// A disk as a voter has it.
 #[derive(Clone)]
-pub struct Mounted(pub Rc<Disk>);
+pub struct Mounted(pub Rc<StateFile>);
 
 struct Open {
-    disk: Rc<Disk>,
+    disk: Rc<StateFile>,
     /// The record that lies beside what is written without one.
     record: Option<Record>,
     /// A write was refused: the next one makes the file anew.
     anew: bool,
 }
 
-impl Place for Mounted {
-    fn open(&self) -> Result<Option<Found>, DiskError> {
+impl StorageLocation for Mounted {
+    fn open(&self) -> Result<Option<OpenedState>, DiskError> {
         match &*self.0.file.borrow() {
             File::None => Ok(None),
             File::Damaged => Err(DiskError::Damaged("it was torn".into())),
             File::Whole(held) => {
                 let (kept, record) = &**held;
                 let open = Open { disk: self.0.clone(), record: record.clone(), anew: false };
-                Ok(Some((Box::new(open), kept.clone(), record.clone())))
+                Ok(Some(OpenedState { writer: Box::new(open), state: kept.clone(), record: record.clone() }))
             }
         }
     }
 
-    fn create(&self, kept: &Kept, record: Option<&Record>) -> Result<Box<dyn Writes>, DiskError> {
+    fn create(
+        &self,
+        kept: &PersistentState,
+        record: Option<&Record>,
+    ) -> Result<Box<dyn StateWriter>, DiskError> {
         self.0.put(kept, record)?;
         Ok(Box::new(Open { disk: self.0.clone(), record: record.cloned(), anew: false }))
     }
@@ -133,17 +137,22 @@
         Ok(())
     }
 
-    fn note(&self, _: &str) -> Result<Option<String>, DiskError> {
+    fn operator_file(&self, _: &str) -> Result<Option<String>, DiskError> {
         Ok(None)
     }
 
-    fn forget_note(&self, _: &str) -> Result<bool, DiskError> {
+    fn remove_operator_file(&self, _: &str) -> Result<bool, DiskError> {
         Ok(false)
     }
 }
 
-impl Writes for Open {
-    fn write(&mut self, kept: &Kept, record: Option<&Record>, fresh: bool) -> Result<(), DiskError> {
+impl StateWriter for Open {
+    fn write(
+        &mut self,
+        kept: &PersistentState,
+        record: Option<&Record>,
+        fresh: bool,
+    ) -> Result<(), DiskError> {
         let record = if fresh || self.anew { record.cloned() } else { self.record.clone() };
         let done = self.disk.put(kept, record.as_ref());
         self.anew = done.is_err();
--- a/crates/simulation/src/mutants.rs
+++ b/crates/simulation/src/mutants.rs
@@ -31,6 +31,8 @@
 }
 
 const PROPOSER: &str = "crates/config-store/src/proposer.rs";
+const PEEK: &str = "crates/config-store/src/peek.rs";
+const VOTER_CHANGE: &str = "crates/config-store/src/voter_change.rs";
 const ACCEPTOR: &str = "crates/config-store/src/acceptor.rs";
 const VOTER: &str = "crates/config-store/src/voter.rs";
 const WIRE: &str = "crates/config-store/src/messages.rs";
@@ -51,71 +53,71 @@
         "a half is a majority",
         Point::Cutoff,
         WIRE,
-        "2 * of.iter().filter(|member| holds(member)).count() > of.len()",
-        "2 * of.iter().filter(|member| holds(member)).count() + 1 >= of.len()",
+        "2 * of.iter().filter(|voter| holds(voter)).count() > of.len()",
+        "2 * of.iter().filter(|voter| holds(voter)).count() + 1 >= of.len()",
     ),
     mutant(
         "votes are given that the disk refused",
         Point::Losses,
         VOTER,
-        "                *acceptor = before;\n                for (_, sender) in answers {\n                    let _ = sender.send(acceptor.answer(Verdict::Unable));\n                }",
-        "                drop(before);\n                for (answer, sender) in answers {\n                    let _ = sender.send(answer);\n                }",
+        "                *acceptor = before;\n                for (_, sender) in responses {\n                    let _ = sender.send(acceptor.respond(ResponseStatus::StorageUnavailable));\n                }",
+        "                drop(before);\n                for (response, sender) in responses {\n                    let _ = sender.send(response);\n                }",
     ),
     mutant(
         "a record is accepted without a write",
         Point::Losses,
         ACCEPTOR,
-        "(self.answer(Verdict::Given), Write::Record)",
-        "(self.answer(Verdict::Given), Write::Nothing)",
+        "(self.respond(ResponseStatus::Granted), RequiredWrite::StateAndRecord)",
+        "(self.respond(ResponseStatus::Granted), RequiredWrite::Nothing)",
     ),
     mutant(
         "a promise is not written",
         Point::Numbers,
         ACCEPTOR,
-        "..self.answer(Verdict::Given) }, Write::Kept)",
-        "..self.answer(Verdict::Given) }, Write::Nothing)",
+        "..self.respond(ResponseStatus::Granted) }, RequiredWrite::State)",
+        "..self.respond(ResponseStatus::Granted) }, RequiredWrite::Nothing)",
     ),
     mutant(
         "a promise does not bind",
         Point::Numbers,
         ACCEPTOR,
-        "if asked.ballot < self.kept.promised {",
-        "if asked.ballot < self.kept.accepted {",
+        "if request.proposal < self.state.promised {",
+        "if request.proposal < self.state.accepted {",
     ),
     mutant(
         "a new disk counts as the old one",
         Point::Losses,
-        PROPOSER,
-        "let same = |answer: &Answer| answer.id == member.id || is_without(Guard::SameDisk);",
-        "let same = |_: &Answer| true;",
+        PEEK,
+        "|response: &VoterResponse| response.disk_id == voter.disk_id || is_disabled(Guard::SameDisk);",
+        "|_: &VoterResponse| true;",
     ),
     mutant(
         "voters change without those before them",
         Point::Changes,
-        PROPOSER,
-        "if is_without(Guard::Together) { Vec::new() }",
+        VOTER_CHANGE,
+        "if is_disabled(Guard::JointQuorum) { Vec::new() }",
         "if true { Vec::new() }",
     ),
     mutant(
         "voters change before the last change is chosen",
         Point::Changes,
         PROPOSER,
-        "Task::Turn(turn) if agreed || is_without(Guard::ChosenFirst) => {",
-        "Task::Turn(turn) if agreed || self.known.ballot >= at => {",
+        "Task::ChangeVoters(change) if is_chosen || is_disabled(Guard::ChosenBeforeNext) => {",
+        "Task::ChangeVoters(change) if is_chosen || true => {",
     ),
     mutant(
         "voters change without looking whether a majority is there",
         Point::Changes,
         PROPOSER,
-        "        comes && next.quorum(there)\n",
-        "        let _ = (comes, next.quorum(there));\n        true\n",
+        "        added_has_responded && next.quorum(has_responded)\n",
+        "        let _ = (added_has_responded, next.quorum(has_responded));\n        true\n",
     ),
     mutant(
         "what was read is told before it is chosen",
         Point::Numbers,
         PROPOSER,
-        "        if agreed {\n            return self.done(goal);",
-        "        if agreed || self.known.ballot >= at {\n            return self.done(goal);",
+        "        if is_chosen {\n            return self.finish(goal);",
+        "        if is_chosen || true {\n            return self.finish(goal);",
     ),
     mutant(
         "a peek needs no agreement",
@@ -127,9 +129,9 @@
     mutant(
         "a peek does not look whose record it is",
         Point::Changes,
-        PROPOSER,
-        ".is_some_and(|a| a.accepted == *ballot && !a.adopted && a.cast_made == cast.made)",
-        ".is_some_and(|a| a.accepted == *ballot && !a.adopted)",
+        PEEK,
+        "                && response.configuration_proposed_in == configuration.proposed_in\n",
+        "",
     ),
     mutant(
         "readings are answered by what is known here",
@@ -219,8 +221,8 @@
         "the silent stay voters for ever",
         Point::Changes,
         MEMBERS,
-        "    absent[..enough].to_vec()",
-        "    absent[..0 * enough].to_vec()",
+        "    unreachable[..removed].to_vec()",
+        "    unreachable[..0 * removed].to_vec()",
     ),
     mutant(
         "who was not awake judges silence",
@@ -240,8 +242,8 @@
         "a number of a round is used again",
         Point::Answers,
         CALLER,
-        "        let by = chance().wrapping_add(me);",
-        "        let by = me.min(1);",
+        "        let proposer_id = chance().wrapping_add(salt);",
+        "        let proposer_id = salt.min(1);",
     ),
     mutant(
         "a server's earlier word undoes a later one",
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,7 +1,7 @@
 //! Machines, and the programs that they run: the real ones, on seats of this network and on disks of this rehearsal.
 
 use crate::clients::OUTSIDE;
-use crate::disk::{Disk, Mounted};
+use crate::disk::{Mounted, StateFile};
 use crate::history::{Acting, Content, Event, History};
 use crate::network::{Net, Seat, PLAIN};
 use crate::process::Life;
@@ -11,8 +11,10 @@
 use oatbank_cluster_state::messages::call;
 use oatbank_cluster_state::replication::{Knowledge, Steady};
 use oatbank_cluster_state::state::{member_state, server_state};
-use oatbank_config_store::messages::{kind, Ballot, Here, Who};
-use oatbank_config_store::voter::{Terms, Voter};
+use oatbank_config_store::messages::{
+    kind, LocalState, LocalStateRequest, ProposalNumber, VoterConfiguration, VoterId,
+};
+use oatbank_config_store::voter::{Voter, VoterOptions};
 use oatbank_node_runtime::error_kind::Kind;
 use oatbank_node_runtime::process::Told;
 use oatbank_node_runtime::rpc::{Answering, Link};
@@ -46,7 +48,7 @@
     /// What its programs are told.
     pub told: Rc<Told>,
     /// Its disk.
-    pub disk: Rc<Disk>,
+    pub disk: Rc<StateFile>,
     /// What its clocks count for a second.
     pub rate: Cell<f64>,
     /// Its programs that run.
@@ -172,7 +174,7 @@
         Rc::new(Machine {
             ip: settings.ip,
             told: Rc::new(Told::new(String::new(), settings)),
-            disk: Disk::new(self.lot.borrow_mut().number()),
+            disk: StateFile::new(self.lot.borrow_mut().number()),
             rate: Cell::new(1.0),
             lives: RefCell::default(),
             voter: RefCell::default(),
@@ -199,7 +201,7 @@
             settings.seeds = seeds.iter().map(|ip| SocketAddrV4::new(*ip, CONTROL)).collect();
             let stores = settings.seeds.iter().map(|seed| settings.inner_of(*seed.ip(), STORE)).collect();
             if let Some(voter) = &*machine.voter.borrow() {
-                voter.seeds(stores);
+                voter.set_seeds(stores);
             }
             machine.told.take(settings);
         }
@@ -267,15 +269,17 @@
         let core: Vec<_> = self.core.borrow().iter().filter(|m| m.runs()).cloned().collect();
         for machine in core {
             let at = SocketAddr::from((machine.ip, machine.told.settings().inner_address(STORE).port()));
-            let who = Who { known: Ballot::default() }.encode_to_vec();
-            let answer = link_to(at).call(kind::WHO, who, ms(800.0)).await.ok()?;
-            let here = Here::decode(answer).ok()?;
-            let founders = oatbank_config_store::messages::Cast::founders(&here.founders);
-            let cast = here.record.as_ref().and_then(|r| r.cast.clone()).unwrap_or(founders);
-            let me = cast.members.iter().any(|m| m.name == at.to_string() && m.id == here.id);
-            let mut names = cast.names();
+            let who = LocalStateRequest { known: ProposalNumber::default() }.encode_to_vec();
+            let answer = link_to(at).call(kind::LOCAL_STATE, who, ms(800.0)).await.ok()?;
+            let here = LocalState::decode(answer).ok()?;
+            let founders = VoterConfiguration::founders(&here.founders);
+            let record = here.record.as_ref();
+            let configuration = record.and_then(|record| record.configuration.clone()).unwrap_or(founders);
+            let own = VoterId { address: at.to_string(), disk_id: here.disk_id };
+            let me = configuration.voters.contains(&own);
+            let mut names = configuration.addresses();
             names.sort();
-            if cast.is_changing() || !me || agreed.as_ref().is_some_and(|agreed| *agreed != names) {
+            if configuration.is_changing() || !me || agreed.as_ref().is_some_and(|agreed| *agreed != names) {
                 return None;
             }
             agreed = Some(names);
@@ -285,12 +289,12 @@
 }
 
 async fn store(machine: Rc<Machine>, settings: Settings, seat: Rc<Seat>) {
-    let terms = Terms {
+    let terms = VoterOptions {
         address: settings.inner_address(STORE),
         seeds: settings.seeds.iter().map(|seed| settings.inner_of(*seed.ip(), STORE)).collect(),
         first_start: settings.first_start,
         folder: PathBuf::new(),
-        tolerates: settings.tolerate.0 as usize,
+        tolerated_failures: settings.tolerate.0 as usize,
     };
     let voter = loop {
         match Voter::start_at(&Mounted(machine.disk.clone()), terms.clone()) {
@@ -299,8 +303,8 @@
         }
     };
     *machine.voter.borrow_mut() = Some(voter.clone());
-    tokio::task::spawn_local(voter.clone().vote());
-    let looks = tokio::task::spawn_local(voter.clone().look());
+    tokio::task::spawn_local(voter.clone().run());
+    let looks = tokio::task::spawn_local(voter.clone().maintain_voters());
     *machine.looks.borrow_mut() = Some(looks.abort_handle());
     seat.serve(terms.address, voter.handler());
 }
