--- a/crates/engine/src/engine/schedules.rs
+++ b/crates/engine/src/engine/schedules.rs
@@ -7,8 +7,8 @@
 use crate::body::Progress;
 use crate::ports::membership::{Member, News};
 use crate::ports::upstream::End;
-use oatbank_attempt_state::attempt::Cue;
-use oatbank_attempt_state::outcome_log::{Bounds, Fate, Outcomes};
+use oatbank_attempt_state::attempt::RequestAttempts;
+use oatbank_attempt_state::outcome_log::{ExecutionOutcome, OutcomeLog, OutcomeLogLimits};
 use oatbank_limiter_core::interface::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -50,7 +50,7 @@
     gone: HashSet<u32>,
     off: HashSet<(RequestId, u8)>,
     whole: HashSet<(RequestId, u8)>,
-    outcomes: Outcomes,
+    outcomes: OutcomeLog,
     guarded: bool,
     /// The module decides wrongly now and then.
     errs: bool,
@@ -86,7 +86,7 @@
             gone: HashSet::new(),
             off: HashSet::new(),
             whole: HashSet::new(),
-            outcomes: Outcomes::new(Bounds { keep: 1e9, ..Bounds::default() }),
+            outcomes: OutcomeLog::new(OutcomeLogLimits { retention: 1e9, ..OutcomeLogLimits::default() }),
             guarded,
             errs: true,
             met: Vec::new(),
@@ -134,7 +134,7 @@
         }
         if !self.guarded {
             // Without the guard: as if all were repeatable.
-            self.core.forget_once(id, Cue::default());
+            self.core.forget_once(id, RequestAttempts::default());
         }
         let wait = self.roll(600);
         match self.roll(6) {
@@ -198,9 +198,9 @@
                     self.attempt(id, number, *request);
                 }
                 Output::CallOff { id, number } => _ = self.off.insert((id, number)),
-                Output::Note { request, server, note: Note::Fate(fate, why) } => {
+                Output::Note { request, server, note: Note::Outcome(outcome, why) } => {
                     let server = server.unwrap_or_else(|| "".into());
-                    self.outcomes.note(self.now as f64, &request.to_string(), fate, why, &server);
+                    self.outcomes.record(self.now as f64, &request.to_string(), outcome, why, &server);
                 }
                 Output::Note { .. } | Output::Count(_) => {}
             }
@@ -308,16 +308,16 @@
             if matches!(answers.first(), Some(Answer::Refused(_))) && runs > 0 {
                 wrong("a broken promise");
             }
-            let fate = self.outcomes.get(self.now as f64, &n.to_string()).map(|k| k.fate);
-            let true_fate = match fate {
+            let outcome = self.outcomes.get(self.now as f64, &n.to_string()).map(|k| k.outcome);
+            let true_fate = match outcome {
                 None => runs == 0,
-                Some(Fate::NotRun) => runs == 0,
-                Some(Fate::Done | Fate::Failed) => runs == 1,
-                Some(Fate::Unknown) => true,
-                Some(Fate::Running) => false,
+                Some(ExecutionOutcome::NotExecuted) => runs == 0,
+                Some(ExecutionOutcome::Succeeded | ExecutionOutcome::Failed) => runs == 1,
+                Some(ExecutionOutcome::Unknown) => true,
+                Some(ExecutionOutcome::Running) => false,
             };
             if self.guarded && !true_fate {
-                wrong(&format!("taken down as {fate:?}"));
+                wrong(&format!("taken down as {outcome:?}"));
             }
         }
         wrongs
@@ -332,7 +332,7 @@
 
 #[test]
 fn what_runs_once_runs_once_and_what_is_said_of_it_is_true() {
-    let (mut kept, mut told, mut fates) = (0, [0; 3], HashMap::<Fate, u32>::new());
+    let (mut kept, mut told, mut outcomes) = (0, [0; 3], HashMap::<ExecutionOutcome, u32>::new());
     for seed in 0..2000 {
         let (wrongs, mut world) = played(seed, true);
         assert!(wrongs.is_empty(), "seed {seed}: {wrongs:#?}");
@@ -347,13 +347,13 @@
         }
         for n in 0..20u32 {
             if let Some(known) = world.outcomes.get(world.now as f64, &n.to_string()) {
-                *fates.entry(known.fate).or_default() += 1;
+                *outcomes.entry(known.outcome).or_default() += 1;
             }
         }
     }
     // All of it was met often enough to be worth something.
     assert!(kept > 500 && told.iter().all(|n| *n > 500), "{kept} kept from, told {told:?}");
-    assert!(fates.len() == 4 && fates.values().all(|n| *n > 500), "{fates:?}");
+    assert!(outcomes.len() == 4 && outcomes.values().all(|n| *n > 500), "{outcomes:?}");
 }
 
 #[test]
--- a/crates/node-runtime/src/error_kind.rs
+++ b/crates/node-runtime/src/error_kind.rs
@@ -1,107 +1,93 @@
-//! The closed list of what can go wrong at a call, and what each kind is answered with.
+//! The closed list of what can go wrong with a call, and the HTTP status of each kind.
 
-/// Why a call is not done.
+/// Why a call was not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum ErrorKind {
     /// The call or its body cannot be read, or is not allowed.
     Invalid,
     /// The caller's key is not known.
-    NoKey,
+    UnknownKey,
     /// There is no such call, route, server or zone.
-    Unknown,
-    /// Its method is not the call's.
-    Method,
-    /// It runs once at most, and has been taken under this name before.
-    Repeated,
+    NotFound,
+    /// The method is not the one of the call.
+    MethodNotAllowed,
+    /// A request that runs at most once has been taken under this id before.
+    Duplicate,
     /// Another version is in place.
-    Stale,
-    /// It is too long.
+    StaleVersion,
+    /// The body is too long.
     TooLong,
-    /// It comes on too slowly.
+    /// The body arrives too slowly.
     TooSlow,
-    /// Its caller has used up what it may use.
-    Quota,
-    /// There is no room for it now.
-    Busy,
+    /// The caller's quota is used up.
+    QuotaExceeded,
+    /// There is no capacity for it now.
+    Overloaded,
     /// This process does not know enough yet.
-    Starting,
-    /// No majority could be asked: it may have been done, or not.
-    Unsure,
-    /// Servers gave no answer that can be given on.
-    Failed,
-    /// Its time is up.
-    Late,
+    NotReady,
+    /// No majority could be asked: it may have been carried out or not.
+    OutcomeUnknown,
+    /// No server gave a response that can be forwarded.
+    UpstreamFailed,
+    /// The deadline has passed.
+    DeadlineExceeded,
 }
 
-/// Each kind with its word for logs and bodies, and the status it is answered with.
-pub const TABLE: &[(Kind, &str, u16)] = &[
-    (Kind::Invalid, "invalid", 400),
-    (Kind::NoKey, "no_key", 401),
-    (Kind::Unknown, "unknown", 404),
-    (Kind::Method, "method", 405),
-    (Kind::Repeated, "repeated", 409),
-    (Kind::Stale, "stale", 412),
-    (Kind::TooLong, "too_long", 413),
-    (Kind::TooSlow, "too_slow", 408),
-    (Kind::Quota, "quota", 429),
-    (Kind::Busy, "busy", 503),
-    (Kind::Starting, "starting", 503),
-    // Not 503 where a client asked: that would say that it was not done. Operators repeat after any 5xx.
-    (Kind::Unsure, "unsure", 504),
-    (Kind::Failed, "failed", 502),
-    (Kind::Late, "late", 504),
+/// How a kind appears outside.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Description {
+    /// The kind.
+    pub kind: ErrorKind,
+    /// Its name in logs and bodies (`docs/api/control.yaml`).
+    pub code: &'static str,
+    /// The HTTP status of the answer.
+    pub status: u16,
+}
+
+const fn describe(kind: ErrorKind, code: &'static str, status: u16) -> Description {
+    Description { kind, code, status }
+}
+
+/// All kinds. Codes and statuses are part of the API.
+pub const ERROR_KINDS: &[Description] = &[
+    describe(ErrorKind::Invalid, "invalid", 400),
+    describe(ErrorKind::UnknownKey, "no_key", 401),
+    describe(ErrorKind::NotFound, "unknown", 404),
+    describe(ErrorKind::MethodNotAllowed, "method", 405),
+    describe(ErrorKind::Duplicate, "repeated", 409),
+    describe(ErrorKind::StaleVersion, "stale", 412),
+    describe(ErrorKind::TooLong, "too_long", 413),
+    describe(ErrorKind::TooSlow, "too_slow", 408),
+    describe(ErrorKind::QuotaExceeded, "quota", 429),
+    describe(ErrorKind::Overloaded, "busy", 503),
+    describe(ErrorKind::NotReady, "starting", 503),
+    // Not 503 for clients: that would say that it was not carried out. Operators repeat after any 5xx.
+    describe(ErrorKind::OutcomeUnknown, "unsure", 504),
+    describe(ErrorKind::UpstreamFailed, "failed", 502),
+    describe(ErrorKind::DeadlineExceeded, "late", 504),
 ];
 
-impl Kind {
-    fn row(self) -> &'static (Kind, &'static str, u16) {
-        // Every kind stands in the table: a test holds it to that.
-        TABLE.iter().find(|row| row.0 == self).unwrap_or(&TABLE[0])
+impl ErrorKind {
+    fn description(self) -> &'static Description {
+        // Every kind is in the table: a test makes sure of it.
+        ERROR_KINDS.iter().find(|description| description.kind == self).unwrap_or(&ERROR_KINDS[0])
     }
 
-    /// Its word.
-    pub fn word(self) -> &'static str {
-        self.row().1
+    /// Its name in logs and bodies.
+    pub fn code(self) -> &'static str {
+        self.description().code
     }
 
-    /// The status it is answered with.
+    /// The HTTP status of the answer.
     pub fn status(self) -> u16 {
-        self.row().2
+        self.description().status
     }
 
-    /// The answer promises that nothing was done and nothing will be.
-    pub fn is_promise(self) -> bool {
+    /// Whether the answer promises that nothing was done and nothing will be.
+    pub fn promises_nothing_done(self) -> bool {
         matches!(self.status(), 408 | 421 | 429 | 503)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_kind_stands_once_and_doubt_is_never_a_promise() {
-        let all = [
-            Kind::Invalid,
-            Kind::NoKey,
-            Kind::Unknown,
-            Kind::Method,
-            Kind::Repeated,
-            Kind::Stale,
-            Kind::TooLong,
-            Kind::TooSlow,
-            Kind::Quota,
-            Kind::Busy,
-            Kind::Starting,
-            Kind::Unsure,
-            Kind::Failed,
-            Kind::Late,
-        ];
-        assert_eq!(all.len(), TABLE.len());
-        for kind in all {
-            assert_eq!(TABLE.iter().filter(|row| row.0 == kind).count(), 1, "{kind:?}");
-        }
-        for kind in [Kind::Repeated, Kind::Unsure, Kind::Failed, Kind::Late] {
-            assert!(!kind.is_promise(), "{kind:?} may have been done");
-        }
-    }
-}
+mod tests;
--- a/crates/node-runtime/src/log.rs
+++ b/crates/node-runtime/src/log.rs
@@ -1,8 +1,8 @@
-//! Logs: short sentences, each with the prefix of the part that says it, on standard error.
+//! Logs: short lines on standard error, each with the prefix of the module that writes it.
 //!
-//! Writing costs processor time, so what may come often is told at most so many times a second, and how many lines
-//! were left out is told with the next.
+//! Writing costs processor time, so lines that may come often go through a [`RateLimitedLog`].
 
+use quick_error::quick_error;
 use spdlog::formatter::{pattern, PatternFormatter};
 use spdlog::sink::{StdStream, StdStreamSink};
 use spdlog::{LevelFilter, Logger};
@@ -12,14 +12,31 @@
 
 pub use spdlog::{debug, error, info, warn};
 
-/// Lines told in one second by one [`Few`].
-const MOST: u32 = 5;
+/// Lines that one [`RateLimitedLog`] lets through in a second.
+const MAX_LINES_PER_SECOND: u32 = 5;
+
+quick_error! {
+    /// Why logging did not start.
+    #[derive(Debug)]
+    pub enum LogError {
+        /// There is no such level.
+        UnknownLevel(level: String) {
+            display("log level {:?}: allowed are error, warn, info, debug, off", level)
+        }
+        /// The log cannot be set up.
+        Setup(error: spdlog::Error) {
+            from()
+            source(error)
+            display("log: {}", error)
+        }
+    }
+}
 
 /// Begins to log from this level on: `error`, `warn`, `info`, `debug` or `off`.
 ///
 /// # Errors
 /// When the level is none of these, or the log cannot be set up.
-pub fn start(level: &str) -> Result<(), String> {
+pub fn start(level: &str) -> Result<(), LogError> {
     use spdlog::Level;
     let filter = match level {
         "off" => LevelFilter::Off,
@@ -27,43 +44,46 @@
         "warn" => LevelFilter::MoreSevereEqual(Level::Warn),
         "info" => LevelFilter::MoreSevereEqual(Level::Info),
         "debug" => LevelFilter::MoreSevereEqual(Level::Debug),
-        other => return Err(format!("log level {other:?}: allowed are error, warn, info, debug, off")),
+        other => return Err(LogError::UnknownLevel(other.to_owned())),
     };
     let formatter = PatternFormatter::new(pattern!("{time}.{millisecond} {level} {payload}{eol}"));
-    let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).formatter(Box::new(formatter)).build();
-    let sink = sink.map_err(|e| format!("log: {e}"))?;
-    let logger = Logger::builder().sink(Arc::new(sink)).level_filter(filter).build();
-    let logger = logger.map_err(|e| format!("log: {e}"))?;
+    let sink =
+        StdStreamSink::builder().std_stream(StdStream::Stderr).formatter(Box::new(formatter)).build()?;
+    let logger = Logger::builder().sink(Arc::new(sink)).level_filter(filter).build()?;
     spdlog::set_default_logger(Arc::new(logger));
     Ok(())
 }
 
 /// Lets a few lines a second through.
 #[derive(Debug)]
-pub struct Few {
-    since: Cell<Instant>,
-    told: Cell<u32>,
-    left_out: Cell<u32>,
+pub struct RateLimitedLog {
+    second_began: Cell<Instant>,
+    written: Cell<u32>,
+    suppressed: Cell<u32>,
 }
 
-impl Default for Few {
+impl Default for RateLimitedLog {
     fn default() -> Self {
-        Few { since: Cell::new(Instant::now()), told: Cell::new(0), left_out: Cell::new(0) }
+        RateLimitedLog {
+            second_began: Cell::new(Instant::now()),
+            written: Cell::new(0),
+            suppressed: Cell::new(0),
+        }
     }
 }
 
-impl Few {
-    /// Whether a line may be told now; with it how many were left out before it.
-    pub fn may(&self) -> Option<u32> {
-        if self.since.get().elapsed() >= Duration::from_secs(1) {
-            self.since.set(Instant::now());
-            self.told.set(0);
+impl RateLimitedLog {
+    /// Whether a line may be written now; `Some` is how many lines were suppressed since the last one.
+    pub fn allow(&self) -> Option<u32> {
+        if self.second_began.get().elapsed() >= Duration::from_secs(1) {
+            self.second_began.set(Instant::now());
+            self.written.set(0);
         }
-        if self.told.get() >= MOST {
-            self.left_out.set(self.left_out.get() + 1);
+        if self.written.get() >= MAX_LINES_PER_SECOND {
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
-        self.told.set(self.told.get() + 1);
-        Some(self.left_out.take())
+        self.written.set(self.written.get() + 1);
+        Some(self.suppressed.take())
     }
 }
--- a/crates/node-runtime/src/network.rs
+++ b/crates/node-runtime/src/network.rs
@@ -1,5 +1,4 @@
-//! Where a link's connections come from: the machine's own network, unless this thread's work is done within another
-//! one, as in a rehearsal in virtual time.
+//! Where connections come from: the machine's own network, unless this thread works within a simulated one.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -9,32 +8,32 @@
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// The side of a connection that is read.
+/// The reading half of a connection.
 pub type Reader = Box<dyn AsyncRead + Unpin>;
-/// The side that is written.
+/// The writing half of a connection.
 pub type Writer = Box<dyn AsyncWrite + Unpin>;
-/// A connection on its way.
+/// A connection that is being opened.
 pub type Connecting = Pin<Box<dyn Future<Output = io::Result<(Reader, Writer)>>>>;
 
-/// A network as one machine has it.
-pub trait Net {
+/// A network, as one machine sees it.
+pub trait Network {
     /// Connects to this address.
     fn connect(&self, to: SocketAddr) -> Connecting;
 }
 
 thread_local! {
-    static WITHIN: RefCell<Option<Rc<dyn Net>>> = const { RefCell::new(None) };
+    static CURRENT: RefCell<Option<Rc<dyn Network>>> = const { RefCell::new(None) };
 }
 
-/// Does this work within another network than the machine's own.
-pub fn within<T>(net: &Rc<dyn Net>, work: impl FnOnce() -> T) -> T {
-    let before = WITHIN.replace(Some(net.clone()));
+/// Runs `work` within this network instead of the machine's own.
+pub fn within<T>(network: &Rc<dyn Network>, work: impl FnOnce() -> T) -> T {
+    let before = CURRENT.replace(Some(network.clone()));
     let done = work();
-    WITHIN.set(before);
+    CURRENT.set(before);
     done
 }
 
-/// The network that this work is done within; `None` for the machine's own.
-pub(crate) fn here() -> Option<Rc<dyn Net>> {
-    WITHIN.with_borrow(Clone::clone)
+/// The network that this thread works within; `None` for the machine's own.
+pub(crate) fn current() -> Option<Rc<dyn Network>> {
+    CURRENT.with_borrow(Clone::clone)
 }
--- a/crates/node-runtime/tests/links.rs
+++ b/crates/node-runtime/tests/rpc.rs
@@ -2,7 +2,7 @@
 //! nobody, and what may have been taken is never sent again.
 
 use bytes::Bytes;
-use oatbank_node_runtime::rpc::{serve, Answering, Link, LinkError, LONGEST};
+use oatbank_node_runtime::rpc::{serve, ResponseFuture, RpcClient, RpcError, MAX_PAYLOAD};
 use std::cell::RefCell;
 use std::future::Future;
 use std::rc::Rc;
@@ -44,19 +44,19 @@
 
 struct Peer {
     listener: TcpListener,
-    link: Rc<Link>,
+    client: Rc<RpcClient>,
 }
 
 impl Peer {
     async fn new() -> Peer {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let link = Link::new(listener.local_addr().unwrap());
-        Peer { listener, link }
+        let client = RpcClient::new(listener.local_addr().unwrap());
+        Peer { listener, client }
     }
 
-    fn call(&self, kind: u8, body: &[u8], within: Duration) -> JoinHandle<Result<Bytes, LinkError>> {
-        let (link, body) = (self.link.clone(), body.to_vec());
-        spawn_local(async move { link.call(kind, body, within).await })
+    fn call(&self, kind: u8, body: &[u8], within: Duration) -> JoinHandle<Result<Bytes, RpcError>> {
+        let (client, body) = (self.client.clone(), body.to_vec());
+        spawn_local(async move { client.call(kind, body, within).await })
     }
 
     async fn connection(&self) -> TcpStream {
@@ -65,7 +65,7 @@
 }
 
 /// How a call has ended: sooner than by its own time.
-async fn end(call: JoinHandle<Result<Bytes, LinkError>>) -> Result<Bytes, LinkError> {
+async fn end(call: JoinHandle<Result<Bytes, RpcError>>) -> Result<Bytes, RpcError> {
     timeout(LONG / 2, call).await.expect("it waits on").unwrap()
 }
 
@@ -92,7 +92,7 @@
 
 type Spoil = fn(Vec<u8>) -> Vec<u8>;
 
-fn ok(body: &'static [u8]) -> Result<Bytes, LinkError> {
+fn ok(body: &'static [u8]) -> Result<Bytes, RpcError> {
     Ok(Bytes::from_static(body))
 }
 
@@ -123,7 +123,7 @@
         let given_up = peer.call(1, b"a", SHORT);
         let mut stream = peer.connection().await;
         let first = hear(&mut stream).await;
-        assert_eq!(given_up.await.unwrap(), Err(LinkError::Lost));
+        assert_eq!(given_up.await.unwrap(), Err(RpcError::Lost));
         let second = peer.call(1, b"b", LONG);
         let heard = hear(&mut stream).await;
         // The place of the call that was given up is used again; its id is not.
@@ -148,8 +148,8 @@
         let (first, second) = (hear(&mut stream).await, hear(&mut stream).await);
         say(&mut stream, &[Frame { kind: 2, ..first.with(b"no") }, second.with(b"too late")]).await;
         // What such a peer says besides is not trusted either.
-        assert_eq!(end(call).await, Err(LinkError::Lost));
-        assert_eq!(end(other).await, Err(LinkError::Lost));
+        assert_eq!(end(call).await, Err(RpcError::Lost));
+        assert_eq!(end(other).await, Err(RpcError::Lost));
         has_ended(&mut stream).await;
         let again = peer.call(1, b"c", LONG);
         let mut stream = peer.connection().await;
@@ -168,7 +168,7 @@
         let mut stream = peer.connection().await;
         let first = hear(&mut stream).await;
         drop(stream);
-        assert_eq!(end(lost).await, Err(LinkError::Lost));
+        assert_eq!(end(lost).await, Err(RpcError::Lost));
         let call = peer.call(1, b"b", LONG);
         let mut stream = peer.connection().await;
         let heard = hear(&mut stream).await;
@@ -183,14 +183,14 @@
     run(async {
         let peer = Peer::new().await;
         // More than a socket takes: part of it stays behind on this side when the connection ends.
-        let half = peer.call(1, &vec![1; LONGEST], LONG);
+        let half = peer.call(1, &vec![1; MAX_PAYLOAD], LONG);
         let mut stream = peer.connection().await;
         stream.read_exact(&mut [0; 100_000]).await.unwrap();
         // Waits behind it.
         let behind = peer.call(2, b"behind", LONG);
         tokio::task::yield_now().await;
         drop(stream);
-        assert_eq!(end(half).await, Err(LinkError::Lost));
+        assert_eq!(end(half).await, Err(RpcError::Lost));
         let mut stream = peer.connection().await;
         let heard = hear(&mut stream).await;
         assert_eq!(
@@ -207,22 +207,22 @@
 fn a_call_that_was_given_up_before_it_was_sent_is_never_sent() {
     run(async {
         let peer = Peer::new().await;
-        let half = peer.call(1, &vec![1; LONGEST], LONG);
+        let half = peer.call(1, &vec![1; MAX_PAYLOAD], LONG);
         let mut stream = peer.connection().await;
         stream.read_exact(&mut [0; 1000]).await.unwrap();
         let given_up = peer.call(2, b"given up", SHORT);
-        assert_eq!(given_up.await.unwrap(), Err(LinkError::Unreachable), "nothing of it was sent");
+        assert_eq!(given_up.await.unwrap(), Err(RpcError::Unreachable), "nothing of it was sent");
         let dropped = peer.call(3, b"dropped", LONG);
         tokio::task::yield_now().await;
         dropped.abort();
         assert!(dropped.await.is_err());
         let kept = peer.call(4, b"kept", LONG);
-        let mut rest = vec![0; HEAD + LONGEST - 1000];
+        let mut rest = vec![0; HEAD + MAX_PAYLOAD - 1000];
         stream.read_exact(&mut rest).await.unwrap();
         assert_eq!(hear(&mut stream).await.kind, 4);
         drop(stream);
-        assert_eq!(end(half).await, Err(LinkError::Lost));
-        assert_eq!(end(kept).await, Err(LinkError::Lost));
+        assert_eq!(end(half).await, Err(RpcError::Lost));
+        assert_eq!(end(kept).await, Err(RpcError::Lost));
     });
 }
 
@@ -246,7 +246,7 @@
             if cut {
                 stream.shutdown().await.unwrap();
             }
-            assert_eq!(end(call).await, Err(LinkError::Lost));
+            assert_eq!(end(call).await, Err(RpcError::Lost));
             has_ended(&mut stream).await;
         }
     });
@@ -260,7 +260,7 @@
         let handled = Rc::new(RefCell::new(Vec::new()));
         let (released, release) = oneshot::channel::<()>();
         let (taken, release) = (handled.clone(), Rc::new(RefCell::new(Some(release))));
-        let handler = Rc::new(move |kind, body: Bytes| -> Answering {
+        let handler = Rc::new(move |kind, body: Bytes| -> ResponseFuture {
             taken.borrow_mut().push(body.to_vec());
             let release = if kind == 9 { release.take() } else { None };
             Box::pin(async move {
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,9 +1,9 @@
 //! Which servers are ill, by what all proxies have seen together. Pure: what has happened goes in with its
 //! time.
 //!
-//! An [`eye::Eye`] is one proxy's own evidence: how attempts at a server ended, as the logarithm of how much
+//! An [`observer::Observer`] is one proxy's own evidence: how attempts at a server ended, as the logarithm of how much
 //! likelier that is of an ill server than of a well one. Such numbers of several proxies add up, so a
-//! [`Notice`] carries nothing else, and a [`judge::Judge`] adds those that it knows. All proxies run the same
+//! [`Evidence`] carries nothing else, and a [`detector::Detector`] adds those that it knows. All proxies run the same
 //! judge, over rows that merge.
 
 pub mod detector;
@@ -14,47 +14,47 @@
 
 /// Evidence fades by these, ms. The quick one sees a server that was well until now, the long one a server
 /// that is met rarely.
-pub const FADES: [Millis; 2] = [2000.0, 8000.0];
+pub const DECAY: [Millis; 2] = [2000.0, 8000.0];
 /// What is told at all: two failures next to each other. One is an accident, and to tell each costs more bytes between
 /// regions than it earns.
-pub const TELL: f64 = 4.0;
+pub const REPORT_THRESHOLD: f64 = 4.0;
 /// From here on a server is doubtful: three failures next to each other. A server that is well gets here by
 /// less than one attempt in e^7, 1,100, by Wald's bound.
-pub const DOUBT: f64 = 7.0;
+pub const SUSPECT_THRESHOLD: f64 = 7.0;
 /// From here on it is shunned: less than one in 160,000.
-pub const SHUN: f64 = 12.0;
+pub const EJECT_THRESHOLD: f64 = 12.0;
 /// One that returns and gets here is shunned again.
-pub const RELAPSE: f64 = 5.0;
+pub const RELAPSE_THRESHOLD: f64 = 5.0;
 /// Below this there is nothing against it.
-pub const CALM: f64 = 3.0;
+pub const CLEAR_THRESHOLD: f64 = 3.0;
 /// A notice older than this, ms, says nothing: its evidence is a hundredth.
-pub const STALE: Millis = 40_000.0;
+pub const EVIDENCE_LIFETIME: Millis = 40_000.0;
 /// So many servers one proxy tells of at most, the worst first.
-pub const MOST: usize = 16;
+pub const MAX_REPORTED: usize = 16;
 
 /// How an attempt ended, as far as it says something of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum EndKind {
     /// Served.
-    Well,
+    Success,
     /// Answered with an error, not at all in time, or with something broken.
-    Ill,
+    Failure,
     /// No connection: the server, or the way there.
-    Unreached,
+    NotConnected,
     /// Called off: says something only if it took too long.
-    CalledOff,
+    Cancelled,
     /// Turned away as full, or never sent: busy is not ill.
-    Nothing,
+    Ignored,
 }
 
-/// Evidence that adds up: natural logarithms of likelihood ratios, by [`FADES`].
+/// Evidence that adds up: natural logarithms of likelihood ratios, by [`DECAY`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Weight(pub [f64; 2]);
 
 impl Weight {
     /// As it is after so long.
-    pub fn faded(self, span: Millis) -> Weight {
-        let keep = |at: usize| self.0[at] * (-span.max(0.0) / FADES[at]).exp();
+    pub fn decayed(self, span: Millis) -> Weight {
+        let keep = |at: usize| self.0[at] * (-span.max(0.0) / DECAY[at]).exp();
         Weight([keep(0), keep(1)])
     }
 
@@ -72,14 +72,14 @@
         self.0 = self.0.map(|w| (w + more).clamp(-30.0, 30.0));
     }
 
-    fn far_from(self, other: Weight) -> bool {
+    fn differs_from(self, other: Weight) -> bool {
         (0..2).any(|at| (self.0[at] - other.0[at]).abs() >= observer::MATERIAL)
     }
 }
 
 /// What one proxy says of one server.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Notice {
+pub struct Evidence {
     /// The server's id: a life of its own.
     pub server: String,
     /// Who says so.
--- a/crates/outlier-detection/src/observer.rs
+++ b/crates/outlier-detection/src/observer.rs
@@ -1,45 +1,48 @@
 //! What one proxy sees of servers, and what of it the others should know.
 
-use crate::{End, Millis, Notice, Weight, CALM, DOUBT, FADES, MOST, TELL};
+use crate::{
+    EndKind, Evidence, Millis, Weight, CLEAR_THRESHOLD, DECAY, MAX_REPORTED, REPORT_THRESHOLD,
+    SUSPECT_THRESHOLD,
+};
 use std::collections::BTreeMap;
 
 /// Of a well server at most this share of attempts fails, of one that has to be left at least that share, and
 /// so many times the share that fails at the other servers of the service: what fails everywhere is load, or
 /// the way there.
-const FAILS_WELL: f64 = 0.02;
-const FAILS_ILL: f64 = 0.4;
-const FAILS_TIMES: f64 = 2.5;
+const HEALTHY_FAILURE_RATE: f64 = 0.02;
+const UNHEALTHY_FAILURE_RATE: f64 = 0.4;
+const UNHEALTHY_FAILURE_FACTOR: f64 = 2.5;
 /// The others' share counts up to this, from attempts of the last so many ms, and as if so many more had been
 /// served.
-const OTHERS_MOST: f64 = 0.34;
-const OTHERS_FADE: Millis = 5000.0;
-const OTHERS_PRIOR: f64 = 4.0;
+const MAX_OTHERS_RATE: f64 = 0.34;
+const OTHERS_DECAY: Millis = 5000.0;
+const OTHERS_PRIOR_ATTEMPTS: f64 = 4.0;
 /// So many failures of others are accidents.
 const OTHERS_ACCIDENTS: f64 = 1.5;
 /// An answer is slow beyond so many medians of its class over all servers of the service, and so many ms.
-const SLOW_TIMES: f64 = 3.5;
-const SLOW_LEAST: Millis = 40.0;
+const SLOW_FACTOR: f64 = 3.5;
+const MIN_SLOW_EXCESS: Millis = 40.0;
 /// A server that has always been slower than others is measured by itself, up to this.
-const OWN_MOST: f64 = 2.0;
+const MAX_OWN_PACE: f64 = 2.0;
 /// A slow server gives so much larger a share of slow answers than is usual for the class.
-const SLOW_MORE: f64 = 0.6;
+const SLOW_SHARE_EXCESS: f64 = 0.6;
 /// Steps by which the median, the usual share of slow answers and a server's own pace follow.
 const MEDIAN_STEP: f64 = 0.05;
 const SHARE_STEP: f64 = 0.02;
 const PACE_STEP: f64 = 0.05;
 /// What is told is told anew once it is so far off, and one server not more often than this, ms.
 pub const MATERIAL: f64 = 2.0;
-const AGAIN: Millis = 700.0;
+const REPORT_INTERVAL: Millis = 700.0;
 /// Who knows so much good of a server that others complain of says so.
-const SPEAKS_FOR: f64 = -1.5;
+const FAVOURABLE_EVIDENCE: f64 = -1.5;
 /// A server that was not met for this long, ms, is forgotten.
 const FORGET: Millis = 60_000.0;
 /// A server was met of late within this, ms.
-const OF_LATE: Millis = 4000.0;
+const RECENTLY: Millis = 4000.0;
 
 /// The usual of one class of requests at one service.
 #[derive(Clone, Copy, Debug)]
-struct Usual {
+struct Baseline {
     /// Logarithm of the median answer time.
     median: f64,
     /// Share of answers that are slow.
@@ -49,30 +52,30 @@
 /// Attempts and failures among them, fading.
 #[derive(Clone, Copy, Debug, Default)]
 struct Share {
-    tries: f64,
+    attempts: f64,
     bad: f64,
     at: Millis,
 }
 
 impl Share {
     fn add(&mut self, now: Millis, bad: bool) {
-        let keep = (-(now - self.at).max(0.0) / OTHERS_FADE).exp();
+        let keep = (-(now - self.at).max(0.0) / OTHERS_DECAY).exp();
         let bad = f64::from(u8::from(bad));
-        *self = Share { tries: self.tries * keep + 1.0, bad: self.bad * keep + bad, at: now };
+        *self = Share { attempts: self.attempts * keep + 1.0, bad: self.bad * keep + bad, at: now };
     }
 
     /// What of this is not of `one`, as a share.
     fn without(&self, now: Millis, one: &Share) -> f64 {
-        let keep = |s: &Share| (-(now - s.at).max(0.0) / OTHERS_FADE).exp();
+        let keep = |s: &Share| (-(now - s.at).max(0.0) / OTHERS_DECAY).exp();
         let bad = (self.bad * keep(self) - one.bad * keep(one) - OTHERS_ACCIDENTS).max(0.0);
-        let tries = (self.tries * keep(self) - one.tries * keep(one)).max(0.0);
-        bad / (tries + OTHERS_PRIOR)
+        let attempts = (self.attempts * keep(self) - one.attempts * keep(one)).max(0.0);
+        bad / (attempts + OTHERS_PRIOR_ATTEMPTS)
     }
 }
 
 /// One server, as seen from here.
 #[derive(Clone, Debug, Default)]
-struct Own {
+struct ServerRecord {
     service: String,
     share: Share,
     failing: Weight,
@@ -80,56 +83,56 @@
     unreached: f64,
     /// What the weights are as of.
     at: Millis,
-    met: Millis,
+    last_seen: Millis,
     /// Logarithm of how much slower than others it is when it is well.
     pace: f64,
     /// It is not well since then, as the judge says.
-    ill_since: Option<Millis>,
+    unhealthy_since: Option<Millis>,
     goods: u32,
-    told: Option<Notice>,
+    reported: Option<Evidence>,
 }
 
-impl Own {
+impl ServerRecord {
     fn bring_to(&mut self, now: Millis) {
         let span = now - self.at;
-        (self.failing, self.slow) = (self.failing.faded(span), self.slow.faded(span));
-        self.unreached *= (-span.max(0.0) / FADES[1]).exp();
+        (self.failing, self.slow) = (self.failing.decayed(span), self.slow.decayed(span));
+        self.unreached *= (-span.max(0.0) / DECAY[1]).exp();
         self.at = now;
     }
 
     /// How much speaks against it, from here.
-    fn against(&self) -> f64 {
-        let unreached = if self.unreached > 0.9 { TELL } else { 0.0 };
+    fn evidence_against(&self) -> f64 {
+        let unreached = if self.unreached > 0.9 { REPORT_THRESHOLD } else { 0.0 };
         self.failing.most().max(self.slow.most()).max(unreached)
     }
 
-    fn for_it(&self) -> f64 {
+    fn evidence_for(&self) -> f64 {
         self.failing.least().min(self.slow.least())
     }
 
     /// Whether what was told of it is too far off.
-    fn moved(&self, now: Millis) -> bool {
-        let Some(told) = &self.told else { return true };
-        let span = now - told.at;
-        self.failing.far_from(told.failing.faded(span))
-            || self.slow.far_from(told.slow.faded(span))
-            || self.unreached > told.unreached + 0.9
-            || self.goods != told.goods
+    fn has_moved(&self, now: Millis) -> bool {
+        let Some(reported) = &self.reported else { return true };
+        let span = now - reported.at;
+        self.failing.differs_from(reported.failing.decayed(span))
+            || self.slow.differs_from(reported.slow.decayed(span))
+            || self.unreached > reported.unreached + 0.9
+            || self.goods != reported.goods
     }
 }
 
 /// One proxy's own evidence.
 #[derive(Clone, Debug, Default)]
-pub struct Eye {
-    usual: BTreeMap<(String, String), Usual>,
-    own: BTreeMap<String, Own>,
+pub struct Observer {
+    baseline: BTreeMap<(String, String), Baseline>,
+    records: BTreeMap<String, ServerRecord>,
     /// By service.
     shares: BTreeMap<String, Share>,
 }
 
 /// What is seen of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen<'a> {
+pub struct AttemptResult<'a> {
     /// Its service.
     pub service: &'a str,
     /// Its class.
@@ -137,202 +140,156 @@
     /// Its server.
     pub server: &'a str,
     /// How it ended.
-    pub end: End,
+    pub end: EndKind,
     /// How long it took.
     pub took: Millis,
     /// The server was warm.
     pub warm: bool,
 }
 
-impl Eye {
+impl Observer {
     /// Takes in the end of an attempt.
-    pub fn saw(&mut self, now: Millis, seen: &Seen<'_>) {
+    pub fn record(&mut self, now: Millis, seen: &AttemptResult<'_>) {
         // One that is cold is slow for that, and may fall over for that; who is full has work.
-        if !seen.warm || seen.end == End::Nothing {
+        if !seen.warm || seen.end == EndKind::Ignored {
             return;
         }
-        if !self.own.contains_key(seen.server) {
-            let own = Own { service: seen.service.to_owned(), at: now, ..Own::default() };
-            self.own.insert(seen.server.to_owned(), own);
+        if !self.records.contains_key(seen.server) {
+            let records =
+                ServerRecord { service: seen.service.to_owned(), at: now, ..ServerRecord::default() };
+            self.records.insert(seen.server.to_owned(), records);
         }
-        let Some(own) = self.own.get_mut(seen.server) else { return };
-        own.bring_to(now);
-        own.met = now;
-        let ends_well = seen.end == End::Well;
+        let Some(records) = self.records.get_mut(seen.server) else { return };
+        records.bring_to(now);
+        records.last_seen = now;
+        let ends_well = seen.end == EndKind::Success;
         let of_all = self.shares.entry(seen.service.to_owned()).or_default();
-        let others = of_all.without(now, &own.share).min(OTHERS_MOST);
-        if ends_well || seen.end == End::Ill {
-            own.share.add(now, !ends_well);
+        let others = of_all.without(now, &records.share).min(MAX_OTHERS_RATE);
+        if ends_well || seen.end == EndKind::Failure {
+            records.share.add(now, !ends_well);
             of_all.add(now, !ends_well);
         }
-        let usual = FAILS_WELL.max(others);
-        let ill = FAILS_ILL.max(FAILS_TIMES * usual);
+        let baseline = HEALTHY_FAILURE_RATE.max(others);
+        let unhealthy = UNHEALTHY_FAILURE_RATE.max(UNHEALTHY_FAILURE_FACTOR * baseline);
         match seen.end {
-            End::Unreached => (own.unreached, own.goods) = (own.unreached + 1.0, 0),
-            End::Ill => {
-                own.failing.add((ill / usual).ln());
-                own.goods = 0;
+            EndKind::NotConnected => (records.unreached, records.goods) = (records.unreached + 1.0, 0),
+            EndKind::Failure => {
+                records.failing.add((unhealthy / baseline).ln());
+                records.goods = 0;
             }
-            End::Well => {
-                own.failing.add(((1.0 - ill) / (1.0 - usual)).ln());
-                own.unreached = 0.0;
+            EndKind::Success => {
+                records.failing.add(((1.0 - unhealthy) / (1.0 - baseline)).ln());
+                records.unreached = 0.0;
             }
-            End::CalledOff | End::Nothing => {}
+            EndKind::Cancelled | EndKind::Ignored => {}
         }
-        if !matches!(seen.end, End::Well | End::CalledOff) {
+        if !matches!(seen.end, EndKind::Success | EndKind::Cancelled) {
             return;
         }
         let took = seen.took.max(1.0).ln();
         let key = (seen.service.to_owned(), seen.class.to_owned());
-        let usual = self.usual.entry(key).or_insert(Usual { median: took, slow: 0.08 });
-        let pace = own.pace.clamp(0.0, OWN_MOST.ln());
-        let line = (usual.median + pace).exp();
-        let slow = seen.took > SLOW_TIMES * line && seen.took > line + SLOW_LEAST;
-        if !slow && seen.end == End::CalledOff {
+        let baseline = self.baseline.entry(key).or_insert(Baseline { median: took, slow: 0.08 });
+        let pace = records.pace.clamp(0.0, MAX_OWN_PACE.ln());
+        let line = (baseline.median + pace).exp();
+        let slow = seen.took > SLOW_FACTOR * line && seen.took > line + MIN_SLOW_EXCESS;
+        if !slow && seen.end == EndKind::Cancelled {
             return;
         }
         // What is usual is learnt from servers that nothing speaks against, as far as there are such: under
         // load all are slow, and that is usual then.
-        let suspect = own.slow.most() >= CALM;
-        let before = usual.slow.clamp(0.03, 0.3);
-        usual.median += MEDIAN_STEP * (took - usual.median).signum();
+        let suspect = records.slow.most() >= CLEAR_THRESHOLD;
+        let before = baseline.slow.clamp(0.03, 0.3);
+        baseline.median += MEDIAN_STEP * (took - baseline.median).signum();
         if !suspect {
-            usual.slow += SHARE_STEP * (f64::from(u8::from(slow)) - usual.slow);
-            own.pace += if slow { 0.0 } else { PACE_STEP * (took - usual.median - own.pace) };
+            baseline.slow += SHARE_STEP * (f64::from(u8::from(slow)) - baseline.slow);
+            records.pace += if slow { 0.0 } else { PACE_STEP * (took - baseline.median - records.pace) };
         }
-        let ill = before + SLOW_MORE;
-        own.slow.add(if slow { (ill / before).ln() } else { ((1.0 - ill) / (1.0 - before)).ln() });
+        let unhealthy = before + SLOW_SHARE_EXCESS;
+        records.slow.add(if slow {
+            (unhealthy / before).ln()
+        } else {
+            ((1.0 - unhealthy) / (1.0 - before)).ln()
+        });
         if slow {
-            own.goods = 0;
-        } else if own.ill_since.is_some_and(|since| now - seen.took > since) {
-            own.goods = (own.goods + 1).min(20);
+            records.goods = 0;
+        } else if records.unhealthy_since.is_some_and(|since| now - seen.took > since) {
+            records.goods = (records.goods + 1).min(20);
         }
     }
 
     /// What the judge says now: these are not well, since then.
-    pub fn judged(&mut self, ill: &BTreeMap<String, Millis>) {
-        for (id, own) in &mut self.own {
-            let since = ill.get(id).copied();
-            if since.is_none() || own.ill_since.is_none() {
-                own.goods = 0;
+    pub fn set_unhealthy(&mut self, unhealthy: &BTreeMap<String, Millis>) {
+        for (id, records) in &mut self.records {
+            let since = unhealthy.get(id).copied();
+            if since.is_none() || records.unhealthy_since.is_none() {
+                records.goods = 0;
             }
-            own.ill_since = since;
+            records.unhealthy_since = since;
         }
     }
 
     /// What is to be told now, worst first. `contested`: somebody else complains of that server.
-    pub fn tell(&mut self, now: Millis, contested: impl Fn(&str) -> bool) -> Vec<Notice> {
-        self.own.retain(|_, own| now - own.met < FORGET);
-        let mut met: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for own in self.own.values_mut() {
-            own.bring_to(now);
+    pub fn reports(&mut self, now: Millis, contested: impl Fn(&str) -> bool) -> Vec<Evidence> {
+        self.records.retain(|_, records| now - records.last_seen < FORGET);
+        let mut last_seen: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
+        for records in self.records.values_mut() {
+            records.bring_to(now);
         }
-        for own in self.own.values().filter(|own| now - own.met < OF_LATE) {
-            let of = met.entry(&own.service).or_default();
+        for records in self.records.values().filter(|records| now - records.last_seen < RECENTLY) {
+            let of = last_seen.entry(&records.service).or_default();
             of.0 += 1;
-            of.1 += usize::from(own.against() >= TELL);
+            of.1 += usize::from(records.evidence_against() >= REPORT_THRESHOLD);
         }
         // Most of a service is no server's illness: it is load, or the way there.
-        let loaded = |service: &str| met.get(service).is_some_and(|(all, bad)| *bad > 2 && 2 * bad > *all);
-        let told = |own: &Own| own.told.as_ref().is_some_and(|t| now - t.at < 2.0 * FADES[1]);
+        let loaded =
+            |service: &str| last_seen.get(service).is_some_and(|(all, bad)| *bad > 2 && 2 * bad > *all);
+        let reported =
+            |records: &ServerRecord| records.reported.as_ref().is_some_and(|t| now - t.at < 2.0 * DECAY[1]);
         let mut want: Vec<(f64, String)> = Vec::new();
         let mut standing = 0;
-        for (id, own) in &self.own {
-            let said = told(own);
+        for (id, records) in &self.records {
+            let said = reported(records);
             standing += usize::from(said);
-            let complains = own.against() >= TELL && !loaded(&own.service);
-            let speaks_for =
-                (contested(id) || own.ill_since.is_some()) && (own.for_it() <= SPEAKS_FOR || own.goods > 0);
-            let takes_back = said && own.against() < TELL && own.ill_since.is_some();
+            let complains = records.evidence_against() >= REPORT_THRESHOLD && !loaded(&records.service);
+            let speaks_for = (contested(id) || records.unhealthy_since.is_some())
+                && (records.evidence_for() <= FAVOURABLE_EVIDENCE || records.goods > 0);
+            let takes_back =
+                said && records.evidence_against() < REPORT_THRESHOLD && records.unhealthy_since.is_some();
             // What has become grave is told at once.
-            let grave = |t: &Notice| own.against() >= DOUBT && t.failing.most().max(t.slow.most()) < DOUBT;
-            let rested = own.told.as_ref().is_none_or(|t| now - t.at >= AGAIN || grave(t));
-            if (complains || speaks_for || takes_back) && own.moved(now) && rested {
-                want.push((own.against(), id.clone()));
+            let grave = |t: &Evidence| {
+                records.evidence_against() >= SUSPECT_THRESHOLD
+                    && t.failing.most().max(t.slow.most()) < SUSPECT_THRESHOLD
+            };
+            let rested = records.reported.as_ref().is_none_or(|t| now - t.at >= REPORT_INTERVAL || grave(t));
+            if (complains || speaks_for || takes_back) && records.has_moved(now) && rested {
+                want.push((records.evidence_against(), id.clone()));
             }
         }
         want.sort_by(|a, b| b.0.total_cmp(&a.0));
         let mut notices = Vec::new();
         for (_, id) in want {
-            let Some(own) = self.own.get_mut(&id) else { continue };
-            if !told(own) {
-                if standing >= MOST {
+            let Some(records) = self.records.get_mut(&id) else { continue };
+            if !reported(records) {
+                if standing >= MAX_REPORTED {
                     continue;
                 }
                 standing += 1;
             }
-            let notice = Notice {
+            let evidence = Evidence {
                 server: id,
                 observer: String::new(),
-                failing: own.failing,
-                slow: own.slow,
-                unreached: own.unreached,
-                goods: own.goods,
+                failing: records.failing,
+                slow: records.slow,
+                unreached: records.unreached,
+                goods: records.goods,
                 at: now,
             };
-            own.told = Some(notice.clone());
-            notices.push(notice);
+            records.reported = Some(evidence.clone());
+            notices.push(evidence);
         }
         notices
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn see(eye: &mut Eye, now: Millis, server: &str, end: End, took: Millis) {
-        let (service, class) = ("s", "c");
-        eye.saw(now, &Seen { service, class, server, end, took, warm: true });
-    }
-
-    fn well(eye: &mut Eye, until: Millis) {
-        for n in 0..200 {
-            see(eye, until - 20_000.0 + f64::from(n) * 100.0, &format!("i-{}", n % 8), End::Well, 100.0);
-        }
-    }
-
-    #[test]
-    fn one_failure_of_a_server_known_well_is_kept_and_two_are_told_at_once() {
-        let mut eye = Eye::default();
-        well(&mut eye, 20_000.0);
-        see(&mut eye, 20_001.0, "i-1", End::Ill, 2.0);
-        assert_eq!(eye.tell(20_001.0, |_| false), []);
-        see(&mut eye, 20_300.0, "i-1", End::Ill, 2.0);
-        let told = eye.tell(20_300.0, |_| false);
-        assert_eq!(told.iter().map(|n| n.server.as_str()).collect::<Vec<_>>(), ["i-1"]);
-        assert_eq!(eye.tell(20_350.0, |_| false), [], "it was told");
-        assert_eq!(eye.tell(20_350.0, |id| id == "i-2").len(), 1, "who knows better of another says so");
-    }
-
-    #[test]
-    fn load_cold_and_full_servers_are_no_evidence() {
-        let mut eye = Eye::default();
-        well(&mut eye, 20_000.0);
-        for n in 0..400 {
-            let (now, server) = (20_000.0 + f64::from(n) * 50.0, format!("i-{}", n % 8));
-            // All take four times as long, from one moment to the next.
-            see(&mut eye, now, &server, End::Well, 400.0);
-            assert_eq!(eye.tell(now, |_| false), [], "at {n}");
-            see(&mut eye, now, &server, End::Nothing, 1.0);
-            let (service, class) = ("s", "c");
-            eye.saw(now, &Seen { service, class, server: "new", end: End::Ill, took: 3000.0, warm: false });
-        }
-    }
-
-    #[test]
-    fn a_server_slower_than_it_was_and_than_others_is_told_and_one_that_always_was_is_not() {
-        let mut eye = Eye::default();
-        let mut first = None;
-        for n in 0..600u32 {
-            let (now, server) = (f64::from(n) * 50.0, n % 8);
-            let took = [200.0, if n > 400 { 400.0 } else { 100.0 }, 100.0][server.min(2) as usize];
-            see(&mut eye, now, &format!("i-{server}"), End::Well, took);
-            for notice in eye.tell(now, |_| false) {
-                assert_eq!(notice.server, "i-1");
-                first = first.or(Some(n));
-            }
-        }
-        assert!(first.is_some_and(|n| n < 400 + 4 * 8), "{first:?}");
-    }
-}
+mod tests;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,135 +1,192 @@
-//! The proxy's program.
+//! The program `oatbank-proxy`: takes the requests of clients to the servers.
 
-use oatbank_cluster_state::admin_query::{add_outcome, Commands, Desk};
+use bytes::Bytes;
+use oatbank_cluster_state::admin_query::Commands;
+use oatbank_cluster_state::clock::MonotonicClock;
+use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_cluster_state::messages::call;
-use oatbank_cluster_state::replication::{Knowledge, Steady};
+use oatbank_cluster_state::outcome_service::{add_outcome_command, OutcomeService};
 use oatbank_cluster_state::state::member_state;
 use oatbank_engine::front::{Front, FrontLimits};
 use oatbank_node_runtime::log;
-use oatbank_node_runtime::process::{self, listen, Program, Signals, Told, Word};
-use oatbank_node_runtime::rpc;
-use oatbank_node_runtime::settings::place::PROXY;
-use oatbank_proxy::quota_counter::Counter;
+use oatbank_node_runtime::process::{
+    self, listen, ProcessError, Program, ReloadableSettings, SignalEvent, Signals,
+};
+use oatbank_node_runtime::random::random_u64;
+use oatbank_node_runtime::rpc::{self, Handler};
+use oatbank_node_runtime::settings::port_offset::PROXY;
+use oatbank_node_runtime::settings::Settings;
+use oatbank_proxy::front_desk::FrontDesk;
+use oatbank_proxy::quota_counter::QuotaCounter;
 use oatbank_proxy::readiness;
-use oatbank_proxy::request_handler::{budget, House, HouseDesk};
-use oatbank_proxy::session::{Links, Session};
+use oatbank_proxy::request_handler::{budget, RequestHandler};
+use oatbank_proxy::session::{PeerClients, Session};
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// How often it is looked at whether clients may be served, and what changes by time alone.
-const LOOK: Duration = Duration::from_millis(50);
-const REFRESH: Duration = Duration::from_millis(500);
-/// After SIGTERM clients that still hold an old answer of the directory are taken for this share of the time there is.
-const TAKING: f64 = 0.5;
-/// What is left of that time for the last bytes.
-const LAST: Duration = Duration::from_millis(500);
+/// Interval of checks whether clients may be served, and of observations of servers.
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which what changes by time alone is taken in.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+/// After SIGTERM, new clients are taken for this share of the grace period: they may hold an old answer of the directory.
+const ACCEPT_SHARE: f64 = 0.5;
+/// What is left of the grace period for the last bytes.
+const LAST_BYTES: Duration = Duration::from_millis(500);
+/// Interval of checks during a shutdown.
+const SHUTDOWN_POLL: Duration = Duration::from_millis(20);
+/// A request's head must be complete within this, ms.
+const HEAD_TIMEOUT_MS: f64 = 3500.0;
+/// An idle client connection is closed after this, ms.
+const CLIENT_IDLE_MS: f64 = 15_000.0;
 
 fn main() -> ExitCode {
     let about = "the proxy: takes clients' requests to the servers";
     process::main(&Program { name: "oatbank-proxy", about }, serve)
 }
 
-async fn serve(told: Rc<Told>, mut signals: Signals) -> Result<(), String> {
-    let node = told.settings();
-    let missing = |key: &str| format!("listenOn.{key}: is missing; allowed: an address with a port");
-    let front_at = node.listen_on("front").ok_or_else(|| missing("front"))?;
-    let known = Knowledge::new(Steady::start(), node.beat_every);
-    let links = Rc::new(Links::default());
-    let seed = oatbank_node_runtime::random::chance();
-    let counter = Counter::new(known.clone(), links.clone(), node.node.clone(), seed);
-    let house = House::new(known.clone(), told.clone(), counter.clone());
+/// The parts of the running program.
+struct Proxy {
+    view: Rc<ClusterView>,
+    handler: Rc<RequestHandler>,
+    counter: Rc<QuotaCounter>,
+    session: Rc<Session>,
+    front: Rc<Front<FrontDesk>>,
+}
 
-    // Other processes of the system.
-    let desk = Desk::new(known.clone(), node.node.clone(), Some(house.outcomes()));
-    let mut commands = Commands::of(&known, "oatbank-proxy", &node.node);
-    add_outcome(&mut commands, &desk);
-    let guarding = house.clone();
-    commands.add("guard", "guard", 0, move |_| guarding.guard());
-    let judging = house.clone();
-    commands.add("verdicts", "verdicts", 0, move |_| judging.verdicts());
-    let named = house.clone();
-    oatbank_service_catalog::commands::add(&mut commands, Rc::new(move |show| named.show_names(show)));
-    let commands = Rc::new(commands);
-    let (telling, counting) = (known.clone(), counter.clone());
-    let handler: Rc<dyn Fn(u8, bytes::Bytes) -> rpc::Answering> = Rc::new(move |kind, body| {
-        let (known, counter) = (telling.clone(), counting.clone());
-        let (commands, desk) = (commands.clone(), desk.clone());
-        Box::pin(async move {
-            match kind {
-                call::FOLLOW => known.answer_bytes(body).await,
-                call::COUNT => counter.answer(body),
-                call::QUERY => commands.answer_bytes(body).await,
-                call::OUTCOME => desk.answer_bytes(body),
-                _ => Vec::new(),
-            }
-        })
-    });
-    tokio::task::spawn_local(rpc::serve(listen(node.inner_address(PROXY))?, handler));
-    let session = Session::new(known.clone(), told.clone(), links);
-    tokio::task::spawn_local(session.clone().hold());
-    session.follow_few();
-    tokio::task::spawn_local(counter.run());
+async fn serve(settings: Rc<ReloadableSettings>, mut signals: Signals) -> Result<(), ProcessError> {
+    let node = settings.settings();
+    let front_address = node
+        .listen_address("front")
+        .ok_or(ProcessError::MissingSetting("listenOn.front", "an address with a port"))?;
+    let proxy = Proxy::new(&settings, &node);
+    tokio::task::spawn_local(rpc::serve(listen(node.rpc_address(PROXY))?, proxy.rpc_handler(&node)));
+    proxy.start_background_tasks();
+    let accepting = tokio::task::spawn_local(proxy.front.clone().accept(Rc::new(listen(front_address)?)));
+    if let Some(address) = node.listen_address("ready") {
+        tokio::task::spawn_local(readiness::serve(listen(address)?, proxy.readiness()));
+    }
+    log::info!("proxy: {} listens at {}", node.node_name, front_address);
 
-    // What changes is taken in at once; what changes by time alone, a little later.
-    let refreshing = house.clone();
-    known.on_change(Rc::new(move || refreshing.refresh()));
-    let refreshing = house.clone();
-    tokio::task::spawn_local(async move {
-        loop {
-            tokio::time::sleep(REFRESH).await;
-            refreshing.refresh();
+    while signals.next().await != SignalEvent::Shutdown {
+        if settings.reload() {
+            proxy.handler.refresh();
+            log::info!("settings: reloaded");
         }
-    });
+    }
+    proxy.shut_down(&settings.settings(), &accepting.abort_handle()).await;
+    Ok(())
+}
 
-    // Clients.
-    let limits = FrontLimits { whole_within: 3500.0, keep_idle: 15_000.0, ..FrontLimits::default() };
-    let front = Front::new(HouseDesk(house.clone()), budget(&node), limits);
-    let listener = Rc::new(listen(front_at)?);
-    let accepting = tokio::task::spawn_local(front.clone().accept(listener));
-    tokio::task::spawn_local(front.clone().look_round());
-    if let Some(at) = node.listen_on("ready") {
-        let (house, session) = (house.clone(), session.clone());
-        let says = Rc::new(move || house.is_ready() && !session.is_leaving());
-        tokio::task::spawn_local(readiness::serve(listen(at)?, says));
+impl Proxy {
+    fn new(settings: &Rc<ReloadableSettings>, node: &Settings) -> Proxy {
+        let view = ClusterView::new(MonotonicClock::start(), node.heartbeat_interval);
+        let peers = Rc::new(PeerClients::default());
+        let counter = QuotaCounter::new(view.clone(), peers.clone(), node.node_name.clone(), random_u64());
+        let handler = RequestHandler::new(view.clone(), settings.clone(), counter.clone());
+        let session = Session::new(view.clone(), settings.clone(), peers);
+        let limits = FrontLimits {
+            whole_within: HEAD_TIMEOUT_MS,
+            keep_idle: CLIENT_IDLE_MS,
+            ..FrontLimits::default()
+        };
+        let front = Front::new(FrontDesk(handler.clone()), budget(node), limits);
+        Proxy { view, handler, counter, session, front }
     }
-    let (looking, telling) = (house.clone(), session.clone());
-    tokio::task::spawn_local(async move {
-        loop {
-            let state = if looking.is_ready() { member_state::READY } else { member_state::STARTING };
-            telling.turn(state);
-            telling.notice(looking.watch(telling.life()));
-            tokio::time::sleep(LOOK).await;
-        }
-    });
-    log::info!("proxy: {} listens at {}", node.node, front_at);
 
-    loop {
-        match signals.next().await {
-            Word::End => break,
-            Word::Settings => {
-                if told.reread() {
-                    house.refresh();
-                    log::info!("settings: taken again");
+    /// Answers other processes of the system.
+    fn rpc_handler(&self, node: &Settings) -> Handler {
+        let outcomes =
+            OutcomeService::new(self.view.clone(), node.node_name.clone(), Some(self.handler.outcomes()));
+        let commands = Rc::new(self.admin_commands(node, &outcomes));
+        let (view, counter) = (self.view.clone(), self.counter.clone());
+        Rc::new(move |kind, body: Bytes| {
+            let (view, counter) = (view.clone(), counter.clone());
+            let (commands, outcomes) = (commands.clone(), outcomes.clone());
+            Box::pin(async move {
+                match kind {
+                    call::FOLLOW => view.answer_bytes(body).await,
+                    call::COUNT => counter.answer(body),
+                    call::QUERY => commands.answer_bytes(body).await,
+                    call::OUTCOME => outcomes.answer_bytes(body),
+                    _ => Vec::new(),
                 }
-            }
+            })
+        })
+    }
+
+    /// The commands of `oatbankctl` that this program answers.
+    fn admin_commands(&self, node: &Settings, outcomes: &Rc<OutcomeService>) -> Commands {
+        let mut commands = Commands::of(&self.view, "oatbank-proxy", &node.node_name);
+        add_outcome_command(&mut commands, outcomes);
+        let handler = self.handler.clone();
+        commands.add("guard", "guard", 0, move |_| handler.attempts_table());
+        let handler = self.handler.clone();
+        commands.add("verdicts", "verdicts", 0, move |_| handler.verdicts_table());
+        let handler = self.handler.clone();
+        let read_catalog = Rc::new(move |show: &mut dyn FnMut(&_, Option<&_>)| handler.show_catalog(show));
+        oatbank_service_catalog::commands::add(&mut commands, read_catalog);
+        commands
+    }
+
+    fn start_background_tasks(&self) {
+        tokio::task::spawn_local(self.session.clone().run());
+        self.session.follow_limiters();
+        tokio::task::spawn_local(self.counter.clone().run());
+        tokio::task::spawn_local(self.front.clone().look_round());
+        // What changes is taken in at once; what changes by time alone, a little later.
+        let handler = self.handler.clone();
+        self.view.on_change(Rc::new(move || handler.refresh()));
+        tokio::task::spawn_local(refresh_forever(self.handler.clone()));
+        tokio::task::spawn_local(observe_forever(self.handler.clone(), self.session.clone()));
+    }
+
+    fn readiness(&self) -> Rc<dyn Fn() -> bool> {
+        let (handler, session) = (self.handler.clone(), self.session.clone());
+        Rc::new(move || handler.is_ready() && !session.is_leaving())
+    }
+
+    /// Leaves the directory, takes late clients for a while, and waits for answers.
+    async fn shut_down(&self, node: &Settings, accepting: &AbortHandle) {
+        let begun = Instant::now();
+        let grace = Duration::from_secs_f64(node.bounds.grace_s);
+        log::info!(
+            "proxy: {} shuts down, {} connections, {} requests unanswered",
+            node.node_name,
+            self.front.open(),
+            self.handler.unanswered()
+        );
+        self.session.set_state(member_state::LEAVING);
+        self.front.stop();
+        tokio::time::sleep(grace.mul_f64(ACCEPT_SHARE)).await;
+        accepting.abort();
+        self.front.close_idle();
+        let deadline = begun + grace.saturating_sub(LAST_BYTES);
+        // What a server executes goes on, whether or not its client still waits.
+        while (self.front.open() > 0 || self.handler.at_most_once_in_flight() > 0)
+            && Instant::now() < deadline
+        {
+            tokio::time::sleep(SHUTDOWN_POLL).await;
+            self.front.close_idle();
         }
+        log::info!("proxy: {} has shut down, {} connections left", node.node_name, self.front.open());
+    }
+}
+
+async fn refresh_forever(handler: Rc<RequestHandler>) {
+    loop {
+        tokio::time::sleep(REFRESH_INTERVAL).await;
+        handler.refresh();
     }
-    let begun = Instant::now();
-    let grace = Duration::from_secs_f64(told.settings().bounds.grace_s);
-    log::info!("proxy: {} leaves, {} connections, {} owed", node.node, front.open(), house.owed());
-    session.turn(member_state::LEAVING);
-    front.stop();
-    tokio::time::sleep(grace.mul_f64(TAKING)).await;
-    accepting.abort();
-    front.close_idle();
-    let end = begun + grace.saturating_sub(LAST);
-    // What a server is at work on runs on, whether or not its client still waits.
-    while (front.open() > 0 || house.out_once() > 0) && Instant::now() < end {
-        tokio::time::sleep(Duration::from_millis(20)).await;
-        front.close_idle();
+}
+
+async fn observe_forever(handler: Rc<RequestHandler>, session: Rc<Session>) {
+    loop {
+        let state = if handler.is_ready() { member_state::READY } else { member_state::STARTING };
+        session.set_state(state);
+        session.report(handler.observe(session.incarnation()));
+        tokio::time::sleep(OBSERVE_INTERVAL).await;
     }
-    log::info!("proxy: {} has ended, {} connections left", node.node, front.open());
-    Ok(())
 }
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -2,23 +2,23 @@
 //! worth telling into the book and to the control limiter, and what the judge makes of all rows into the
 //! servers' list.
 
-use crate::counter_owner::keeper;
+use crate::counter_owner::owner_of;
 use oatbank_cluster_state::admin_query::table;
-use oatbank_cluster_state::messages::{NoticeRow, Table};
-use oatbank_cluster_state::state::{member_state, server_state, Book, Millis};
+use oatbank_cluster_state::messages::{ObservationRow, Table};
+use oatbank_cluster_state::state::{member_state, server_state, Millis, StateTable};
 use oatbank_engine::engine::Finished;
 use oatbank_limiter_core::interface::{Outcome, Standing};
-use oatbank_node_runtime::log::{self, Few};
+use oatbank_node_runtime::log::{self, RateLimitedLog};
 use oatbank_node_runtime::settings::Settings as Node;
-use oatbank_outlier_detection::detector::{Judge, State};
-use oatbank_outlier_detection::observer::{Eye, Seen};
-use oatbank_outlier_detection::{End, Notice, Weight};
+use oatbank_outlier_detection::detector::{Detector, HealthState};
+use oatbank_outlier_detection::observer::{AttemptResult, Observer};
+use oatbank_outlier_detection::{EndKind, Evidence, Weight};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One limiter tries an ill server for so long, ms; then the lot falls anew, so that one that stands still
 /// holds nobody up.
-const TURN: Millis = 2000.0;
+const PROBE_TURN: Millis = 2000.0;
 
 /// Hundredths that others say against a server, from which on it is contested.
 const CONTESTED: i32 = 400;
@@ -31,30 +31,30 @@
 
 /// What this proxy sees, and what all say.
 #[derive(Default)]
-pub struct Steering {
-    eye: RefCell<Eye>,
-    judge: RefCell<Judge>,
+pub struct OutlierEjection {
+    observer: RefCell<Observer>,
+    detector: RefCell<Detector>,
     /// Words told of each server.
     seqs: RefCell<BTreeMap<String, u32>>,
     /// Servers that are not simply well, as last asked for.
     standings: RefCell<BTreeMap<String, Standing>>,
     /// When it was last thought about, and by which count of the book; ends came in since.
     last: Cell<(Millis, u64)>,
-    fresh: Cell<bool>,
+    confirmed: Cell<bool>,
     /// When servers of a service last turned something away.
     full: RefCell<BTreeMap<String, Millis>>,
-    few: Few,
+    log_limit: RateLimitedLog,
 }
 
 /// What an attempt's end says of its server.
-fn end(outcome: Outcome) -> End {
+fn end(outcome: Outcome) -> EndKind {
     match outcome {
-        Outcome::Ok => End::Well,
-        Outcome::Error | Outcome::TimedOut => End::Ill,
-        Outcome::ConnectFailed => End::Unreached,
-        Outcome::Cancelled => End::CalledOff,
+        Outcome::Ok => EndKind::Success,
+        Outcome::Error | Outcome::TimedOut => EndKind::Failure,
+        Outcome::ConnectFailed => EndKind::NotConnected,
+        Outcome::Cancelled => EndKind::Cancelled,
         // Servers that are full may end connections for that: to leave them would fill the others.
-        Outcome::Full | Outcome::Reset | Outcome::Moot => End::Nothing,
+        Outcome::Full | Outcome::Reset | Outcome::Moot => EndKind::Ignored,
     }
 }
 
@@ -66,8 +66,8 @@
     Weight([0, 1].map(|at| f64::from(told.get(at).copied().unwrap_or(0).clamp(-3000, 3000)) / 100.0))
 }
 
-fn notice(row: &NoticeRow, at: Millis) -> Notice {
-    Notice {
+fn observation(row: &ObservationRow, at: Millis) -> Evidence {
+    Evidence {
         server: row.server.clone(),
         observer: row.observer.clone(),
         failing: weight(&row.failing),
@@ -78,55 +78,61 @@
     }
 }
 
-impl Steering {
+impl OutlierEjection {
     /// Takes in how attempts of a service have ended; `class`: the names of its classes.
-    pub fn saw(&self, now: Millis, service: &str, classes: &[String], ends: &[Finished]) {
-        let mut eye = self.eye.borrow_mut();
-        self.fresh.set(true);
+    pub fn record_ends(&self, now: Millis, service: &str, classes: &[String], ends: &[Finished]) {
+        let mut observer = self.observer.borrow_mut();
+        self.confirmed.set(true);
         for f in ends {
             if matches!(f.outcome, Outcome::Full | Outcome::Reset) {
                 self.full.borrow_mut().insert(service.to_owned(), now);
             }
             let class = classes.get(f.class.0).map_or("", String::as_str);
             let (server, took, warm) = (&*f.server, f.took, f.warm);
-            eye.saw(now, &Seen { service, class, server, end: end(f.outcome), took, warm });
+            observer.record(now, &AttemptResult { service, class, server, end: end(f.outcome), took, warm });
         }
     }
 
-    /// Whether there is something to think about: news, or time has gone on.
-    pub fn is_time(&self, now: Millis, book: &Book) -> bool {
+    /// Whether to evaluate again: something is new, or time has passed.
+    pub fn is_due(&self, now: Millis, table: &StateTable) -> bool {
         let (at, seen) = self.last.get();
-        let is = self.fresh.replace(false) || book.noticed() != seen || now - at >= IDLE;
+        let is = self.confirmed.replace(false) || table.observation_sequence() != seen || now - at >= IDLE;
         if is {
-            self.last.set((now, book.noticed()));
+            self.last.set((now, table.observation_sequence()));
         }
         is
     }
 
     /// What this limiter has to tell now, as rows of the book.
-    pub fn tell(&self, now: Millis, book: &Book, name: &str, life: u64) -> Vec<NoticeRow> {
+    pub fn observations(
+        &self,
+        now: Millis,
+        table: &StateTable,
+        name: &str,
+        incarnation: u64,
+    ) -> Vec<ObservationRow> {
         // Where others complain of a server by more than one failure, what is known in its favour is worth
         // telling.
         let mut against: BTreeMap<&str, i32> = BTreeMap::new();
-        for (row, _) in book.notices(now).filter(|(row, _)| row.observer != name) {
+        for (row, _) in table.observations(now).filter(|(row, _)| row.observer != name) {
             let most = row.failing.iter().chain(&row.slow).max().copied().unwrap_or(0).clamp(0, 3000);
             let unreached = if row.unreached > 90 { CONTESTED } else { 0 };
             *against.entry(&row.server).or_default() += most.max(unreached);
         }
         let contested = |id: &str| against.get(id).is_some_and(|w| *w >= CONTESTED);
-        let notices = self.eye.borrow_mut().tell(now, contested);
+        let observations = self.observer.borrow_mut().reports(now, contested);
         let mut seqs = self.seqs.borrow_mut();
         if seqs.len() > 1024 {
             // Servers come and go. Those told of lately are kept, as their words count on.
-            let told: BTreeSet<&str> = book.notices(now).map(|(row, _)| row.server.as_str()).collect();
+            let told: BTreeSet<&str> = table.observations(now).map(|(row, _)| row.server.as_str()).collect();
             seqs.retain(|id, _| told.contains(id.as_str()));
         }
-        let row = |n: Notice| {
+        let row = |n: Evidence| {
             let seq = seqs.entry(n.server.clone()).or_default();
             *seq += 1;
-            NoticeRow {
+            ObservationRow {
                 observer: name.to_owned(),
-                life,
+                incarnation,
                 seq: *seq,
                 failing: hundredths(n.failing),
                 slow: hundredths(n.slow),
@@ -136,34 +142,35 @@
                 server: n.server,
             }
         };
-        notices.into_iter().map(row).collect()
+        observations.into_iter().map(row).collect()
     }
 
     /// Judges by all rows there are; `time` is the system's. Whether that changes how servers are to be used.
-    pub fn judge(&self, now: Millis, time: Millis, book: &Book, node: &Node) -> bool {
-        let mut judge = self.judge.borrow_mut();
-        let notices: Vec<Notice> = book.notices(now).map(|(row, ago)| notice(row, now - ago)).collect();
-        if notices.is_empty() && judge.is_calm() {
+    pub fn evaluate(&self, now: Millis, time: Millis, table: &StateTable, node: &Node) -> bool {
+        let mut detector = self.detector.borrow_mut();
+        let observations: Vec<Evidence> =
+            table.observations(now).map(|(row, ago)| observation(row, now - ago)).collect();
+        if observations.is_empty() && detector.is_calm() {
             return !self.standings.take().is_empty();
         }
-        let members: Vec<_> = book.members(now).map(|(row, _)| row).filter(|row| !row.lapsed).collect();
+        let members: Vec<_> = table.members(now).map(|(row, _)| row).filter(|row| !row.expired).collect();
         let mut services: BTreeMap<String, Vec<String>> = BTreeMap::new();
         let mut zones: BTreeMap<&str, &str> = BTreeMap::new();
-        for (row, _) in book.servers(now).filter(|(r, _)| r.state == server_state::READY && !r.silent) {
+        for (row, _) in table.servers(now).filter(|(r, _)| r.state == server_state::READY && !r.timed_out) {
             services.entry(row.service.clone()).or_default().push(row.id.clone());
             zones.insert(&row.id, &row.zone);
         }
         let session = |name: &str| members.iter().any(|row| row.name == name);
-        for turn in judge.look(now, &notices, &services, &session) {
-            if self.few.may().is_some() {
-                log::info!("steering: {} is {:?} ({:.1})", turn.server, turn.state, turn.score);
+        for change in detector.evaluate(now, &observations, &services, &session) {
+            if self.log_limit.allow().is_some() {
+                log::info!("outlier: {} is {} ({:.1})", change.server, change.state.text(), change.score);
             }
         }
-        let ill = judge.ill();
-        self.eye.borrow_mut().judged(&ill);
+        let unhealthy = detector.unhealthy();
+        self.observer.borrow_mut().set_unhealthy(&unhealthy);
         let ready = || members.iter().filter(|row| row.state == member_state::READY);
         // Who tries it stands as near to it as there are any.
-        let tries = |id: &str| {
+        let probes = |id: &str| {
             let zone = zones.get(id).copied().unwrap_or_default();
             let region = node.zones.iter().find(|(z, _)| z == zone).map_or("", |(_, region)| region);
             let near: Vec<&str> = ready().filter(|r| r.zone == zone).map(|r| r.name.as_str()).collect();
@@ -173,20 +180,20 @@
                 (true, false) => around,
                 _ => ready().map(|r| r.name.as_str()).collect(),
             };
-            let turn = (time / TURN) as u64;
+            let turn = (time / PROBE_TURN) as u64;
             let number = id.bytes().fold(turn.wrapping_mul(0x9e37_79b9_7f4a_7c15), |x, b| {
                 (x ^ u64::from(b)).wrapping_mul(PRIME)
             });
-            keeper(number, names.into_iter()) == Some(node.node.as_str())
+            owner_of(number, names.into_iter()) == Some(node.node_name.as_str())
         };
-        let standing = |id: &String| match judge.state(id) {
-            State::Well => Standing::Well,
-            State::Returning => Standing::Returning,
-            _ if judge.is_due(now, id) && tries(id) => Standing::Tried,
-            State::Doubtful => Standing::Doubtful,
-            State::Shunned => Standing::Shunned,
+        let standing = |id: &String| match detector.state(id) {
+            HealthState::Healthy => Standing::Well,
+            HealthState::Returning => Standing::Returning,
+            _ if detector.is_due(now, id) && probes(id) => Standing::Tried,
+            HealthState::Suspect => Standing::Doubtful,
+            HealthState::Ejected => Standing::Shunned,
         };
-        let standings = ill.keys().map(|id| (id.clone(), standing(id)));
+        let standings = unhealthy.keys().map(|id| (id.clone(), standing(id)));
         let standings: BTreeMap<String, Standing> = standings.filter(|(_, s)| *s != Standing::Well).collect();
         let changed = *self.standings.borrow() != standings;
         *self.standings.borrow_mut() = standings;
@@ -194,15 +201,15 @@
     }
 
     /// For the shell: what is made of each server that is not simply well.
-    pub fn verdicts(&self, now: Millis) -> Table {
-        let (judge, standings) = (self.judge.borrow(), self.standings.borrow());
+    pub fn verdicts_table(&self, now: Millis) -> Table {
+        let (detector, standings) = (self.detector.borrow(), self.standings.borrow());
         let row = |(id, since): (String, Millis)| {
             let here = standings.get(&id).copied().unwrap_or_default();
             let (state, since) =
-                (format!("{:?}", judge.state(&id)), format!("{:.1} s", (now - since) / 1000.0));
-            vec![id, state.to_lowercase(), format!("{here:?}").to_lowercase(), since]
+                (detector.state(&id).text().to_owned(), format!("{:.1} s", (now - since) / 1000.0));
+            vec![id, state, format!("{here:?}").to_lowercase(), since]
         };
-        let rows: Vec<Vec<String>> = judge.ill().into_iter().map(row).collect();
+        let rows: Vec<Vec<String>> = detector.unhealthy().into_iter().map(row).collect();
         table(
             format!("{} servers are not simply well", rows.len()),
             &["server", "verdict", "here", "for"],
@@ -221,30 +228,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_told_is_read_back_alike() {
-        let told = Notice {
-            server: "i-1".into(),
-            observer: "edge-1".into(),
-            failing: Weight([9.0, -3.25]),
-            slow: Weight([0.0, 12.5]),
-            unreached: 1.5,
-            goods: 3,
-            at: 70.0,
-        };
-        let row = NoticeRow {
-            server: "i-1".into(),
-            observer: "edge-1".into(),
-            failing: hundredths(told.failing),
-            slow: hundredths(told.slow),
-            unreached: 150,
-            goods: 3,
-            ..NoticeRow::default()
-        };
-        assert_eq!(notice(&row, 70.0), told);
-        assert_eq!(weight(&[i32::MAX]), Weight([30.0, 0.0]), "nonsense is bounded");
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/proxy/src/outlier_ejection/tests.rs
@@ -0,0 +1,27 @@
+//! Tests of the parent module.
+
+use super::*;
+
+#[test]
+fn what_is_told_is_read_back_alike() {
+    let told = Evidence {
+        server: "i-1".into(),
+        observer: "edge-1".into(),
+        failing: Weight([9.0, -3.25]),
+        slow: Weight([0.0, 12.5]),
+        unreached: 1.5,
+        goods: 3,
+        at: 70.0,
+    };
+    let row = ObservationRow {
+        server: "i-1".into(),
+        observer: "edge-1".into(),
+        failing: hundredths(told.failing),
+        slow: hundredths(told.slow),
+        unreached: 150,
+        goods: 3,
+        ..ObservationRow::default()
+    };
+    assert_eq!(observation(&row, 70.0), told);
+    assert_eq!(weight(&[i32::MAX]), Weight([30.0, 0.0]), "nonsense is bounded");
+}
--- a/crates/proxy/src/quota_counter.rs
+++ b/crates/proxy/src/quota_counter.rs
@@ -1,21 +1,21 @@
-//! Tenants' quotas over all limiters: the decision module's counter, kept by the limiters themselves.
+//! Tenants' quotas over all limiters: the decision module's counters, owned by the limiters themselves.
 //!
-//! A number is kept by one limiter, drawn by key over those that may act. Adds for the same keeper go out together. A keeper
-//! that is gone takes its totals with it: the module sees a total below its own last one and counts anew, and meanwhile
-//! holds to its part.
-
-use crate::counter_owner::keeper;
-use crate::quota_partition::{self, Reach};
-use crate::session::Links;
-use oatbank_cluster_state::messages::{call, Count, Counts, Totals};
-use oatbank_cluster_state::replication::Knowledge;
+//! Each counter has one owner, by its key and the limiters that may be active. Additions for the same owner are sent together.
+//! An owner that is gone takes its totals with it: the decision module sees a total below its own last one and counts anew,
+//! and meanwhile keeps to its own part.
+
+use crate::counter_owner::owner_of;
+use crate::quota_partition::{owns_counters, QuotaPartition};
+use crate::session::PeerClients;
+use oatbank_cluster_state::cluster_view::ClusterView;
+use oatbank_cluster_state::messages::{call, QuotaAdd, QuotaAdds, QuotaTotals};
 use oatbank_engine::counters::local::Numbers;
 use oatbank_engine::ports::counter::{Call, CallEnd, CallId};
 use oatbank_limiter_core::interface::{
     Action, CountName, CustomerId, Draw, Millis, Outcome, Plan, PlanId, QuotaSettings, Verdict,
 };
 use oatbank_limiter_core::logic::Quotas;
-use oatbank_node_runtime::rpc::LinkError;
+use oatbank_node_runtime::rpc::RpcError;
 use prost::Message;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,200 +23,206 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Adds are gathered for so long.
+/// Additions are gathered for this long.
 const GATHER: Duration = Duration::from_millis(25);
-/// A keeper is waited for so long.
-const WITHIN: Duration = Duration::from_millis(400);
-/// Between two looks at what is due.
+/// How long an owner may take to answer.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval of checks for what is due.
 const TICK: Duration = Duration::from_millis(50);
-
-/// The quotas of all tenants as seen here.
-pub struct Counter {
-    known: Rc<Knowledge>,
-    links: Rc<Links>,
-    name: String,
+/// Interval of syncs of a tenant, ms: a tenth of a window of one second. What a tenant that comes under pressure sends through
+/// all limiters between two syncs comes on top of its burst.
+const SYNC_INTERVAL: Millis = 100.0;
+/// Share of a burst that a limiter leaves untold until then.
+const UNTOLD_SHARE: f64 = 0.1;
+/// Share of a burst that all limiters together leave untold until then.
+const UNTOLD_SHARE_OF_ALL: f64 = 0.6;
+/// Less than that share of a burst is told after this, ms: a call to an owner in another region is expensive.
+const FLUSH_AFTER: Millis = 3000.0;
+/// The longest lifetime of a counter, ms.
+const MAX_LIFETIME: Millis = 120_000.0;
+
+/// The quotas of all tenants as seen by this limiter.
+pub struct QuotaCounter {
+    view: Rc<ClusterView>,
+    peers: Rc<PeerClients>,
+    node_name: String,
     quotas: RefCell<Quotas>,
-    numbers: Numbers,
-    waiting: RefCell<BTreeMap<Option<SocketAddr>, Vec<Count>>>,
-    flushing: Cell<bool>,
+    /// The counters that this limiter owns.
+    owned: Numbers,
+    /// Additions to send, by the owner's address; `None`: this limiter.
+    pending: RefCell<BTreeMap<Option<SocketAddr>, Vec<QuotaAdd>>>,
+    is_flush_scheduled: Cell<bool>,
 }
 
-impl Counter {
+impl QuotaCounter {
     /// No tenant yet.
-    pub fn new(known: Rc<Knowledge>, links: Rc<Links>, name: String, seed: u64) -> Rc<Self> {
-        let quotas = RefCell::new(Quotas::new(quota_settings(Vec::new(), 1.0), seed));
-        let (numbers, waiting, flushing) = (Numbers::default(), RefCell::default(), Cell::new(false));
-        Rc::new(Counter { known, links, name, quotas, numbers, waiting, flushing })
+    pub fn new(view: Rc<ClusterView>, peers: Rc<PeerClients>, node_name: String, seed: u64) -> Rc<Self> {
+        Rc::new(QuotaCounter {
+            view,
+            peers,
+            node_name,
+            quotas: RefCell::new(Quotas::new(quota_settings(Vec::new(), 1.0), seed)),
+            owned: Numbers::default(),
+            pending: RefCell::default(),
+            is_flush_scheduled: Cell::new(false),
+        })
     }
 
-    /// Who counts with this limiter now.
-    pub fn reach(&self) -> Reach {
-        let fresh_ago = self.known.fresh_ago();
-        self.known.with(|book, now| Reach::of(&self.name, book.members(now), fresh_ago))
+    /// Which limiters count with this one now.
+    pub fn partition(&self) -> QuotaPartition {
+        let confirmed_ago = self.view.confirmed_ago();
+        self.view.with(|table, now| QuotaPartition::of(&self.node_name, table.members(now), confirmed_ago))
     }
 
-    /// Plans from now on, by tenant, before so many limiters.
-    pub fn settle(&self, plans: Vec<Plan>, limiters: f64) {
+    /// Sets the plans, by tenant, shared by so many limiters.
+    pub fn set_plans(&self, plans: Vec<Plan>, limiters: f64) {
         self.quotas.borrow_mut().settle(quota_settings(plans, limiters));
     }
 
-    /// Whether a tenant's request goes on. What does not is told how long to stay away, ms.
+    /// Whether a tenant's request goes on.
+    ///
+    /// # Errors
+    /// If its quota is used up: when to come back, ms.
     pub fn admit(self: &Rc<Self>, customer: CustomerId, plan: PlanId, limiters: f64) -> Result<(), Millis> {
-        let now = self.known.time();
-        let mut acts = Vec::new();
+        let now = self.view.cluster_time();
+        let mut actions = Vec::new();
         let draw = Draw { customer, plan, units: 1.0, spread: limiters, ..Draw::default() };
         let verdict = {
             let mut quotas = self.quotas.borrow_mut();
-            let verdict = quotas.admit(now, draw, &mut acts);
+            let verdict = quotas.admit(now, draw, &mut actions);
             quotas.record(now, customer, 1.0, !matches!(verdict, Verdict::Refuse { .. }));
             verdict
         };
-        self.carry_out(acts);
+        self.carry_out(actions);
         match verdict {
             Verdict::Refuse { retry_after } => Err(retry_after),
             _ => Ok(()),
         }
     }
 
-    fn carry_out(self: &Rc<Self>, acts: Vec<Action>) {
-        for act in acts {
-            let Action::Count { name, add, ttl } = act else { continue };
-            let to = self.keeper(name);
-            let count = Count { name: name.0, add, ttl };
-            self.waiting.borrow_mut().entry(to).or_default().push(count);
+    fn carry_out(self: &Rc<Self>, actions: Vec<Action>) {
+        for action in actions {
+            let Action::Count { name, add, ttl } = action else { continue };
+            let owner = self.owner(name);
+            let add = QuotaAdd { name: name.0, add, ttl };
+            self.pending.borrow_mut().entry(owner).or_default().push(add);
         }
-        if !self.waiting.borrow().is_empty() && !self.flushing.replace(true) {
+        if !self.pending.borrow().is_empty() && !self.is_flush_scheduled.replace(true) {
             let counter = self.clone();
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(GATHER).await;
-                counter.flushing.set(false);
+                counter.is_flush_scheduled.set(false);
                 counter.flush();
             });
         }
     }
 
-    /// Who keeps a number; none: this limiter.
-    fn keeper(&self, name: CountName) -> Option<SocketAddr> {
-        // Who counts alone: see `Reach`.
-        if !self.known.in_touch() {
+    /// The owner of a counter; `None`: this limiter.
+    fn owner(&self, name: CountName) -> Option<SocketAddr> {
+        // A limiter that is not in touch counts alone: see `QuotaPartition`.
+        if !self.view.in_touch() {
             return None;
         }
-        self.known.with(|book, now| {
-            let members = || book.members(now).filter(|(row, ago)| quota_partition::counts(row, *ago));
-            let names =
-                members().map(|(row, _)| row.name.as_str()).chain(std::iter::once(self.name.as_str()));
-            let drawn = keeper(name.0, names)?;
-            let row = members().find(|(row, _)| row.name == drawn && row.name != self.name)?.0;
+        self.view.with(|table, now| {
+            let members = || table.members(now).filter(|(row, age)| owns_counters(row, *age));
+            let names = members().map(|(row, _)| row.name.as_str());
+            let owner = owner_of(name.0, names.chain(std::iter::once(self.node_name.as_str())))?;
+            let row = members().find(|(row, _)| row.name == owner && row.name != self.node_name)?.0;
             row.inner.parse().ok()
         })
     }
 
     fn flush(self: &Rc<Self>) {
-        for (to, counts) in std::mem::take(&mut *self.waiting.borrow_mut()) {
-            let counter = self.clone();
-            match to {
+        for (owner, adds) in std::mem::take(&mut *self.pending.borrow_mut()) {
+            match owner {
                 None => {
-                    let totals = counter.add(&counts);
-                    counter.counted(&counts, Ok(totals), 0.0);
+                    let totals = self.add(&adds);
+                    self.on_totals(&adds, &Ok(totals), 0.0);
                 }
-                Some(to) => {
-                    let link = self.links.to(to);
-                    tokio::task::spawn_local(async move {
-                        let asked = counter.known.now();
-                        let body = Counts { counts: counts.clone() }.encode_to_vec();
-                        let answer = link.call(call::COUNT, body, WITHIN).await;
-                        let took = counter.known.now() - asked;
-                        let totals = answer.map(|b| Totals::decode(b).map(|t| t.totals).unwrap_or_default());
-                        counter.counted(&counts, totals, took);
-                    });
+                Some(address) => {
+                    tokio::task::spawn_local(self.clone().send(address, adds));
                 }
             }
         }
     }
 
-    fn counted(self: &Rc<Self>, counts: &[Count], totals: Result<Vec<f64>, LinkError>, took: Millis) {
-        let now = self.known.time();
-        {
-            let mut quotas = self.quotas.borrow_mut();
-            for (count, (outcome, total)) in counts.iter().zip(read(counts.len(), &totals)) {
-                quotas.counted(now, CountName(count.name), outcome, took, total);
-            }
+    async fn send(self: Rc<Self>, address: SocketAddr, adds: Vec<QuotaAdd>) {
+        let client = self.peers.get(address);
+        let sent_at = self.view.now();
+        let body = QuotaAdds { counts: adds.clone() }.encode_to_vec();
+        let response = client.call(call::COUNT, body, CALL_TIMEOUT).await;
+        let took = self.view.now() - sent_at;
+        let totals =
+            response.map(|bytes| QuotaTotals::decode(bytes).map(|totals| totals.totals).unwrap_or_default());
+        self.on_totals(&adds, &totals, took);
+    }
+
+    fn on_totals(&self, adds: &[QuotaAdd], totals: &Result<Vec<f64>, RpcError>, took: Millis) {
+        let now = self.view.cluster_time();
+        let mut quotas = self.quotas.borrow_mut();
+        for (add, (outcome, total)) in adds.iter().zip(outcomes_of(adds.len(), totals)) {
+            quotas.counted(now, CountName(add.name), outcome, took, total);
         }
     }
 
-    fn add(&self, counts: &[Count]) -> Vec<f64> {
-        let now = self.known.now();
-        let add = |count: &Count| {
-            let (name, add, ttl) = (CountName(count.name), count.add, count.ttl.clamp(0.0, LONGEST));
-            match self.numbers.add(now, &Call { id: CallId(0), name, add, ttl }) {
+    /// Adds to counters that this limiter owns: one total for each, in their order. What cannot be added has none (NaN).
+    fn add(&self, adds: &[QuotaAdd]) -> Vec<f64> {
+        let now = self.view.now();
+        let total = |add: &QuotaAdd| {
+            if !add.add.is_finite() {
+                return f64::NAN;
+            }
+            let (name, ttl) = (CountName(add.name), add.ttl.clamp(0.0, MAX_LIFETIME));
+            match self.owned.add(now, &Call { id: CallId(0), name, add: add.add, ttl }) {
                 CallEnd::Added(total) => total,
                 _ => f64::NAN,
             }
         };
-        // One for each, in their order: what cannot be added has no total.
-        counts.iter().map(|c| if c.add.is_finite() { add(c) } else { f64::NAN }).collect()
+        adds.iter().map(total).collect()
     }
 
-    /// Answers another limiter's adds.
+    /// Answers another limiter's [`QuotaAdds`].
     pub fn answer(&self, body: bytes::Bytes) -> Vec<u8> {
-        match Counts::decode(body) {
-            Ok(counts) => Totals { totals: self.add(&counts.counts) }.encode_to_vec(),
+        match QuotaAdds::decode(body) {
+            Ok(adds) => QuotaTotals { totals: self.add(&adds.counts) }.encode_to_vec(),
             Err(_) => Vec::new(),
         }
     }
 
-    /// Tells what is due, for the life of the process.
+    /// Sends what is due, for the life of the process.
     pub async fn run(self: Rc<Self>) {
         loop {
             tokio::time::sleep(TICK).await;
-            let mut acts = Vec::new();
-            {
-                let mut quotas = self.quotas.borrow_mut();
-                quotas.tick(self.known.time(), &mut acts);
-            }
-            self.carry_out(acts);
+            let mut actions = Vec::new();
+            self.quotas.borrow_mut().tick(self.view.cluster_time(), &mut actions);
+            self.carry_out(actions);
         }
     }
 }
 
-/// What a keeper's answer to so many adds says of each. An add whose answer was lost may have been made: what a later total
-/// does not show of it is told again, once.
-pub fn read(adds: usize, answer: &Result<Vec<f64>, LinkError>) -> Vec<(Outcome, f64)> {
-    let one = |total: &f64| match total.is_finite() {
-        true => (Outcome::Ok, *total),
-        // The keeper has no room for the name.
-        false => (Outcome::Full, 0.0),
-    };
+/// What an owner's answer to so many additions says of each: its outcome and total. An addition whose answer was lost may have
+/// been made: what a later total does not show of it is sent again, once.
+pub fn outcomes_of(adds: usize, answer: &Result<Vec<f64>, RpcError>) -> Vec<(Outcome, f64)> {
+    // The owner has no room for a counter whose total is missing.
+    let outcome = |total: &f64| if total.is_finite() { (Outcome::Ok, *total) } else { (Outcome::Full, 0.0) };
     match answer {
-        Ok(totals) if totals.len() == adds => totals.iter().map(one).collect(),
-        // Which total belongs to which add is not known.
+        Ok(totals) if totals.len() == adds => totals.iter().map(outcome).collect(),
+        // Which total belongs to which addition is not known.
         Ok(_) => vec![(Outcome::Reset, 0.0); adds],
-        Err(LinkError::Unreachable) => vec![(Outcome::ConnectFailed, 0.0); adds],
-        Err(LinkError::Lost) => vec![(Outcome::TimedOut, 0.0); adds],
+        Err(RpcError::Unreachable) => vec![(Outcome::ConnectFailed, 0.0); adds],
+        Err(RpcError::Lost) => vec![(Outcome::TimedOut, 0.0); adds],
     }
 }
 
-/// What the decision module's quotas are told before so many limiters.
+/// The settings of the decision module's quotas, shared by so many limiters.
 pub fn quota_settings(plans: Vec<Plan>, limiters: f64) -> QuotaSettings {
-    let counter_timeout = WITHIN.as_secs_f64() * 1000.0;
     QuotaSettings {
         plans,
         max_units: 1.0,
         counter: true,
-        counter_timeout,
-        sync_every: SYNC_EVERY,
+        counter_timeout: CALL_TIMEOUT.as_secs_f64() * 1000.0,
+        sync_every: SYNC_INTERVAL,
         flush_after: FLUSH_AFTER,
-        sync_share: UNTOLD.min(UNTOLD_BY_ALL / limiters),
+        sync_share: UNTOLD_SHARE.min(UNTOLD_SHARE_OF_ALL / limiters),
     }
 }
-
-/// Between two syncs of a tenant, ms: a tenth of a window of one second. What a tenant that begins to press sends through all
-/// limiters between two syncs comes on top of its burst.
-const SYNC_EVERY: Millis = 100.0;
-/// Share of a burst that a limiter, and that all together, leave untold until then.
-const UNTOLD: f64 = 0.1;
-const UNTOLD_BY_ALL: f64 = 0.6;
-/// What is less than that share of a burst is told so late, ms: the way to a keeper in another region is dear.
-const FLUSH_AFTER: Millis = 3000.0;
-/// Longest that a number is kept, ms.
-const LONGEST: Millis = 120_000.0;
--- a/crates/proxy/src/quota_partition.rs
+++ b/crates/proxy/src/quota_partition.rs
@@ -1,66 +1,65 @@
-//! Which part of each tenant's quota is given out here: what limiters count together they give out together, and those
-//! that are apart divide the quota. No I/O; time is handed in.
+//! Which part of each tenant's quota is given out here: limiters that count together give it out together, and those that are
+//! separated divide it. No I/O; the time is handed in.
 //!
-//! Limiters that cannot reach each other keep numbers of their own, so each side would give out the whole. A quota is a
+//! Limiters that cannot reach each other keep counters of their own, so each side would give out the whole quota. A quota is a
 //! sum over all machines, in touch or not: the parts of all sides have to add up to it, whichever they are.
 //!
-//! - Who is in touch with a majority of the core counts with all whose sessions stand. Those whose session ended without a
-//!   word may act on: their parts are held back, until they are forgotten.
-//! - Who is not knows of nobody whether it counts with them: it gives out its own part alone, and counts by itself. That
-//!   begins sooner than others take over the numbers that it kept.
+//! - A limiter in touch with a majority of the core counts with all whose sessions are alive. Those whose session expired
+//!   without a word may still act: their parts are held back until they are forgotten.
+//! - One that is not cannot know who counts with it: it gives out its own part alone, and counts by itself. That begins
+//!   sooner than others take over the counters that it owned.
 //!
-//! A side's limiters are in touch with one majority, so there is one such side at most, and whoever is not on it has one
-//! part each there.
+//! The limiters of one side are in touch with one majority, so there is at most one such side, and each limiter that is not
+//! on it has one part there.
 
+use oatbank_cluster_state::cluster_view::IN_TOUCH;
 use oatbank_cluster_state::messages::MemberRow;
-use oatbank_cluster_state::replication::IN_TOUCH;
 use oatbank_cluster_state::state::{member_state, Millis};
 
-/// A limiter whose session ended is taken to keep its numbers for this long, ms: it may be cut off from the core alone, and
-/// others that moved on at once would count beside it.
-pub const STILL_KEEPS: Millis = 4000.0;
+/// A limiter whose session has expired is taken to own its counters for this long, ms: it may be cut off from the core alone,
+/// and others that moved on at once would count beside it.
+pub const OWNS_AFTER_SESSION: Millis = 4000.0;
 
-/// Who counts with this limiter, itself among them, and who may act besides.
+/// Which limiters count with this one, and which may act besides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reach {
-    /// Those that count together.
-    pub together: u32,
-    /// Those that may act apart from them.
-    pub apart: u32,
-    /// It counts by itself, and asks nobody.
-    pub alone: bool,
+pub struct QuotaPartition {
+    /// How many count together, this one included.
+    pub connected: u32,
+    /// How many may act separately from them.
+    pub separated: u32,
+    /// This limiter counts by itself, and asks nobody.
+    pub is_alone: bool,
 }
 
-impl Reach {
-    /// As the limiter of this name sees it, from all limiters that are remembered with how long ago each was heard, and from
-    /// how long ago a majority of the core was known to have been asked.
+impl QuotaPartition {
+    /// The partition as the limiter of this name sees it, from all limiters that are remembered with how long ago each was
+    /// heard, and from how long ago a majority of the core was known to have been asked.
     pub fn of<'a>(
         name: &str,
         members: impl Iterator<Item = (&'a MemberRow, Millis)>,
-        fresh_ago: Option<Millis>,
-    ) -> Reach {
-        let (mut together, mut apart) = (1, 0);
-        for row in members.filter(|(row, _)| row.name != name).map(|(row, _)| row) {
-            match row {
-                row if !row.lapsed => together += 1,
-                // It has said that it ends.
-                row if row.state == member_state::LEAVING => {}
-                _ => apart += 1,
+        confirmed_ago: Option<Millis>,
+    ) -> QuotaPartition {
+        let (mut connected, mut separated) = (1, 0);
+        for (row, _) in members.filter(|(row, _)| row.name != name) {
+            if !row.expired {
+                connected += 1;
+            } else if row.state != member_state::LEAVING {
+                separated += 1;
             }
         }
-        match fresh_ago.is_none_or(|ago| ago > IN_TOUCH) {
-            true => Reach { together: 1, apart: apart + together - 1, alone: true },
-            false => Reach { together, apart, alone: false },
+        if confirmed_ago.is_none_or(|ago| ago > IN_TOUCH) {
+            return QuotaPartition { connected: 1, separated: separated + connected - 1, is_alone: true };
         }
+        QuotaPartition { connected, separated, is_alone: false }
     }
 
-    /// The part of each quota that those who count together give out.
-    pub fn part(&self) -> f64 {
-        f64::from(self.together) / f64::from(self.together + self.apart)
+    /// The part of each quota that the limiters which count together give out.
+    pub fn share(&self) -> f64 {
+        f64::from(self.connected) / f64::from(self.connected + self.separated)
     }
 }
 
-/// Whether this limiter is taken to keep its numbers.
-pub fn counts(row: &MemberRow, ago: Millis) -> bool {
-    !row.lapsed || ago < STILL_KEEPS
+/// Whether a limiter heard this long ago is taken to own its counters.
+pub fn owns_counters(row: &MemberRow, age: Millis) -> bool {
+    !row.expired || age < OWNS_AFTER_SESSION
 }
--- /dev/null
+++ b/crates/proxy/src/quota_plan.rs
@@ -0,0 +1,62 @@
+//! A tenant's quota as a plan of the decision module. Pure.
+
+use oatbank_limiter_core::interface::{CustomerId, Plan};
+
+/// Share of a tenant's rate that is given out. The rest is for what limiters admit before they hear of each other.
+const RATE_SHARE: f64 = 0.97;
+/// Share of a tenant's burst that is given out, at most.
+const MAX_BURST_SHARE: f64 = 0.6;
+/// A smaller share of the burst would reject requests that arrive unevenly in calm times.
+const MIN_BURST_SHARE: f64 = 0.3;
+/// What was admitted beyond the quota, up to so many bursts, is paid back before anything else is admitted.
+const MAX_DEBT_BURSTS: f64 = 4.0;
+/// A tenant under pressure asks for so many times its rate beyond it: what is admitted unheard is sized by that.
+const PRESSURE: f64 = 3.7;
+/// For how long limiters admit requests before they have heard of each other's, s.
+const PROPAGATION_S: f64 = 0.2;
+/// How much longer for each limiter, s: each reports every request, and has one more rarely the more limiters there are.
+const PROPAGATION_PER_LIMITER_S: f64 = 0.001;
+
+/// By how much a tenant's quota may be exceeded, and in which window.
+#[derive(Clone, Copy, Debug)]
+pub struct QuotaAllowance {
+    /// The window, s.
+    pub window: f64,
+    /// By this share of what the quota gives in the window.
+    pub over: f64,
+    /// By so many requests.
+    pub slack: f64,
+    /// Limiters that share the quota.
+    pub limiters: f64,
+}
+
+/// The plan of a tenant's quota, for the decision module.
+pub fn plan(rate: f64, burst: f64, allowance: QuotaAllowance) -> Plan {
+    if rate <= 0.0 {
+        return Plan { price: 1.0, ..Plan::default() };
+    }
+    // A quota without a burst still lets one second through at once.
+    let burst = if burst > 0.0 { burst } else { rate };
+    let given = RATE_SHARE * rate * allowance.window;
+    let bound = (rate * allowance.window + burst) * (1.0 + allowance.over) + allowance.slack;
+    let unheard = PRESSURE * rate * (PROPAGATION_S + PROPAGATION_PER_LIMITER_S * allowance.limiters);
+    let room = if allowance.window > 0.0 { bound - given - unheard } else { burst };
+    Plan {
+        rate: rate * RATE_SHARE,
+        burst: room.max(MIN_BURST_SHARE * burst).min(MAX_BURST_SHARE * burst).max(1.0),
+        price: 1.0,
+        over_cost: 1.0,
+        debt: MAX_DEBT_BURSTS,
+        ..Plan::default()
+    }
+}
+
+/// The number of a tenant's counter between limiters: the same at each, whichever versions of the configuration it has seen.
+pub fn tenant_number(name: &str) -> CustomerId {
+    let mix = |x: u64, b: u8| (x ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
+    let x = name.bytes().fold(0xcbf2_9ce4_8422_2325, mix);
+    CustomerId((x ^ (x >> 29)).wrapping_mul(0xd6e8_feb8_6659_fd93))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,14 +1,15 @@
-//! This limiter's session with a control limiter, and the few other limiters whose news it follows.
+//! This limiter's session with a core machine, and the few other limiters that it follows.
 
-use crate::counter_owner::keeper;
-use oatbank_cluster_state::messages::{MemberRow, NoticeRow};
-use oatbank_cluster_state::replication::{ask, Asking, Heard, Knowledge, Place, IN_TOUCH};
+use crate::counter_owner::owner_of;
+use oatbank_cluster_state::cluster_view::{ClusterView, IN_TOUCH};
+use oatbank_cluster_state::messages::{MemberRow, ObservationRow};
+use oatbank_cluster_state::replication::{follow_once, FollowOptions, FollowResult, ReplicationPosition};
 use oatbank_cluster_state::state::member_state;
 use oatbank_node_runtime::log;
-use oatbank_node_runtime::process::Told;
-use oatbank_node_runtime::random::chance;
-use oatbank_node_runtime::rpc::Link;
-use oatbank_node_runtime::settings::place::{PROXY, REGISTRY};
+use oatbank_node_runtime::process::ReloadableSettings;
+use oatbank_node_runtime::random::random_u64;
+use oatbank_node_runtime::rpc::RpcClient;
+use oatbank_node_runtime::settings::port_offset::{PROXY, REGISTRY};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,268 +17,290 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// The control limiter's answer may be held so long, ms: well within a session.
-const HOLD: u32 = 600;
-/// Another is asked so soon after one has failed.
-const AGAIN: Duration = Duration::from_millis(60);
-/// How many other limiters are followed, the first of them in the own region where there is one, how long their answers may be held, ms, and when one that failed is replaced.
-const FEW: u64 = 2;
-const FEW_HOLD: u32 = 1500;
-const FEW_AGAIN: Duration = Duration::from_millis(300);
-/// Each is followed for so many calls; then the lot falls anew, so that no two groups keep to themselves.
-const FEW_CALLS: u32 = 20;
+/// How long the core machine may hold a response, ms: well within a session.
+const HOLD_MS: u32 = 600;
+/// Wait before another core machine is called after one has failed.
+const FAILOVER_DELAY: Duration = Duration::from_millis(60);
+/// A change of state is told this often, in case a response was lost.
+const STATE_CHANGE_CALLS: usize = 2;
+/// How many other limiters are followed; the first of them in the own region if there is one.
+const FOLLOWED_LIMITERS: u64 = 2;
+/// How long they may hold a response, ms.
+const LIMITER_HOLD_MS: u32 = 1500;
+/// Wait before one that has failed is replaced, or all core machines are called again.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Each is followed for so many calls; then another is drawn, so that no two groups keep to themselves.
+const CALLS_PER_LIMITER: u32 = 20;
 
-/// Links to other processes, one each.
+/// Clients of other processes, one for each address.
 #[derive(Default)]
-pub struct Links(RefCell<HashMap<SocketAddr, Rc<Link>>>);
+pub struct PeerClients(RefCell<HashMap<SocketAddr, Rc<RpcClient>>>);
 
-impl Links {
-    /// The link to this address.
-    pub fn to(&self, address: SocketAddr) -> Rc<Link> {
-        self.0.borrow_mut().entry(address).or_insert_with(|| Link::new(address)).clone()
+impl PeerClients {
+    /// The client for this address.
+    pub fn get(&self, address: SocketAddr) -> Rc<RpcClient> {
+        self.0.borrow_mut().entry(address).or_insert_with(|| RpcClient::new(address)).clone()
     }
 }
 
 /// What this limiter says of itself, and to whom.
 pub struct Session {
-    known: Rc<Knowledge>,
-    told: Rc<Told>,
-    links: Rc<Links>,
-    life: u64,
-    beat: Cell<u64>,
+    view: Rc<ClusterView>,
+    settings: Rc<ReloadableSettings>,
+    peers: Rc<PeerClients>,
+    incarnation: u64,
+    heartbeat: Cell<u64>,
     state: Cell<u32>,
-    turned: Notify,
-    /// With whom the session stands, and what was taken in there.
-    with: Cell<Option<Ipv4Addr>>,
-    place: Cell<Place>,
-    /// What is to be told of servers.
-    notices: RefCell<Vec<NoticeRow>>,
-    noticed: Notify,
+    state_changed: Notify,
+    /// The core machine that holds the session.
+    core_machine: Cell<Option<Ipv4Addr>>,
+    /// How far its changes have been merged.
+    position: Cell<ReplicationPosition>,
+    /// What is still to be told of servers.
+    observations: RefCell<Vec<ObservationRow>>,
+    strong_observation: Notify,
 }
 
 impl Session {
     /// No session yet.
-    pub fn new(known: Rc<Knowledge>, told: Rc<Told>, links: Rc<Links>) -> Rc<Self> {
-        let (life, beat, state) = (chance().max(1), Cell::new(0), Cell::new(member_state::STARTING));
+    pub fn new(view: Rc<ClusterView>, settings: Rc<ReloadableSettings>, peers: Rc<PeerClients>) -> Rc<Self> {
         Rc::new(Session {
-            known,
-            told,
-            links,
-            life,
-            beat,
-            state,
-            turned: Notify::new(),
-            with: Cell::new(None),
-            place: Cell::default(),
-            notices: RefCell::default(),
-            noticed: Notify::new(),
+            view,
+            settings,
+            peers,
+            incarnation: random_u64().max(1),
+            heartbeat: Cell::new(0),
+            state: Cell::new(member_state::STARTING),
+            state_changed: Notify::new(),
+            core_machine: Cell::new(None),
+            position: Cell::default(),
+            observations: RefCell::default(),
+            strong_observation: Notify::new(),
         })
     }
 
-    /// It is about to end.
+    /// Whether it is about to end.
     pub fn is_leaving(&self) -> bool {
         self.state.get() == member_state::LEAVING
     }
 
-    /// What it says of itself from now on; it is told at once. Who leaves does not come back.
-    pub fn turn(&self, state: u32) {
+    /// Sets its state, one of [`member_state`], and tells it at once. A limiter that leaves does not come back.
+    pub fn set_state(&self, state: u32) {
         if !self.is_leaving() && self.state.replace(state) != state {
-            self.turned.notify_waiters();
+            self.state_changed.notify_waiters();
         }
     }
 
-    /// Drawn at the start.
-    pub fn life(&self) -> u64 {
-        self.life
+    /// Random; it differs between starts.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
-    /// Tells this of servers, with the next call, and at once where it makes a server doubtful by itself.
-    pub fn notice(&self, rows: Vec<NoticeRow>) {
-        let strong = rows.iter().any(NoticeRow::is_strong);
-        self.notices.borrow_mut().extend(rows);
-        if strong {
-            self.noticed.notify_one();
+    /// Tells this of servers: with the next call, and at once if it makes a server suspect by itself.
+    pub fn report(&self, rows: Vec<ObservationRow>) {
+        let has_strong = rows.iter().any(ObservationRow::is_strong);
+        self.observations.borrow_mut().extend(rows);
+        if has_strong {
+            self.strong_observation.notify_one();
         }
     }
 
-    /// What is to be told of servers now: of one server only the newest word counts.
-    fn take_notices(&self) -> Vec<NoticeRow> {
-        let mut rows = self.notices.take();
+    /// What is to be told of servers now: the newest of each server.
+    fn take_observations(&self) -> Vec<ObservationRow> {
+        let mut rows = self.observations.take();
         rows.reverse();
         rows.sort_by(|a, b| a.server.cmp(&b.server));
         rows.dedup_by(|a, b| a.server == b.server);
         rows
     }
 
-    /// It was not heard: it is told again, unless something newer is.
-    fn put_back(&self, mut rows: Vec<NoticeRow>) {
-        rows.append(&mut self.notices.borrow_mut());
-        *self.notices.borrow_mut() = rows;
+    /// These were not received: they are told again, unless newer ones are.
+    fn requeue_observations(&self, mut rows: Vec<ObservationRow>) {
+        rows.append(&mut self.observations.borrow_mut());
+        *self.observations.borrow_mut() = rows;
     }
 
-    fn row(&self) -> MemberRow {
-        let settings = self.told.settings();
-        self.beat.set(self.beat.get() + 1);
-        let front = settings.listen_on("front").map(|a| a.to_string()).unwrap_or_default();
+    fn next_heartbeat(&self) -> MemberRow {
+        let settings = self.settings.settings();
+        self.heartbeat.set(self.heartbeat.get() + 1);
+        let front = settings.listen_address("front").map(|address| address.to_string());
         MemberRow {
-            name: settings.node.clone(),
-            life: self.life,
-            beat: self.beat.get(),
-            front,
-            inner: settings.inner_address(PROXY).to_string(),
+            name: settings.node_name.clone(),
+            incarnation: self.incarnation,
+            heartbeat: self.heartbeat.get(),
+            front: front.unwrap_or_default(),
+            inner: settings.rpc_address(PROXY).to_string(),
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             state: self.state.get(),
-            lapsed: false,
-            heard_ago: 0,
-            edition: self.known.edition(),
+            expired: false,
+            age_ms: 0,
+            edition: self.view.edition(),
         }
     }
 
     /// The core machines: the seeds, and those that vote as far as is known.
-    fn core(&self) -> Vec<Ipv4Addr> {
-        let mut core: Vec<Ipv4Addr> = self.told.settings().seeds.iter().map(|s| *s.ip()).collect();
-        for ip in self.known.core() {
-            if !core.contains(&ip) {
-                core.push(ip);
+    fn core_machines(&self) -> Vec<Ipv4Addr> {
+        let mut machines: Vec<Ipv4Addr> =
+            self.settings.settings().seeds.iter().map(|seed| *seed.ip()).collect();
+        for ip in self.view.core_addresses() {
+            if !machines.contains(&ip) {
+                machines.push(ip);
             }
         }
-        core
+        machines
     }
 
-    async fn ask(&self, ip: Ipv4Addr, place: &mut Place, hold: u32) -> Heard {
-        let settings = self.told.settings();
-        let link = self.links.to(settings.inner_of(ip, REGISTRY));
-        let (rows, member) = (self.take_notices(), Some(self.row()));
-        let (name, notices) = (settings.node.clone(), rows.clone());
-        let asking = Asking { name, hold, member, notices, ..Asking::default() };
-        let heard = ask(&self.known, &link, place, asking).await;
-        if heard == Heard::Nothing {
-            self.put_back(rows);
+    /// One call to a core machine: a heartbeat that asks for what is new.
+    async fn call(&self, ip: Ipv4Addr, position: &mut ReplicationPosition, hold_ms: u32) -> FollowResult {
+        let settings = self.settings.settings();
+        let client = self.peers.get(settings.rpc_address_of(ip, REGISTRY));
+        let (rows, member) = (self.take_observations(), Some(self.next_heartbeat()));
+        let (name, observations) = (settings.node_name.clone(), rows.clone());
+        let options = FollowOptions { name, hold_ms, member, observations, ..FollowOptions::default() };
+        let result = follow_once(&self.view, &client, position, options).await;
+        if result == FollowResult::NoResponse {
+            self.requeue_observations(rows);
         }
-        heard
+        result
     }
 
     /// Holds a session, for the life of the process.
-    pub async fn hold(self: Rc<Self>) {
-        let (turning, noticing) = (self.clone(), self.clone());
-        tokio::task::spawn_local(async move { noticing.tell_notices().await });
-        tokio::task::spawn_local(async move { turning.tell_turns().await });
+    pub async fn run(self: Rc<Self>) {
+        let (states, observations) = (self.clone(), self.clone());
+        tokio::task::spawn_local(async move { observations.tell_strong_observations().await });
+        tokio::task::spawn_local(async move { states.tell_state_changes().await });
         let mut next: VecDeque<Ipv4Addr> = VecDeque::new();
-        let mut places: HashMap<Ipv4Addr, Place> = HashMap::new();
+        let mut positions: HashMap<Ipv4Addr, ReplicationPosition> = HashMap::new();
         loop {
             if next.is_empty() {
-                let settings = self.told.settings();
-                next = self.core().into();
-                // Limiters begin with different ones; which, is drawn by name.
-                let name = settings.node.clone();
-                next.make_contiguous().sort_by_key(|ip| lot(&name, *ip));
+                next = self.core_machines().into();
+                // Limiters begin with different ones, by their names.
+                let name = self.settings.settings().node_name;
+                next.make_contiguous().sort_by_key(|ip| preference(&name, *ip));
             }
             let Some(ip) = next.pop_front() else {
-                tokio::time::sleep(FEW_AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
-            let place = places.entry(ip).or_default();
-            let mut first = true;
-            loop {
-                // The first answer is not waited for: it says whether this one is worth staying with.
-                let heard = self.ask(ip, place, if first { 0 } else { HOLD }).await;
-                let Heard::Told { fresh_ago, .. } = heard else { break };
-                let behind = fresh_ago.is_none_or(|ago| f64::from(ago) > IN_TOUCH);
-                if first && !behind {
-                    log::info!("session: with {}, edition {}", ip, self.known.edition());
-                }
-                self.with.set(Some(ip));
-                self.place.set(*place);
-                if behind && !next.is_empty() || !self.core().contains(&ip) {
-                    break;
-                }
-                if behind {
-                    // Nobody is in touch: asked again, but not at once.
-                    next.clear();
-                    tokio::time::sleep(FEW_AGAIN).await;
-                    break;
-                }
-                first = false;
-            }
-            if self.with.replace(None) == Some(ip) {
+            self.stay_with(ip, positions.entry(ip).or_default(), &mut next).await;
+            if self.core_machine.replace(None) == Some(ip) {
                 log::info!("session: {} is left", ip);
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(FAILOVER_DELAY).await;
+        }
+    }
+
+    /// Holds the session with one core machine while it answers and is in touch with a majority. If `next` is empty, no other
+    /// is: this one is as good as any.
+    async fn stay_with(
+        &self,
+        ip: Ipv4Addr,
+        position: &mut ReplicationPosition,
+        next: &mut VecDeque<Ipv4Addr>,
+    ) {
+        let mut is_first = true;
+        loop {
+            // The first response is not held: it says whether this machine is worth staying with.
+            let result = self.call(ip, position, if is_first { 0 } else { HOLD_MS }).await;
+            let FollowResult::Updated { confirmed_ago, .. } = result else { return };
+            let is_behind = confirmed_ago.is_none_or(|ago| f64::from(ago) > IN_TOUCH);
+            if is_first && !is_behind {
+                log::info!("session: with {}, edition {}", ip, self.view.edition());
+            }
+            self.core_machine.set(Some(ip));
+            self.position.set(*position);
+            if is_behind && !next.is_empty() || !self.core_machines().contains(&ip) {
+                return;
+            }
+            if is_behind {
+                // None is in touch: called again, but not at once.
+                next.clear();
+                tokio::time::sleep(RETRY_DELAY).await;
+                return;
+            }
+            is_first = false;
         }
     }
 
-    /// A turn is told beside the call that may be held just now.
-    async fn tell_turns(&self) {
+    /// Tells changes of state besides the call that may be held just now.
+    async fn tell_state_changes(&self) {
         loop {
-            self.turned.notified().await;
-            for _ in 0..2 {
-                if let Some(ip) = self.with.get() {
-                    let _ = self
-                        .ask(ip, &mut Place { epoch: self.known.with(|b, _| b.epoch()), seen: 0 }, 0)
-                        .await;
+            self.state_changed.notified().await;
+            for _ in 0..STATE_CHANGE_CALLS {
+                if let Some(ip) = self.core_machine.get() {
+                    let epoch = self.view.with(|table, _| table.epoch());
+                    let _ = self.call(ip, &mut ReplicationPosition { epoch, seen: 0 }, 0).await;
                 }
             }
         }
     }
 
-    /// What makes a server doubtful is told beside the call that may be held just now.
-    async fn tell_notices(&self) {
+    /// Tells what makes a server suspect besides the call that may be held just now.
+    async fn tell_strong_observations(&self) {
         loop {
-            self.noticed.notified().await;
-            if let Some(ip) = self.with.get() {
-                let _ = self.ask(ip, &mut self.place.get(), 0).await;
+            self.strong_observation.notified().await;
+            if let Some(ip) = self.core_machine.get() {
+                let _ = self.call(ip, &mut self.position.get(), 0).await;
             }
         }
     }
 
     /// Follows a few other limiters, for the life of the process.
-    pub fn follow_few(self: &Rc<Self>) {
-        for nth in 0..FEW {
+    pub fn follow_limiters(self: &Rc<Self>) {
+        for index in 0..FOLLOWED_LIMITERS {
             let session = self.clone();
-            tokio::task::spawn_local(async move { session.follow_one(nth).await });
+            tokio::task::spawn_local(async move { session.follow_drawn_limiters(index).await });
         }
     }
 
-    async fn follow_one(&self, nth: u64) {
-        let mut place = (SocketAddr::from(([0, 0, 0, 0], 0)), Place::default());
-        let mut round = chance();
+    async fn follow_drawn_limiters(&self, index: u64) {
+        let mut followed = SocketAddr::from(([0, 0, 0, 0], 0));
+        let mut position = ReplicationPosition::default();
+        let mut round = random_u64();
         loop {
             round = round.wrapping_add(1);
-            let (name, region) = (self.told.settings().node, self.told.settings().region);
-            let partner = self.known.with(|book, now| {
-                // News comes in from afar by one; the way between regions is dear.
-                let near =
-                    nth == 0 && book.members(now).any(|(row, _)| row.region == region && row.name != name);
-                let others = book.members(now).filter(|(row, _)| !row.lapsed && row.name != name);
-                let others = others.filter(|(row, _)| !near || row.region == region);
-                let others: Vec<(String, SocketAddr)> =
-                    others.filter_map(|(row, _)| Some((row.name.clone(), row.inner.parse().ok()?))).collect();
-                let drawn =
-                    keeper(round.wrapping_mul(2 * nth + 1), others.iter().map(|(name, _)| name.as_str()))?;
-                others.iter().find(|(name, _)| name == drawn).map(|(_, at)| *at)
-            });
-            let Some(partner) = partner else {
-                tokio::time::sleep(FEW_AGAIN).await;
+            let Some(limiter) = self.draw_limiter(round, index) else {
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
-            if place.0 != partner {
-                place = (partner, Place::default());
+            if followed != limiter {
+                (followed, position) = (limiter, ReplicationPosition::default());
             }
-            let link = self.links.to(partner);
-            for _ in 0..FEW_CALLS {
-                let asking = Asking { name: name.clone(), hold: FEW_HOLD, ..Asking::default() };
-                if ask(&self.known, &link, &mut place.1, asking).await == Heard::Nothing {
-                    tokio::time::sleep(FEW_AGAIN).await;
+            let name = self.settings.settings().node_name;
+            let client = self.peers.get(limiter);
+            for _ in 0..CALLS_PER_LIMITER {
+                let (name, hold_ms) = (name.clone(), LIMITER_HOLD_MS);
+                let options = FollowOptions { name, hold_ms, ..FollowOptions::default() };
+                let result = follow_once(&self.view, &client, &mut position, options).await;
+                if result == FollowResult::NoResponse {
+                    tokio::time::sleep(RETRY_DELAY).await;
                     break;
                 }
             }
         }
     }
+
+    /// Draws another limiter with a session. Updates come in from afar by one: traffic between regions is expensive.
+    fn draw_limiter(&self, round: u64, index: u64) -> Option<SocketAddr> {
+        let settings = self.settings.settings();
+        let (name, region) = (settings.node_name, settings.region);
+        self.view.with(|table, now| {
+            let others = || table.members(now).map(|(row, _)| row).filter(|row| row.name != name);
+            let is_near = index == 0 && others().any(|row| row.region == region);
+            let drawable = others().filter(|row| !row.expired && (!is_near || row.region == region));
+            let drawable: Vec<(&str, SocketAddr)> =
+                drawable.filter_map(|row| Some((row.name.as_str(), row.inner.parse().ok()?))).collect();
+            let number = round.wrapping_mul(2 * index + 1);
+            let drawn = owner_of(number, drawable.iter().map(|(name, _)| *name))?;
+            drawable.iter().find(|(name, _)| *name == drawn).map(|(_, address)| *address)
+        })
+    }
 }
 
-fn lot(name: &str, ip: Ipv4Addr) -> u64 {
-    name.bytes().fold(u64::from(u32::from(ip)), |x, b| {
-        (x ^ u64::from(b)).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31)
+/// The order in which a limiter prefers core machines.
+fn preference(name: &str, ip: Ipv4Addr) -> u64 {
+    name.bytes().fold(u64::from(u32::from(ip)), |x, byte| {
+        (x ^ u64::from(byte)).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31)
     })
 }
--- /dev/null
+++ b/crates/proxy/src/tenant_plans.rs
@@ -0,0 +1,94 @@
+//! The quotas of tenants as the decision module sees them: one plan for each tenant, by the part of the quota that is given
+//! out here.
+
+use crate::config_snapshot::ConfigSnapshot;
+use crate::quota_counter::QuotaCounter;
+use crate::quota_plan::{plan, tenant_number, QuotaAllowance};
+use oatbank_cluster_state::cluster_view::ClusterView;
+use oatbank_cluster_state::state::Millis;
+use oatbank_config_model::Customer;
+use oatbank_limiter_core::interface::PlanId;
+use oatbank_node_runtime::settings::Bounds;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// What plans depend on besides the configuration.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+struct PlanBasis {
+    /// Limiters that share what is given out here.
+    limiters: f64,
+    /// The part of each quota that these give out.
+    share: f64,
+}
+
+/// How many limiters may be active, as far as is known here; at least this one.
+pub(crate) fn active_limiters(view: &ClusterView) -> f64 {
+    f64::from(view.with(|table, now| table.active_limiter_count(now))).max(1.0)
+}
+
+/// Plans of all tenants.
+pub struct TenantPlans {
+    view: Rc<ClusterView>,
+    counter: Rc<QuotaCounter>,
+    /// Places of tenants' plans, by name; one that is gone keeps its place. Each limiter has its own: what stands for a tenant
+    /// between limiters is [`tenant_number`].
+    places: RefCell<HashMap<String, usize>>,
+    basis: Cell<PlanBasis>,
+}
+
+impl TenantPlans {
+    /// No tenant yet.
+    pub fn new(view: Rc<ClusterView>, counter: Rc<QuotaCounter>) -> Self {
+        TenantPlans { view, counter, places: RefCell::default(), basis: Cell::default() }
+    }
+
+    fn current_basis(&self) -> PlanBasis {
+        let partition = self.counter.partition();
+        let limiters = if partition.is_alone { 1.0 } else { active_limiters(&self.view) };
+        PlanBasis { limiters, share: partition.share() }
+    }
+
+    /// Whether plans have to be made again: time alone changes which limiters count together.
+    pub fn is_outdated(&self) -> bool {
+        self.basis.get() != self.current_basis()
+    }
+
+    /// Makes the plans of this configuration.
+    pub fn update(&self, snapshot: &ConfigSnapshot, bounds: &Bounds) {
+        let mut places = self.places.borrow_mut();
+        let customers = snapshot.configuration().customers.as_deref().unwrap_or_default();
+        for customer in customers {
+            let next = places.len();
+            places.entry(customer.name.clone()).or_insert(next);
+        }
+        let basis = self.current_basis();
+        let allowance = QuotaAllowance {
+            window: bounds.quota_window_s,
+            over: bounds.quota_over,
+            slack: bounds.quota_slack * basis.share,
+            limiters: basis.limiters,
+        };
+        let mut plans = vec![plan(0.0, 0.0, allowance); places.len()];
+        for customer in customers {
+            if let Some(place) = places.get(&customer.name) {
+                plans[*place] = plan(customer.rate * basis.share, customer.burst * basis.share, allowance);
+            }
+        }
+        self.counter.set_plans(plans, basis.limiters);
+        self.basis.set(basis);
+    }
+
+    /// Whether a tenant's request goes on.
+    ///
+    /// # Errors
+    /// If its quota is used up: when to come back, ms.
+    pub fn admit(&self, tenant: &Customer) -> Result<(), Millis> {
+        if tenant.rate <= 0.0 {
+            return Ok(());
+        }
+        let place = self.places.borrow().get(&tenant.name).copied().unwrap_or(0);
+        let limiters = self.basis.get().limiters.max(1.0);
+        self.counter.admit(tenant_number(&tenant.name), PlanId(place), limiters)
+    }
+}
--- a/crates/proxy/tests/calm.rs
+++ b/crates/proxy/tests/calm.rs
@@ -18,20 +18,24 @@
 fn play(settings: Settings) -> u32 {
     let class = Class { aim: 600.0, deadline: 2500.0, late_worth: 0.3, worth: 0.5, repeat: Repeat::Safe };
     let mut module = Gateway::new(Settings { gateways: 9.0, ..Settings::default() }, 7);
-    let mut acts = Vec::new();
+    let mut wait_until_applied = Vec::new();
     // The list comes before the terms, and server by server, as servers beat one after the other.
     for id in 0..8u64 {
         let entries = (0..=id).map(|id| server(id, (id % 4) as u16)).collect();
-        module.handle(id as f64, Event::Servers { update: ListUpdate::Full, entries }, &mut acts);
+        module.handle(
+            id as f64,
+            Event::Servers { update: ListUpdate::Full, entries },
+            &mut wait_until_applied,
+        );
         if id == 0 {
             let settings = Settings { classes: vec![class.clone()], ..settings.clone() };
-            module.handle(0.5, Event::Settings(Box::new(settings)), &mut acts);
+            module.handle(0.5, Event::Settings(Box::new(settings)), &mut wait_until_applied);
         }
     }
     let (mut out, mut refused, mut next) = (Vec::new(), 0, 0u32);
     for tick in 1..2000u32 {
         let now = 100.0 + f64::from(tick) * 10.0;
-        acts.clear();
+        wait_until_applied.clear();
         if tick % 50 == 0 {
             for _ in 0..4 {
                 next += 1;
@@ -42,11 +46,11 @@
                     spread: 1.0,
                     ..Request::default()
                 };
-                module.handle(now, Event::Request(request), &mut acts);
+                module.handle(now, Event::Request(request), &mut wait_until_applied);
             }
         }
         if tick % 2 == 0 {
-            module.handle(now, Event::Timer(0), &mut acts);
+            module.handle(now, Event::Timer(0), &mut wait_until_applied);
         }
         let done: Vec<(f64, RequestId, u8, ServerId)> =
             out.iter().copied().filter(|o: &(f64, _, _, _)| o.0 <= now).collect();
@@ -62,9 +66,9 @@
                 settled: 0.0,
                 load: Vec::new(),
             };
-            module.handle(now, ended, &mut acts);
+            module.handle(now, ended, &mut wait_until_applied);
         }
-        for act in &acts {
+        for act in &wait_until_applied {
             match act {
                 Action::Send { id, server, .. } => out.push((now + 200.0, *id, 0, *server)),
                 Action::Refuse { .. } => refused += 1,
--- a/crates/proxy/tests/cold.rs
+++ b/crates/proxy/tests/cold.rs
@@ -5,8 +5,8 @@
 use oatbank_limiter_core::logic::Gateway;
 use oatbank_node_runtime::settings::{Bounds, Settings as Node};
 use oatbank_proxy::limiter_settings;
-use oatbank_proxy::slow_start::{Parts, TakenBack, APART};
-use oatbank_proxy::subsetting::{cast, Ground};
+use oatbank_proxy::slow_start::{RestoredZones, WarmupShares, MIN_REQUEST_INTERVAL};
+use oatbank_proxy::subsetting::{select_servers, Placement};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,20 +24,20 @@
     (0..many).map(|i| (format!("{what}-{i}"), zones[i % zones.len()].0.clone())).collect()
 }
 
-fn ground<'a>(node: &'a Node, limiters: &'a [(String, String)], at: usize) -> Ground<'a> {
-    Ground { zones: &node.zones, name: &limiters[at].0, zone: &limiters[at].1, limiters }
+fn placement<'a>(node: &'a Node, limiters: &'a [(String, String)], at: usize) -> Placement<'a> {
+    Placement { zones: &node.zones, name: &limiters[at].0, zone: &limiters[at].1, limiters }
 }
 
-fn takers<'a>(
+fn senders<'a>(
     node: &Node,
-    parts: Parts,
+    parts: WarmupShares,
     all: &'a [(String, String)],
-    known: &[(String, String)],
+    view: &[(String, String)],
     server: &(String, String),
 ) -> BTreeSet<&'a str> {
     let takes = |(name, zone): &&(String, String)| {
-        let ground = Ground { zones: &node.zones, name, zone, limiters: known };
-        parts.takes(&ground, &server.0, &server.1)
+        let placement = Placement { zones: &node.zones, name, zone, limiters: view };
+        parts.includes(&placement, &server.0, &server.1)
     };
     all.iter().filter(takes).map(|(name, _)| name.as_str()).collect()
 }
@@ -49,37 +49,43 @@
             let rate = f64::from(tenth) / 10.0;
             for limiters in (1..=120).chain([300, 1000]) {
                 let (bounds, bound) = (bounds(slack), 1.5 * rate + slack);
-                let parts = Parts::new(&bounds, rate, limiters);
-                let sum = (parts.takers * parts.each) as f64;
+                let parts = WarmupShares::new(&bounds, rate, limiters);
+                let sum = (parts.senders * parts.requests_per_second) as f64;
                 assert!(sum <= bound.max(1.0), "{rate} a second, {limiters} limiters: {parts:?}");
-                assert!(parts.takers <= limiters && parts.takers >= 1 && parts.rate > 0.0);
-                // So many as `each` at most in a second, wherever it begins, with room for delays.
-                assert!(parts.rate <= parts.each as f64 * 1000.0 / APART + 1e-9, "{parts:?}");
+                assert!(parts.senders <= limiters && parts.senders >= 1 && parts.rate > 0.0);
+                // So many as `every_change` at most in a second, wherever it begins, with room for delays.
+                assert!(
+                    parts.rate <= parts.requests_per_second as f64 * 1000.0 / MIN_REQUEST_INTERVAL + 1e-9,
+                    "{parts:?}"
+                );
             }
         }
     }
     // As before on the small sites; at ninety, two views without a common taker still keep to the bound.
-    let small = Parts::new(&bounds(5.0), 6.9, 9);
-    assert!(small.takers == 9 && small.each == 1 && small.rate > 0.9, "{small:?}");
-    let grown = Parts::new(&bounds(8.0), 3.4, 87);
-    assert!(grown.takers * grown.each * 2 <= 13 && grown.takers as f64 * grown.rate > 3.4, "{grown:?}");
+    let small = WarmupShares::new(&bounds(5.0), 6.9, 9);
+    assert!(small.senders == 9 && small.requests_per_second == 1 && small.rate > 0.9, "{small:?}");
+    let grown = WarmupShares::new(&bounds(8.0), 3.4, 87);
+    assert!(
+        grown.senders * grown.requests_per_second * 2 <= 13 && grown.senders as f64 * grown.rate > 3.4,
+        "{grown:?}"
+    );
 }
 
 #[test]
 fn each_limiter_that_comes_or_goes_changes_a_servers_takers_by_one() {
     let node = node();
     let (limiters, servers) = (spread(&node, "l", 87), spread(&node, "s", 60));
-    let parts = Parts::new(&bounds(8.0), 3.4, 87);
+    let parts = WarmupShares::new(&bounds(8.0), 3.4, 87);
     for server in &servers {
-        let all = takers(&node, parts, &limiters, &limiters, server);
-        assert_eq!(all.len(), parts.takers);
+        let all = senders(&node, parts, &limiters, &limiters, server);
+        assert_eq!(all.len(), parts.senders);
         let near = |name: &&str| limiters.iter().any(|(n, zone)| n == name && *zone == server.1);
         assert!(all.iter().all(near), "there are enough near ones");
         for gone in 0..limiters.len() {
-            let mut known = limiters.clone();
-            known.remove(gone);
-            let with = takers(&node, parts, &limiters, &known, server);
-            assert!(all.union(&with).count() <= parts.takers + 1);
+            let mut view = limiters.clone();
+            view.remove(gone);
+            let with = senders(&node, parts, &limiters, &view, server);
+            assert!(all.union(&with).count() <= parts.senders + 1);
         }
     }
 }
@@ -94,7 +100,7 @@
     seed: u64,
     /// As it was where all limiters had just started: each takes itself for the only one, sends to the slice that is the first
     /// one's, and the whole part.
-    alone: bool,
+    is_alone: bool,
     /// So long after its beginning the servers tell of their spell, ms; before, they are held to be warm.
     unheard: f64,
     /// The servers' spell is told anew so often, ms, a little off each time.
@@ -110,7 +116,7 @@
             bears: 3.4,
             slack: 8.0,
             seed: 1,
-            alone: false,
+            is_alone: false,
             unheard: 0.0,
             told_anew: 1e9,
         }
@@ -129,17 +135,17 @@
     let mut roll = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
     let (limiters, servers) = (spread(&node, "l", day.limiters), spread(&node, "s", day.servers));
     let places: Vec<(&str, &str)> = servers.iter().map(|(id, zone)| (id.as_str(), zone.as_str())).collect();
-    let parts = Parts::new(&node.bounds, day.bears, day.limiters);
+    let parts = WarmupShares::new(&node.bounds, day.bears, day.limiters);
     let class = Class { aim: 800.0, deadline: 3000.0, late_worth: 0.3, worth: 1.0, repeat: Repeat::Safe };
     let number = |zone: &str| node.zones.iter().position(|(z, _)| z == zone).unwrap_or(0) as u16;
     let list = |at: usize, started: f64| -> Vec<ServerEntry> {
-        let ground = ground(&node, &limiters, at);
-        let known = Ground { limiters: if day.alone { &[] } else { &limiters }, ..ground };
-        let cast = cast(&known, &places);
+        let placement = placement(&node, &limiters, at);
+        let view = Placement { limiters: if day.is_alone { &[] } else { &limiters }, ..placement };
+        let select_servers = select_servers(&view, &places);
         let of = |(server, (id, zone)): (usize, &(&str, &str))| {
-            let taken = match started > 0.0 && !day.alone {
-                true => parts.takes(&known, id, zone),
-                false => cast[server],
+            let taken = match started > 0.0 && !day.is_alone {
+                true => parts.includes(&view, id, zone),
+                false => select_servers[server],
             };
             let entry = ServerEntry {
                 server: ServerId(server as u64),
@@ -157,7 +163,7 @@
             let own = Node { zone: limiters[at].1.clone(), ..node.clone() };
             let mut set = limiter_settings::settings(&own, day.limiters as f64, SPELL / 1000.0, day.bears);
             (set.classes, set.sparse) = (vec![class.clone()], day.limiters > 20);
-            if day.alone {
+            if day.is_alone {
                 set.cold_rate = 1.2 * day.bears;
             }
             Gateway::new(set, day.seed << 20 | at as u64)
@@ -199,9 +205,9 @@
             events.extend((0..day.limiters).map(|at| (at, Event::Timer(0))));
         }
         for (at, event) in events {
-            let mut acts = Vec::new();
-            all[at].handle(now, event, &mut acts);
-            for act in acts {
+            let mut wait_until_applied = Vec::new();
+            all[at].handle(now, event, &mut wait_until_applied);
+            for act in wait_until_applied {
                 let Action::Send { id, server, .. } = act else { continue };
                 sends[server.0 as usize].push(now);
                 let attempt = *tries.entry((at, id.0)).and_modify(|t| *t += 1).or_insert(0);
@@ -265,22 +271,25 @@
 
 #[test]
 fn limiters_that_do_not_know_of_each_other_fail_the_same_check() {
-    let worst = play(&Day { alone: true, ..Day::default() }).0;
-    println!("each alone: {worst}");
+    let worst = play(&Day { is_alone: true, ..Day::default() }).0;
+    println!("each is_alone: {worst}");
     assert!(worst > 1.0, "{worst}");
 }
 
 #[test]
 fn servers_of_a_zone_that_is_taken_back_are_cold_until_a_spell_has_passed() {
     let zones = |names: &[&str]| names.iter().map(|z| (*z).to_owned()).collect::<BTreeSet<String>>();
-    let mut back = TakenBack::default();
-    back.note(0.0, &zones(&[]), &zones(&["z"]));
-    assert_eq!(back.left(100.0, "z", 0.0, SPELL), 0.0, "it is to be empty");
-    back.note(5000.0, &zones(&["y", "z"]), &zones(&["y"]));
-    assert_eq!(back.left(5000.0, "z", 0.0, SPELL), SPELL);
-    assert_eq!((back.left(6000.0, "z", 0.0, SPELL), back.left(6000.0, "y", 0.0, SPELL)), (2000.0, 0.0));
-    assert_eq!(back.left(6000.0, "z", 2900.0, SPELL), 2900.0, "what it says itself may last longer");
-    assert!(back.left(8000.0, "z", 0.0, SPELL) <= 0.0);
+    let mut back = RestoredZones::default();
+    back.on_change(0.0, &zones(&[]), &zones(&["z"]));
+    assert_eq!(back.warmup_left(100.0, "z", 0.0, SPELL), 0.0, "it is to be empty");
+    back.on_change(5000.0, &zones(&["y", "z"]), &zones(&["y"]));
+    assert_eq!(back.warmup_left(5000.0, "z", 0.0, SPELL), SPELL);
+    assert_eq!(
+        (back.warmup_left(6000.0, "z", 0.0, SPELL), back.warmup_left(6000.0, "y", 0.0, SPELL)),
+        (2000.0, 0.0)
+    );
+    assert_eq!(back.warmup_left(6000.0, "z", 2900.0, SPELL), 2900.0, "what it says itself may last longer");
+    assert!(back.warmup_left(8000.0, "z", 0.0, SPELL) <= 0.0);
 }
 
 #[test]
--- a/crates/proxy/tests/counting.rs
+++ b/crates/proxy/tests/counting.rs
@@ -1,24 +1,25 @@
 //! Adds between limiters: each total goes to its own add, and an add that may have been made is not made again.
 
-use oatbank_cluster_state::messages::{Count, Counts, Totals};
-use oatbank_cluster_state::replication::{Knowledge, Steady};
+use oatbank_cluster_state::clock::MonotonicClock;
+use oatbank_cluster_state::cluster_view::ClusterView;
+use oatbank_cluster_state::messages::{QuotaAdd, QuotaAdds, QuotaTotals};
 use oatbank_limiter_core::interface::{Action, CustomerId, Draw, Outcome, Plan, Verdict};
 use oatbank_limiter_core::logic::Quotas;
-use oatbank_node_runtime::rpc::LinkError;
-use oatbank_proxy::quota_counter::{quota_settings, read, Counter};
-use oatbank_proxy::session::Links;
+use oatbank_node_runtime::rpc::RpcError;
+use oatbank_proxy::quota_counter::{outcomes_of, quota_settings, QuotaCounter};
+use oatbank_proxy::session::PeerClients;
 use prost::Message;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 #[test]
 fn a_keeper_tells_a_total_for_each_add_in_their_order_also_where_one_cannot_be_added() {
-    let known = Knowledge::new(Steady::start(), 1500.0);
-    let counter = Counter::new(known, Rc::new(Links::default()), "edge-1".into(), 7);
+    let view = ClusterView::new(MonotonicClock::start(), 1500.0);
+    let counter = QuotaCounter::new(view, Rc::new(PeerClients::default()), "edge-1".into(), 7);
     let ask = |adds: &[(u64, f64)]| {
-        let count = |(name, add): &(u64, f64)| Count { name: *name, add: *add, ttl: 60_000.0 };
-        let body = Counts { counts: adds.iter().map(count).collect() }.encode_to_vec();
-        Totals::decode(&counter.answer(body.into())[..]).expect("totals").totals
+        let count = |(name, add): &(u64, f64)| QuotaAdd { name: *name, add: *add, ttl: 60_000.0 };
+        let body = QuotaAdds { counts: adds.iter().map(count).collect() }.encode_to_vec();
+        QuotaTotals::decode(&counter.answer(body.into())[..]).expect("totals").totals
     };
     assert_eq!(ask(&[(1, 5.0), (2, 7.0), (1, 1.0)]), [5.0, 7.0, 6.0]);
     let totals = ask(&[(1, 1.0), (2, f64::NAN), (2, f64::INFINITY), (2, 2.0)]);
@@ -30,17 +31,21 @@
 
 #[test]
 fn what_an_answer_says_of_each_add() {
-    assert_eq!(read(2, &Ok(vec![3.0, 0.0])), [(Outcome::Ok, 3.0), (Outcome::Ok, 0.0)]);
+    assert_eq!(outcomes_of(2, &Ok(vec![3.0, 0.0])), [(Outcome::Ok, 3.0), (Outcome::Ok, 0.0)]);
     assert_eq!(
-        read(2, &Ok(vec![f64::NAN, 4.0])),
+        outcomes_of(2, &Ok(vec![f64::NAN, 4.0])),
         [(Outcome::Full, 0.0), (Outcome::Ok, 4.0)],
         "no total is no reading"
     );
     for totals in [vec![], vec![3.0], vec![3.0, 4.0, 5.0]] {
-        assert_eq!(read(2, &Ok(totals)), [(Outcome::Reset, 0.0); 2], "whose is which is not known");
+        assert_eq!(outcomes_of(2, &Ok(totals)), [(Outcome::Reset, 0.0); 2], "whose is which is not known");
     }
-    assert_eq!(read(1, &Err(LinkError::Unreachable)), [(Outcome::ConnectFailed, 0.0)], "certainly not added");
-    assert_eq!(read(1, &Err(LinkError::Lost)), [(Outcome::TimedOut, 0.0)], "it may have been added");
+    assert_eq!(
+        outcomes_of(1, &Err(RpcError::Unreachable)),
+        [(Outcome::ConnectFailed, 0.0)],
+        "certainly not added"
+    );
+    assert_eq!(outcomes_of(1, &Err(RpcError::Lost)), [(Outcome::TimedOut, 0.0)], "it may have been added");
 }
 
 /// What a keeper does with one call.
@@ -60,16 +65,16 @@
     let (mut sums, mut calls) = (BTreeMap::<u64, f64>::new(), 0);
     for tick in 0..800u32 {
         let now = 2000.0 + f64::from(tick) * 10.0;
-        let mut acts = Vec::new();
+        let mut wait_until_applied = Vec::new();
         if tick % 2 == 0 && tick < 120 {
             let draw = Draw { customer: CustomerId(1), units: 1.0, spread: 1.0, ..Draw::default() };
-            assert!(!matches!(quotas.admit(now, draw, &mut acts), Verdict::Refuse { .. }));
+            assert!(!matches!(quotas.admit(now, draw, &mut wait_until_applied), Verdict::Refuse { .. }));
             quotas.record(now, CustomerId(1), 1.0, true);
         }
         if tick % 5 == 0 {
-            quotas.tick(now, &mut acts);
+            quotas.tick(now, &mut wait_until_applied);
         }
-        for act in acts {
+        for act in wait_until_applied {
             let Action::Count { name, add, .. } = act else { continue };
             let how = if calls == nth { does } else { Does::Answers };
             calls += 1;
@@ -78,9 +83,9 @@
             }
             let answer = match how {
                 Does::Answers => Ok(vec![sums[&name.0]]),
-                _ => Err(LinkError::Lost),
+                _ => Err(RpcError::Lost),
             };
-            let (outcome, total) = read(1, &answer)[0];
+            let (outcome, total) = outcomes_of(1, &answer)[0];
             quotas.counted(now + 5.0, name, outcome, 5.0, total);
         }
     }
--- a/crates/proxy/tests/ninety.rs
+++ b/crates/proxy/tests/ninety.rs
@@ -2,8 +2,8 @@
 
 use oatbank_limiter_core::interface::*;
 use oatbank_limiter_core::logic::Quotas;
-use oatbank_proxy::config_snapshot::{plan, Allowed};
 use oatbank_proxy::quota_counter::quota_settings;
+use oatbank_proxy::quota_plan::{plan, QuotaAllowance};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -39,8 +39,8 @@
         let now = 60_000.0 + ms as f64;
         let usual = 0.62 * RATE / 1000.0;
         if roll() < if ms < CALM { usual } else { hot * usual } {
-            let (at, mut acts) = ((roll() * limiters as f64) as usize % limiters, Vec::new());
-            let within = all[at].admit(now, draw(1), &mut acts) == Verdict::Within;
+            let (at, mut wait_until_applied) = ((roll() * limiters as f64) as usize % limiters, Vec::new());
+            let within = all[at].admit(now, draw(1), &mut wait_until_applied) == Verdict::Within;
             all[at].record(now, CustomerId(1), 1.0, within);
             if within {
                 ran.push(now);
@@ -48,13 +48,13 @@
             if (5000..CALM).contains(&ms) {
                 (calm, refused) = (calm + 1.0, refused + f64::from(u8::from(!within)));
             }
-            push(&mut adds, acts, now, at);
+            push(&mut adds, wait_until_applied, now, at);
         }
         if ms % TICK == 0 {
             for (at, quotas) in all.iter_mut().enumerate() {
-                let mut acts = Vec::new();
-                quotas.tick(now, &mut acts);
-                push(&mut adds, acts, now, at);
+                let mut wait_until_applied = Vec::new();
+                quotas.tick(now, &mut wait_until_applied);
+                push(&mut adds, wait_until_applied, now, at);
             }
         }
         // Half of the way there, and half of it back.
@@ -81,8 +81,13 @@
     Day { worst: most as f64 / allowed, refused: refused / calm }
 }
 
-fn push(adds: &mut Vec<(f64, usize, CountName, f64)>, acts: Vec<Action>, now: Millis, at: usize) {
-    for act in acts {
+fn push(
+    adds: &mut Vec<(f64, usize, CountName, f64)>,
+    wait_until_applied: Vec<Action>,
+    now: Millis,
+    at: usize,
+) {
+    for act in wait_until_applied {
         if let Action::Count { name, add, .. } = act {
             adds.push((now + LATE / 2.0, at, name, add));
         }
@@ -90,7 +95,7 @@
 }
 
 fn plans(limiters: usize) -> Vec<Plan> {
-    let allowed = Allowed { window: WINDOW, over: 0.1, slack: 20.0, limiters: limiters as f64 };
+    let allowed = QuotaAllowance { window: WINDOW, over: 0.1, slack: 20.0, limiters: limiters as f64 };
     vec![plan(RATE, BURST, allowed)]
 }
 
--- a/crates/proxy/tests/steering.rs
+++ b/crates/proxy/tests/steering.rs
@@ -2,14 +2,14 @@
 //! modules, eyes, judges and books that run in service, before servers and links that are played here. What
 //! the checker counts it sees at the servers and in the proxies' standings alone.
 
-use oatbank_cluster_state::messages::{MemberRow, NoticeRow, ServerRow};
-use oatbank_cluster_state::state::{member_state, Book, Word};
+use oatbank_cluster_state::messages::{MemberRow, ObservationRow, ServerRow};
+use oatbank_cluster_state::state::{member_state, MergeResult, StateTable};
 use oatbank_engine::engine::Finished;
 use oatbank_limiter_core::interface::*;
 use oatbank_limiter_core::logic::Gateway;
 use oatbank_node_runtime::settings::Settings as Node;
 use oatbank_proxy::limiter_settings;
-use oatbank_proxy::outlier_ejection::Steering;
+use oatbank_proxy::outlier_ejection::OutlierEjection;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
@@ -123,15 +123,15 @@
 enum What {
     Request(usize),
     Module(usize, Event),
-    End { proxy: usize, id: RequestId, attempt: u8, outcome: Outcome },
-    Row { to: usize, row: NoticeRow, at: f64 },
+    EndKind { proxy: usize, id: RequestId, attempt: u8, outcome: Outcome },
+    Row { to: usize, row: ObservationRow, at: f64 },
     Look(usize),
 }
 
 struct Proxy {
     gateway: Gateway,
-    steering: Steering,
-    book: Book,
+    outlier_ejection: OutlierEjection,
+    table: StateTable,
     node: Node,
     zone: usize,
     ends: Vec<Finished>,
@@ -150,12 +150,12 @@
     format!("i-{server:03}")
 }
 
-fn entries(now: f64, servers: usize, steering: &Steering, heed: bool) -> Vec<ServerEntry> {
+fn entries(now: f64, servers: usize, outlier_ejection: &OutlierEjection, heed: bool) -> Vec<ServerEntry> {
     let entry = |n: usize| ServerEntry {
         server: ServerId(n as u64),
         weight: 1.0,
         zone: (n % ZONES.len()) as u16,
-        standing: if heed { steering.standing(now, "s", &id(n)) } else { Standing::Well },
+        standing: if heed { outlier_ejection.standing(now, "s", &id(n)) } else { Standing::Well },
         ..ServerEntry::default()
     };
     (0..servers).map(entry).collect()
@@ -165,39 +165,41 @@
     let base = include_str!("../../node-runtime/tests/node.toml");
     let mut rng = Pcg64Mcg::seed_from_u64(day.seed);
     let mut chance = move || (f64::from(rng.next_u32()) + 1.0) / (f64::from(u32::MAX) + 2.0);
-    let mut books: Vec<Book> =
-        (0..day.proxies + BOARDS).map(|n| Book::new(n as u64 + 1, 1500.0, 0.0)).collect();
-    for book in &mut books {
+    let mut tables: Vec<StateTable> =
+        (0..day.proxies + BOARDS).map(|n| StateTable::new(n as u64 + 1, 1500.0, 0.0)).collect();
+    for table in &mut tables {
         for n in 0..day.servers {
             let zone = ZONES[n % ZONES.len()].0.to_owned();
-            let row = ServerRow { id: id(n), service: "s".into(), zone, calls: 1, ..ServerRow::default() };
-            book.server(0.0, &row);
+            let row =
+                ServerRow { id: id(n), service: "s".into(), zone, call_count: 1, ..ServerRow::default() };
+            table.merge_server(0.0, &row);
         }
         for n in 0..day.proxies {
             let (zone, region) = ZONES[n % ZONES.len()];
             let (name, state) = (format!("edge-{n}"), member_state::READY);
             let (zone, region) = (zone.into(), region.into());
-            let row = MemberRow { name, life: 7, beat: 1, zone, region, state, ..MemberRow::default() };
-            book.member(0.0, &row);
+            let row =
+                MemberRow { name, incarnation: 7, heartbeat: 1, zone, region, state, ..MemberRow::default() };
+            table.merge_member(0.0, &row);
         }
     }
-    let boards = books.split_off(day.proxies);
-    let mut boards: Vec<Book> = boards;
+    let boards = tables.split_off(day.proxies);
+    let mut boards: Vec<StateTable> = boards;
     let class = |repeat| Class { aim: AIM, deadline: 2500.0, worth: 1.0, repeat, ..Class::default() };
-    let mut proxies: Vec<Proxy> = books
+    let mut proxies: Vec<Proxy> = tables
         .into_iter()
         .enumerate()
-        .map(|(n, book)| {
+        .map(|(n, table)| {
             let at = n % ZONES.len();
             let mut node = Node::parse(base).expect("settings");
-            (node.node, node.zone) = (format!("edge-{n}"), ZONES[at].0.to_owned());
+            (node.node_name, node.zone) = (format!("edge-{n}"), ZONES[at].0.to_owned());
             node.region = ZONES[at].1.to_owned();
             node.zones = ZONES.iter().map(|(z, r)| ((*z).to_owned(), (*r).to_owned())).collect();
             let mut settings = limiter_settings::settings(&node, day.proxies as f64, 0.0, 0.0);
             settings.classes = vec![class(Repeat::Safe), class(Repeat::Unsafe)];
             let gateway = Gateway::new(settings, day.seed << 8 | n as u64);
-            let (steering, open) = (Steering::default(), HashMap::new());
-            Proxy { gateway, steering, book, node, zone: at, ends: Vec::new(), open }
+            let (outlier_ejection, open) = (OutlierEjection::default(), HashMap::new());
+            Proxy { gateway, outlier_ejection, table, node, zone: at, ends: Vec::new(), open }
         })
         .collect();
 
@@ -207,7 +209,7 @@
         due.insert(((at * 1000.0) as u64, serial), what);
     };
     for (n, proxy) in proxies.iter().enumerate() {
-        let list = entries(0.0, day.servers, &proxy.steering, false);
+        let list = entries(0.0, day.servers, &proxy.outlier_ejection, false);
         let event = Event::Servers { update: ListUpdate::Full, entries: list };
         post(&mut due, 1.0, What::Module(n, event));
         post(&mut due, 2.0 + n as f64, What::Request(n));
@@ -224,10 +226,10 @@
             What::Row { to, row, at } if to >= day.proxies => {
                 // A board: what is new goes to all others.
                 let board = to - day.proxies;
-                let told = NoticeRow { ago: (now - at) as u32, ..row };
-                let before = boards[board].count();
-                let wakes = boards[board].notice(now, &told) != Word::Same;
-                if boards[board].count() == before {
+                let told = ObservationRow { ago: (now - at) as u32, ..row };
+                let before = boards[board].sequence();
+                let wakes = boards[board].merge_observation(now, &told) != MergeResult::Unchanged;
+                if boards[board].sequence() == before {
                     continue;
                 }
                 let ways =
@@ -235,10 +237,10 @@
                 for to in ways {
                     report.bytes += prost_len(&told);
                     // What wakes nobody waits for the next call.
-                    let waits =
+                    let delay =
                         if wakes { 0.0 } else { [200.0, 600.0][usize::from(to < day.proxies)] * chance() };
-                    let way = waits + 2.0 + 35.0 * chance() + if chance() < 0.05 { 300.0 } else { 0.0 };
-                    post(&mut due, now + way, What::Row { to, row: told.clone(), at });
+                    let distance = delay + 2.0 + 35.0 * chance() + if chance() < 0.05 { 300.0 } else { 0.0 };
+                    post(&mut due, now + distance, What::Row { to, row: told.clone(), at });
                     if day.repeats > 0.0 && board == 0 {
                         post(&mut due, now + day.repeats, What::Row { to, row: told.clone(), at });
                     }
@@ -247,8 +249,8 @@
             }
             What::Row { to, row, at } => {
                 if !frozen(to, now) {
-                    let told = NoticeRow { ago: (now - at) as u32, ..row };
-                    proxies[to].book.notice(now, &told);
+                    let told = ObservationRow { ago: (now - at) as u32, ..row };
+                    proxies[to].table.merge_observation(now, &told);
                 }
                 continue;
             }
@@ -260,23 +262,23 @@
                 let p = &mut proxies[n];
                 let ends = std::mem::take(&mut p.ends);
                 if !ends.is_empty() {
-                    p.steering.saw(now, "s", &["read".into(), "once".into()], &ends);
+                    p.outlier_ejection.record_ends(now, "s", &["read".into(), "once".into()], &ends);
                 }
-                if !day.shared || !p.steering.is_time(now, &p.book) {
+                if !day.shared || !p.outlier_ejection.is_due(now, &p.table) {
                     continue;
                 }
-                for row in p.steering.tell(now, &p.book, &p.node.node, 7) {
-                    p.book.notice(now, &row);
+                for row in p.outlier_ejection.observations(now, &p.table, &p.node.node_name, 7) {
+                    p.table.merge_observation(now, &row);
                     report.rows += 1;
                     let to = day.proxies + n % BOARDS;
-                    let waits = if row.is_strong() { 0.0 } else { 600.0 * chance() };
-                    post(&mut due, now + waits + 2.0 + 35.0 * chance(), What::Row { to, row, at: now });
+                    let delay = if row.is_strong() { 0.0 } else { 600.0 * chance() };
+                    post(&mut due, now + delay + 2.0 + 35.0 * chance(), What::Row { to, row, at: now });
                 }
-                let changed = p.steering.judge(now, now, &p.book, &p.node);
+                let changed = p.outlier_ejection.evaluate(now, now, &p.table, &p.node);
                 if !changed {
                     continue;
                 }
-                let list = entries(now, day.servers, &p.steering, true);
+                let list = entries(now, day.servers, &p.outlier_ejection, true);
                 let left = |e: &&ServerEntry| !matches!(e.standing, Standing::Well | Standing::Returning);
                 report.beyond += u32::from(list.iter().filter(left).count() > (day.servers / 8).max(1));
                 for e in list.iter().filter(left) {
@@ -286,7 +288,8 @@
                         report.effect.entry((n, server)).or_insert(now);
                     }
                 }
-                let entries = if day.heeded { list } else { entries(now, day.servers, &p.steering, false) };
+                let entries =
+                    if day.heeded { list } else { entries(now, day.servers, &p.outlier_ejection, false) };
                 (n, Event::Servers { update: ListUpdate::Full, entries })
             }
             What::Request(n) => {
@@ -306,7 +309,7 @@
                 (n, Event::Request(request))
             }
             What::Module(n, event) => (n, event),
-            What::End { proxy: n, id, attempt, outcome } => {
+            What::EndKind { proxy: n, id, attempt, outcome } => {
                 let p = &mut proxies[n];
                 let Some(asked) = p.open.get_mut(&id) else { continue };
                 let Some((server, sent, live)) = asked.attempts.get_mut(usize::from(attempt)) else {
@@ -344,7 +347,7 @@
                 Action::Send { id, server, timeout } => {
                     let p = &mut proxies[n];
                     let server = server.0 as usize;
-                    let standing = p.steering.standing(now, "s", &self::id(server));
+                    let standing = p.outlier_ejection.standing(now, "s", &self::id(server));
                     let Some(asked) = p.open.get_mut(&id) else { continue };
                     let attempt = asked.attempts.len() as u8;
                     asked.attempts.push((server, now, true));
@@ -362,10 +365,10 @@
                     let span = if timeout > 0.0 { timeout } else { 2480.0 };
                     let (outcome, took) =
                         if took > span { (Outcome::TimedOut, span) } else { (outcome, took) };
-                    post(&mut due, now + took, What::End { proxy: n, id, attempt, outcome });
+                    post(&mut due, now + took, What::EndKind { proxy: n, id, attempt, outcome });
                 }
                 Action::Cancel { id, attempt } => {
-                    post(&mut due, now, What::End { proxy: n, id, attempt, outcome: Outcome::Cancelled });
+                    post(&mut due, now, What::EndKind { proxy: n, id, attempt, outcome: Outcome::Cancelled });
                 }
                 Action::Refuse { id, .. } | Action::Fail(id) => {
                     if let Some(asked) = proxies[n].open.get_mut(&id).filter(|a| !a.over) {
@@ -379,14 +382,14 @@
         }
     }
     let left = |p: &Proxy| {
-        (0..day.servers).filter(|n| p.steering.standing(END, "s", &id(*n)) != Standing::Well).count()
+        (0..day.servers).filter(|n| p.outlier_ejection.standing(END, "s", &id(*n)) != Standing::Well).count()
     };
     report.left_at_end =
         proxies.iter().enumerate().filter(|(n, _)| day.frozen != Some(*n)).map(|(_, p)| left(p)).sum();
     report
 }
 
-fn prost_len(row: &NoticeRow) -> usize {
+fn prost_len(row: &ObservationRow) -> usize {
     prost::Message::encoded_len(row)
 }
 
--- a/crates/registry/src/catalog_view.rs
+++ b/crates/registry/src/catalog_view.rs
@@ -1,52 +1,51 @@
-//! The catalogue as this core machine has it: made anew where what it is made from has changed, and swapped
-//! whole.
+//! The service catalog of this core machine: made again when what it is made from has changed.
 
-use oatbank_cluster_state::replication::Knowledge;
-use oatbank_config_model::Playbill;
+use oatbank_cluster_state::cluster_view::ClusterView;
+use oatbank_config_model::{Configuration, RouteTable};
 use oatbank_node_runtime::log;
-use oatbank_service_catalog::{Cast, Current};
+use oatbank_service_catalog::{CurrentCatalog, ServiceOwners};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The catalogue, and the routes of its configuration.
+/// The catalog, and the routes of its configuration.
 #[derive(Clone, Default)]
-pub struct Named {
+pub struct CatalogAndRoutes {
     /// Who owns what.
-    pub names: Current,
-    /// None before the first configuration.
-    pub routes: Option<Rc<oatbank_config_model::Table>>,
+    pub current: CurrentCatalog,
+    /// `None` before the first configuration.
+    pub routes: Option<Rc<RouteTable>>,
 }
 
-/// Keeps it.
-pub struct Names {
-    known: Rc<Knowledge>,
-    now: RefCell<Named>,
+/// Keeps the catalog up to date.
+pub struct CatalogView {
+    view: Rc<ClusterView>,
+    latest: RefCell<CatalogAndRoutes>,
 }
 
-impl Names {
+impl CatalogView {
     /// Nothing is known yet.
-    pub fn new(known: Rc<Knowledge>) -> Rc<Self> {
-        Rc::new(Names { known, now: RefCell::default() })
+    pub fn new(view: Rc<ClusterView>) -> Rc<Self> {
+        Rc::new(CatalogView { view, latest: RefCell::default() })
     }
 
-    /// The catalogue of this moment.
-    pub fn now(&self) -> Named {
-        self.look();
-        self.now.borrow().clone()
+    /// The catalog of this moment.
+    pub fn latest(&self) -> CatalogAndRoutes {
+        self.refresh();
+        self.latest.borrow().clone()
     }
 
-    /// Looks whether anything has changed, and says so where what is contested has.
-    pub fn look(&self) {
-        let edition = self.known.edition();
-        let Named { names, routes } = &mut *self.now.borrow_mut();
-        // What cannot be read by this version is told by who takes it.
-        let cast = || {
-            let bill = Playbill::read(&self.known.decided().config).ok()?;
-            *routes = Some(Rc::new(oatbank_config_model::Table::new(&bill)));
-            Some(Cast::new(edition, &bill))
+    /// Makes the catalog again if anything has changed, and logs changes of what is contested.
+    pub fn refresh(&self) {
+        let edition = self.view.edition();
+        let CatalogAndRoutes { current, routes } = &mut *self.latest.borrow_mut();
+        // A configuration that this version cannot read is reported by whoever takes it.
+        let owners = || {
+            let configuration = Configuration::read(&self.view.agreed_state().config).ok()?;
+            *routes = Some(Rc::new(RouteTable::new(&configuration)));
+            Some(ServiceOwners::new(edition, &configuration))
         };
-        if let Some(contested) = self.known.with(|book, _| names.renew(edition, book, cast)) {
-            log::info!("catalogue: contested servers: {}", contested);
+        if let Some(contested) = self.view.with(|table, _| current.renew(edition, table, owners)) {
+            log::info!("catalog: contested servers: {}", contested);
         }
     }
 }
--- a/crates/registry/src/heartbeat.rs
+++ b/crates/registry/src/heartbeat.rs
@@ -1,16 +1,60 @@
-//! What a server says of itself.
+//! Reads a server's heartbeat (`POST /servers/{id}/beat`).
 
 use miniserde::{json, Deserialize};
 use oatbank_cluster_state::messages::ServerRow;
 use oatbank_cluster_state::state::server_state;
+use oatbank_config_model::mesh;
+use quick_error::quick_error;
+use std::net::SocketAddr;
 
-/// Longest text that is believed.
-const LONGEST: usize = 256;
-/// Longest cold spell that is believed, ms.
-const COLDEST: f64 = 600_000.0;
+/// The longest id or name, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+/// The longest warm-up that is believed, ms.
+const MAX_WARMUP_MS: f64 = 600_000.0;
+/// The largest number that is believed.
+const MAX_CALL_COUNT: f64 = 9e15;
+/// The most slots that are believed.
+const MAX_SLOTS: f64 = 1e6;
 
+quick_error! {
+    /// What is wrong with a heartbeat.
+    #[derive(Clone, Debug, PartialEq)]
+    pub enum HeartbeatError {
+        /// The body is not UTF-8.
+        Encoding {
+            display("the body is no UTF-8")
+        }
+        /// The body lacks a field, or is no JSON.
+        Shape {
+            display("the body is no beat: service, address, zone, serverState (texts) and callCount (a number) are needed")
+        }
+        /// There is no such state.
+        State(state: String) {
+            display("serverState is {:?}; allowed: ready, draining", state)
+        }
+        /// The address cannot be read.
+        Address(address: String) {
+            display("address is {:?}; allowed: an address with a port", address)
+        }
+        /// A name is empty or too long.
+        Name {
+            display("id, service and zone have 1 to {} bytes", MAX_NAME_BYTES)
+        }
+        /// The mesh is no mesh's name, or not the one of the service.
+        Mesh(mesh: String, service: String) {
+            display("mesh is {:?} for the service {:?}; allowed: up to {} bytes without a slash, and the \
+                     mesh that the service's name says, if it says one", mesh, service, MAX_NAME_BYTES)
+        }
+        /// The number of the heartbeat is out of range.
+        CallCount(count: f64) {
+            display("callCount is {}; allowed: a number from 0 on", count)
+        }
+    }
+}
+
+/// The body, as the API names its fields.
 #[derive(Deserialize)]
-struct Beat {
+struct Body {
     mesh: Option<String>,
     service: String,
     address: String,
@@ -20,93 +64,57 @@
     #[serde(rename = "serverState")]
     state: String,
     #[serde(rename = "coldLeftMs")]
-    cold: Option<f64>,
+    warmup_ms: Option<f64>,
     #[serde(rename = "callCount")]
-    calls: f64,
+    call_count: f64,
 }
 
-/// Reads a beat of the server `id`.
+/// Reads a heartbeat of the server `id`.
 ///
 /// # Errors
 /// What is wrong in it, and what is allowed.
-pub fn read(id: &str, body: &[u8]) -> Result<ServerRow, String> {
-    let text = std::str::from_utf8(body).map_err(|_| "the body is no UTF-8".to_owned())?;
-    let beat: Beat = json::from_str(text).map_err(|_| {
-        "the body is no beat: service, address, zone, serverState (texts) and callCount (a number) are needed".to_owned()
-    })?;
-    let state = match beat.state.as_str() {
+pub fn parse(id: &str, body: &[u8]) -> Result<ServerRow, HeartbeatError> {
+    let text = std::str::from_utf8(body).map_err(|_| HeartbeatError::Encoding)?;
+    let body: Body = json::from_str(text).map_err(|_| HeartbeatError::Shape)?;
+    let state = match body.state.as_str() {
         "ready" => server_state::READY,
         "draining" => server_state::DRAINING,
-        other => return Err(format!("serverState is {other:?}; allowed: ready, draining")),
+        _ => return Err(HeartbeatError::State(body.state)),
     };
-    if beat.address.parse::<std::net::SocketAddr>().is_err() {
-        return Err(format!("address is {:?}; allowed: an address with a port", beat.address));
+    if body.address.parse::<SocketAddr>().is_err() {
+        return Err(HeartbeatError::Address(body.address));
     }
-    if id.is_empty() || [id, &beat.service, &beat.zone].iter().any(|t| t.len() > LONGEST) {
-        return Err(format!("id, service and zone have 1 to {LONGEST} bytes"));
+    if id.is_empty() || [id, &body.service, &body.zone].iter().any(|name| name.len() > MAX_NAME_BYTES) {
+        return Err(HeartbeatError::Name);
     }
-    let mesh = beat.mesh.unwrap_or_default();
-    let said = oatbank_config_model::mesh::parts(&beat.service).0;
-    if mesh.len() > LONGEST || mesh.contains('/') || !mesh.is_empty() && !said.is_empty() && said != mesh {
-        return Err(format!(
-            "mesh is {mesh:?} for the service {:?}; allowed: up to {LONGEST} bytes without a slash, and the \
-             mesh that the service's name says, if it says one",
-            beat.service
-        ));
+    let mesh = body.mesh.unwrap_or_default();
+    if !is_valid_mesh(&mesh, &body.service) {
+        return Err(HeartbeatError::Mesh(mesh, body.service));
     }
-    if !(0.0..=9e15).contains(&beat.calls) {
-        return Err(format!("callCount is {}; allowed: a number from 0 on", beat.calls));
+    if !(0.0..=MAX_CALL_COUNT).contains(&body.call_count) {
+        return Err(HeartbeatError::CallCount(body.call_count));
     }
     Ok(ServerRow {
         id: id.to_owned(),
-        // One text says both: no two servers are taken for each other by who knows no meshes.
-        service: oatbank_config_model::mesh::whole(&mesh, &beat.service),
-        address: beat.address,
-        zone: beat.zone,
-        version: beat.version.unwrap_or_default(),
-        slots: beat.slots.unwrap_or(1.0).clamp(0.0, 1e6) as u32,
+        // One name holds both, so that a process that knows no meshes takes no two servers for each other.
+        service: mesh::whole(&mesh, &body.service),
+        address: body.address,
+        zone: body.zone,
+        version: body.version.unwrap_or_default(),
+        slots: body.slots.unwrap_or(1.0).clamp(0.0, MAX_SLOTS) as u32,
         state,
-        cold_ms: beat.cold.unwrap_or(0.0).clamp(0.0, COLDEST).ceil() as u32,
-        calls: beat.calls as u64,
-        silent: false,
-        heard_ago: 0,
+        warmup_ms: body.warmup_ms.unwrap_or(0.0).clamp(0.0, MAX_WARMUP_MS).ceil() as u32,
+        call_count: body.call_count as u64,
+        timed_out: false,
+        age_ms: 0,
     })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = r#"{"service":"huvo11a","address":"10.128.0.9:8080","zone":"z","version":"v1","slots":3,"serverState":"draining","coldLeftMs":12.5,"callCount":4,"new":[1]}"#;
-
-    #[test]
-    fn a_mesh_that_is_named_stands_before_the_service() {
-        let service = |mesh: &str, service: &str| {
-            let beat =
-                GOOD.replace("{\"service\":\"huvo11a\"", &format!("{{{mesh}\"service\":\"{service}\""));
-            read("i-1", beat.as_bytes()).map(|row| row.service)
-        };
-        assert_eq!(service("\"mesh\":\"north\",", "hall").as_deref(), Ok("north/hall"));
-        assert_eq!(service("\"mesh\":\"north\",", "north/hall").as_deref(), Ok("north/hall"));
-        assert_eq!(service("\"mesh\":null,", "hall").as_deref(), Ok("hall"));
-        assert_eq!(service("", "north/hall").as_deref(), Ok("north/hall"));
-        assert!(service("\"mesh\":\"south\",", "north/hall").is_err());
-        assert!(service("\"mesh\":\"a/b\",", "hall").is_err());
-    }
-
-    #[test]
-    fn a_beat_is_read_and_a_bad_one_is_told_by_field() {
-        let row = read("i-1", GOOD.as_bytes()).expect("a beat");
-        assert_eq!((row.state, row.cold_ms, row.calls, row.slots), (server_state::DRAINING, 13, 4, 3));
-        for (from, to, key) in [
-            ("draining", "resting", "serverState"),
-            ("10.128.0.9:8080", "here", "address"),
-            ("\"callCount\":4", "\"callCount\":-4", "callCount"),
-            ("\"service\":\"huvo11a\",", "", "service"),
-        ] {
-            let bad = GOOD.replace(from, to);
-            assert!(read("i-1", bad.as_bytes()).expect_err(key).contains(key), "{bad}");
-        }
-        assert!(read("i-1", &GOOD.as_bytes()[..40]).is_err());
-    }
+fn is_valid_mesh(mesh: &str, service: &str) -> bool {
+    let named_by_service = mesh::parts(service).0;
+    let agrees = mesh.is_empty() || named_by_service.is_empty() || named_by_service == mesh;
+    mesh.len() <= MAX_NAME_BYTES && !mesh.contains('/') && agrees
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -1,19 +1,22 @@
-//! A registry without its sockets: what it follows, whom it asks, and what it says of those who are silent.
+//! The registry of one core machine, without its sockets: follows the other core machines, finds the voters of the store, and
+//! times out servers and sessions.
 
-use crate::catalog_view::Names;
-use crate::control_api::Outside;
-use crate::quorum_client::Council;
+use crate::catalog_view::CatalogView;
+use crate::control_api::ControlApi;
+use crate::quorum_client::QuorumClient;
 use crate::voters;
 use bytes::Bytes;
-use oatbank_cluster_state::admin_query::{refused, Commands};
+use oatbank_cluster_state::admin_query::{error_table, Commands};
+use oatbank_cluster_state::clock::MonotonicClock;
+use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_cluster_state::messages::{call, Table};
-use oatbank_cluster_state::pause_detector::PULSE;
-use oatbank_cluster_state::replication::{ask, Asking, Heard, Knowledge, Place, Steady};
+use oatbank_cluster_state::pause_detector::TICK_INTERVAL;
+use oatbank_cluster_state::replication::{follow_once, FollowOptions, FollowResult, ReplicationPosition};
 use oatbank_config_store::client::RegisterClient;
 use oatbank_node_runtime::log;
-use oatbank_node_runtime::process::Told;
-use oatbank_node_runtime::rpc::{Answering, Link};
-use oatbank_node_runtime::settings::place::{REGISTRY, STORE};
+use oatbank_node_runtime::process::ReloadableSettings;
+use oatbank_node_runtime::rpc::{Handler, RpcClient};
+use oatbank_node_runtime::settings::port_offset::{REGISTRY, STORE};
 use oatbank_node_runtime::settings::Settings;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -21,66 +24,66 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two looks for silence.
-const LOOK: Duration = Duration::from_millis(PULSE as u64);
-/// Who judges others has listened for so much longer than a silence takes, ms.
-const LISTENED_MORE: f64 = 1000.0;
-/// A peer is asked again so soon after a failure.
-const AGAIN: Duration = Duration::from_millis(100);
-/// The stores are asked for their voters within this.
-const WHO_WITHIN: Duration = Duration::from_millis(800);
-/// Between two looks at who votes.
-const VOTERS_EVERY: Duration = Duration::from_millis(500);
-/// What a peer's answer may be held.
-const HOLD: u32 = 300;
-
-/// A registry.
-pub struct Station {
-    told: Rc<Told>,
-    known: Rc<Knowledge>,
-    names: Rc<Names>,
-    client: Rc<RegisterClient>,
+/// Interval of checks for timeouts.
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(TICK_INTERVAL as u64);
+/// A process may time out others once it has listened for this much longer than a server's timeout, ms.
+const LISTEN_SLACK: f64 = 1000.0;
+/// Wait before a peer is called again after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long the stores may take to name their voters.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(800);
+/// Interval of checks for changes of the voters.
+const VOTERS_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a peer may hold a response, ms.
+const HOLD_MS: u32 = 300;
+
+/// The registry of one core machine.
+pub struct RegistryNode {
+    settings: Rc<ReloadableSettings>,
+    view: Rc<ClusterView>,
+    catalog: Rc<CatalogView>,
+    register: Rc<RegisterClient>,
     /// Core machines that are followed.
     peers: RefCell<BTreeSet<Ipv4Addr>>,
 }
 
-impl Station {
+impl RegistryNode {
     /// Knows nothing yet.
-    pub fn new(told: Rc<Told>, clock: Steady) -> Rc<Self> {
-        let settings = told.settings();
-        let known = Knowledge::new(clock, settings.beat_every);
-        let names = Names::new(known.clone());
-        let client = Rc::new(RegisterClient::new(u64::from(u32::from(settings.ip))));
-        Rc::new(Station { told, known, names, client, peers: RefCell::default() })
+    pub fn new(settings: Rc<ReloadableSettings>, clock: MonotonicClock) -> Rc<Self> {
+        let now = settings.settings();
+        let view = ClusterView::new(clock, now.heartbeat_interval);
+        let catalog = CatalogView::new(view.clone());
+        let register = Rc::new(RegisterClient::new(u64::from(u32::from(now.ip))));
+        Rc::new(RegistryNode { settings, view, catalog, register, peers: RefCell::default() })
     }
 
-    /// What it knows.
-    pub fn known(&self) -> &Rc<Knowledge> {
-        &self.known
+    /// What it knows of the cluster.
+    pub fn view(&self) -> &Rc<ClusterView> {
+        &self.view
     }
 
-    /// The catalogue as it has it.
-    pub fn names(&self) -> &Rc<Names> {
-        &self.names
+    /// Its service catalog.
+    pub fn catalog(&self) -> &Rc<CatalogView> {
+        &self.catalog
     }
 
-    /// Who votes in the store, and what each one holds.
-    pub async fn voters(self: Rc<Self>) -> Table {
-        if self.client.voters().is_empty() {
-            return refused("no store names its voters yet".into());
+    /// The table of the store's voters, for `oatbankctl voters`.
+    pub async fn voters_table(self: Rc<Self>) -> Table {
+        if self.register.voters().is_empty() {
+            return error_table("no store names its voters yet".into());
         }
-        let (configuration, responses) = self.client.poll_voters().await;
+        let (configuration, responses) = self.register.poll_voters().await;
         voters::show(&configuration, &responses)
     }
 
-    /// What answers other processes of the system.
-    pub fn handler(&self, commands: Commands) -> Rc<dyn Fn(u8, Bytes) -> Answering> {
-        let (telling, commands) = (self.known.clone(), Rc::new(commands));
-        Rc::new(move |kind, body| {
-            let (known, commands) = (telling.clone(), commands.clone());
+    /// Answers other processes of the system.
+    pub fn handler(&self, commands: Commands) -> Handler {
+        let (view, commands) = (self.view.clone(), Rc::new(commands));
+        Rc::new(move |kind, body: Bytes| {
+            let (view, commands) = (view.clone(), commands.clone());
             Box::pin(async move {
                 match kind {
-                    call::FOLLOW => known.answer_bytes(body).await,
+                    call::FOLLOW => view.answer_bytes(body).await,
                     call::QUERY => commands.answer_bytes(body).await,
                     _ => Vec::new(),
                 }
@@ -88,115 +91,119 @@
         })
     }
 
-    /// Begins to follow the other core machines that it was told of, and to look for silence.
-    pub fn listens(self: &Rc<Self>) {
-        let settings = self.told.settings();
-        self.follow_peers(&settings, settings.seeds.iter().map(|s| *s.ip()));
-        tokio::task::spawn_local(self.clone().look());
+    /// Begins to follow the core machines in the settings, and to time out servers and sessions.
+    pub fn start_following(self: &Rc<Self>) {
+        let settings = self.settings.settings();
+        self.follow_peers(&settings, settings.seeds.iter().map(|seed| *seed.ip()));
+        tokio::task::spawn_local(self.clone().expire_forever());
     }
 
-    /// Waits until a store names the voters, and keeps up with them from then on; what answers callers from outside.
-    pub async fn opens(self: &Rc<Self>) -> Rc<Outside> {
-        let settings = self.told.settings();
+    /// Waits until a store names the voters and keeps up with them from then on; the API for callers from outside.
+    pub async fn open_control_api(self: &Rc<Self>) -> Rc<ControlApi> {
+        let settings = self.settings.settings();
         self.find_voters(&settings).await;
-        let council = Council::new(self.known.clone(), self.client.clone(), settings.ip);
-        tokio::task::spawn_local(council.clone().keep_up());
+        let quorum = QuorumClient::new(self.view.clone(), self.register.clone(), settings.ip);
+        tokio::task::spawn_local(quorum.clone().keep_up());
         tokio::task::spawn_local(self.clone().follow_voters());
         let zones = settings.zones.iter().map(|(zone, _)| zone.clone()).collect();
-        Outside::new(self.known.clone(), council, zones, settings.bounds.ttl_max_s)
+        ControlApi::new(self.view.clone(), quorum, zones, settings.bounds.ttl_max_s)
     }
 
-    /// Waits until a store names the voters.
     async fn find_voters(&self, settings: &Settings) {
-        let mut told = false;
-        while self.client.voters().is_empty() {
-            self.client.discover_voters(&stores(settings), WHO_WITHIN).await;
-            if !self.client.voters().is_empty() {
+        let mut is_logged = false;
+        while self.register.voters().is_empty() {
+            self.register.discover_voters(&store_addresses(settings), DISCOVERY_TIMEOUT).await;
+            if !self.register.voters().is_empty() {
                 return;
             }
-            if !told {
+            if !is_logged {
                 log::warn!("registry: no store names its voters yet");
-                told = true;
+                is_logged = true;
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Follows all core machines that are seeds or vote, as they come. The voters known here change with what is agreed;
-    /// where none of them answers any more, the seeds of the moment are asked.
+    /// Follows all core machines that are seeds or vote, as they come. The voters known here change with what is agreed; if
+    /// none of them answers any more, the seeds of the moment are asked.
     async fn follow_voters(self: Rc<Self>) {
-        let (known, client) = (&self.known, &self.client);
         loop {
-            let settings = self.told.settings();
-            if !known.in_touch() {
-                client.discover_voters(&stores(&settings), WHO_WITHIN).await;
+            let settings = self.settings.settings();
+            if !self.view.in_touch() {
+                self.register.discover_voters(&store_addresses(&settings), DISCOVERY_TIMEOUT).await;
             }
-            let voters = client.voters().into_iter().filter_map(|voter| match voter.ip() {
-                IpAddr::V4(ip) => Some(ip),
-                IpAddr::V6(_) => None,
-            });
-            let voters: Vec<Ipv4Addr> = voters.collect();
-            self.follow_peers(&settings, settings.seeds.iter().map(|s| *s.ip()).chain(voters.clone()));
-            let configuration = client.configuration();
+            let voters: Vec<Ipv4Addr> = self.register.voters().into_iter().filter_map(ipv4).collect();
+            let seeds = settings.seeds.iter().map(|seed| *seed.ip());
+            self.follow_peers(&settings, seeds.chain(voters.clone()));
+            let configuration = self.register.configuration();
             if !configuration.is_changing() {
-                known.set_core(1 + configuration.proposed_in.round, voters.into_iter());
+                let version = 1 + configuration.proposed_in.round;
+                self.view.set_core_members(version, voters.into_iter());
             }
-            tokio::time::sleep(VOTERS_EVERY).await;
+            tokio::time::sleep(VOTERS_INTERVAL).await;
         }
     }
 
-    /// Follows the other core machines that are not followed yet.
+    /// Follows these core machines, unless they are followed already.
     fn follow_peers(&self, settings: &Settings, ips: impl Iterator<Item = Ipv4Addr>) {
         for ip in ips.filter(|ip| *ip != settings.ip) {
             if self.peers.borrow_mut().insert(ip) {
-                let link = Link::new(settings.inner_of(ip, REGISTRY));
-                tokio::task::spawn_local(follow(
-                    self.known.clone(),
-                    link,
-                    settings.node.clone(),
-                    settings.ip,
-                ));
+                let peer = RpcClient::new(settings.rpc_address_of(ip, REGISTRY));
+                let name = settings.node_name.clone();
+                tokio::task::spawn_local(follow_forever(self.view.clone(), peer, name, settings.ip));
             }
         }
     }
 
-    /// Looks for silence. Who stood still, has just begun, or was not in touch with a majority has heard nothing, and
-    /// says nothing of others until it has listened for longer than a silence takes.
-    async fn look(self: Rc<Self>) {
-        let known = &self.known;
-        let mut listens_since = known.now();
+    /// Times out servers and sessions. A process that was paused, has just started, or was not in touch with a majority has
+    /// heard nothing, and times out nobody until it has listened for longer than a timeout lasts.
+    async fn expire_forever(self: Rc<Self>) {
+        let view = &self.view;
+        let mut listening_since = view.now();
         loop {
-            let stood = known.pulse();
-            if let Some(ms) = stood {
-                log::warn!("registry: stood still for {} ms", ms as u64);
+            let paused = view.tick();
+            if let Some(ms) = paused {
+                log::warn!("registry: was paused for {} ms", ms as u64);
             }
-            let now = known.now();
-            if stood.is_some() || !known.in_touch() {
-                listens_since = now;
+            let now = view.now();
+            if paused.is_some() || !view.in_touch() {
+                listening_since = now;
             }
-            let listened = known.with(|book, _| book.silence()) + LISTENED_MORE;
-            let may_judge = now - listens_since > listened && known.with(|book, now| book.is_warm(now));
-            let judges_as_of = known.fresh_at().filter(|_| may_judge);
-            known.change(|book, now| book.look(now, judges_as_of));
-            self.names.look();
-            tokio::time::sleep(LOOK).await;
+            let needed = view.with(|table, _| table.server_timeout()) + LISTEN_SLACK;
+            let may_expire = now - listening_since > needed && view.with(|table, now| table.is_warm(now));
+            let in_touch_at = view.confirmed_at().filter(|_| may_expire);
+            view.change(|table, now| table.expire(now, in_touch_at));
+            self.catalog.refresh();
+            tokio::time::sleep(EXPIRE_INTERVAL).await;
         }
     }
 }
 
-/// The stores to ask who votes.
-fn stores(settings: &Settings) -> Vec<SocketAddr> {
-    let own = std::iter::once(settings.ip);
-    own.chain(settings.seeds.iter().map(|s| *s.ip())).map(|ip| settings.inner_of(ip, STORE)).collect()
+fn ipv4(address: SocketAddr) -> Option<Ipv4Addr> {
+    match address.ip() {
+        IpAddr::V4(ip) => Some(ip),
+        IpAddr::V6(_) => None,
+    }
+}
+
+/// The stores to ask for the voters.
+fn store_addresses(settings: &Settings) -> Vec<SocketAddr> {
+    let seeds = settings.seeds.iter().map(|seed| *seed.ip());
+    std::iter::once(settings.ip).chain(seeds).map(|ip| settings.rpc_address_of(ip, STORE)).collect()
 }
 
-async fn follow(known: Rc<Knowledge>, link: Rc<Link>, name: String, ip: Ipv4Addr) {
-    let mut place = Place::default();
+async fn follow_forever(view: Rc<ClusterView>, peer: Rc<RpcClient>, name: String, ip: Ipv4Addr) {
+    let mut position = ReplicationPosition::default();
     loop {
-        let (name, core_ip) = (name.clone(), Some(ip));
-        let asking = Asking { name, each: true, core_ip, hold: HOLD, ..Asking::default() };
-        if ask(&known, &link, &mut place, asking).await == Heard::Nothing {
-            tokio::time::sleep(AGAIN).await;
+        let options = FollowOptions {
+            name: name.clone(),
+            every_change: true,
+            core_ip: Some(ip),
+            hold_ms: HOLD_MS,
+            ..FollowOptions::default()
+        };
+        if follow_once(&view, &peer, &mut position, options).await == FollowResult::NoResponse {
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
