--- a/crates/registry/src/operator_command.rs
+++ b/crates/registry/src/operator_command.rs
@@ -1,192 +1,212 @@
-//! What an operator's order makes of what is decided.
+//! What an operator's command makes of the agreed state. Pure.
 
-use oatbank_cluster_state::messages::{Decided, Taken, LONGEST_CONFIG};
-use oatbank_config_model::{Playbill, Proposal, Refused};
-use oatbank_node_runtime::error_kind::Kind;
+use oatbank_cluster_state::messages::{AcceptedVersion, AgreedState, MAX_CONFIG_BYTES};
+use oatbank_config_model::{Configuration, Proposal, ProposalError};
+use oatbank_node_runtime::error_kind::ErrorKind;
 use prost::Message;
 
-/// Versions whose proposals are remembered: each costs some 10 bytes in every ballot. What is older gets no clear
-/// answer, so that a repeat is never refused.
-pub const REMEMBERED: usize = 4096;
+/// How many accepted versions are remembered: each costs some 10 bytes in every proposal. A repeat of an older one gets no
+/// clear answer, so that it is never rejected though it was accepted.
+pub const REMEMBERED_VERSIONS: usize = 4096;
 
-/// An order.
+/// An operator's command.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum OperatorCommand {
     /// A configuration, or changes of one.
-    Settings(Proposal),
-    /// A zone is to be empty, or is taken back.
-    Empty {
+    Configure(Proposal),
+    /// Begins or ends the evacuation of a zone.
+    Evacuate {
         /// The zone.
         zone: String,
-        /// It is to be empty.
+        /// Whether the evacuation begins.
         begin: bool,
     },
 }
 
-/// Why an order is not taken.
+/// Why a command is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal {
-    /// The kind.
-    pub kind: Kind,
-    /// For the operator.
+pub struct Rejection {
+    /// The kind of error.
+    pub kind: ErrorKind,
+    /// What is wrong, for the operator.
     pub problem: String,
 }
 
-/// What an order that is not refused comes to.
+/// What a command that is not rejected comes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
-    /// This is decided next.
-    Next(Box<Decided>),
-    /// It was taken before, or there is nothing to change: what is decided stays as it is.
-    Already,
+pub enum Applied {
+    /// This is agreed on next.
+    Next(Box<AgreedState>),
+    /// It was accepted before, or there is nothing to change: the agreed state stays as it is.
+    AlreadyInForce,
 }
 
 /// What is known of a version's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    /// This very proposal was taken.
-    Taken,
+enum VersionStatus {
+    /// This very proposal was accepted.
+    Accepted,
     /// It was not.
-    Never,
+    NotAccepted,
     /// It is older than what is remembered.
     Forgotten,
 }
 
-/// Versions that were taken, the newest last. They climb, and none is missing from the first of them on.
-struct Remembered(Vec<Taken>);
+/// Accepted versions, the newest last. Invariant: they rise, and none is missing from the first of them on.
+struct AcceptedVersions(Vec<AcceptedVersion>);
 
-impl Remembered {
-    fn of(decided: &Decided) -> Remembered {
-        let numbers = decided.steps.iter().scan(0u64, |number, step| {
-            *number = number.saturating_add(*step);
-            Some(*number)
+impl AcceptedVersions {
+    fn of(state: &AgreedState) -> AcceptedVersions {
+        if !state.accepted.is_empty() {
+            // An earlier version of this program knew nothing of the packed list, left it out, and went on in its own.
+            return AcceptedVersions(state.accepted.clone());
+        }
+        let versions = state.steps.iter().scan(0u64, |version, step| {
+            *version = version.saturating_add(*step);
+            Some(*version)
         });
-        let packed =
-            numbers.zip(&decided.digests).map(|(version, digest)| Taken { version, digest: *digest });
-        // A program before knew nothing of the packed ones, left them out, and went on in its own list.
-        Remembered(if decided.taken.is_empty() { packed.collect() } else { decided.taken.clone() })
+        let accepted = |(version, digest): (u64, &u64)| AcceptedVersion { version, digest: *digest };
+        AcceptedVersions(versions.zip(&state.digests).map(accepted).collect())
     }
 
-    fn keep(&self, decided: &mut Decided) {
-        let before = std::iter::once(0).chain(self.0.iter().map(|taken| taken.version));
-        decided.steps = self.0.iter().zip(before).map(|(taken, before)| taken.version - before).collect();
-        decided.digests = self.0.iter().map(|taken| taken.digest).collect();
-        decided.taken.clear();
+    /// Writes them into the agreed state, packed.
+    fn pack_into(&self, state: &mut AgreedState) {
+        let before = std::iter::once(0).chain(self.0.iter().map(|accepted| accepted.version));
+        state.steps = self.0.iter().zip(before).map(|(accepted, before)| accepted.version - before).collect();
+        state.digests = self.0.iter().map(|accepted| accepted.digest).collect();
+        state.accepted.clear();
     }
 
-    fn add(&mut self, taken: Taken) {
-        self.0.push(taken);
-        let over = self.0.len().saturating_sub(REMEMBERED);
-        self.0.drain(..over);
+    fn add(&mut self, accepted: AcceptedVersion) {
+        self.0.push(accepted);
+        let excess = self.0.len().saturating_sub(REMEMBERED_VERSIONS);
+        self.0.drain(..excess);
     }
 
-    /// What became of this proposal, where `current` is in place.
-    fn fate(&self, proposal: &Proposal, current: u64) -> Fate {
+    /// What became of this proposal, where the version `current` is in force.
+    fn status(&self, proposal: &Proposal, current: u64) -> VersionStatus {
         let version = proposal.version();
-        // Versions climb: nothing is taken that does not lie above what it builds on.
+        // Versions rise: nothing is accepted that is not above what it builds on.
         if version > current || version <= proposal.built_on() {
-            return Fate::Never;
+            return VersionStatus::NotAccepted;
         }
-        match self.0.binary_search_by_key(&version, |taken| taken.version) {
-            Ok(at) if self.0[at].digest == proposal.digest() => Fate::Taken,
-            Ok(_) => Fate::Never,
-            Err(0) => Fate::Forgotten,
-            Err(_) => Fate::Never,
+        match self.0.binary_search_by_key(&version, |accepted| accepted.version) {
+            Ok(index) if self.0[index].digest == proposal.digest() => VersionStatus::Accepted,
+            Ok(_) => VersionStatus::NotAccepted,
+            Err(0) => VersionStatus::Forgotten,
+            Err(_) => VersionStatus::NotAccepted,
         }
     }
 }
 
-/// What is decided once the order is taken.
+/// Applies a command to the agreed state.
 ///
 /// # Errors
-/// When it is invalid, builds on another version, or would be too long. With [`Kind::Unsure`] it may have been taken
-/// long ago.
-pub fn settle(decided: &Decided, order: &Order) -> Result<Settled, Refusal> {
-    let mut next = decided.clone();
-    match order {
-        Order::Settings(proposal) => {
-            let current = match decided.config.as_str() {
-                "" => None,
-                text => Some(Playbill::read(text).map_err(|e| Refusal {
-                    kind: Kind::Unsure,
-                    problem: format!("what is in force cannot be read: {e}"),
-                })?),
-            };
-            let mut remembered = Remembered::of(decided);
-            let now = current.as_ref().map_or(0, |bill| bill.version);
-            match remembered.fate(proposal, now) {
-                Fate::Taken => return Ok(Settled::Already),
-                Fate::Never => {}
-                Fate::Forgotten => {
-                    let since = remembered.0.first().map_or(now, |taken| taken.version);
-                    return Err(Refusal {
-                        kind: Kind::Unsure,
-                        problem: format!(
-                            "r{} may have been taken: what was sent is remembered from r{since} on; r{now} is in place",
-                            proposal.version()
-                        ),
-                    });
-                }
-            }
-            let bill = proposal.onto(current.as_ref()).map_err(|refused| match refused {
-                Refused::Stale { current } => {
-                    Refusal { kind: Kind::Stale, problem: format!("r{current} is in place") }
-                }
-                Refused::Invalid(e) => Refusal { kind: Kind::Invalid, problem: e.to_string() },
-            })?;
-            next.config = bill.text();
-            if next.config.len() > LONGEST_CONFIG {
-                return Err(Refusal {
-                    kind: Kind::TooLong,
-                    problem: format!(
-                        "the configuration would be {} bytes long; allowed: {LONGEST_CONFIG} at most",
-                        next.config.len()
-                    ),
-                });
-            }
-            remembered.add(Taken { version: proposal.version(), digest: proposal.digest() });
-            remembered.keep(&mut next);
+/// When it is invalid, builds on another version, or would make the configuration too long. With
+/// [`ErrorKind::OutcomeUnknown`] it may have been accepted long ago.
+pub fn apply(state: &AgreedState, command: &OperatorCommand) -> Result<Applied, Rejection> {
+    match command {
+        OperatorCommand::Configure(proposal) => configure(state, proposal),
+        OperatorCommand::Evacuate { zone, begin } => Ok(evacuate(state, zone, *begin)),
+    }
+}
+
+fn configure(state: &AgreedState, proposal: &Proposal) -> Result<Applied, Rejection> {
+    let current = current_configuration(state)?;
+    let current_version = current.as_ref().map_or(0, |configuration| configuration.version);
+    let mut accepted = AcceptedVersions::of(state);
+    match accepted.status(proposal, current_version) {
+        VersionStatus::Accepted => return Ok(Applied::AlreadyInForce),
+        VersionStatus::NotAccepted => {}
+        VersionStatus::Forgotten => {
+            let first = accepted.0.first().map_or(current_version, |accepted| accepted.version);
+            let problem = format!(
+                "r{} may have been taken: what was sent is remembered from r{first} on; r{current_version} is in place",
+                proposal.version()
+            );
+            return Err(Rejection { kind: ErrorKind::OutcomeUnknown, problem });
         }
-        Order::Empty { zone, begin } => {
-            next.empty.retain(|z| z != zone);
-            if *begin {
-                next.empty.push(zone.clone());
-                next.empty.sort();
-            }
-            if next.empty == decided.empty {
-                return Ok(Settled::Already);
-            }
+    }
+    let next_configuration = proposal.onto(current.as_ref()).map_err(reject_proposal)?;
+    let mut next = AgreedState { config: next_configuration.text(), ..state.clone() };
+    if next.config.len() > MAX_CONFIG_BYTES {
+        let problem = format!(
+            "the configuration would be {} bytes long; allowed: {MAX_CONFIG_BYTES} at most",
+            next.config.len()
+        );
+        return Err(Rejection { kind: ErrorKind::TooLong, problem });
+    }
+    accepted.add(AcceptedVersion { version: proposal.version(), digest: proposal.digest() });
+    accepted.pack_into(&mut next);
+    Ok(Applied::Next(Box::new(next)))
+}
+
+fn current_configuration(state: &AgreedState) -> Result<Option<Configuration>, Rejection> {
+    if state.config.is_empty() {
+        return Ok(None);
+    }
+    let unreadable = |error| Rejection {
+        kind: ErrorKind::OutcomeUnknown,
+        problem: format!("what is in force cannot be read: {error}"),
+    };
+    Configuration::read(&state.config).map(Some).map_err(unreadable)
+}
+
+fn reject_proposal(error: ProposalError) -> Rejection {
+    match error {
+        ProposalError::Stale { current } => {
+            Rejection { kind: ErrorKind::StaleVersion, problem: format!("r{current} is in place") }
         }
+        ProposalError::Invalid(error) => Rejection { kind: ErrorKind::Invalid, problem: error.to_string() },
+    }
+}
+
+fn evacuate(state: &AgreedState, zone: &str, begin: bool) -> Applied {
+    let mut next = state.clone();
+    next.empty.retain(|evacuated| evacuated != zone);
+    if begin {
+        next.empty.push(zone.to_owned());
+        next.empty.sort();
+    }
+    if next.empty == state.empty {
+        return Applied::AlreadyInForce;
     }
-    Ok(Settled::Next(Box::new(next)))
+    Applied::Next(Box::new(next))
 }
 
-/// Why an order makes no other edition.
+/// Why a command makes no new edition.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Not {
-    /// It was taken before, or there is nothing to change, in this edition.
-    Needed(u64),
-    /// It is not taken.
-    Taken(Refusal),
+pub enum NoNewEdition {
+    /// It was accepted before, or there is nothing to change, in this edition.
+    AlreadyInForce(u64),
+    /// It is rejected.
+    Rejected(Rejection),
 }
 
-/// Reads what is agreed.
+/// Decodes the value of the register.
 ///
 /// # Errors
 /// When a later version of this program has written it.
-pub fn read(bytes: Option<&[u8]>) -> Result<Decided, Refusal> {
-    let problem = |e| format!("what was agreed cannot be read by this version: {e}");
-    Decided::decode(bytes.unwrap_or_default())
-        .map_err(|e| Refusal { kind: Kind::Unsure, problem: problem(e) })
+pub fn decode_state(bytes: Option<&[u8]>) -> Result<AgreedState, Rejection> {
+    let unreadable = |error| Rejection {
+        kind: ErrorKind::OutcomeUnknown,
+        problem: format!("what was agreed cannot be read by this version: {error}"),
+    };
+    AgreedState::decode(bytes.unwrap_or_default()).map_err(unreadable)
 }
 
-/// [`settle`] as the store asks for it: on the newest value, and the edition that it stands in.
+/// [`apply`] as the store calls it: on the newest value of the register and its edition.
 ///
 /// # Errors
-/// Where no other edition is made. It is told only once what it was found in is chosen.
-pub fn change(order: &Order, bytes: Option<&[u8]>, edition: u64) -> Result<Vec<u8>, Not> {
-    match settle(&read(bytes).map_err(Not::Taken)?, order).map_err(Not::Taken)? {
-        Settled::Next(next) => Ok(next.encode_to_vec()),
-        Settled::Already => Err(Not::Needed(edition)),
+/// When there is no new edition. That is reported only once the value it was found in is chosen.
+pub fn apply_to_register(
+    command: &OperatorCommand,
+    bytes: Option<&[u8]>,
+    edition: u64,
+) -> Result<Vec<u8>, NoNewEdition> {
+    let state = decode_state(bytes).map_err(NoNewEdition::Rejected)?;
+    match apply(&state, command).map_err(NoNewEdition::Rejected)? {
+        Applied::Next(next) => Ok(next.encode_to_vec()),
+        Applied::AlreadyInForce => Err(NoNewEdition::AlreadyInForce(edition)),
     }
 }
--- a/crates/registry/tests/outside.rs
+++ b/crates/registry/tests/control_api.rs
@@ -1,12 +1,15 @@
 //! Outside calls of operators on sockets, before three voters with disks, and what a follower hears of them.
 
-use oatbank_cluster_state::messages::{call, LONGEST_CONFIG};
-use oatbank_cluster_state::replication::{ask, Asking, Knowledge, Place, Steady};
+use oatbank_cluster_state::clock::MonotonicClock;
+use oatbank_cluster_state::cluster_view::ClusterView;
+use oatbank_cluster_state::messages::{call, MAX_CONFIG_BYTES};
+use oatbank_cluster_state::replication::{follow_once, FollowOptions, ReplicationPosition};
 use oatbank_config_store::client::RegisterClient;
 use oatbank_config_store::voter::{Voter, VoterOptions};
-use oatbank_node_runtime::rpc::{self, Link};
-use oatbank_registry::control_api::Outside;
-use oatbank_registry::quorum_client::Council;
+use oatbank_node_runtime::rpc::{self, RpcClient};
+use oatbank_registry::control_api::ControlApi;
+use oatbank_registry::control_server::ControlServer;
+use oatbank_registry::quorum_client::QuorumClient;
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -16,24 +19,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
 
-struct Core {
+struct CoreMachine {
     control: SocketAddr,
     inner: SocketAddr,
-    known: Rc<Knowledge>,
+    view: Rc<ClusterView>,
     folder: PathBuf,
 }
 
-impl Drop for Core {
+impl Drop for CoreMachine {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn run_here(name: &str, test: impl AsyncFnOnce(Core)) {
+fn run_here(name: &str, test: impl AsyncFnOnce(CoreMachine)) {
     let folder =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("outside-{name}-{}", std::process::id()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, async { test(Core::start(folder).await).await });
+    LocalSet::new().block_on(&runtime, async { test(CoreMachine::start(folder).await).await });
 }
 
 async fn bind() -> (TcpListener, SocketAddr) {
@@ -42,8 +45,8 @@
     (listener, at)
 }
 
-impl Core {
-    async fn start(folder: PathBuf) -> Core {
+impl CoreMachine {
+    async fn start(folder: PathBuf) -> CoreMachine {
         let voters = [bind().await, bind().await, bind().await];
         let seeds: Vec<SocketAddr> = voters.iter().map(|(_, at)| *at).collect();
         for (listener, address) in voters {
@@ -63,12 +66,13 @@
         while client.voters().is_empty() {
             client.discover_voters(&seeds, Duration::from_millis(800)).await;
         }
-        let known = Knowledge::new(Steady::start(), 1500.0);
-        let council = Council::new(known.clone(), client, Ipv4Addr::LOCALHOST);
+        let view = ClusterView::new(MonotonicClock::start(), 1500.0);
+        let quorum = QuorumClient::new(view.clone(), client, Ipv4Addr::LOCALHOST);
         let ((outer, control), (listener, inner)) = (bind().await, bind().await);
-        spawn_local(Outside::new(known.clone(), council, vec!["east-1".into()], 0.0).serve(outer));
-        let telling = known.clone();
-        let handler: Rc<dyn Fn(u8, bytes::Bytes) -> rpc::Answering> = Rc::new(move |kind, body| {
+        let api = ControlApi::new(view.clone(), quorum, vec!["east-1".into()], 0.0);
+        spawn_local(ControlServer::new(api).serve(outer));
+        let telling = view.clone();
+        let handler: Rc<dyn Fn(u8, bytes::Bytes) -> rpc::ResponseFuture> = Rc::new(move |kind, body| {
             let telling = telling.clone();
             Box::pin(async move {
                 match kind {
@@ -78,7 +82,7 @@
             })
         });
         spawn_local(rpc::serve(listener, handler));
-        Core { control, inner, known, folder }
+        CoreMachine { control, inner, view, folder }
     }
 
     async fn open(&self, head: &str, body: &[u8]) -> TcpStream {
@@ -131,25 +135,30 @@
 fn the_longest_configuration_is_agreed_followed_and_read_back_and_a_longer_one_is_refused_with_the_bound() {
     run_here("longest", async |core| {
         // So that what is read back comes to the bound, which counts without `builtOn`.
-        let text = sized(3, "0", LONGEST_CONFIG);
-        assert!(text.len() <= LONGEST_CONFIG && text.len() + 40 > LONGEST_CONFIG, "{}", text.len());
+        let text = sized(3, "0", MAX_CONFIG_BYTES);
+        assert!(text.len() <= MAX_CONFIG_BYTES && text.len() + 40 > MAX_CONFIG_BYTES, "{}", text.len());
         let ((status, told), took) = timed(core.call("POST /settings/replace", text.as_bytes())).await;
         assert_eq!(status, 200, "{told}");
         let ((status, read), read_took) = timed(core.call("GET /settings/read", b"")).await;
         assert_eq!(status, 200, "{read}");
-        assert!(read.len() > LONGEST_CONFIG - 100 && read.len() <= LONGEST_CONFIG, "{}", read.len());
+        assert!(read.len() > MAX_CONFIG_BYTES - 100 && read.len() <= MAX_CONFIG_BYTES, "{}", read.len());
 
-        let (follower, link) = (Knowledge::new(Steady::start(), 1500.0), Link::new(core.inner));
-        let asking = Asking { name: "p".into(), hold: 300, ..Asking::default() };
-        let (_, follow_took) = timed(ask(&follower, &link, &mut Place::default(), asking)).await;
-        assert_eq!(follower.decided().config, read, "the proxy has it in one call");
+        let (follower, link) =
+            (ClusterView::new(MonotonicClock::start(), 1500.0), RpcClient::new(core.inner));
+        let options = FollowOptions { name: "p".into(), hold_ms: 300, ..FollowOptions::default() };
+        let (_, follow_took) =
+            timed(follow_once(&follower, &link, &mut ReplicationPosition::default(), options)).await;
+        assert_eq!(follower.agreed_state().config, read, "the proxy has it in one call");
         println!("agreed in {took:?}, read in {read_took:?}, followed in {follow_took:?}");
 
-        for length in [LONGEST_CONFIG + 1000, 9 << 20, 20 << 20, 32 << 20] {
-            let mut text = sized(7, "\"r3\"", LONGEST_CONFIG / 2);
+        for length in [MAX_CONFIG_BYTES + 1000, 9 << 20, 20 << 20, 32 << 20] {
+            let mut text = sized(7, "\"r3\"", MAX_CONFIG_BYTES / 2);
             text.push_str(&" ".repeat(length - text.len()));
             let (status, told) = core.call("POST /settings/replace", text.as_bytes()).await;
-            assert!(status == 413 && told.contains(&LONGEST_CONFIG.to_string()), "{length}: {status} {told}");
+            assert!(
+                status == 413 && told.contains(&MAX_CONFIG_BYTES.to_string()),
+                "{length}: {status} {told}"
+            );
         }
         // A short change that would make it too long.
         let change = format!(
@@ -157,7 +166,7 @@
             "n".repeat(1000)
         );
         let (status, told) = core.call("POST /settings/change", change.as_bytes()).await;
-        assert!(status == 413 && told.contains(&LONGEST_CONFIG.to_string()), "{status} {told}");
+        assert!(status == 413 && told.contains(&MAX_CONFIG_BYTES.to_string()), "{status} {told}");
         assert_eq!(core.call("GET /settings/read", b"").await.1, read, "the old one stays");
     });
 }
@@ -166,13 +175,13 @@
 fn a_copy_of_an_order_whose_caller_has_gone_does_not_empty_the_zone_again() {
     run_here("gone", async |core| {
         assert_eq!(core.call("POST /empty/east-1/begin", b"").await.0, 200);
-        assert_eq!(core.known.decided().empty, ["east-1"]);
+        assert_eq!(core.view.agreed_state().empty, ["east-1"]);
         // As it lay in the socket of a machine that stood still: the order, and the end of its connection.
         for _ in 0..8 {
             drop(core.open("POST /empty/east-1/begin", b"").await);
         }
         assert_eq!(core.call("POST /empty/east-1/end", b"").await.0, 200);
-        let edition = core.known.edition();
+        let edition = core.view.edition();
         for round_trip in [0, 0, 0, 5, 20, 40] {
             // The end follows the order by a way there and back: a cut link sends both again in turn.
             let copy = core.open("POST /empty/east-1/begin", b"").await;
@@ -182,7 +191,7 @@
         // Each is begun, if it is, before this one, which waits as long.
         assert_eq!(core.call("POST /empty/east-1/end", b"").await.0, 200);
         assert_eq!(core.call("GET /settings/read", b"").await.0, 404);
-        assert_eq!((core.known.edition(), core.known.decided().empty.len()), (edition, 0));
+        assert_eq!((core.view.edition(), core.view.agreed_state().empty.len()), (edition, 0));
     });
 }
 
@@ -191,10 +200,10 @@
     run_here("repeat", async |core| {
         let text = sized(3, "0", 10_000);
         assert_eq!(core.call("POST /settings/replace", text.as_bytes()).await.0, 200);
-        let edition = core.known.edition();
+        let edition = core.view.edition();
         for _ in 0..3 {
             assert_eq!(core.call("POST /settings/replace", text.as_bytes()).await.0, 200);
         }
-        assert_eq!(core.known.edition(), edition);
+        assert_eq!(core.view.edition(), edition);
     });
 }
--- a/crates/registry/tests/one_number.rs
+++ b/crates/registry/tests/one_number.rs
@@ -1,22 +1,22 @@
 //! One number, one change: rivals and repeats through several machines whose messages and answers are lost, over ends
 //! of all processes, wiped disks and changes of the voters. The real orders over the real rounds of the store.
 
-use oatbank_config_model::{Playbill, Proposal};
+use oatbank_config_model::{Configuration, Proposal};
 use oatbank_config_store::acceptor::Acceptor;
 use oatbank_config_store::messages::{Accept, Prepare, VoterConfiguration, VoterId, VoterResponse};
 use oatbank_config_store::proposer::{Action, KnownRecord, Operation, Outcome, PhaseId, Task, VoterChange};
-use oatbank_node_runtime::error_kind::Kind;
-use oatbank_registry::operator_command::{self, change, Not, Order};
+use oatbank_node_runtime::error_kind::ErrorKind;
+use oatbank_registry::operator_command::{apply_to_register, decode_state, NoNewEdition, OperatorCommand};
 use std::collections::{BTreeMap, BTreeSet};
 
-type Change = Box<dyn Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, Not>>;
-type Work = Operation<Change, Not>;
+type Change = Box<dyn Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, NoNewEdition>>;
+type Work = Operation<Change, NoNewEdition>;
 
 /// What the operator hears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Told {
-    Taken,
-    Refused(Kind),
+    AcceptedVersion,
+    ProposalError(ErrorKind),
     Unclear,
 }
 
@@ -34,7 +34,7 @@
 }
 
 /// An order under way.
-struct Call {
+struct ApiCall {
     order: usize,
     machine: usize,
     work: Work,
@@ -86,17 +86,17 @@
         self.lives += 1;
     }
 
-    fn begin(&mut self, order: usize, machine: usize, task: Task<Change>) -> Call {
+    fn begin(&mut self, order: usize, machine: usize, task: Task<Change>) -> ApiCall {
         let at = &self.machines[machine];
         let mut work = Operation::new(task, at.life, self.founders.clone(), at.highest, at.known.clone());
         let first = work.begin_round();
-        let mut call = Call { order, machine, work, under_way: Vec::new(), rounds: 1 };
+        let mut call = ApiCall { order, machine, work, under_way: Vec::new(), rounds: 1 };
         send(&mut call, first);
         call
     }
 
     /// One message more arrives, or is lost. The end of it, if it has come.
-    fn step(&mut self, call: &mut Call) -> Option<Result<Outcome<Not>, ()>> {
+    fn step(&mut self, call: &mut ApiCall) -> Option<Result<Outcome<NoNewEdition>, ()>> {
         let action = if call.under_way.is_empty() {
             call.work.on_timeout()
         } else {
@@ -124,7 +124,11 @@
         self.go_on(call, action)
     }
 
-    fn go_on(&mut self, call: &mut Call, action: Action<Not>) -> Option<Result<Outcome<Not>, ()>> {
+    fn go_on(
+        &mut self,
+        call: &mut ApiCall,
+        action: Action<NoNewEdition>,
+    ) -> Option<Result<Outcome<NoNewEdition>, ()>> {
         let ended = match action {
             Action::Done(outcome) => Some(Ok(outcome)),
             Action::BackOff if call.rounds > 12 => Some(Err(())),
@@ -154,7 +158,7 @@
     }
 
     /// Alone and without losses.
-    fn calm(&mut self, order: &Order, machine: usize) -> Told {
+    fn calm(&mut self, order: &OperatorCommand, machine: usize) -> Told {
         let mut call = self.begin(0, machine, Task::Change(ask(order)));
         let lost = std::mem::take(&mut self.lost);
         let told = loop {
@@ -187,15 +191,13 @@
         };
         self.lost = lost;
         match ended {
-            Ok(Outcome::Chosen(_, value)) => {
-                operator_command::read(value.as_deref()).expect("readable").config
-            }
+            Ok(Outcome::Chosen(_, value)) => decode_state(value.as_deref()).expect("readable").config,
             other => panic!("not read: {other:?}"),
         }
     }
 }
 
-fn send(call: &mut Call, action: Action<Not>) {
+fn send(call: &mut ApiCall, action: Action<NoNewEdition>) {
     let phase_id = call.work.phase_id();
     for voter in call.work.recipients().to_vec() {
         let sent = match &action {
@@ -207,51 +209,54 @@
     }
 }
 
-fn ask(order: &Order) -> Change {
+fn ask(order: &OperatorCommand) -> Change {
     let order = order.clone();
-    Box::new(move |bytes, edition| change(&order, bytes, edition))
+    Box::new(move |bytes, edition| apply_to_register(&order, bytes, edition))
 }
 
-fn told(ended: Result<Outcome<Not>, ()>) -> Told {
+fn told(ended: Result<Outcome<NoNewEdition>, ()>) -> Told {
     match ended {
-        Ok(Outcome::Chosen(..) | Outcome::Rejected(Not::Needed(_))) => Told::Taken,
-        Ok(Outcome::Rejected(Not::Taken(refusal))) if refusal.kind != Kind::Unsure => {
-            Told::Refused(refusal.kind)
+        Ok(Outcome::Chosen(..) | Outcome::Rejected(NoNewEdition::AlreadyInForce(_))) => Told::AcceptedVersion,
+        Ok(Outcome::Rejected(NoNewEdition::Rejected(refusal)))
+            if refusal.kind != ErrorKind::OutcomeUnknown =>
+        {
+            Told::ProposalError(refusal.kind)
         }
         _ => Told::Unclear,
     }
 }
 
-fn put(version: u64, built_on: u64, path: &str) -> Order {
+fn put(version: u64, built_on: u64, path: &str) -> OperatorCommand {
     let built_on = if built_on == 0 { "0".to_owned() } else { format!("\"r{built_on}\"") };
     let body = format!(
         r#"{{"version":"r{version}","builtOn":{built_on},"routes":{{"columns":["name","hostName","pathStart","routeKind","giveUpMs","targetMs","rank","tries","service"],"rows":[["r","h","{path}","safe",1000,400,2,2,"s"]]}},"services":{{"columns":["name","healthPath"],"rows":[["s","/health"]]}},"limits":{{}}}}"#
     );
-    Order::Settings(Proposal::replace(body.as_bytes()).expect("readable"))
+    OperatorCommand::Configure(Proposal::replace(body.as_bytes()).expect("readable"))
 }
 
 /// Eight rivals on top of one version, five of them under one number; each is sent again, mostly to another machine,
 /// until it hears something clear. The number of the one that was taken.
 fn race(system: &mut System, built_on: u64) -> u64 {
     let number = |n: u64| built_on + if n < 5 { 4 } else { n };
-    let orders: Vec<Order> = (0..8).map(|n| put(number(n), built_on, &format!("/{built_on}-{n}/"))).collect();
-    let mut heard: Vec<Option<Told>> = vec![None; orders.len()];
-    let mut waiting: Vec<usize> = (0..orders.len()).collect();
-    let mut calls: Vec<Call> = Vec::new();
+    let operator_command: Vec<OperatorCommand> =
+        (0..8).map(|n| put(number(n), built_on, &format!("/{built_on}-{n}/"))).collect();
+    let mut heard: Vec<Option<Told>> = vec![None; operator_command.len()];
+    let mut waiting: Vec<usize> = (0..operator_command.len()).collect();
+    let mut call_count: Vec<ApiCall> = Vec::new();
     system.lost = 6;
-    while !waiting.is_empty() || !calls.is_empty() {
+    while !waiting.is_empty() || !call_count.is_empty() {
         // A machine's proposer runs one operation at a time.
-        let busy: BTreeSet<usize> = calls.iter().map(|call| call.machine).collect();
+        let busy: BTreeSet<usize> = call_count.iter().map(|call| call.machine).collect();
         let free: Vec<usize> = (0..3).filter(|machine| !busy.contains(machine)).collect();
         if !free.is_empty() && !waiting.is_empty() {
             let order = waiting.swap_remove(system.draw(waiting.len() as u64) as usize);
             let machine = free[system.draw(free.len() as u64) as usize];
-            calls.push(system.begin(order, machine, Task::Change(ask(&orders[order]))));
+            call_count.push(system.begin(order, machine, Task::Change(ask(&operator_command[order]))));
         }
-        let at = system.draw(calls.len() as u64) as usize;
-        let mut call = calls.swap_remove(at);
+        let at = system.draw(call_count.len() as u64) as usize;
+        let mut call = call_count.swap_remove(at);
         match system.step(&mut call) {
-            None => calls.push(call),
+            None => call_count.push(call),
             Some(ended) => {
                 // Every third answer is lost on its way to the operator.
                 let answer = if system.draw(3) == 0 { Told::Unclear } else { told(ended) };
@@ -262,17 +267,24 @@
             }
         }
     }
-    let winners: Vec<usize> = (0..8).filter(|n| heard[*n] == Some(Told::Taken)).collect();
+    let winners: Vec<usize> = (0..8).filter(|n| heard[*n] == Some(Told::AcceptedVersion)).collect();
     assert_eq!(winners.len(), 1, "{heard:?}");
     assert!(
-        heard.iter().all(|told| matches!(told, Some(Told::Taken | Told::Refused(Kind::Stale)))),
+        heard.iter().all(|told| matches!(
+            told,
+            Some(Told::AcceptedVersion | Told::ProposalError(ErrorKind::StaleVersion))
+        )),
         "{heard:?}"
     );
     let path = format!("\"/{built_on}-{}/\"", winners[0]);
     assert!(system.in_force().contains(&path), "{path} in force");
     // Whoever asks again hears the same, at each machine.
-    for (n, order) in orders.iter().enumerate() {
-        let again = if n == winners[0] { Told::Taken } else { Told::Refused(Kind::Stale) };
+    for (n, order) in operator_command.iter().enumerate() {
+        let again = if n == winners[0] {
+            Told::AcceptedVersion
+        } else {
+            Told::ProposalError(ErrorKind::StaleVersion)
+        };
         for machine in 0..3 {
             assert_eq!(system.calm(order, machine), again, "order {n} at machine {machine}");
         }
@@ -285,19 +297,19 @@
     for seed in 0..150 {
         let mut system = System::new(seed);
         let first = put(3, 0, "/first/");
-        assert_eq!(system.calm(&first, 0), Told::Taken);
+        assert_eq!(system.calm(&first, 0), Told::AcceptedVersion);
         let mut built_on = race(&mut system, 3);
         system.begin_again();
-        assert_eq!(system.calm(&first, 1), Told::Taken, "after the end of all processes");
+        assert_eq!(system.calm(&first, 1), Told::AcceptedVersion, "after the end of all processes");
         built_on = race(&mut system, built_on);
         system.take_in("v1", 77);
-        assert_eq!(system.calm(&first, 2), Told::Taken, "after the wipe of a minority");
+        assert_eq!(system.calm(&first, 2), Told::AcceptedVersion, "after the wipe of a minority");
         built_on = race(&mut system, built_on);
         system.take_in("v3", 78);
         system.take_in("v4", 79);
-        assert_eq!(system.calm(&first, 1), Told::Taken, "among other voters");
+        assert_eq!(system.calm(&first, 1), Told::AcceptedVersion, "among other voters");
         built_on = race(&mut system, built_on);
-        assert_eq!(Playbill::read(&system.in_force()).expect("readable").version, built_on);
+        assert_eq!(Configuration::read(&system.in_force()).expect("readable").version, built_on);
     }
 }
 
@@ -305,7 +317,7 @@
 fn an_order_that_is_under_way_when_all_ends_is_taken_once_by_its_repeat() {
     for seed in 0..150 {
         let mut system = System::new(seed);
-        assert_eq!(system.calm(&put(3, 0, "/first/"), 0), Told::Taken);
+        assert_eq!(system.calm(&put(3, 0, "/first/"), 0), Told::AcceptedVersion);
         let (order, rival) = (put(7, 3, "/order/"), put(7, 3, "/rival/"));
         // It gets so far, and then all processes end, a disk with them or not.
         let mut call = system.begin(0, 0, Task::Change(ask(&order)));
@@ -320,12 +332,12 @@
         }
         let first = system.calm(&rival, 1);
         let second = system.calm(&order, 2);
-        let one = [first, second].iter().filter(|told| **told == Told::Taken).count();
+        let one = [first, second].iter().filter(|told| **told == Told::AcceptedVersion).count();
         assert_eq!(one, 1, "seed {seed}: {first:?} {second:?}");
         for machine in 0..3 {
             assert_eq!((system.calm(&rival, machine), system.calm(&order, machine)), (first, second));
         }
-        let path = if first == Told::Taken { "\"/rival/\"" } else { "\"/order/\"" };
+        let path = if first == Told::AcceptedVersion { "\"/rival/\"" } else { "\"/order/\"" };
         assert!(system.in_force().contains(path), "seed {seed}");
     }
 }
@@ -334,14 +346,14 @@
 fn a_repeat_makes_no_edition() {
     let mut system = System::new(1);
     let order = put(3, 0, "/first/");
-    assert_eq!(system.calm(&order, 0), Told::Taken);
+    assert_eq!(system.calm(&order, 0), Told::AcceptedVersion);
     let edition = |system: &System| {
         let held = system.voters.values().filter_map(Acceptor::record).map(|record| record.edition);
         held.max()
     };
     let before = edition(&system);
     for machine in 0..3 {
-        assert_eq!(system.calm(&order, machine), Told::Taken);
+        assert_eq!(system.calm(&order, machine), Told::AcceptedVersion);
     }
     assert_eq!((before, edition(&system)), (Some(1), Some(1)));
 }
--- a/crates/service-catalog/src/catalog.rs
+++ b/crates/service-catalog/src/catalog.rs
@@ -3,29 +3,33 @@
 //! It is a function of a configuration and a set of rows: the order in which rows came, and who told them,
 //! has no part in it. Where a name has several owners that is a state of its own.
 
-use crate::conflict::Collision;
-use crate::snapshot::summary;
+use crate::conflict::Conflict;
 use oatbank_cluster_state::messages::ServerRow;
-use oatbank_cluster_state::state::{server_state, Book};
-use oatbank_config_model::mesh::{Meant, Named};
-use oatbank_config_model::Playbill;
-use std::rc::Rc;
+use oatbank_cluster_state::state::server_state;
+use oatbank_config_model::mesh::{NameMatch, ServiceNames};
+use oatbank_config_model::Configuration;
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// The owners that a configuration names: its services, each of one mesh.
 #[derive(Debug, Default)]
-pub struct Cast {
+pub struct ServiceOwners {
     edition: u64,
     version: u64,
     owners: Vec<String>,
-    named: Named,
+    service_names: ServiceNames,
 }
 
-impl Cast {
+impl ServiceOwners {
     /// Of the configuration of this edition.
-    pub fn new(edition: u64, bill: &Playbill) -> Self {
-        let owners = bill.services.iter().map(|service| service.name.clone()).collect();
-        Cast { edition, version: bill.version, owners, named: Named::new(&bill.services) }
+    pub fn new(edition: u64, configuration: &Configuration) -> Self {
+        let owners = configuration.services.iter().map(|service| service.name.clone()).collect();
+        ServiceOwners {
+            edition,
+            version: configuration.version,
+            owners,
+            service_names: ServiceNames::new(&configuration.services),
+        }
     }
 
     /// The edition; 0 before the first.
@@ -45,31 +49,31 @@
 
     /// The owner of this whole name.
     pub fn owner(&self, name: &str) -> Option<usize> {
-        match self.named.meant("", name) {
-            Meant::One(at) if self.owners[at] == name => Some(at),
+        match self.service_names.resolve("", name) {
+            NameMatch::One(at) if self.owners[at] == name => Some(at),
             _ => None,
         }
     }
 
     /// The owners that a service's name may stand for.
     pub fn owners_of(&self, name: &str) -> Vec<usize> {
-        match self.named.meant("", name) {
-            Meant::One(at) => vec![at],
-            Meant::Several(places) => places.to_vec(),
-            Meant::Nobody => Vec::new(),
+        match self.service_names.resolve("", name) {
+            NameMatch::One(at) => vec![at],
+            NameMatch::Several(places) => places.to_vec(),
+            NameMatch::Nobody => Vec::new(),
         }
     }
 }
 
 /// Whose a server is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Ownership {
     /// This owner's.
     Owned(usize),
     /// It may be one of several's, or none of theirs.
     Contested {
         /// Why.
-        why: Collision,
+        why: Conflict,
         /// The owner that its own word names, where it names one.
         own: Option<usize>,
         /// All that may own it.
@@ -86,7 +90,7 @@
     /// software and the number of that word.
     pub row: Arc<ServerRow>,
     /// Whose it is.
-    pub standing: Standing,
+    pub ownership: Ownership,
 }
 
 impl Entry {
@@ -98,18 +102,18 @@
 
 /// What a server may get of an owner's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum PermittedUse {
     /// All.
     All,
     /// Those that may be repeated.
-    Reads,
+    ReadsOnly,
     /// None.
-    Nothing,
+    Denied,
 }
 
 /// An owner's servers that are ready, by what they may get.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ServerCounts {
     /// All of its requests.
     pub all: u32,
     /// Those that may be repeated.
@@ -118,7 +122,7 @@
     pub nothing: u32,
 }
 
-impl Tally {
+impl ServerCounts {
     /// One of its servers, or one that may be its, is contested.
     pub fn is_contested(&self) -> bool {
         self.reads + self.nothing > 0
@@ -127,52 +131,24 @@
 
 /// Who owns what.
 #[derive(Debug, Default)]
-pub struct Catalogue {
-    cast: Arc<Cast>,
+pub struct Catalog {
+    service_owners: Arc<ServiceOwners>,
     /// In the order of id, service and address.
     entries: Vec<Entry>,
     /// Places in `entries` in the order of address.
     by_address: Vec<u32>,
     /// By owner.
-    tallies: Vec<Tally>,
-}
-
-/// The catalogue of the moment: made anew where the configuration or the use of a server has changed, and swapped whole.
-#[derive(Clone, Debug, Default)]
-pub struct Current {
-    /// Who owns what.
-    pub catalogue: Rc<Catalogue>,
-    /// The edition and the count of changes that it was made of.
-    of: (u64, u64),
-}
-
-impl Current {
-    /// Looks whether anything has changed; where what is contested has, says what it is now, for a log's line. `cast` is asked
-    /// for the owners of a new edition; without an answer those before stay.
-    pub fn renew(
-        &mut self,
-        edition: u64,
-        book: &Book,
-        cast: impl FnOnce() -> Option<Cast>,
-    ) -> Option<String> {
-        let of = (edition, book.changes());
-        if self.of == of {
-            return None;
-        }
-        let new = if self.of.0 == edition { None } else { cast() };
-        let cast = new.map_or_else(|| self.catalogue.cast.clone(), Arc::new);
-        let before = std::mem::replace(&mut self.catalogue, Rc::new(Catalogue::new(cast, book.rows())));
-        self.of = of;
-        let (was, is) = (summary(&before), summary(&self.catalogue));
-        (was != is).then(|| if is.is_empty() { "none".to_owned() } else { is })
-    }
+    counts_by_owner: Vec<ServerCounts>,
 }
 
-impl Catalogue {
+impl Catalog {
     /// Of these rows under the owners of a configuration.
-    pub fn new<'a>(cast: Arc<Cast>, rows: impl Iterator<Item = &'a Arc<ServerRow>>) -> Self {
-        let lives = rows.filter(|row| row.state != server_state::LEFT && !row.silent);
-        let mut entries: Vec<Entry> = lives.map(|row| entry(&cast, row)).collect();
+    pub fn new<'a>(
+        service_owners: Arc<ServiceOwners>,
+        rows: impl Iterator<Item = &'a Arc<ServerRow>>,
+    ) -> Self {
+        let incarnations = rows.filter(|row| row.state != server_state::LEFT && !row.timed_out);
+        let mut entries: Vec<Entry> = incarnations.map(|row| entry(&service_owners, row)).collect();
         let key = |e: &Entry, f: &Entry| {
             (&e.row.id, &e.row.service, &e.row.address).cmp(&(&f.row.id, &f.row.service, &f.row.address))
         };
@@ -182,27 +158,31 @@
         }
         let mut by_address: Vec<u32> = (0..entries.len() as u32).collect();
         by_address.sort_by(|a, b| entries[*a as usize].row.address.cmp(&entries[*b as usize].row.address));
-        contest_ids(&cast, &mut entries);
-        contest_addresses(&cast, &mut entries, &by_address);
-        let mut tallies = vec![Tally::default(); cast.owners.len()];
+        contest_ids(&service_owners, &mut entries);
+        contest_addresses(&service_owners, &mut entries, &by_address);
+        let mut counts_by_owner = vec![ServerCounts::default(); service_owners.owners.len()];
         for entry in entries.iter().filter(|entry| entry.is_ready()) {
-            match &entry.standing {
-                Standing::Owned(at) => tallies[*at].all += 1,
-                Standing::Contested { why, own, owners } => {
+            match &entry.ownership {
+                Ownership::Owned(at) => counts_by_owner[*at].all += 1,
+                Ownership::Contested { why, own, owners } => {
                     for at in owners {
                         let reads = *own == Some(*at) && why.rule().reads;
-                        *(if reads { &mut tallies[*at].reads } else { &mut tallies[*at].nothing }) += 1;
+                        *(if reads {
+                            &mut counts_by_owner[*at].reads
+                        } else {
+                            &mut counts_by_owner[*at].nothing
+                        }) += 1;
                     }
                 }
-                Standing::Unknown => {}
+                Ownership::Unknown => {}
             }
         }
-        Catalogue { cast, entries, by_address, tallies }
+        Catalog { service_owners, entries, by_address, counts_by_owner }
     }
 
     /// The owners that it was made under.
-    pub fn cast(&self) -> &Arc<Cast> {
-        &self.cast
+    pub fn service_owners(&self) -> &Arc<ServiceOwners> {
+        &self.service_owners
     }
 
     /// All servers that have not ended.
@@ -226,58 +206,78 @@
     }
 
     /// What this server may get of this owner's requests.
-    pub fn use_of(&self, row: &ServerRow, owner: usize) -> Use {
+    pub fn permitted_use(&self, row: &ServerRow, owner: usize) -> PermittedUse {
         let Some(entry) = self.of_id(&row.id).iter().find(|entry| entry.row.same_claim(row)) else {
-            return Use::Nothing;
+            return PermittedUse::Denied;
         };
-        match &entry.standing {
-            Standing::Owned(at) if *at == owner => Use::All,
-            Standing::Contested { why, own, .. } if *own == Some(owner) && why.rule().reads => Use::Reads,
-            _ => Use::Nothing,
+        match &entry.ownership {
+            Ownership::Owned(at) if *at == owner => PermittedUse::All,
+            Ownership::Contested { why, own, .. } if *own == Some(owner) && why.rule().reads => {
+                PermittedUse::ReadsOnly
+            }
+            _ => PermittedUse::Denied,
         }
     }
 
     /// An owner's servers.
-    pub fn tally(&self, owner: usize) -> Tally {
-        self.tallies.get(owner).copied().unwrap_or_default()
+    pub fn counts(&self, owner: usize) -> ServerCounts {
+        self.counts_by_owner.get(owner).copied().unwrap_or_default()
     }
 
     /// Servers whose owner is contested.
     pub fn contested(&self) -> impl Iterator<Item = &Entry> {
-        self.entries.iter().filter(|entry| matches!(entry.standing, Standing::Contested { .. }))
+        self.entries.iter().filter(|entry| matches!(entry.ownership, Ownership::Contested { .. }))
+    }
+
+    /// Contested servers by kind of conflict, for a log line; empty if there are none.
+    pub fn contested_summary(&self) -> String {
+        let mut counts = BTreeMap::<Conflict, u32>::new();
+        for entry in self.contested() {
+            if let Ownership::Contested { why, .. } = &entry.ownership {
+                *counts.entry(*why).or_default() += 1;
+            }
+        }
+        let parts: Vec<String> =
+            counts.iter().map(|(why, count)| format!("{count} by {}", why.rule().code)).collect();
+        parts.join(", ")
     }
 }
 
-fn entry(cast: &Cast, row: &Arc<ServerRow>) -> Entry {
-    let standing = match cast.named.meant("", &row.service) {
-        Meant::One(at) => Standing::Owned(at),
-        Meant::Nobody => Standing::Unknown,
-        Meant::Several(owners) => {
-            Standing::Contested { why: Collision::Mesh, own: None, owners: owners.to_vec() }
+fn entry(service_owners: &ServiceOwners, row: &Arc<ServerRow>) -> Entry {
+    let ownership = match service_owners.service_names.resolve("", &row.service) {
+        NameMatch::One(at) => Ownership::Owned(at),
+        NameMatch::Nobody => Ownership::Unknown,
+        NameMatch::Several(owners) => {
+            Ownership::Contested { why: Conflict::Mesh, own: None, owners: owners.to_vec() }
         }
     };
-    Entry { row: row.clone(), standing }
+    Entry { row: row.clone(), ownership }
 }
 
 /// Contests some entries: each keeps the owner that its own word names, and all have the owners of all.
-fn contest(cast: &Cast, entries: &mut [Entry], places: impl Iterator<Item = usize> + Clone, why: Collision) {
+fn contest(
+    service_owners: &ServiceOwners,
+    entries: &mut [Entry],
+    places: impl Iterator<Item = usize> + Clone,
+    why: Conflict,
+) {
     let mut owners: Vec<usize> =
-        places.clone().flat_map(|at| cast.owners_of(&entries[at].row.service)).collect();
+        places.clone().flat_map(|at| service_owners.owners_of(&entries[at].row.service)).collect();
     owners.sort_unstable();
     owners.dedup();
     for at in places {
-        let own = match &entries[at].standing {
-            Standing::Owned(own) => Some(*own),
+        let own = match &entries[at].ownership {
+            Ownership::Owned(own) => Some(*own),
             // What is contested for a reason that proves less stays so.
-            Standing::Contested { why: before, own, .. } if before.rule().reads => *own,
-            Standing::Contested { .. } => continue,
-            Standing::Unknown => None,
+            Ownership::Contested { why: before, own, .. } if before.rule().reads => *own,
+            Ownership::Contested { .. } => continue,
+            Ownership::Unknown => None,
         };
-        entries[at].standing = Standing::Contested { why, own, owners: owners.clone() };
+        entries[at].ownership = Ownership::Contested { why, own, owners: owners.clone() };
     }
 }
 
-fn contest_ids(cast: &Cast, entries: &mut [Entry]) {
+fn contest_ids(service_owners: &ServiceOwners, entries: &mut [Entry]) {
     let mut from = 0;
     while from < entries.len() {
         let id = &entries[from].row.id;
@@ -285,14 +285,14 @@
         if len > 1 {
             let moves =
                 entries[from..from + len].iter().any(|entry| entry.row.address != entries[from].row.address);
-            let why = if moves { Collision::Id } else { Collision::Service };
-            contest(cast, entries, from..from + len, why);
+            let why = if moves { Conflict::Id } else { Conflict::Service };
+            contest(service_owners, entries, from..from + len, why);
         }
         from += len;
     }
 }
 
-fn contest_addresses(cast: &Cast, entries: &mut [Entry], by_address: &[u32]) {
+fn contest_addresses(service_owners: &ServiceOwners, entries: &mut [Entry], by_address: &[u32]) {
     let mut from = 0;
     while from < by_address.len() {
         let at = |nth: usize| by_address[nth] as usize;
@@ -301,12 +301,12 @@
             by_address[from..].iter().take_while(|at| entries[**at as usize].row.address == *address).count();
         if len > 1 {
             // A name that may be several owners' is never the same as another: so is one that has none.
-            let whose = |nth: usize| match &entries[at(nth)].standing {
-                Standing::Owned(own) => Ok(*own),
+            let whose = |nth: usize| match &entries[at(nth)].ownership {
+                Ownership::Owned(own) => Ok(*own),
                 _ => Err(&entries[at(nth)].row.service),
             };
             if (from + 1..from + len).any(|nth| whose(nth) != whose(from)) {
-                contest(cast, entries, (from..from + len).map(at), Collision::Address);
+                contest(service_owners, entries, (from..from + len).map(at), Conflict::Address);
             }
         }
         from += len;
--- a/crates/service-catalog/src/commands.rs
+++ b/crates/service-catalog/src/commands.rs
@@ -1,69 +1,51 @@
-//! The shell's commands that ask the catalogue: one list, at core machines and proxies alike.
+//! The commands of `oatbankctl` that show the catalog: the same at core machines and proxies.
 
-use crate::snapshot::{self, Table};
-use crate::Catalogue;
-use oatbank_cluster_state::admin_query::{refused, table, Commands};
+use crate::reports::{self, Report};
+use crate::Catalog;
+use oatbank_cluster_state::admin_query::{error_table, table, Commands};
 use oatbank_cluster_state::messages;
 use std::rc::Rc;
 
-/// Shows the catalogue of this moment, and the routes of its configuration where there is one.
-pub type Shows = Rc<dyn Fn(&mut dyn FnMut(&Catalogue, Option<&oatbank_config_model::Table>))>;
+/// Calls back with the catalog of this moment, and the routes of its configuration if there is one.
+pub type CatalogReader = Rc<dyn Fn(&mut dyn FnMut(&Catalog, Option<&oatbank_config_model::RouteTable>))>;
 
-fn told(told: Table) -> messages::Table {
-    table(told.title, &told.columns, told.rows)
+fn to_message(report: Report) -> messages::Table {
+    table(report.title, &report.columns, report.rows)
 }
 
 /// Adds the commands.
-pub fn add(commands: &mut Commands, shows: Shows) {
-    let asks =
-        |shows: &Shows, ask: &dyn Fn(&Catalogue, Option<&oatbank_config_model::Table>) -> messages::Table| {
-            let mut answer = messages::Table::default();
-            shows(&mut |catalogue, routes| answer = ask(catalogue, routes));
-            answer
+pub fn add(commands: &mut Commands, read_catalog: CatalogReader) {
+    let answer =
+        |read_catalog: &CatalogReader,
+         ask: &dyn Fn(&Catalog, Option<&oatbank_config_model::RouteTable>) -> messages::Table| {
+            let mut table = messages::Table::default();
+            read_catalog(&mut |catalog, routes| table = ask(catalog, routes));
+            table
         };
-    let of = shows.clone();
+    let of = read_catalog.clone();
     commands.add("who-owns", "who-owns NAME", 1, move |words| match words.first() {
-        Some(name) => asks(&of, &|catalogue, routes| told(snapshot::who_owns(catalogue, routes, name))),
-        None => refused("who-owns: a name is missing; allowed: a service, host, server id or address".into()),
+        Some(name) => answer(&of, &|catalog, routes| to_message(reports::who_owns(catalog, routes, name))),
+        None => {
+            error_table("who-owns: a name is missing; allowed: a service, host, server id or address".into())
+        }
     });
-    let of = shows.clone();
+    let of = read_catalog.clone();
     commands.add("collisions", "collisions", 0, move |_| {
-        asks(&of, &|catalogue, _| told(snapshot::collisions(catalogue)))
+        answer(&of, &|catalog, _| to_message(reports::conflicts(catalog)))
     });
-    commands.add("collision-rules", "collision-rules", 0, |_| told(snapshot::rules()));
+    commands.add("collision-rules", "collision-rules", 0, |_| to_message(reports::rules()));
     commands.add("explain", "explain HOST PATH [KEY]", 3, move |words| {
         let [host, path, key @ ..] = words.as_slice() else {
-            return refused("explain: host or path is missing; allowed: explain HOST PATH [KEY]".into());
+            return error_table("explain: host or path is missing; allowed: explain HOST PATH [KEY]".into());
         };
-        asks(&shows, &|catalogue, routes| match routes {
+        answer(&read_catalog, &|catalog, routes| match routes {
             Some(routes) => {
-                told(snapshot::explain(catalogue, routes, host, path, key.first().map(String::as_str)))
+                to_message(reports::explain(catalog, routes, host, path, key.first().map(String::as_str)))
             }
-            None => refused("explain: no configuration is known here yet".into()),
+            None => error_table("explain: no configuration is known here yet".into()),
         })
     });
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use oatbank_cluster_state::messages::Query;
-
-    fn ask(commands: &Commands, words: &[&str]) -> messages::Table {
-        let words = words.iter().map(|w| (*w).to_owned()).collect();
-        let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-        runtime.block_on(commands.answer(Query { words, near: true }))
-    }
-
-    #[test]
-    fn words_that_are_missing_are_named_and_a_configuration_is_asked_for() {
-        let mut commands = Commands::default();
-        add(&mut commands, Rc::new(|show| show(&Catalogue::default(), None)));
-        assert!(ask(&commands, &["who-owns"]).error.contains("a name is missing"));
-        assert!(ask(&commands, &["explain", "h"]).error.contains("explain HOST PATH [KEY]"));
-        assert!(ask(&commands, &["explain", "h", "/"]).error.contains("no configuration"));
-        assert_eq!(ask(&commands, &["collisions"]).title, "0 of 0 servers are contested");
-        assert!(ask(&commands, &["who-owns", "s"]).error.is_empty());
-        assert!(ask(&commands, &["collision-rules"]).rows.len() >= 7);
-    }
-}
+mod tests;
--- a/crates/service-catalog/src/lib.rs
+++ b/crates/service-catalog/src/lib.rs
@@ -1,17 +1,20 @@
-//! Who is who (*oatbank-service-catalog personae*): which server belongs to which service of which mesh, told alike by every
-//! process that knows the same rows and the same configuration. No I/O and no clock.
+//! Which server belongs to which service of which mesh: the same answer in every process that knows the same rows and the
+//! same configuration. No I/O and no clock.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`conflict`] | the one table of collisions, with what holds in each and why |
-//! | [`catalog`] | an immutable snapshot of who owns what, swapped whole |
-//! | [`commands`] | the commands of the shell that ask the catalogue |
-//! | [`snapshot`] | answers for the shell: who owns a name, collisions, where a request goes, what changed |
+//! | [`conflict`] | the table of conflicts of names, with what holds in each and why |
+//! | [`catalog`] | an immutable snapshot of who owns what |
+//! | [`current`] | the catalog of the moment, replaced as a whole |
+//! | [`reports`] | answers about a catalog: who owns a name, conflicts, where a request goes, what has changed |
+//! | [`commands`] | the commands of `oatbankctl` that show them |
 
 pub mod catalog;
 pub mod commands;
 pub mod conflict;
-pub mod snapshot;
+pub mod current;
+pub mod reports;
 
-pub use catalog::{Cast, Catalogue, Current, Entry, Standing, Tally, Use};
-pub use conflict::Collision;
+pub use catalog::{Catalog, Entry, Ownership, PermittedUse, ServerCounts, ServiceOwners};
+pub use conflict::Conflict;
+pub use current::CurrentCatalog;
--- a/crates/service-catalog/src/snapshot.rs
+++ b/crates/service-catalog/src/reports.rs
@@ -1,11 +1,10 @@
-//! Answers for the shell, as plain data.
+//! Answers about a catalog, as plain data.
 
-use crate::catalog::{Catalogue, Entry, Standing};
-use crate::conflict::Collision;
+use crate::catalog::{Catalog, Entry, Ownership};
 
 /// A table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Table {
+pub struct Report {
     /// What it says, in a sentence.
     pub title: String,
     /// The columns' names.
@@ -14,14 +13,14 @@
     pub rows: Vec<Vec<String>>,
 }
 
-impl Table {
+impl Report {
     fn new(title: String, columns: &[&'static str], rows: Vec<Vec<String>>) -> Self {
-        Table { title, columns: columns.to_vec(), rows }
+        Report { title, columns: columns.to_vec(), rows }
     }
 }
 
-fn names(catalogue: &Catalogue, owners: &[usize]) -> String {
-    let all = catalogue.cast().owners();
+fn names(catalog: &Catalog, owners: &[usize]) -> String {
+    let all = catalog.service_owners().owners();
     let names: Vec<&str> = owners.iter().filter_map(|at| all.get(*at)).map(String::as_str).collect();
     if names.is_empty() {
         "nobody".to_owned()
@@ -30,43 +29,43 @@
     }
 }
 
-fn owner(catalogue: &Catalogue, entry: &Entry) -> String {
-    match &entry.standing {
-        Standing::Owned(at) => names(catalogue, &[*at]),
-        Standing::Contested { owners, .. } => names(catalogue, owners),
-        Standing::Unknown => "nobody".to_owned(),
+fn owner(catalog: &Catalog, entry: &Entry) -> String {
+    match &entry.ownership {
+        Ownership::Owned(at) => names(catalog, &[*at]),
+        Ownership::Contested { owners, .. } => names(catalog, owners),
+        Ownership::Unknown => "nobody".to_owned(),
     }
 }
 
 fn state(entry: &Entry) -> String {
-    match &entry.standing {
-        Standing::Owned(_) if entry.is_ready() => "owned".to_owned(),
-        Standing::Owned(_) => "owned, draining".to_owned(),
-        Standing::Contested { why, .. } => format!("contested: {}", why.rule().word),
-        Standing::Unknown => "its service is in no configuration".to_owned(),
+    match &entry.ownership {
+        Ownership::Owned(_) if entry.is_ready() => "owned".to_owned(),
+        Ownership::Owned(_) => "owned, draining".to_owned(),
+        Ownership::Contested { why, .. } => format!("contested: {}", why.rule().code),
+        Ownership::Unknown => "its service is in no configuration".to_owned(),
     }
 }
 
 fn source(entry: &Entry) -> String {
-    format!("beat {} of {}, which says {:?}", entry.row.calls, entry.row.id, entry.row.service)
+    format!("beat {} of {}, which says {:?}", entry.row.call_count, entry.row.id, entry.row.service)
 }
 
 /// Who owns a name: a service's, a host's, a server's id, or an address.
-pub fn who_owns(catalogue: &Catalogue, routes: Option<&oatbank_config_model::Table>, name: &str) -> Table {
-    let (cast, mut rows) = (catalogue.cast(), Vec::new());
+pub fn who_owns(catalog: &Catalog, routes: Option<&oatbank_config_model::RouteTable>, name: &str) -> Report {
+    let (service_owners, mut rows) = (catalog.service_owners(), Vec::new());
     let (mut owners, mut contested) = (Vec::new(), false);
-    for at in cast.owners_of(name) {
-        let tally = catalogue.tally(at);
-        let servers = format!("{} servers, {} contested", tally.all, tally.reads + tally.nothing);
-        owners.push(cast.owners()[at].clone());
+    for at in service_owners.owners_of(name) {
+        let counts = catalog.counts(at);
+        let servers = format!("{} servers, {} contested", counts.all, counts.reads + counts.nothing);
+        owners.push(service_owners.owners()[at].clone());
         rows.push(vec![
             "service".to_owned(),
-            cast.owners()[at].clone(),
+            service_owners.owners()[at].clone(),
             servers,
-            format!("configuration r{}", cast.version()),
+            format!("configuration r{}", service_owners.version()),
         ]);
     }
-    for route in routes.into_iter().flat_map(|table| &table.bill().routes) {
+    for route in routes.into_iter().flat_map(|table| &table.configuration().routes) {
         if !route.host.eq_ignore_ascii_case(name) {
             continue;
         }
@@ -76,15 +75,15 @@
                 "host".to_owned(),
                 service.clone(),
                 format!("paths {}, weight {weight}", route.prefix),
-                format!("route {} of configuration r{}", route.name, cast.version()),
+                format!("route {} of configuration r{}", route.name, service_owners.version()),
             ]);
         }
     }
-    let (ids, places) = (catalogue.of_id(name).iter(), catalogue.at_address(name));
+    let (ids, places) = (catalog.of_id(name).iter(), catalog.at_address(name));
     for (kind, entry) in ids.map(|e| ("id", e)).chain(places.map(|e| ("address", e))) {
-        contested |= matches!(entry.standing, Standing::Contested { .. });
-        owners.push(owner(catalogue, entry));
-        rows.push(vec![kind.to_owned(), owner(catalogue, entry), state(entry), source(entry)]);
+        contested |= matches!(entry.ownership, Ownership::Contested { .. });
+        owners.push(owner(catalog, entry));
+        rows.push(vec![kind.to_owned(), owner(catalog, entry), state(entry), source(entry)]);
     }
     owners.sort();
     owners.dedup();
@@ -94,42 +93,43 @@
         ([one], _) => format!("{name}: {one}"),
         (several, _) => format!("{name}: {} owners", several.len()),
     };
-    Table::new(title, &["as", "owner", "state", "known by"], rows)
+    Report::new(title, &["as", "owner", "state", "known by"], rows)
 }
 
 /// All that is contested, and what ends it.
-pub fn collisions(catalogue: &Catalogue) -> Table {
+pub fn conflicts(catalog: &Catalog) -> Report {
     let row = |entry: &Entry| {
-        let Standing::Contested { why, owners, .. } = &entry.standing else { return Vec::new() };
+        let Ownership::Contested { why, owners, .. } = &entry.ownership else { return Vec::new() };
         let rule = why.rule();
         vec![
-            rule.word.to_owned(),
+            rule.code.to_owned(),
             entry.row.id.clone(),
             entry.row.address.clone(),
             entry.row.service.clone(),
-            names(catalogue, owners),
+            names(catalog, owners),
             if rule.reads { "reads" } else { "nothing" }.to_owned(),
             rule.until.to_owned(),
         ]
     };
-    let rows: Vec<Vec<String>> = catalogue.contested().map(row).collect();
-    let title = format!("{} of {} servers are contested", rows.len(), catalogue.entries().len());
-    Table::new(title, &["collision", "id", "address", "says", "may be of", "gets", "until"], rows)
+    let rows: Vec<Vec<String>> = catalog.contested().map(row).collect();
+    let title = format!("{} of {} servers are contested", rows.len(), catalog.entries().len());
+    Report::new(title, &["collision", "id", "address", "says", "may be of", "gets", "until"], rows)
 }
 
 /// Where a request goes, and why. The key is that of a tenant.
 pub fn explain(
-    catalogue: &Catalogue,
-    routes: &oatbank_config_model::Table,
+    catalog: &Catalog,
+    routes: &oatbank_config_model::RouteTable,
     host: &str,
     path: &str,
     key: Option<&str>,
-) -> Table {
+) -> Report {
     let columns = ["owner", "weight", "servers", "reads only", "nothing", "confirmations"];
-    let Some(route) = routes.route(host, path).map(|at| &routes.bill().routes[at]) else {
-        return Table::new(format!("{host}{path}: no route, answered with 404"), &columns, Vec::new());
+    let Some(route) = routes.route(host, path).map(|at| &routes.configuration().routes[at]) else {
+        return Report::new(format!("{host}{path}: no route, answered with 404"), &columns, Vec::new());
     };
-    let tenant = key.map(|key| routes.customer(key).and_then(|at| routes.bill().customers.as_ref()?.get(at)));
+    let tenant =
+        key.map(|key| routes.customer(key).and_then(|at| routes.configuration().customers.as_ref()?.get(at)));
     let whose = match tenant {
         Some(Some(tenant)) => format!(", for {}", tenant.name),
         Some(None) if routes.has_customers() && !route.keyless => ", the key is nobody's: 401".to_owned(),
@@ -137,39 +137,39 @@
         _ => String::new(),
     };
     let rows = route.shares.iter().map(|(name, weight)| {
-        let tally = catalogue.cast().owner(name).map(|at| catalogue.tally(at)).unwrap_or_default();
-        let confirms = match (tally.all, tally.is_contested()) {
+        let counts = catalog.service_owners().owner(name).map(|at| catalog.counts(at)).unwrap_or_default();
+        let confirms = match (counts.all, counts.is_contested()) {
             (0, true) => "refused until it is uncontested",
             (0, false) => "refused: no server",
             (_, true) => "to the uncontested servers",
             (_, false) => "to all",
         };
-        let numbers = [tally.all, tally.reads, tally.nothing].map(|n| n.to_string());
+        let numbers = [counts.all, counts.reads, counts.nothing].map(|n| n.to_string());
         [vec![name.clone(), weight.to_string()], numbers.to_vec(), vec![confirms.to_owned()]].concat()
     });
     let kind = format!("{:?}", route.kind).to_lowercase();
     let title = format!(
         "{host}{path}: route {} of r{}, {kind}, paths {}{whose}",
         route.name,
-        catalogue.cast().version(),
+        catalog.service_owners().version(),
         route.prefix
     );
-    Table::new(title, &columns, rows.collect())
+    Report::new(title, &columns, rows.collect())
 }
 
 /// What differs between two snapshots.
-pub fn diff(before: &Catalogue, after: &Catalogue) -> Table {
+pub fn diff(before: &Catalog, after: &Catalog) -> Report {
     let same = |a: &Entry, b: &Entry| a.row.id == b.row.id && a.row.same_claim(&b.row);
     let mut rows = Vec::new();
     let mut row = |entry: &Entry, what: &str, was: String, is: String| {
         rows.push(vec![what.to_owned(), entry.row.id.clone(), entry.row.address.clone(), was, is]);
     };
-    let told =
-        |catalogue: &Catalogue, entry: &Entry| format!("{}, {}", owner(catalogue, entry), state(entry));
+    let to_message =
+        |catalog: &Catalog, entry: &Entry| format!("{}, {}", owner(catalog, entry), state(entry));
     for entry in before.entries() {
         let now = after.of_id(&entry.row.id).iter().find(|other| same(entry, other));
-        let is = now.map(|now| told(after, now));
-        let was = told(before, entry);
+        let is = now.map(|now| to_message(after, now));
+        let was = to_message(before, entry);
         match is {
             None => row(entry, "gone", was, String::new()),
             Some(is) if is != was => row(entry, "changed", was, is),
@@ -178,39 +178,27 @@
     }
     for entry in after.entries() {
         if !before.of_id(&entry.row.id).iter().any(|other| same(entry, other)) {
-            row(entry, "new", String::new(), told(after, entry));
+            row(entry, "new", String::new(), to_message(after, entry));
         }
     }
-    let versions = (before.cast().version(), after.cast().version());
+    let versions = (before.service_owners().version(), after.service_owners().version());
     let title = format!("{} servers differ, r{} to r{}", rows.len(), versions.0, versions.1);
-    Table::new(title, &["what", "id", "address", "was", "is"], rows)
+    Report::new(title, &["what", "id", "address", "was", "is"], rows)
 }
 
 /// The table of collisions itself.
-pub fn rules() -> Table {
-    let rows = crate::conflict::TABLE.iter().map(|rule| {
+pub fn rules() -> Report {
+    let rows = crate::conflict::CONFLICT_RULES.iter().map(|rule| {
         let gets = match (rule.contested, rule.reads) {
             (false, _) => "all",
             (true, true) => "reads",
             (true, false) => "nothing",
         };
-        [rule.word, gets, rule.until, rule.reason].map(str::to_owned).to_vec()
+        [rule.code, gets, rule.until, rule.reason].map(str::to_owned).to_vec()
     });
-    Table::new(
+    Report::new(
         "Collisions and what holds in them".to_owned(),
         &["collision", "gets", "until", "reason"],
         rows.collect(),
     )
 }
-
-/// Contested servers by kind, for a log's line; empty if there are none.
-pub fn summary(catalogue: &Catalogue) -> String {
-    let mut counts = std::collections::BTreeMap::<Collision, u32>::new();
-    for entry in catalogue.contested() {
-        if let Standing::Contested { why, .. } = &entry.standing {
-            *counts.entry(*why).or_default() += 1;
-        }
-    }
-    let parts: Vec<String> = counts.iter().map(|(why, n)| format!("{n} by {}", why.rule().word)).collect();
-    parts.join(", ")
-}
--- a/crates/service-catalog/tests/schedules.rs
+++ b/crates/service-catalog/tests/schedules.rs
@@ -4,11 +4,11 @@
 //! swap their routes. The checker knows the true owners and sees only what servers run and what confirmations
 //! are answered. `SCHEDULES=n` plays more of them.
 
-use oatbank_cluster_state::anti_entropy::{Agreement, DIFFER_MOST};
-use oatbank_cluster_state::messages::{News, ServerRow};
-use oatbank_cluster_state::state::{server_state, Book};
-use oatbank_config_model::{mesh, Playbill};
-use oatbank_service_catalog::{Cast, Catalogue, Standing, Use};
+use oatbank_cluster_state::anti_entropy::{SourceAgreement, MAX_DIVERGENCE};
+use oatbank_cluster_state::messages::{ServerRow, StateUpdate};
+use oatbank_cluster_state::state::{server_state, StateTable};
+use oatbank_config_model::{mesh, Configuration};
+use oatbank_service_catalog::{Catalog, Ownership, PermittedUse, ServiceOwners};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
     dies: f64,
     /// It says that it drains, and leaves, before it dies.
     planned: bool,
-    calls: u64,
+    call_count: u64,
     next: f64,
 }
 
@@ -57,11 +57,11 @@
 }
 
 struct Node {
-    book: Book,
+    table: StateTable,
     edition: u64,
-    catalogue: Catalogue,
+    catalog: Catalog,
     of: (u64, u64),
-    agreement: Agreement,
+    agreement: SourceAgreement,
     /// With whom it stands where, by node.
     places: [(u64, u64); NODES],
     teller: usize,
@@ -73,11 +73,11 @@
 impl Node {
     fn new(epoch: u64, now: f64) -> Self {
         Node {
-            book: Book::new(epoch, BEAT, now),
+            table: StateTable::new(epoch, BEAT, now),
             edition: 0,
-            catalogue: Catalogue::default(),
+            catalog: Catalog::default(),
             of: (0, 0),
-            agreement: Agreement::new(now),
+            agreement: SourceAgreement::new(now),
             places: [(0, 0); NODES],
             teller: epoch as usize % CORES,
             asks: [now; NODES],
@@ -88,9 +88,9 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct FollowerProgress {
     served: u64,
-    refused: u64,
+    error_table: u64,
     longest: f64,
     contested: u64,
     snapshots: u64,
@@ -103,24 +103,24 @@
     nodes: Vec<Node>,
     servers: Vec<Server>,
     forgers: Vec<Forger>,
-    casts: [Arc<Cast>; 2],
+    casts: [Arc<ServiceOwners>; 2],
     swap: f64,
     cut: [(usize, f64, f64); 2],
     /// To whom, of whom, when, whether it is a late copy.
-    news: Vec<(f64, usize, usize, bool, News)>,
+    update: Vec<(f64, usize, usize, bool, StateUpdate)>,
     differ: BTreeMap<String, f64>,
     /// A catalogue was made anew in this tick.
-    stirred: bool,
-    seen: Seen,
+    changed: bool,
+    seen: FollowerProgress,
 }
 
-fn cast(edition: u64) -> Arc<Cast> {
+fn service_owners(edition: u64) -> Arc<ServiceOwners> {
     let services: Vec<String> = OWNERS.iter().map(|name| format!("[{name:?}]")).collect();
     let text = format!(
         r#"{{"version":"r{edition}","routes":{{"columns":["name","hostName","pathStart"],"rows":[]}},"services":{{"columns":["name"],"rows":[{}]}}}}"#,
         services.join(",")
     );
-    Arc::new(Cast::new(edition, &Playbill::read(&text).expect("a configuration")))
+    Arc::new(ServiceOwners::new(edition, &Configuration::read(&text).expect("a configuration")))
 }
 
 /// The owner of a route's requests: two routes swap theirs in the second edition.
@@ -136,7 +136,7 @@
     fn new(seed: u64, broken: Broken) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let nodes = (0..NODES).map(|at| Node::new(1 + at as u64, 0.0)).collect();
-        let casts = [cast(1), cast(2)];
+        let casts = [service_owners(1), service_owners(2)];
         let mut play = Play {
             rng,
             broken,
@@ -147,10 +147,10 @@
             casts,
             swap: 0.0,
             cut: [(0, 0.0, 0.0); 2],
-            news: Vec::new(),
+            update: Vec::new(),
             differ: BTreeMap::new(),
-            stirred: false,
-            seen: Seen::default(),
+            changed: false,
+            seen: FollowerProgress::default(),
         };
         play.write(seed % 100 == 7);
         play
@@ -169,21 +169,21 @@
         let places = if many { 100 } else { 12 };
         for place in 0..places {
             let mut born = self.span(0.0, 1500.0);
-            for life in 0..3 {
+            for incarnation in 0..3 {
                 let owner = self.draw(3) as usize;
                 // Some do not say their mesh.
                 let says = if self.draw(4) == 0 { mesh::parts(OWNERS[owner]).1 } else { OWNERS[owner] };
                 let dies = if self.draw(3) == 0 { self.span(born + 3000.0, END) } else { 2.0 * END };
                 let planned = self.draw(2) == 0;
                 self.servers.push(Server {
-                    id: format!("i-{place}-{life}"),
+                    id: format!("i-{place}-{incarnation}"),
                     owner,
                     says: says.to_owned(),
                     address: format!("10.0.0.{place}:80"),
                     born,
                     dies,
                     planned,
-                    calls: 0,
+                    call_count: 0,
                     next: born,
                 });
                 // Its address may go to a server of another service after `reuseAfterS`.
@@ -213,8 +213,8 @@
                 // The server's own claim, word for word: not told apart, as the design's page says.
                 continue;
             }
-            let calls = 1 + self.draw(2000);
-            let row = ServerRow { id, service, address, calls, ..ServerRow::default() };
+            let call_count = 1 + self.draw(2000);
+            let row = ServerRow { id, service, address, call_count, ..ServerRow::default() };
             let to = (all + self.span(100.0, 6000.0)).min(self.servers[0].dies.max(END));
             self.forgers.push(Forger { row, from: all, to, next: all });
         }
@@ -248,17 +248,17 @@
             let draining = planned && server.dies - self.now < 3500.0;
             let state = if draining { server_state::DRAINING } else { server_state::READY };
             let (id, service, address) = (server.id.clone(), server.says.clone(), server.address.clone());
-            let calls = server.calls + 1;
-            let row = ServerRow { id, service, address, state, calls, ..ServerRow::default() };
+            let call_count = server.call_count + 1;
+            let row = ServerRow { id, service, address, state, call_count, ..ServerRow::default() };
             self.tell(&row, planned && server.dies - self.now < BEAT);
             let next = self.now + self.span(0.9 * BEAT, 1.1 * BEAT);
-            (self.servers[at].next, self.servers[at].calls) = (next, calls);
+            (self.servers[at].next, self.servers[at].call_count) = (next, call_count);
         }
         for at in 0..self.forgers.len() {
             let forger = &mut self.forgers[at];
             if (forger.from..forger.to).contains(&self.now) && self.now >= forger.next {
                 forger.next += BEAT;
-                forger.row.calls += 1;
+                forger.row.call_count += 1;
                 let row = forger.row.clone();
                 self.tell(&row, false);
             }
@@ -266,17 +266,17 @@
     }
 
     /// A server calls core machines until one takes it.
-    fn tell(&mut self, row: &ServerRow, leaves: bool) {
+    fn tell(&mut self, row: &ServerRow, mark_left: bool) {
         let first = self.draw(CORES as u64) as usize;
         for nth in 0..CORES {
             let core = (first + nth) % CORES;
             if self.is_cut(core) || self.draw(20) == 0 {
                 continue;
             }
-            let book = &mut self.nodes[core].book;
-            book.server(self.now, row);
-            if leaves {
-                book.leaves(self.now, &row.id);
+            let table = &mut self.nodes[core].table;
+            table.merge_server(self.now, row);
+            if mark_left {
+                table.mark_server_left(self.now, &row.id);
             }
             return;
         }
@@ -302,14 +302,14 @@
                     continue;
                 }
                 let (epoch, seen) = self.nodes[at].places[other];
-                let mut news = self.nodes[other].book.since(self.now, epoch, seen, at < CORES);
-                news.edition = self.nodes[other].edition;
+                let mut update = self.nodes[other].table.update_since(self.now, epoch, seen, at < CORES);
+                update.edition = self.nodes[other].edition;
                 let delay = if self.draw(50) == 0 { self.span(80.0, 600.0) } else { self.span(2.0, 80.0) };
                 if self.draw(20) == 0 {
                     let late = self.now + self.span(100.0, 4000.0);
-                    self.news.push((late, at, other, true, news.clone()));
+                    self.update.push((late, at, other, true, update.clone()));
                 }
-                self.news.push((self.now + delay, at, other, false, news));
+                self.update.push((self.now + delay, at, other, false, update));
                 // One call at a time.
                 self.nodes[at].asks[other] = self.now + delay + 100.0;
             }
@@ -317,22 +317,22 @@
     }
 
     fn hear(&mut self) {
-        let due = |n: &(f64, usize, usize, bool, News)| n.0 <= self.now;
-        let (due, rest) = std::mem::take(&mut self.news).into_iter().partition(due);
-        self.news = rest;
-        for (_, at, other, late, news) in due {
+        let due = |n: &(f64, usize, usize, bool, StateUpdate)| n.0 <= self.now;
+        let (due, rest) = std::mem::take(&mut self.update).into_iter().partition(due);
+        self.update = rest;
+        for (_, at, other, late, update) in due {
             // A late copy is of another life: what it says of places and digests is void.
             let (now, node) = (self.now, &mut self.nodes[at]);
-            node.book.merge(now, &news);
+            node.table.merge_update(now, &update);
             if late {
                 continue;
             }
-            node.edition = node.edition.max(news.edition);
-            node.places[other] = (news.epoch, news.seen);
-            let compares = at >= CORES && other == node.teller && news.warm && news.digest != 0;
-            if compares && node.edition == news.edition {
-                let same = node.book.digest() == news.digest;
-                if node.agreement.heard(now, same) {
+            node.edition = node.edition.max(update.edition);
+            node.places[other] = (update.epoch, update.seen);
+            let compares = at >= CORES && other == node.teller && update.source_is_warm && update.digest != 0;
+            if compares && node.edition == update.edition {
+                let same = node.table.digest() == update.digest;
+                if node.agreement.on_update(now, same) {
                     node.places[other] = (0, 0);
                     self.seen.snapshots += 1;
                 }
@@ -353,38 +353,41 @@
                 if cut {
                     node.awake = now;
                 }
-                let judges = now - node.awake > 6500.0 && node.book.is_warm(now);
-                node.book.look(now, judges.then_some(now));
+                let judges = now - node.awake > 6500.0 && node.table.is_warm(now);
+                node.table.expire(now, judges.then_some(now));
             }
-            let of = (node.edition, node.book.changes());
+            let of = (node.edition, node.table.change_sequence());
             if node.edition > 0 && node.of != of {
-                let cast = self.casts[node.edition as usize - 1].clone();
-                node.catalogue = Catalogue::new(cast, node.book.rows());
+                let service_owners = self.casts[node.edition as usize - 1].clone();
+                node.catalog = Catalog::new(service_owners, node.table.server_rows());
                 node.of = of;
-                self.stirred = true;
-                self.seen.contested += node.catalogue.contested().count() as u64;
+                self.changed = true;
+                self.seen.contested += node.catalog.contested().count() as u64;
             }
         }
         // A proxy starts, and a core machine's book is wiped, each at one moment of some schedules.
         if self.draw(300) == 0 {
             let at = self.draw(NODES as u64) as usize;
-            let epoch = self.nodes[at].book.epoch() + NODES as u64;
+            let epoch = self.nodes[at].table.epoch() + NODES as u64;
             self.nodes[at] = Node::new(epoch, self.now);
-            self.news.retain(|news| news.1 != at);
+            self.update.retain(|update| update.1 != at);
         }
     }
 
     /// The servers that a node would send an owner's confirmations to.
     fn sure(&self, node: &Node, owner: usize) -> Vec<(String, String)> {
-        let rows = node.book.servers(self.now).map(|(row, _)| row);
-        let ready = rows.filter(|row| row.state == server_state::READY && !row.silent);
+        let rows = node.table.servers(self.now).map(|(row, _)| row);
+        let ready = rows.filter(|row| row.state == server_state::READY && !row.timed_out);
         let fits = |row: &&ServerRow| match self.broken {
             Broken::BareName => mesh::parts(&row.service).1 == mesh::parts(OWNERS[owner]).1,
             Broken::HighestNumber => {
-                let claims = node.book.servers(self.now).map(|(other, _)| other).filter(|o| o.id == row.id);
-                row.service == OWNERS[owner] && claims.map(|o| o.calls).max() == Some(row.calls)
+                let claims = node.table.servers(self.now).map(|(other, _)| other).filter(|o| o.id == row.id);
+                row.service == OWNERS[owner] && claims.map(|o| o.call_count).max() == Some(row.call_count)
+            }
+            _ => {
+                OWNERS[owner].ends_with(&*row.service)
+                    && node.catalog.permitted_use(row, owner) == PermittedUse::All
             }
-            _ => OWNERS[owner].ends_with(&*row.service) && node.catalogue.use_of(row, owner) == Use::All,
         };
         ready.filter(fits).map(|row| (row.id.clone(), row.address.clone())).collect()
     }
@@ -399,18 +402,18 @@
             let owner = owner_of(route, edition);
             let able = self.sure(&self.nodes[at], owner);
             let (mut runs, mut answers) = (0, 0);
-            let contested = self.nodes[at].catalogue.tally(owner).nothing > 0;
-            if able.is_empty() || contested && self.nodes[at].agreement.is_past(self.now) {
-                (answers, self.seen.refused) = (answers + 1, self.seen.refused + 1);
+            let contested = self.nodes[at].catalog.counts(owner).nothing > 0;
+            if able.is_empty() || contested && self.nodes[at].agreement.has_diverged(self.now) {
+                (answers, self.seen.error_table) = (answers + 1, self.seen.error_table + 1);
             }
             for _ in 0..2 {
                 if answers > 0 {
                     break;
                 }
-                let (meant, address) = &able[self.draw(able.len() as u64) as usize];
+                let (resolve, address) = &able[self.draw(able.len() as u64) as usize];
                 let there = |s: &&Server| s.address == *address && (s.born..s.dies).contains(&self.now);
                 let Some(server) = self.servers.iter().find(there) else { continue };
-                if server.id != *meant && self.broken != Broken::NoLife {
+                if server.id != *resolve && self.broken != Broken::NoLife {
                     continue;
                 }
                 (runs, answers) = (runs + 1, answers + 1);
@@ -419,14 +422,14 @@
                 let newest = edition == 2 || self.now < self.swap + APPLY || !self.in_touch(at);
                 if server.owner != owner || !newest {
                     return Err(format!(
-                        "{}: a confirmation of route {route} ran at {} of {}, meant for {meant}, edition {edition}",
+                        "{}: a confirmation of route {route} ran at {} of {}, meant for {resolve}, edition {edition}",
                         self.now, server.id, OWNERS[server.owner]
                     ));
                 }
             }
             if answers == 0 {
                 // Both tries were turned away: nothing has run, and the client is told so.
-                (answers, self.seen.refused) = (1, self.seen.refused + 1);
+                (answers, self.seen.error_table) = (1, self.seen.error_table + 1);
             }
             if runs > 1 || answers != 1 {
                 return Err(format!("{}: {runs} runs and {answers} answers", self.now));
@@ -438,31 +441,31 @@
     /// How long two proxies in touch have said different things of one id's owner: an owner against another
     /// one, or against none for sure.
     fn compare(&mut self) -> Result<(), String> {
-        let mut named: BTreeMap<&str, (u64, Option<usize>, bool)> = BTreeMap::new();
+        let mut service_names: BTreeMap<&str, (u64, Option<usize>, bool)> = BTreeMap::new();
         for node in (CORES..NODES).filter(|at| self.in_touch(*at)).map(|at| &self.nodes[at]) {
-            for entry in node.catalogue.entries() {
-                let owner = match entry.standing {
-                    Standing::Owned(owner) => Some(owner),
+            for entry in node.catalog.entries() {
+                let owner = match entry.ownership {
+                    Ownership::Owned(owner) => Some(owner),
                     _ => None,
                 };
-                let first = named.entry(&entry.row.id).or_insert((node.edition, owner, false));
+                let first = service_names.entry(&entry.row.id).or_insert((node.edition, owner, false));
                 first.2 |= first.0 == node.edition && first.1 != owner;
             }
         }
-        let differ = named.iter().filter(|(_, first)| first.2).map(|(id, _)| (*id).to_owned());
+        let differ = service_names.iter().filter(|(_, first)| first.2).map(|(id, _)| (*id).to_owned());
         let since: BTreeMap<String, f64> =
             differ.map(|id| (id.clone(), self.differ.get(&id).copied().unwrap_or(self.now))).collect();
         self.differ = since;
         for (id, since) in &self.differ {
             self.seen.longest = self.seen.longest.max(self.now - since);
-            if self.now - since > DIFFER_MOST {
+            if self.now - since > MAX_DIVERGENCE {
                 return Err(format!("{}: two nodes name different owners of {id} since {since}", self.now));
             }
         }
         Ok(())
     }
 
-    fn play(mut self) -> Result<Seen, String> {
+    fn play(mut self) -> Result<FollowerProgress, String> {
         while self.now < END {
             self.beats();
             self.ask();
@@ -472,7 +475,7 @@
                 self.confirm()?;
             }
             // Who differs is looked at in each tick, and else once in a while.
-            if std::mem::take(&mut self.stirred) || !self.differ.is_empty() || self.now % 500.0 == 0.0 {
+            if std::mem::take(&mut self.changed) || !self.differ.is_empty() || self.now % 500.0 == 0.0 {
                 self.compare()?;
             }
             self.now += TICK;
@@ -490,12 +493,12 @@
     let threads: Vec<_> = (0..4)
         .map(|part| {
             std::thread::spawn(move || {
-                let mut all = Seen::default();
+                let mut all = FollowerProgress::default();
                 for seed in (0..schedules()).filter(|seed| seed % 4 == part) {
                     let seen =
                         Play::new(seed, Broken::Not).play().unwrap_or_else(|e| panic!("seed {seed}: {e}"));
                     all.served += seen.served;
-                    all.refused += seen.refused;
+                    all.error_table += seen.error_table;
                     all.contested += seen.contested;
                     all.snapshots += seen.snapshots;
                     all.longest = all.longest.max(seen.longest);
@@ -504,11 +507,11 @@
             })
         })
         .collect();
-    let mut all = Seen::default();
+    let mut all = FollowerProgress::default();
     for thread in threads {
         let seen = thread.join().expect("no broken schedule");
         all.served += seen.served;
-        all.refused += seen.refused;
+        all.error_table += seen.error_table;
         all.contested += seen.contested;
         all.snapshots += seen.snapshots;
         all.longest = all.longest.max(seen.longest);
@@ -517,18 +520,18 @@
         "{} schedules: {} confirmations served, {} refused, {} snapshots, owners differed for {} ms at most",
         schedules(),
         all.served,
-        all.refused,
+        all.error_table,
         all.snapshots,
         all.longest
     );
-    assert!(all.served > 10 * all.refused && all.contested > 1000, "the schedules say something");
+    assert!(all.served > 10 * all.error_table && all.contested > 1000, "the schedules say something");
 }
 
 #[test]
 fn the_checker_finds_what_is_broken() {
     for broken in [Broken::BareName, Broken::HighestNumber, Broken::NoLife] {
         let found = (0..200).find_map(|seed| Play::new(seed, broken).play().err().map(|e| (seed, e)));
-        let (seed, told) = found.unwrap_or_else(|| panic!("{broken:?} is not found"));
-        println!("{broken:?}: seed {seed}, {told}");
+        let (seed, to_message) = found.unwrap_or_else(|| panic!("{broken:?} is not found"));
+        println!("{broken:?}: seed {seed}, {to_message}");
     }
 }
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,6 +1,6 @@
 //! The rules, by what callers saw. Nothing here knows how the control side works.
 
-use crate::history::{Acting, Content, Event, Order, What};
+use crate::history::{AppliedState, Content, Event, OperatorCommand, What};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A configuration acts at machines in touch within this of its acknowledgement, ms.
@@ -90,12 +90,12 @@
 #[derive(Default)]
 struct Checker {
     now: f64,
-    orders: Vec<(Order, Standing)>,
+    operator_command: Vec<(OperatorCommand, Standing)>,
     /// By version: the order whose it is.
     chain: BTreeMap<u64, usize>,
     acked: Floor,
     read: Floor,
-    lives: BTreeMap<(usize, u64), u64>,
+    processes: BTreeMap<(usize, u64), u64>,
     /// By follower: whether it acts, as it was seen last.
     acting: BTreeMap<usize, bool>,
     servers: BTreeMap<String, Server>,
@@ -118,7 +118,7 @@
 
     /// This order is in force, or was acknowledged.
     fn is_taken(&mut self, at: usize) {
-        let (order, standing) = &mut self.orders[at];
+        let (order, standing) = &mut self.operator_command[at];
         standing.in_force = true;
         let (order, refused) = (order.clone(), standing.refused);
         if let Some(status) = refused {
@@ -132,10 +132,10 @@
             let what = format!("#{before} and #{at} are both r{}", order.number);
             self.breaks("one change a number", what);
         }
-        let same = |(n, (o, s)): (usize, &(Order, Standing))| {
+        let same = |(n, (o, s)): (usize, &(OperatorCommand, Standing))| {
             (n != at && s.in_force && o.number > 0 && o.built_on == order.built_on).then_some(n)
         };
-        if let Some(other) = self.orders.iter().enumerate().find_map(same) {
+        if let Some(other) = self.operator_command.iter().enumerate().find_map(same) {
             let what = format!("#{other} and #{at} both build on r{}", order.built_on);
             self.breaks("one change a number", what);
         }
@@ -146,7 +146,7 @@
         if number == 0 {
             return Some(BTreeSet::new());
         }
-        let (order, _) = &self.orders[*self.chain.get(&number)?];
+        let (order, _) = &self.operator_command[*self.chain.get(&number)?];
         let mut routes = match order.what {
             What::Change => self.routes(order.built_on)?,
             _ => BTreeSet::new(),
@@ -160,10 +160,10 @@
         if content.number == 0 || self.chain.contains_key(&content.number) && self.fits(content) {
             return;
         }
-        let is = |(order, _): &(Order, Standing)| {
+        let is = |(order, _): &(OperatorCommand, Standing)| {
             order.number == content.number && content.tags.binary_search(&order.tag).is_ok()
         };
-        let Some(at) = self.orders.iter().position(is) else {
+        let Some(at) = self.operator_command.iter().position(is) else {
             self.breaks("in force", format!("nobody ordered r{} with {:?}", content.number, content.tags));
             return;
         };
@@ -181,8 +181,8 @@
         routes.is_none_or(|routes| routes.iter().copied().eq(content.tags.iter().copied()))
     }
 
-    fn told(&mut self, at: usize, status: Option<u16>) {
-        let (order, standing) = &mut self.orders[at];
+    fn settings(&mut self, at: usize, status: Option<u16>) {
+        let (order, standing) = &mut self.operator_command[at];
         let (number, what) = (order.number, order.what.clone());
         match status {
             Some(200) => {
@@ -202,8 +202,8 @@
                 if taken {
                     self.breaks("refused", format!("#{at} r{number} is in force and got {status}"));
                 }
-                let rival = |(n, (o, _)): (usize, &(Order, Standing))| n != at && o.number > base;
-                if !self.orders.iter().enumerate().any(rival) {
+                let rival = |(n, (o, _)): (usize, &(OperatorCommand, Standing))| n != at && o.number > base;
+                if !self.operator_command.iter().enumerate().any(rival) {
                     self.breaks("refused", format!("#{at} r{number} got {status} with nothing beside it"));
                 }
             }
@@ -220,12 +220,12 @@
         }
     }
 
-    fn acts(&mut self, who: usize, life: u64, acting: &Acting) {
+    fn acts(&mut self, who: usize, process: u64, acting: &AppliedState) {
         let number = acting.content.number;
         self.acting.insert(who, acting.acts);
         if acting.acts {
             self.sees(&acting.content);
-            let last = self.lives.entry((who, life)).or_default();
+            let last = self.processes.entry((who, process)).or_default();
             let before = std::mem::replace(last, number.max(*last));
             if number < before {
                 self.breaks("goes back", format!("follower {who} acts by r{number} after r{before}"));
@@ -285,23 +285,23 @@
         }
         let all = self.acting.iter().filter(|(_, acts)| **acts);
         let all: BTreeSet<String> = all.map(|(who, _)| front(*who)).collect();
-        let told: BTreeSet<String> = fronts.iter().cloned().collect();
-        if status != 200 || told != all || fronts.len() != told.len() {
+        let settings: BTreeSet<String> = fronts.iter().cloned().collect();
+        if status != 200 || settings != all || fronts.len() != settings.len() {
             self.breaks("directory", format!("{machine} sends to {fronts:?} ({status}); {all:?} act"));
         }
     }
 
-    fn saw(&mut self, at: f64, event: &Event) {
+    fn record(&mut self, at: f64, event: &Event) {
         self.now = at;
         match event {
-            Event::Ordered(order) => self.orders.push((order.clone(), Standing::default())),
+            Event::Ordered(order) => self.operator_command.push((order.clone(), Standing::default())),
             Event::Asked(order, _) => {
-                self.orders[*order].1.asked.get_or_insert(at);
-                if let What::Empty(zone, _) = &self.orders[*order].0.what {
+                self.operator_command[*order].1.asked.get_or_insert(at);
+                if let What::Empty(zone, _) = &self.operator_command[*order].0.what {
                     self.zones.entry(zone.clone()).or_default().asked = true;
                 }
             }
-            Event::Told(order, _, status) => self.told(*order, *status),
+            Event::OperatorAnswer(order, _, status) => self.settings(*order, *status),
             Event::Read(began, machine, status, content) => {
                 let floor = self.acked.at(*began).max(self.read.at(*began));
                 match status {
@@ -325,14 +325,14 @@
                 }
             }
             Event::Sent(machine, status, fronts) => self.sent(*machine, *status, fronts),
-            Event::Acts(who, life, acting) => self.acts(*who, *life, acting),
+            Event::Acts(who, process, acting) => self.acts(*who, *process, acting),
             Event::Begins(id) => _ = self.servers.insert(id.clone(), Server::default()),
             Event::Leaves(id) => {
                 if let Some(server) = self.servers.get_mut(id) {
                     server.leaves = true;
                 }
             }
-            Event::Heard(id, state) => {
+            Event::ReadAnswer(id, state) => {
                 if let Some(server) = self.servers.get_mut(id) {
                     server.first.get_or_insert(at);
                     if *state > 0 {
@@ -364,7 +364,7 @@
 pub fn check(history: &[(f64, Event)]) -> Vec<Broken> {
     let mut checker = Checker::default();
     for (at, event) in history {
-        checker.saw(*at, event);
+        checker.record(*at, event);
     }
     checker.broken
 }
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,8 +1,8 @@
 //! Operators, servers and readers. They see answers only, and say in the history what they saw.
 
-use crate::history::{Content, Event, Order, What};
+use crate::history::{Content, Event, OperatorCommand, What};
 use crate::ms;
-use crate::process::Life;
+use crate::process::Process;
 use crate::world::{Calls, World, ZONES};
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -43,14 +43,14 @@
     newest: Cell<u64>,
     tag: Cell<u64>,
     /// Orders that were acknowledged, with their text.
-    acked: RefCell<Vec<(usize, Order)>>,
+    acked: RefCell<Vec<(usize, OperatorCommand)>>,
 }
 
 const COLUMNS: &str =
     r#"["name","hostName","pathStart","routeKind","giveUpMs","targetMs","rank","tries","service"]"#;
 
 /// An order's call and body.
-fn text(order: &Order) -> (String, String) {
+fn text(order: &OperatorCommand) -> (String, String) {
     let (number, tag) = (order.number, order.tag);
     let base = if order.built_on == 0 { "0".to_owned() } else { format!("\"r{}\"", order.built_on) };
     let row = format!(r#"["tag-{tag}","h","/p{tag}/","safe",1000,400,2,2,"s"]"#);
@@ -77,15 +77,21 @@
 }
 
 /// Sends an order until it has a clear answer, or is given up; the answer. `first` is asked first.
-async fn order(world: &World, calls: &Calls, order: &Order, at: usize, tries: usize) -> Option<u16> {
+async fn order(
+    world: &World,
+    call_count: &Calls,
+    order: &OperatorCommand,
+    at: usize,
+    tries: usize,
+) -> Option<u16> {
     let (head, body) = text(order);
     let plain = order.number == 0;
     let mut pause = 60.0;
     for _ in 0..tries {
-        let to = *world.lot.borrow_mut().of(&world.controls());
-        world.history.saw(Event::Asked(at, to));
-        let answer = calls.call(to, plain, &head, &body, ORDER_WITHIN).await.map(|(status, _)| status);
-        world.history.saw(Event::Told(at, to, answer));
+        let to = *world.random.borrow_mut().of(&world.controls());
+        world.history.record(Event::Asked(at, to));
+        let answer = call_count.call(to, plain, &head, &body, ORDER_WITHIN).await.map(|(status, _)| status);
+        world.history.record(Event::OperatorAnswer(at, to, answer));
         if let Some(status @ (200 | 400 | 412)) = answer {
             return Some(status);
         }
@@ -99,17 +105,24 @@
 }
 
 impl Office {
-    fn make(&self, world: &World, number: u64, built_on: u64, what: What) -> (usize, Order) {
+    fn make(&self, world: &World, number: u64, built_on: u64, what: What) -> (usize, OperatorCommand) {
         self.tag.set(self.tag.get() + 1);
-        let made = Order { number, built_on, tag: self.tag.get(), what };
-        let at = world.history.orders();
-        world.history.saw(Event::Ordered(made.clone()));
+        let made = OperatorCommand { number, built_on, tag: self.tag.get(), what };
+        let at = world.history.operator_command();
+        world.history.record(Event::Ordered(made.clone()));
         (at, made)
     }
 
     /// What comes of an order is remembered.
-    async fn send(&self, world: &World, calls: &Calls, at: usize, made: &Order, tries: usize) -> Option<u16> {
-        let status = order(world, calls, made, at, tries).await;
+    async fn send(
+        &self,
+        world: &World,
+        call_count: &Calls,
+        at: usize,
+        made: &OperatorCommand,
+        tries: usize,
+    ) -> Option<u16> {
+        let status = order(world, call_count, made, at, tries).await;
         if status == Some(200) && made.number > 0 {
             self.newest.set(self.newest.get().max(made.number));
             self.acked.borrow_mut().push((at, made.clone()));
@@ -118,49 +131,49 @@
     }
 
     /// Reads the configuration at some machine.
-    async fn read(&self, world: &World, calls: &Calls, to: Ipv4Addr) -> Option<u16> {
+    async fn read(&self, world: &World, call_count: &Calls, to: Ipv4Addr) -> Option<u16> {
         let began = world.history.now();
-        let (status, text) = calls.call(to, false, "GET /settings/read", "", ORDER_WITHIN).await?;
+        let (status, text) = call_count.call(to, false, "GET /settings/read", "", ORDER_WITHIN).await?;
         let content = if status == 200 { Content::read(&text) } else { Content::default() };
         self.newest.set(self.newest.get().max(content.number));
-        world.history.saw(Event::Read(began, to, status, content));
+        world.history.record(Event::Read(began, to, status, content));
         Some(status)
     }
 
     /// An operator, until it is over.
     pub fn operator(self: &Rc<Self>, world: &Rc<World>, nth: u8, manner: Manner) {
         let (office, world) = (self.clone(), world.clone());
-        Life::start(&world.net.clone(), ip(nth), |_| async move {
-            let calls = Rc::new(Calls::default());
+        Process::start(&world.network.clone(), ip(nth), |_| async move {
+            let call_count = Rc::new(Calls::default());
             while !world.over.get() {
-                office.round(&world, &calls, manner).await;
-                let every = world.lot.borrow_mut().within(0.3 * manner.every..1.7 * manner.every);
+                office.round(&world, &call_count, manner).await;
+                let every = world.random.borrow_mut().within(0.3 * manner.every..1.7 * manner.every);
                 sleep(ms(every)).await;
             }
         });
     }
 
-    async fn round(self: &Rc<Self>, world: &Rc<World>, calls: &Rc<Calls>, manner: Manner) {
-        let draw = |below: f64| world.lot.borrow_mut().chance(below);
+    async fn round(self: &Rc<Self>, world: &Rc<World>, call_count: &Rc<Calls>, manner: Manner) {
+        let draw = |below: f64| world.random.borrow_mut().chance(below);
         if manner.zones && draw(0.35) {
-            let zone = (*world.lot.borrow_mut().of(&ZONES)).to_owned();
+            let zone = (*world.random.borrow_mut().of(&ZONES)).to_owned();
             for begin in [true, false] {
                 let (at, made) = self.make(world, 0, 0, What::Empty(zone.clone(), begin));
-                self.send(world, calls, at, &made, TRIES).await;
-                let pause = world.lot.borrow_mut().within(0.0..9000.0);
+                self.send(world, call_count, at, &made, TRIES).await;
+                let pause = world.random.borrow_mut().within(0.0..9000.0);
                 sleep(ms(pause)).await;
             }
             return;
         }
         let again = self.acked.borrow().len();
         if draw(manner.repeats) && again > 0 {
-            let back = world.lot.borrow_mut().below(again.min(4));
+            let back = world.random.borrow_mut().below(again.min(4));
             let (at, made) = self.acked.borrow()[again - 1 - back].clone();
-            self.send(world, calls, at, &made, 3).await;
+            self.send(world, call_count, at, &made, 3).await;
             return;
         }
         let base = self.newest.get();
-        let step = |world: &World| 1 + world.lot.borrow_mut().below(3) as u64;
+        let step = |world: &World| 1 + world.random.borrow_mut().below(3) as u64;
         let number = base + step(world);
         let mut sent = Vec::new();
         for _ in 0..manner.rivals.max(1) {
@@ -168,9 +181,10 @@
             let what = if base == 0 || draw(0.5) { What::Replace } else { What::Change };
             let (at, made) = self.make(world, number, base, what);
             for _ in 0..manner.copies.max(1) {
-                let (office, world, calls, made) = (self.clone(), world.clone(), calls.clone(), made.clone());
+                let (office, world, call_count, made) =
+                    (self.clone(), world.clone(), call_count.clone(), made.clone());
                 sent.push(tokio::task::spawn_local(async move {
-                    office.send(&world, &calls, at, &made, TRIES).await
+                    office.send(&world, &call_count, at, &made, TRIES).await
                 }));
             }
         }
@@ -179,24 +193,26 @@
             taken |= matches!(sent.await, Ok(Some(200)));
         }
         if !taken {
-            let to = *world.lot.borrow_mut().of(&world.controls());
-            self.read(world, calls, to).await;
+            let to = *world.random.borrow_mut().of(&world.controls());
+            self.read(world, call_count, to).await;
         }
     }
 
     /// Reads at all machines in turn, until it is over.
     pub fn reader(self: &Rc<Self>, world: &Rc<World>, nth: u8, every: f64) {
         let (office, world) = (self.clone(), world.clone());
-        Life::start(&world.net.clone(), ip(nth), |_| async move {
-            let calls = Calls::default();
+        Process::start(&world.network.clone(), ip(nth), |_| async move {
+            let call_count = Calls::default();
             while !world.over.get() {
-                let to = *world.lot.borrow_mut().of(&world.controls());
-                office.read(&world, &calls, to).await;
+                let to = *world.random.borrow_mut().of(&world.controls());
+                office.read(&world, &call_count, to).await;
                 sleep(ms(every)).await;
-                let to = *world.lot.borrow_mut().of(&world.controls());
-                if let Some((status, text)) = calls.call(to, false, "GET /lookup?name=h", "", 1000.0).await {
+                let to = *world.random.borrow_mut().of(&world.controls());
+                if let Some((status, text)) =
+                    call_count.call(to, false, "GET /lookup?name=h", "", 1000.0).await
+                {
                     let fronts = text.split('"').filter(|part| part.ends_with(":8686")).map(str::to_owned);
-                    world.history.saw(Event::Sent(to, status, fronts.collect()));
+                    world.history.record(Event::Sent(to, status, fronts.collect()));
                 }
             }
         });
@@ -207,22 +223,22 @@
     pub async fn recovers(self: &Rc<Self>, world: &Rc<World>, nth: u8, takes_within: f64, votes_within: f64) {
         let (office, of, done) = (self.clone(), world.clone(), Rc::new(Cell::new(false)));
         let ends = done.clone();
-        let life = Life::start(&world.net.clone(), ip(nth), |_| async move {
-            let calls = Calls::default();
+        let process = Process::start(&world.network.clone(), ip(nth), |_| async move {
+            let call_count = Calls::default();
             let machines: Vec<Ipv4Addr> =
                 of.core.borrow().iter().filter(|m| m.runs()).map(|m| m.ip).collect();
             let until = of.history.now() + takes_within;
             for to in machines {
-                let takes = office.takes(&of, &calls, to, until, false).await;
-                of.history.saw(Event::Recovered(format!("{to} takes an order, and reads it back"), takes));
+                let takes = office.takes(&of, &call_count, to, until, false).await;
+                of.history.record(Event::Recovered(format!("{to} takes an order, and reads it back"), takes));
             }
             let until = of.history.now() + votes_within;
             let mut vote = false;
             while !vote && of.history.now() < until {
-                vote = of.voters(|at| calls.to(at)).await.is_some();
+                vote = of.voters(|at| call_count.to(at)).await.is_some();
                 sleep(ms(300.0)).await;
             }
-            of.history.saw(Event::Recovered("all core machines vote".into(), vote));
+            of.history.record(Event::Recovered("all core machines vote".into(), vote));
             // What was acknowledged is acted by everywhere, for some time.
             sleep(ms(6000.0)).await;
             ends.set(true);
@@ -230,33 +246,33 @@
         while !done.get() {
             sleep(ms(100.0)).await;
         }
-        life.kill();
+        process.kill();
     }
 
     /// Whether this one machine gives an order a clear answer in time, while others are away.
     pub async fn goes_on(self: &Rc<Self>, world: &Rc<World>, to: Ipv4Addr, within: f64) {
         let (office, of, done) = (self.clone(), world.clone(), Rc::new(Cell::new(false)));
         let ends = done.clone();
-        let life = Life::start(&world.net.clone(), ip(8), |_| async move {
+        let process = Process::start(&world.network.clone(), ip(8), |_| async move {
             let until = of.history.now() + within;
             let takes = office.takes(&of, &Calls::default(), to, until, true).await;
-            of.history.saw(Event::Recovered(format!("{to} goes on while others are away"), takes));
+            of.history.record(Event::Recovered(format!("{to} goes on while others are away"), takes));
             ends.set(true);
         });
         while !done.get() {
             sleep(ms(50.0)).await;
         }
-        life.kill();
+        process.kill();
     }
 
     /// Until this one machine has taken an order and reads it back; or, where any will do, gave a clear answer.
-    async fn takes(&self, world: &World, calls: &Calls, to: Ipv4Addr, until: f64, any: bool) -> bool {
-        let mut made: Option<(usize, Order)> = None;
+    async fn takes(&self, world: &World, call_count: &Calls, to: Ipv4Addr, until: f64, any: bool) -> bool {
+        let mut made: Option<(usize, OperatorCommand)> = None;
         while world.history.now() < until {
             let (at, order) = match &made {
                 Some(made) => made.clone(),
                 None => {
-                    if self.read(world, calls, to).await.is_none_or(|status| status >= 500) {
+                    if self.read(world, call_count, to).await.is_none_or(|status| status >= 500) {
                         sleep(ms(150.0)).await;
                         continue;
                     }
@@ -265,16 +281,17 @@
                 }
             };
             let (head, body) = text(&order);
-            world.history.saw(Event::Asked(at, to));
-            let status = calls.call(to, false, &head, &body, ORDER_WITHIN).await.map(|(status, _)| status);
-            world.history.saw(Event::Told(at, to, status));
+            world.history.record(Event::Asked(at, to));
+            let status =
+                call_count.call(to, false, &head, &body, ORDER_WITHIN).await.map(|(status, _)| status);
+            world.history.record(Event::OperatorAnswer(at, to, status));
             if any && matches!(status, Some(200 | 400 | 412)) {
                 return true;
             }
             match status {
                 Some(200) => {
                     self.newest.set(self.newest.get().max(order.number));
-                    if self.read(world, calls, to).await == Some(200) {
+                    if self.read(world, call_count, to).await == Some(200) {
                         return true;
                     }
                 }
@@ -303,14 +320,14 @@
 pub fn server(world: &Rc<World>, nth: u8, ends: Ends, after: f64) {
     let world = world.clone();
     let at = Ipv4Addr::new(10, 0, 8, nth);
-    Life::start(&world.net.clone(), at, |_| async move {
-        let (calls, id) = (Calls::default(), format!("i-{nth}"));
-        world.history.saw(Event::Begins(id.clone()));
+    Process::start(&world.network.clone(), at, |_| async move {
+        let (call_count, id) = (Calls::default(), format!("i-{nth}"));
+        world.history.record(Event::Begins(id.clone()));
         let zone = ZONES[usize::from(nth) % ZONES.len()];
         let began = world.history.now();
         let mut count = 0u64;
         let mut state = 0u32;
-        let mut to = *world.lot.borrow_mut().of(&world.controls());
+        let mut to = *world.random.borrow_mut().of(&world.controls());
         // Since when it wants to leave, and when that was acknowledged.
         let (mut leaves, mut acked): (Option<f64>, Option<f64>) = (None, None);
         loop {
@@ -320,7 +337,7 @@
                     break;
                 }
                 leaves = Some(now);
-                world.history.saw(Event::Leaves(id.clone()));
+                world.history.record(Event::Leaves(id.clone()));
                 state = 1;
             }
             let over = |since: Option<f64>, long: f64| since.is_some_and(|since| now - since > long);
@@ -337,10 +354,10 @@
                 );
                 (format!("POST /servers/{id}/beat"), body)
             };
-            let answer = calls.call(to, false, &head, &body, BEAT_WITHIN).await;
+            let answer = call_count.call(to, false, &head, &body, BEAT_WITHIN).await;
             let heard = answer.is_some_and(|(status, _)| status == 200);
             if heard {
-                world.history.saw(Event::Heard(id.clone(), state));
+                world.history.record(Event::ReadAnswer(id.clone(), state));
                 if state == 1 {
                     acked.get_or_insert(world.history.now());
                 }
@@ -353,9 +370,9 @@
                 break;
             }
             // A draining server tells no more often; one that was not heard goes on at once.
-            let wait = if heard { BEAT * world.lot.borrow_mut().within(0.9..1.1) } else { 20.0 };
+            let wait = if heard { BEAT * world.random.borrow_mut().within(0.9..1.1) } else { 20.0 };
             sleep(ms(wait)).await;
         }
-        world.history.saw(Event::Ended(id));
+        world.history.record(Event::Ended(id));
     });
 }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,8 +1,8 @@
 //! A voter's disk. What a write has returned from is there after a loss of power; a write that was under way may be there
 //! or not. The form of the file itself is tested with the store.
 
-use crate::process::Life;
-use crate::{ms, Lot};
+use crate::process::Process;
+use crate::{ms, Random};
 use oatbank_config_store::messages::{PersistentState, Record};
 use oatbank_config_store::storage::{DiskError, OpenedState, StateWriter, StorageLocation};
 use std::cell::{Cell, RefCell};
@@ -29,8 +29,8 @@
     pub slow: Cell<f64>,
     /// At the next write the power goes.
     pub dooms: Cell<bool>,
-    life: RefCell<Weak<Life>>,
-    lot: RefCell<Lot>,
+    process: RefCell<Weak<Process>>,
+    random: RefCell<Random>,
 }
 
 impl StateFile {
@@ -42,14 +42,14 @@
             full: Cell::new(false),
             slow: Cell::new(0.0),
             dooms: Cell::new(false),
-            life: RefCell::default(),
-            lot: RefCell::new(Lot::new(seed)),
+            process: RefCell::default(),
+            random: RefCell::new(Random::new(seed)),
         })
     }
 
     /// This process uses it.
-    pub fn used_by(&self, life: &Rc<Life>) {
-        *self.life.borrow_mut() = Rc::downgrade(life);
+    pub fn used_by(&self, process: &Rc<Process>) {
+        *self.process.borrow_mut() = Rc::downgrade(process);
     }
 
     /// All on it is lost.
@@ -71,22 +71,22 @@
         let full = self.full.get();
         let goes = self.dooms.replace(false);
         let stays = if goes { 0.5 } else { 0.2 };
-        if !(full || goes) || self.lot.borrow_mut().chance(stays) {
+        if !(full || goes) || self.random.borrow_mut().chance(stays) {
             *self.file.borrow_mut() = File::Whole(Box::new((kept.clone(), record.cloned())));
         }
-        let life = self.life.borrow().upgrade();
+        let process = self.process.borrow().upgrade();
         if goes {
-            if let Some(life) = &life {
-                life.lose_power();
+            if let Some(process) = &process {
+                process.lose_power();
             }
         }
         if full || goes {
             return Err(DiskError::Refused(io::Error::other("no space left")));
         }
         if self.slow.get() > 0.0 {
-            let takes = self.lot.borrow_mut().within(0.0..self.slow.get());
-            if let Some(life) = life {
-                life.freeze(Instant::now() + ms(takes));
+            let takes = self.random.borrow_mut().within(0.0..self.slow.get());
+            if let Some(process) = process {
+                process.freeze(Instant::now() + ms(takes));
             }
         }
         Ok(())
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -19,7 +19,7 @@
 
 /// An order of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct OperatorCommand {
     /// Its version's number; 0 where it has none.
     pub number: u64,
     /// The number that it builds on.
@@ -55,7 +55,7 @@
 
 /// What a follower does now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Acting {
+pub struct AppliedState {
     /// It takes requests.
     pub acts: bool,
     /// By this.
@@ -70,23 +70,23 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An order is made; it is known by its place among the orders from now on.
-    Ordered(Order),
+    Ordered(OperatorCommand),
     /// It is sent to this machine.
     Asked(usize, Ipv4Addr),
     /// What came of that; `None`: no answer.
-    Told(usize, Ipv4Addr, Option<u16>),
+    OperatorAnswer(usize, Ipv4Addr, Option<u16>),
     /// A reading that began then, ms, at this machine.
     Read(f64, Ipv4Addr, u16, Content),
     /// Where a client is sent by this machine: the addresses.
     Sent(Ipv4Addr, u16, Vec<String>),
     /// What a follower does, with its life.
-    Acts(usize, u64, Acting),
+    Acts(usize, u64, AppliedState),
     /// A server begins.
     Begins(String),
     /// It says for the first time that it leaves.
     Leaves(String),
     /// What it said was acknowledged: 0 ready, 1 draining, 2 left.
-    Heard(String, u32),
+    ReadAnswer(String, u32),
     /// It has ended, in order or not.
     Ended(String),
     /// Trouble begins or ends.
@@ -102,15 +102,17 @@
                 write!(f, "order tag-{} r{} on r{} {:?}", o.tag, o.number, o.built_on, o.what)
             }
             Event::Asked(order, at) => write!(f, "order #{order} sent to {at}"),
-            Event::Told(order, at, status) => write!(f, "order #{order} answered by {at}: {status:?}"),
+            Event::OperatorAnswer(order, at, status) => {
+                write!(f, "order #{order} answered by {at}: {status:?}")
+            }
             Event::Read(began, at, status, c) => {
                 write!(f, "read at {at} from {began:.0}: {status} r{} {:?}", c.number, c.tags)
             }
             Event::Sent(at, status, fronts) => write!(f, "{at} sends a client to {fronts:?}: {status}"),
-            Event::Acts(who, life, a) => write!(
+            Event::Acts(who, process, a) => write!(
                 f,
                 "follower {who} life {:x}: {} r{} {:?} empty {:?} servers {:?}",
-                life & 0xffff,
+                process & 0xffff,
                 if a.acts { "acts" } else { "does not act" },
                 a.content.number,
                 a.content.tags,
@@ -119,7 +121,7 @@
             ),
             Event::Begins(id) => write!(f, "server {id} begins"),
             Event::Leaves(id) => write!(f, "server {id} leaves"),
-            Event::Heard(id, state) => write!(f, "server {id} acknowledged in state {state}"),
+            Event::ReadAnswer(id, state) => write!(f, "server {id} acknowledged in state {state}"),
             Event::Ended(id) => write!(f, "server {id} has ended"),
             Event::Trouble(begins, what) => {
                 write!(f, "{} {what}", if *begins { "TROUBLE" } else { "mended" })
@@ -148,12 +150,12 @@
     }
 
     /// This was seen now.
-    pub fn saw(&self, event: Event) {
+    pub fn record(&self, event: Event) {
         self.events.borrow_mut().push((self.now(), event));
     }
 
     /// How many orders there are.
-    pub fn orders(&self) -> usize {
+    pub fn operator_command(&self) -> usize {
         self.events.borrow().iter().filter(|(_, event)| matches!(event, Event::Ordered(_))).count()
     }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -25,12 +25,12 @@
 
 /// Draws of one schedule.
 #[derive(Clone, Debug)]
-pub struct Lot(rand_pcg::Pcg64Mcg);
+pub struct Random(rand_pcg::Pcg64Mcg);
 
-impl Lot {
+impl Random {
     /// All draws follow from the seed.
     pub fn new(seed: u64) -> Self {
-        Lot(rand_core::SeedableRng::seed_from_u64(seed))
+        Random(rand_core::SeedableRng::seed_from_u64(seed))
     }
 
     /// The next number.
--- a/crates/simulation/src/mutants.rs
+++ b/crates/simulation/src/mutants.rs
@@ -35,16 +35,17 @@
 const VOTER_CHANGE: &str = "crates/config-store/src/voter_change.rs";
 const ACCEPTOR: &str = "crates/config-store/src/acceptor.rs";
 const VOTER: &str = "crates/config-store/src/voter.rs";
-const WIRE: &str = "crates/config-store/src/messages.rs";
-const MEMBERS: &str = "crates/config-store/src/membership.rs";
-const CALLER: &str = "crates/config-store/src/client.rs";
-const FOLLOW: &str = "crates/cluster-state/src/replication.rs";
-const NEWS: &str = "crates/cluster-state/src/state.rs";
-const LINK: &str = "crates/node-runtime/src/rpc.rs";
-const COUNCIL: &str = "crates/registry/src/quorum_client.rs";
-const ORDERS: &str = "crates/registry/src/operator_command.rs";
-const OUTSIDE: &str = "crates/registry/src/control_api.rs";
-const STATION: &str = "crates/registry/src/node.rs";
+const MESSAGES: &str = "crates/config-store/src/messages.rs";
+const MEMBERSHIP: &str = "crates/config-store/src/membership.rs";
+const CLIENT: &str = "crates/config-store/src/client.rs";
+const CLUSTER_VIEW: &str = "crates/cluster-state/src/cluster_view.rs";
+const REPLICATION: &str = "crates/cluster-state/src/replication.rs";
+const ROW: &str = "crates/cluster-state/src/state/row.rs";
+const RPC_PENDING: &str = "crates/node-runtime/src/rpc/pending.rs";
+const QUORUM_CLIENT: &str = "crates/registry/src/quorum_client.rs";
+const OPERATOR_COMMAND: &str = "crates/registry/src/operator_command.rs";
+const CONTROL_API: &str = "crates/registry/src/control_api.rs";
+const REGISTRY_NODE: &str = "crates/registry/src/node.rs";
 const LEASE: &str = "crates/proxy/src/lease.rs";
 
 /// All of them.
@@ -52,7 +53,7 @@
     mutant(
         "a half is a majority",
         Point::Cutoff,
-        WIRE,
+        MESSAGES,
         "2 * of.iter().filter(|voter| holds(voter)).count() > of.len()",
         "2 * of.iter().filter(|voter| holds(voter)).count() + 1 >= of.len()",
     ),
@@ -122,9 +123,9 @@
     mutant(
         "a peek needs no agreement",
         Point::Numbers,
-        COUNCIL,
-        "if peeked.agreed && peeked.edition <= self.known.edition() {",
-        "if peeked.edition <= self.known.edition() {",
+        QUORUM_CLIENT,
+        "if peeked.agreed && peeked.edition <= self.view.edition() {",
+        "if peeked.edition <= self.view.edition() {",
     ),
     mutant(
         "a peek does not look whose record it is",
@@ -136,44 +137,44 @@
     mutant(
         "readings are answered by what is known here",
         Point::Cutoff,
-        COUNCIL,
-        "        if self.ask().await {\n            Ok(self.known.decided())",
-        "        if self.ask().await || self.known.edition() > 0 {\n            Ok(self.known.decided())",
+        QUORUM_CLIENT,
+        "        if self.refresh().await {\n            return Ok(self.view.agreed_state());",
+        "        if self.refresh().await || self.view.edition() > 0 {\n            return Ok(self.view.agreed_state());",
     ),
     mutant(
         "everybody is always in touch",
         Point::Cutoff,
-        FOLLOW,
-        "self.fresh_ago().is_some_and(|ago| ago <= IN_TOUCH)",
-        "self.fresh_ago().is_none_or(|ago| ago >= 0.0)",
+        CLUSTER_VIEW,
+        "self.confirmed_ago().is_some_and(|ago| ago <= IN_TOUCH)",
+        "self.confirmed_ago().is_none_or(|ago| ago >= 0.0)",
     ),
     mutant(
         "beats are acknowledged out of touch",
         Point::Cutoff,
-        OUTSIDE,
-        "if !self.council.is_alone() && !self.known.in_touch() {",
+        CONTROL_API,
+        "if !self.quorum.is_alone() && !self.view.in_touch() {",
         "if false {",
     ),
     mutant(
         "what a leaving server says is shared with nobody",
         Point::Losses,
-        OUTSIDE,
-        "|seen| self.council.is_shared(seen, since)).await",
-        "|seen| self.council.is_shared(seen, since) || true).await",
+        CONTROL_API,
+        "|followers: &_| self.quorum.is_replicated(followers, sequence);",
+        "|followers: &_| self.quorum.is_replicated(followers, sequence) || true;",
     ),
     mutant(
         "a number stands for any order under it",
         Point::Numbers,
-        ORDERS,
-        "Ok(at) if self.0[at].digest == proposal.digest() => Fate::Taken,",
-        "Ok(_) => Fate::Taken,",
+        OPERATOR_COMMAND,
+        "Ok(index) if self.0[index].digest == proposal.digest() => VersionStatus::Accepted,",
+        "Ok(_) => VersionStatus::Accepted,",
     ),
     mutant(
         "a repeat is not remembered",
         Point::Numbers,
-        ORDERS,
-        "Ok(at) if self.0[at].digest == proposal.digest() => Fate::Taken,",
-        "Ok(at) if self.0[at].digest != proposal.digest() => Fate::Never,",
+        OPERATOR_COMMAND,
+        "Ok(index) if self.0[index].digest == proposal.digest() => VersionStatus::Accepted,",
+        "Ok(index) if self.0[index].digest != proposal.digest() => VersionStatus::NotAccepted,",
     ),
     mutant(
         "an order that may have been made is made again",
@@ -185,79 +186,79 @@
     mutant(
         "a follower goes back",
         Point::Cutoff,
-        FOLLOW,
-        "        if edition > self.edition() {\n            *self.decided",
-        "        if edition != self.edition() {\n            *self.decided",
+        CLUSTER_VIEW,
+        "        if edition > self.edition() {\n            *self.agreed",
+        "        if edition != self.edition() {\n            *self.agreed",
     ),
     mutant(
         "knowledge is as fresh as its answer",
         Point::Cutoff,
-        FOLLOW,
-        "self.confirm(asked + f64::from(news.held) - f64::from(ago), news.edition);",
-        "self.confirm(self.now(), news.edition);\n            let _ = (asked, ago);",
+        CLUSTER_VIEW,
+        "self.confirm(requested + f64::from(update.held_ms) - f64::from(ago), update.edition);",
+        "self.confirm(self.now(), update.edition);\n            let _ = (requested, ago);",
     ),
     mutant(
         "a majority's word is as fresh as its answer",
         Point::Cutoff,
-        COUNCIL,
-        "            self.known.confirm(asked, peeked.edition);",
-        "            self.known.confirm(self.known.now() + 0.0 * asked, peeked.edition);",
+        QUORUM_CLIENT,
+        "            self.view.confirm(begun_at, peeked.edition);",
+        "            self.view.confirm(self.view.now() + 0.0 * begun_at, peeked.edition);",
     ),
     mutant(
         "a lease stands for ever",
         Point::Cutoff,
         LEASE,
-        "Some(span) => fresh_ago.is_some_and(|ago| ago < span),",
-        "Some(_) => fresh_ago.is_some(),",
+        "Some(duration) => confirmed_ago.is_some_and(|ago| ago < duration),",
+        "Some(_) => confirmed_ago.is_some(),",
     ),
     mutant(
         "knowledge is confirmed by a majority that knows more",
         Point::Cutoff,
-        FOLLOW,
-        "if self.edition() >= edition && self.fresh",
-        "if (self.edition() >= edition || true) && self.fresh",
+        CLUSTER_VIEW,
+        "if self.edition() >= edition && self.confirmed_at",
+        "if (self.edition() >= edition || true) && self.confirmed_at",
     ),
     mutant(
         "the silent stay voters for ever",
         Point::Changes,
-        MEMBERS,
+        MEMBERSHIP,
         "    unreachable[..removed].to_vec()",
         "    unreachable[..0 * removed].to_vec()",
     ),
     mutant(
         "who was not awake judges silence",
         Point::Cutoff,
-        STATION,
-        "now - listens_since > listened && known",
-        "now - listens_since > -listened && known",
+        REGISTRY_NODE,
+        "now - listening_since > needed && view",
+        "now - listening_since > -needed && view",
     ),
     mutant(
         "a late answer goes to another call",
         Point::Answers,
-        LINK,
-        ".filter(|waiting| waiting.number == id >> PLACE_BITS).map(|_| key)",
-        ".map(|_| key)",
+        RPC_PENDING,
+        ".filter(|call| call.number == id >> INDEX_BITS).map(|_| index)",
+        ".map(|_| index)",
     ),
     mutant(
         "a number of a round is used again",
         Point::Answers,
-        CALLER,
-        "        let proposer_id = chance().wrapping_add(salt);",
+        CLIENT,
+        "        let proposer_id = random_u64().wrapping_add(salt);",
         "        let proposer_id = salt.min(1);",
     ),
     mutant(
         "a server's earlier word undoes a later one",
         Point::Answers,
-        NEWS,
+        ROW,
         "        let state = self.state.max(other.state);",
         "        let state = other.state;",
     ),
     mutant(
         "what a follower lacks is not compared",
         Point::Answers,
-        FOLLOW,
-        "    if comparable && known.compare(edition, digest) {",
-        "    if false && known.compare(edition, digest) {",
+        REPLICATION,
+        "    if is_comparable && view.compare(edition, digest) {",
+        "    if false && view.compare(edition, digest) {",
     ),
 ];
 
@@ -302,8 +303,8 @@
             .output()
             .map_err(|e| format!("oatbank-simulation: {e}"))?;
         if !played.status.success() {
-            let told = String::from_utf8_lossy(&played.stdout).into_owned();
-            let first: Vec<&str> = told.lines().take(2).map(str::trim).collect();
+            let settings = String::from_utf8_lossy(&played.stdout).into_owned();
+            let first: Vec<&str> = settings.lines().take(2).map(str::trim).collect();
             let first = if first.is_empty() { "it panics".to_owned() } else { first.join("; ") };
             return Ok(if nth == 0 { Fate::Caught(first) } else { Fate::CaughtElsewhere(first) });
         }
@@ -317,8 +318,10 @@
     let own = format!("oatbank-{}", mutant.file.split('/').nth(1).unwrap_or_default());
     for krate in std::iter::once(own.as_str()).chain(Some(REGISTRY).filter(|krate| *krate != own)) {
         let tested = cargo(tree, "test", krate)?;
-        let told = String::from_utf8_lossy(&tested.stdout).into_owned();
-        if let Some(line) = told.lines().find(|line| line.starts_with("test ") && line.ends_with("FAILED")) {
+        let settings = String::from_utf8_lossy(&tested.stdout).into_owned();
+        if let Some(line) =
+            settings.lines().find(|line| line.starts_with("test ") && line.ends_with("FAILED"))
+        {
             return Ok(Some(format!("{krate}, {line}")));
         }
         if !tested.status.success() {
@@ -376,22 +379,22 @@
 }
 
 fn copy_all(from: &Path, to: &Path) -> Result<(), String> {
-    let told = |path: &Path| {
+    let settings = |path: &Path| {
         let path = path.display().to_string();
         move |e: std::io::Error| format!("{path}: {e}")
     };
     if from.is_dir() {
-        fs::create_dir_all(to).map_err(told(to))?;
-        for entry in fs::read_dir(from).map_err(told(from))? {
-            let entry = entry.map_err(told(from))?;
+        fs::create_dir_all(to).map_err(settings(to))?;
+        for entry in fs::read_dir(from).map_err(settings(from))? {
+            let entry = entry.map_err(settings(from))?;
             copy_all(&entry.path(), &to.join(entry.file_name()))?;
         }
         return Ok(());
     }
-    let new = fs::read(from).map_err(told(from))?;
+    let new = fs::read(from).map_err(settings(from))?;
     // What is the same keeps its time, and is not built again.
     if fs::read(to).is_ok_and(|old| old == new) {
         return Ok(());
     }
-    fs::write(to, new).map_err(told(to))
+    fs::write(to, new).map_err(settings(to))
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,8 +1,8 @@
 //! The network between the machines. Connections carry whole frames; each is delayed, and in bad times lost, doubled or
 //! late. A cut holds what is said across it until it heals or the connection is given up, as TCP does.
 
-use crate::process::Life;
-use crate::{ms, Lot};
+use crate::process::Process;
+use crate::{ms, Random};
 use bytes::{Buf, Bytes, BytesMut};
 use oatbank_node_runtime::network::{Connecting, Reader, Writer};
 use std::cell::RefCell;
@@ -87,10 +87,10 @@
 }
 
 /// Where connections go to, and whose they are there.
-type Listener = (mpsc::UnboundedSender<(Reader, Writer)>, Rc<Life>);
+type Listener = (mpsc::UnboundedSender<(Reader, Writer)>, Rc<Process>);
 
 struct State {
-    lot: Lot,
+    random: Random,
     weather: Weather,
     listeners: BTreeMap<SocketAddr, Listener>,
     conns: Vec<Weak<RefCell<Conn>>>,
@@ -100,15 +100,15 @@
 }
 
 /// The network.
-pub struct Net {
+pub struct SimulatedNetwork {
     state: RefCell<State>,
 }
 
-impl Net {
+impl SimulatedNetwork {
     /// All is well; draws follow from the seed.
-    pub fn new(seed: u64) -> Rc<Net> {
+    pub fn new(seed: u64) -> Rc<SimulatedNetwork> {
         let state = State {
-            lot: Lot::new(seed),
+            random: Random::new(seed),
             weather: Weather::default(),
             listeners: BTreeMap::new(),
             conns: Vec::new(),
@@ -116,7 +116,7 @@
             off: BTreeSet::new(),
             slow: BTreeMap::new(),
         };
-        Rc::new(Net { state: RefCell::new(state) })
+        Rc::new(SimulatedNetwork { state: RefCell::new(state) })
     }
 
     /// Other weather from now on.
@@ -157,7 +157,7 @@
         }
         for conn in self.conns_between(from, to) {
             for side in 0..2 {
-                let at = Instant::now() + ms(self.state.borrow_mut().lot.within(GIVEN_UP));
+                let at = Instant::now() + ms(self.state.borrow_mut().random.within(GIVEN_UP));
                 conn.borrow_mut().give_up(side, at);
             }
         }
@@ -171,7 +171,7 @@
         let now = Instant::now();
         let other = self.state.borrow().cuts.contains(&(to, from));
         for conn in self.conns_between(from, to) {
-            let again = ms(self.state.borrow_mut().lot.within(SENT_AGAIN));
+            let again = ms(self.state.borrow_mut().random.within(SENT_AGAIN));
             let conn = &mut *conn.borrow_mut();
             if conn.gone.iter().flatten().any(|gone| *gone <= now) {
                 conn.end(0, now + ms(20.0));
@@ -212,7 +212,7 @@
         let mut state = self.state.borrow_mut();
         let hang = state.weather.hang;
         let cut = state.cuts.contains(&(from, to)) || state.cuts.contains(&(to, from));
-        cut || state.off.contains(&to) || state.lot.chance(hang)
+        cut || state.off.contains(&to) || state.random.chance(hang)
     }
 
     fn listener(&self, at: &SocketAddr) -> Option<Listener> {
@@ -238,32 +238,32 @@
         let pair = u64::from(u32::from(from) ^ u32::from(to)).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 60;
         let slow = |ip| state.slow.get(&ip).copied().unwrap_or(0.0);
         let more = slow(from) + slow(to) + state.weather.slow;
-        let drawn = state.lot.within(0.0..1.0);
+        let drawn = state.random.within(0.0..1.0);
         ms(0.3 + pair as f64 + drawn * drawn * (2.0 + more))
     }
 }
 
 /// The network as one process has it.
 pub struct Seat {
-    net: Rc<Net>,
-    life: Rc<Life>,
+    network: Rc<SimulatedNetwork>,
+    process: Rc<Process>,
 }
 
 impl Seat {
     /// Of this process.
-    pub fn new(net: Rc<Net>, life: Rc<Life>) -> Self {
-        Seat { net, life }
+    pub fn new(network: Rc<SimulatedNetwork>, process: Rc<Process>) -> Self {
+        Seat { network, process }
     }
 
     /// The process.
-    pub fn life(&self) -> &Rc<Life> {
-        &self.life
+    pub fn process(&self) -> &Rc<Process> {
+        &self.process
     }
 
     /// Connections that come in here.
     pub fn listen(&self, at: SocketAddr) -> mpsc::UnboundedReceiver<(Reader, Writer)> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        self.net.state.borrow_mut().listeners.insert(at, (sender, self.life.clone()));
+        self.network.state.borrow_mut().listeners.insert(at, (sender, self.process.clone()));
         receiver
     }
 
@@ -271,39 +271,43 @@
     pub fn serve(
         &self,
         at: SocketAddr,
-        handler: Rc<dyn Fn(u8, Bytes) -> oatbank_node_runtime::rpc::Answering>,
+        handler: Rc<dyn Fn(u8, Bytes) -> oatbank_node_runtime::rpc::ResponseFuture>,
     ) {
         let mut incoming = self.listen(at);
         tokio::task::spawn_local(async move {
             while let Some((reader, writer)) = incoming.recv().await {
-                tokio::task::spawn_local(oatbank_node_runtime::rpc::answer(reader, writer, handler.clone()));
+                tokio::task::spawn_local(oatbank_node_runtime::rpc::serve_connection(
+                    reader,
+                    writer,
+                    handler.clone(),
+                ));
             }
         });
     }
 }
 
-impl oatbank_node_runtime::network::Net for Seat {
+impl oatbank_node_runtime::network::Network for Seat {
     fn connect(&self, to: SocketAddr) -> Connecting {
-        let (net, life) = (self.net.clone(), self.life.clone());
+        let (network, process) = (self.network.clone(), self.process.clone());
         Box::pin(async move {
             let SocketAddr::V4(v4) = to else { return Err(io::ErrorKind::AddrNotAvailable.into()) };
-            let (here, there) = (life.ip, *v4.ip());
-            sleep(net.way(here, there) + net.way(there, here)).await;
-            if net.hangs(here, there) {
+            let (here, there) = (process.ip, *v4.ip());
+            sleep(network.way(here, there) + network.way(there, here)).await;
+            if network.hangs(here, there) {
                 return std::future::pending().await;
             }
-            let (sender, other) = net.listener(&to).ok_or(io::ErrorKind::ConnectionRefused)?;
-            let conn = net.connected(here, there);
-            let half = |side: usize, life: &Rc<Life>| -> (Reader, Writer) {
+            let (sender, other) = network.listener(&to).ok_or(io::ErrorKind::ConnectionRefused)?;
+            let conn = network.connected(here, there);
+            let half = |side: usize, process: &Rc<Process>| -> (Reader, Writer) {
                 let wakes = Box::pin(sleep_until(Instant::now()));
-                let (of, life) = (net.clone(), life.clone());
+                let (of, process) = (network.clone(), process.clone());
                 (
                     Box::new(Hears { conn: conn.clone(), side, wakes }),
-                    Box::new(Says { net: of, life, conn: conn.clone(), side, part: BytesMut::new() }),
+                    Box::new(Says { network: of, process, conn: conn.clone(), side, part: BytesMut::new() }),
                 )
             };
             let _ = sender.send(half(1, &other));
-            Ok(half(0, &life))
+            Ok(half(0, &process))
         })
     }
 }
@@ -352,8 +356,8 @@
 }
 
 struct Says {
-    net: Rc<Net>,
-    life: Rc<Life>,
+    network: Rc<SimulatedNetwork>,
+    process: Rc<Process>,
     conn: Rc<RefCell<Conn>>,
     side: usize,
     /// Of a frame that is not whole yet.
@@ -366,19 +370,19 @@
             let conn = self.conn.borrow();
             (conn.ips[self.side], conn.ips[1 - self.side])
         };
-        let way = self.net.way(here, there);
-        let mut state = self.net.state.borrow_mut();
+        let way = self.network.way(here, there);
+        let mut state = self.network.state.borrow_mut();
         let weather = state.weather;
         let plain = frame.get(4) == Some(&PLAIN);
-        let lost = state.lot.chance(weather.lose);
-        let reset = state.lot.chance(weather.reset);
-        let late = !plain && state.lot.chance(weather.late);
-        let copy = (!plain && state.lot.chance(weather.double)).then(|| ms(state.lot.within(LATE)));
-        let later = ms(state.lot.within(LATE));
+        let lost = state.random.chance(weather.lose);
+        let reset = state.random.chance(weather.reset);
+        let late = !plain && state.random.chance(weather.late);
+        let copy = (!plain && state.random.chance(weather.double)).then(|| ms(state.random.within(LATE)));
+        let later = ms(state.random.within(LATE));
         let cut = state.cuts.contains(&(here, there));
         drop(state);
         let mut conn = self.conn.borrow_mut();
-        let now = self.life.speaks_at();
+        let now = self.process.speaks_at();
         if reset {
             conn.end(0, now);
             conn.end(1, now);
@@ -412,7 +416,7 @@
 impl AsyncWrite for Says {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        if this.life.is_silent() {
+        if this.process.is_silent() {
             return Poll::Ready(Ok(bytes.len()));
         }
         if this.conn.borrow().gone[this.side].is_some_and(|gone| gone <= Instant::now()) {
@@ -446,11 +450,11 @@
             (conn.ips[self.side], conn.ips[1 - self.side])
         };
         let now = Instant::now();
-        let silent = self.life.is_silent() || self.net.state.borrow().cuts.contains(&(here, there));
+        let silent = self.process.is_silent() || self.network.state.borrow().cuts.contains(&(here, there));
         let at = if silent {
-            now + ms(self.net.state.borrow_mut().lot.within(GIVEN_UP))
+            now + ms(self.network.state.borrow_mut().random.within(GIVEN_UP))
         } else {
-            now + self.net.way(here, there)
+            now + self.network.way(here, there)
         };
         let mut conn = self.conn.borrow_mut();
         if silent {
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,6 +1,6 @@
 //! A process: its tasks are polled while it runs, held while it is frozen, and dropped when it ends.
 
-use crate::network::{Net, Seat};
+use crate::network::{Seat, SimulatedNetwork};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::Ipv4Addr;
@@ -12,7 +12,7 @@
 
 /// One process, from its start to its end.
 #[derive(Debug)]
-pub struct Life {
+pub struct Process {
     /// Its machine.
     pub ip: Ipv4Addr,
     frozen: Cell<Option<Instant>>,
@@ -22,21 +22,21 @@
     waker: RefCell<Option<Waker>>,
 }
 
-impl Life {
+impl Process {
     /// Starts a process on this machine.
     pub fn start<F: Future<Output = ()> + 'static>(
-        net: &Rc<Net>,
+        network: &Rc<SimulatedNetwork>,
         ip: Ipv4Addr,
         program: impl FnOnce(Rc<Seat>) -> F,
-    ) -> Rc<Life> {
-        let life = Rc::new(Life {
+    ) -> Rc<Process> {
+        let process = Rc::new(Process {
             ip,
             frozen: Cell::new(None),
             ended: Cell::new(false),
             silent: Cell::new(false),
             waker: RefCell::default(),
         });
-        let seat = Rc::new(Seat::new(net.clone(), life.clone()));
+        let seat = Rc::new(Seat::new(network.clone(), process.clone()));
         let tasks = LocalSet::new();
         let main = program(seat.clone());
         tasks.spawn_local(async move {
@@ -44,8 +44,8 @@
             std::future::pending::<()>().await
         });
         let wakes = Box::pin(sleep_until(Instant::now()));
-        tokio::task::spawn_local(Gate { life: life.clone(), seat, tasks, wakes });
-        life
+        tokio::task::spawn_local(Gate { process: process.clone(), seat, tasks, wakes });
+        process
     }
 
     fn wake(&self) {
@@ -95,7 +95,7 @@
 }
 
 struct Gate {
-    life: Rc<Life>,
+    process: Rc<Process>,
     seat: Rc<Seat>,
     tasks: LocalSet,
     wakes: Pin<Box<Sleep>>,
@@ -106,26 +106,26 @@
 
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         let gate = self.get_mut();
-        if gate.life.ended.get() {
+        if gate.process.ended.get() {
             return Poll::Ready(());
         }
-        *gate.life.waker.borrow_mut() = Some(cx.waker().clone());
-        if let Some(until) = gate.life.frozen.get() {
+        *gate.process.waker.borrow_mut() = Some(cx.waker().clone());
+        if let Some(until) = gate.process.frozen.get() {
             if until > Instant::now() {
                 gate.wakes.as_mut().reset(until);
                 if gate.wakes.as_mut().poll(cx).is_pending() {
                     return Poll::Pending;
                 }
             }
-            gate.life.frozen.set(None);
+            gate.process.frozen.set(None);
         }
-        let net: Rc<dyn oatbank_node_runtime::network::Net> = gate.seat.clone();
+        let network: Rc<dyn oatbank_node_runtime::network::Network> = gate.seat.clone();
         let tasks = Pin::new(&mut gate.tasks);
-        let _ = oatbank_node_runtime::network::within(&net, || tasks.poll(cx));
-        if gate.life.ended.get() {
+        let _ = oatbank_node_runtime::network::within(&network, || tasks.poll(cx));
+        if gate.process.ended.get() {
             return Poll::Ready(());
         }
-        if gate.life.is_frozen() {
+        if gate.process.is_frozen() {
             // It was held by its own work: it is looked at again when that is over.
             cx.waker().wake_by_ref();
         }
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -5,7 +5,7 @@
 use crate::history::Event;
 use crate::network::Weather;
 use crate::world::{Machine, World};
-use crate::{ms, Lot};
+use crate::{ms, Random};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 use tokio::time::sleep;
@@ -60,10 +60,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = runtime.expect("a runtime without I/O");
     let history = tokio::task::LocalSet::new().block_on(&runtime, async move {
-        let mut lot = Lot::new(seed);
-        let core = if lot.chance(0.6) { 3 } else { 5 };
-        let world = World::new(lot.number(), core, 2 + lot.below(2));
-        Director { point, world: world.clone(), office: Rc::default(), lot }.direct().await;
+        let mut random = Random::new(seed);
+        let core = if random.chance(0.6) { 3 } else { 5 };
+        let world = World::new(random.number(), core, 2 + random.below(2));
+        Director { point, world: world.clone(), office: Rc::default(), random }.direct().await;
         world.history.take()
     });
     Played { seed, broken: check(&history), history }
@@ -74,26 +74,26 @@
     point: Point,
     world: Rc<World>,
     office: Rc<Office>,
-    lot: Lot,
+    random: Random,
 }
 
 impl Director {
     fn begins(&self, what: impl Into<String>) {
-        self.world.history.saw(Event::Trouble(true, what.into()));
+        self.world.history.record(Event::Trouble(true, what.into()));
     }
 
     fn ends(&self, what: impl Into<String>) {
-        self.world.history.saw(Event::Trouble(false, what.into()));
+        self.world.history.record(Event::Trouble(false, what.into()));
     }
 
     async fn waits(&mut self, range: std::ops::Range<f64>) {
-        let long = self.lot.within(range);
+        let long = self.random.within(range);
         sleep(ms(long)).await;
     }
 
     fn a_machine(&mut self) -> Rc<Machine> {
         let core = self.world.core.borrow();
-        self.lot.of(&core).clone()
+        self.random.of(&core).clone()
     }
 
     /// How many machines may be lost.
@@ -104,10 +104,10 @@
     async fn direct(mut self) {
         let world = self.world.clone();
         self.begins("the start");
-        let rates = self.lot.chance(0.3);
+        let rates = self.random.chance(0.3);
         for machine in world.core.borrow().iter().chain(world.followers.borrow().iter()) {
             if rates {
-                machine.rate.set(self.lot.within(0.9..1.1));
+                machine.rate.set(self.random.within(0.9..1.1));
             }
         }
         let core = world.core.borrow().clone();
@@ -118,13 +118,13 @@
         for which in 0..world.followers.borrow().len() {
             world.start_follower(which);
         }
-        for nth in 0..3 + self.lot.below(2) as u8 {
-            let ends = *self.lot.of(&[Ends::Never, Ends::Never, Ends::InOrder, Ends::Crash]);
-            let after = self.lot.within(6000.0..40_000.0);
+        for nth in 0..3 + self.random.below(2) as u8 {
+            let ends = *self.random.of(&[Ends::Never, Ends::Never, Ends::InOrder, Ends::Crash]);
+            let after = self.random.within(6000.0..40_000.0);
             server(&world, 1 + nth, if nth == 0 { Ends::Never } else { ends }, after);
         }
         let manner = self.manner();
-        let operators = if self.lot.chance(0.5) { 2 } else { 1 };
+        let operators = if self.random.chance(0.5) { 2 } else { 1 };
         for nth in 0..operators {
             self.office.operator(&world, 1 + nth, manner);
         }
@@ -139,7 +139,7 @@
             Point::Changes => self.changes().await,
             Point::Answers => self.answers().await,
         }
-        let calm = self.lot.chance(0.5);
+        let calm = self.random.chance(0.5);
         if calm {
             self.waits(0.0..8000.0).await;
         }
@@ -148,19 +148,19 @@
     }
 
     fn manner(&mut self) -> Manner {
-        let every = self.lot.within(300.0..1500.0);
-        let zones = self.lot.chance(0.3);
+        let every = self.random.within(300.0..1500.0);
+        let zones = self.random.chance(0.3);
         let usual = Manner { every, rivals: 1, copies: 1, repeats: 0.1, zones };
         match self.point {
             Point::Numbers => {
-                let rivals = *self.lot.of(&[2, 2, 3, 4, 8]);
-                let copies = if rivals < 4 { 1 + self.lot.below(2) } else { 1 };
+                let rivals = *self.random.of(&[2, 2, 3, 4, 8]);
+                let copies = if rivals < 4 { 1 + self.random.below(2) } else { 1 };
                 Manner { rivals, copies, repeats: 0.3, ..usual }
             }
             Point::Changes => {
-                Manner { every: self.lot.within(20.0..120.0), repeats: 0.02, zones: false, ..usual }
+                Manner { every: self.random.within(20.0..120.0), repeats: 0.02, zones: false, ..usual }
             }
-            _ => Manner { rivals: 1 + self.lot.below(2), ..usual },
+            _ => Manner { rivals: 1 + self.random.below(2), ..usual },
         }
     }
 
@@ -171,7 +171,7 @@
             sleep(ms(SETTLES)).await;
             let others: Vec<Ipv4Addr> =
                 self.world.controls().into_iter().filter(|ip| !away.contains(ip)).collect();
-            let to = *self.lot.of(&others);
+            let to = *self.random.of(&others);
             self.office.goes_on(&self.world, to, ACK).await;
         }
         sleep(ms(long - (self.world.history.now() - began))).await;
@@ -185,15 +185,17 @@
         let followers: Vec<Ipv4Addr> = world.followers.borrow().iter().map(|m| m.ip).collect();
         let callers = (1..10).map(|n| Ipv4Addr::new(10, 0, 9, n));
         let callers: Vec<Ipv4Addr> = callers.chain((1..10).map(|n| Ipv4Addr::new(10, 0, 8, n))).collect();
-        let some = |lot: &mut Lot, of: &[Ipv4Addr]| -> Vec<Ipv4Addr> {
-            of.iter().copied().filter(|_| lot.chance(0.5)).collect()
+        let some = |random: &mut Random, of: &[Ipv4Addr]| -> Vec<Ipv4Addr> {
+            of.iter().copied().filter(|_| random.chance(0.5)).collect()
         };
-        let mut others = match self.lot.below(5) {
+        let mut others = match self.random.below(5) {
             // From the other core machines, and from all else, or a part of it.
             0 | 1 => core.clone(),
             2 => [core, followers].concat(),
-            3 => [core.clone(), some(&mut self.lot, &followers), some(&mut self.lot, &callers)].concat(),
-            _ => [some(&mut self.lot, &core), followers, some(&mut self.lot, &callers)].concat(),
+            3 => {
+                [core.clone(), some(&mut self.random, &followers), some(&mut self.random, &callers)].concat()
+            }
+            _ => [some(&mut self.random, &core), followers, some(&mut self.random, &callers)].concat(),
         };
         others.retain(|ip| *ip != machine.ip);
         others
@@ -202,7 +204,7 @@
     /// A machine is cut off, both ways or one.
     async fn cut(&mut self, machine: &Rc<Machine>, long: f64) {
         let (world, others) = (self.world.clone(), self.others(machine));
-        let (out, back) = *self.lot.of(&[(true, true), (true, true), (true, false), (false, true)]);
+        let (out, back) = *self.random.of(&[(true, true), (true, true), (true, false), (false, true)]);
         let what = format!("{} is cut off (out {out}, in {back}) from {others:?}", machine.ip);
         self.begins(what.clone());
         for heal in [false, true] {
@@ -236,7 +238,7 @@
     /// Machines go at once, by a kill or by a loss of power, and come back; of these, some with empty disks.
     async fn go(&mut self, machines: &[Rc<Machine>], wiped: &[Rc<Machine>], away: f64) {
         let world = self.world.clone();
-        let power = self.lot.chance(0.5);
+        let power = self.random.chance(0.5);
         let ips = |of: &[Rc<Machine>]| of.iter().map(|m| m.ip.to_string()).collect::<Vec<_>>().join(", ");
         let how = if power { "lose power" } else { "are killed" };
         let what = format!("{} {how}, wiped: {}", ips(machines), ips(wiped));
@@ -250,7 +252,7 @@
         }
         sleep(ms(2.0)).await;
         for machine in wiped {
-            if self.lot.chance(0.8) {
+            if self.random.chance(0.8) {
                 machine.disk.wipe();
             } else {
                 machine.disk.damage();
@@ -260,7 +262,7 @@
         self.passes(away, &gone).await;
         for machine in machines {
             world.start_core(machine);
-            let gap = self.lot.within(0.0..200.0);
+            let gap = self.random.within(0.0..200.0);
             sleep(ms(gap)).await;
         }
         self.ends(what);
@@ -280,13 +282,13 @@
     }
 
     async fn bad_disk(&mut self, machine: &Rc<Machine>, long: f64) {
-        let full = self.lot.chance(0.5);
+        let full = self.random.chance(0.5);
         let what = format!("{}'s disk is {}", machine.ip, if full { "full" } else { "slow" });
         self.begins(what.clone());
         if full {
             machine.disk.full.set(true);
         } else {
-            machine.disk.slow.set(self.lot.within(20.0..1200.0));
+            machine.disk.slow.set(self.random.within(20.0..1200.0));
         }
         sleep(ms(long)).await;
         machine.disk.full.set(false);
@@ -298,8 +300,8 @@
     async fn full_and_off(&mut self) {
         let world = self.world.clone();
         let core = world.core.borrow().clone();
-        let all = self.lot.chance(0.6);
-        let some = if all { core.len() } else { 1 + self.lot.below(core.len()) };
+        let all = self.random.chance(0.6);
+        let some = if all { core.len() } else { 1 + self.random.below(core.len()) };
         let what = format!("{some} disks are full, and then the power goes");
         self.begins(what.clone());
         core[..some].iter().for_each(|machine| machine.disk.full.set(true));
@@ -316,7 +318,7 @@
     }
 
     async fn weather(&mut self, long: f64) {
-        let mut draw = |most: f64| if self.lot.chance(0.6) { self.lot.within(0.0..most) } else { 0.0 };
+        let mut draw = |most: f64| if self.random.chance(0.6) { self.random.within(0.0..most) } else { 0.0 };
         let weather = Weather {
             lose: draw(0.15),
             double: draw(0.2),
@@ -327,19 +329,19 @@
         };
         let what = format!("{weather:?}");
         self.begins(what.clone());
-        self.world.net.weather(weather);
+        self.world.network.weather(weather);
         sleep(ms(long)).await;
-        self.world.net.weather(Weather::default());
+        self.world.network.weather(Weather::default());
         // What is late comes yet.
         sleep(ms(3000.0)).await;
         self.ends(what);
     }
 
     async fn follower_trouble(&mut self) {
-        let which = self.lot.below(self.world.followers.borrow().len());
+        let which = self.random.below(self.world.followers.borrow().len());
         let machine = self.world.followers.borrow()[which].clone();
-        let long = self.lot.within(200.0..9000.0);
-        match self.lot.below(4) {
+        let long = self.random.within(200.0..9000.0);
+        match self.random.below(4) {
             0 => self.freeze(&machine, long).await,
             1 | 2 => {
                 let what = format!("follower {which} starts anew");
@@ -353,8 +355,8 @@
                 let what = format!("follower {which} is cut off");
                 self.begins(what.clone());
                 let core = self.world.controls();
-                let (one, all) = (self.lot.chance(0.5), core.len());
-                let some = if one { core[..1 + self.lot.below(all)].to_vec() } else { core };
+                let (one, all) = (self.random.chance(0.5), core.len());
+                let some = if one { core[..1 + self.random.below(all)].to_vec() } else { core };
                 for heal in [false, true] {
                     for ip in &some {
                         self.world.cut(machine.ip, &[*ip], heal);
@@ -372,37 +374,37 @@
     /// Something else that may come on any day.
     async fn anything(&mut self) {
         let machine = self.a_machine();
-        match self.lot.below(10) {
+        match self.random.below(10) {
             0 => {
-                let long = self.lot.within(200.0..20_000.0);
+                let long = self.random.within(200.0..20_000.0);
                 self.cut(&machine, long).await;
             }
             1 => {
-                let long = self.lot.within(300.0..12_000.0);
+                let long = self.random.within(300.0..12_000.0);
                 self.freeze(&machine, long).await;
             }
             2 => {
-                let away = self.lot.within(10.0..4000.0);
+                let away = self.random.within(10.0..4000.0);
                 self.go(&[machine], &[], away).await;
             }
             3 => self.doom(&machine).await,
             4 => {
-                let long = self.lot.within(500.0..6000.0);
+                let long = self.random.within(500.0..6000.0);
                 self.bad_disk(&machine, long).await;
             }
             5 => {
-                let long = self.lot.within(1000.0..6000.0);
+                let long = self.random.within(1000.0..6000.0);
                 self.weather(long).await;
             }
             6 => {
                 let what = format!("{}'s connections are reset", machine.ip);
                 self.begins(what.clone());
-                self.world.net.reset(machine.ip);
+                self.world.network.reset(machine.ip);
                 self.ends(what);
             }
             8 => self.full_and_off().await,
             7 => {
-                let store = self.lot.chance(0.5);
+                let store = self.random.chance(0.5);
                 let what =
                     format!("{}'s {} starts anew", machine.ip, if store { "store" } else { "registry" });
                 self.begins(what.clone());
@@ -420,16 +422,16 @@
     // ---- Families -----------------------------------------------------------------------------
 
     async fn cutoff(&mut self) {
-        for _ in 0..2 + self.lot.below(2) {
+        for _ in 0..2 + self.random.below(2) {
             let machine = self.a_machine();
-            match self.lot.below(6) {
+            match self.random.below(6) {
                 0..=2 => {
-                    let long = self.lot.within(16_000.0..24_000.0);
-                    let long = if self.lot.chance(0.3) { self.lot.within(200.0..5000.0) } else { long };
+                    let long = self.random.within(16_000.0..24_000.0);
+                    let long = if self.random.chance(0.3) { self.random.within(200.0..5000.0) } else { long };
                     self.cut(&machine, long).await;
                 }
                 3 => {
-                    let long = self.lot.within(1500.0..15_000.0);
+                    let long = self.random.within(1500.0..15_000.0);
                     self.freeze(&machine, long).await;
                 }
                 4 => self.freeze_majority().await,
@@ -447,7 +449,7 @@
         self.begins(what.clone());
         let mut longest = 0.0_f64;
         for machine in core.iter().take(many) {
-            let long = self.lot.within(1000.0..12_000.0);
+            let long = self.random.within(1000.0..12_000.0);
             machine.freeze(long);
             longest = longest.max(long);
         }
@@ -457,14 +459,14 @@
 
     async fn numbers(&mut self) {
         for _ in 0..3 {
-            match self.lot.below(4) {
+            match self.random.below(4) {
                 0 => {
                     let core = self.world.core.borrow().clone();
-                    let away = self.lot.within(10.0..1500.0);
+                    let away = self.random.within(10.0..1500.0);
                     self.go(&core, &[], away).await;
                 }
                 1 => {
-                    let long = self.lot.within(2000.0..8000.0);
+                    let long = self.random.within(2000.0..8000.0);
                     self.weather(long).await;
                 }
                 _ => self.anything().await,
@@ -474,18 +476,18 @@
     }
 
     async fn losses(&mut self) {
-        for _ in 0..2 + self.lot.below(3) {
+        for _ in 0..2 + self.random.below(3) {
             let mut core = self.world.core.borrow().clone();
-            let (many, away) = (1 + self.lot.below(self.tolerate()), self.lot.within(10.0..2500.0));
+            let (many, away) = (1 + self.random.below(self.tolerate()), self.random.within(10.0..2500.0));
             let mut lost = Vec::new();
             for _ in 0..many {
-                lost.push(core.remove(self.lot.below(core.len())));
+                lost.push(core.remove(self.random.below(core.len())));
             }
-            if self.lot.chance(0.2) {
+            if self.random.chance(0.2) {
                 self.full_and_off().await;
                 self.waits(CATCH_UP..CATCH_UP + 1000.0).await;
             }
-            if self.lot.chance(0.3) {
+            if self.random.chance(0.3) {
                 let all = self.world.core.borrow().clone();
                 self.go(&all, &lost, away).await;
             } else {
@@ -493,7 +495,7 @@
             }
             // From then on they count again.
             self.waits(CATCH_UP..CATCH_UP + 3000.0).await;
-            if self.lot.chance(0.3) {
+            if self.random.chance(0.3) {
                 self.anything().await;
                 self.waits(CATCH_UP..CATCH_UP + 4000.0).await;
             }
@@ -501,7 +503,7 @@
     }
 
     async fn changes(&mut self) {
-        match self.lot.below(3) {
+        match self.random.below(3) {
             0 => self.replace().await,
             1 => self.away_for_long().await,
             _ => {
@@ -510,7 +512,7 @@
                 self.replace().await;
             }
         }
-        if self.lot.chance(0.4) {
+        if self.random.chance(0.4) {
             self.waits(CATCH_UP..CATCH_UP + 2000.0).await;
             self.anything().await;
         }
@@ -521,10 +523,10 @@
         let mut core = self.world.core.borrow().clone();
         let mut lost = Vec::new();
         for _ in 0..self.tolerate() {
-            lost.push(core.remove(self.lot.below(core.len())));
+            lost.push(core.remove(self.random.below(core.len())));
         }
-        let long = self.lot.within(6000.0..20_000.0);
-        match self.lot.below(3) {
+        let long = self.random.within(6000.0..20_000.0);
+        match self.random.below(3) {
             0 => self.go(&lost, &[], long).await,
             1 => {
                 let one = lost[0].clone();
@@ -535,11 +537,11 @@
                 self.freeze(&one, long).await;
             }
         }
-        if self.lot.chance(0.5) {
+        if self.random.chance(0.5) {
             // Those that were awake go as soon as the others count again.
             self.waits(CATCH_UP..CATCH_UP + 500.0).await;
             let others = core[..self.tolerate().min(core.len())].to_vec();
-            let away = self.lot.within(100.0..3000.0);
+            let away = self.random.within(100.0..3000.0);
             self.go(&others, &[], away).await;
         }
     }
@@ -548,8 +550,9 @@
     async fn replace(&mut self) {
         let world = self.world.clone();
         let machine = self.a_machine();
-        let new = Ipv4Addr::new(10, 0, 1, 20 + self.lot.below(100) as u8);
-        let (first, crash, in_order) = (self.lot.chance(0.5), self.lot.chance(0.5), self.lot.chance(0.6));
+        let new = Ipv4Addr::new(10, 0, 1, 20 + self.random.below(100) as u8);
+        let (first, crash, in_order) =
+            (self.random.chance(0.5), self.random.chance(0.5), self.random.chance(0.6));
         let what =
             format!("{} is replaced by {new}, the new one first: {first}, in order: {in_order}", machine.ip);
         self.begins(what.clone());
@@ -564,24 +567,24 @@
         }
         world.core.borrow_mut().retain(|m| m.ip != machine.ip);
         if in_order {
-            machine.leave(&world.net).await;
+            machine.leave(&world.network).await;
         } else {
             machine.kill();
         }
-        world.net.off(machine.ip, true);
+        world.network.off(machine.ip, true);
         if !first {
             self.waits(100.0..3000.0).await;
             joins(&world);
         }
-        if self.lot.chance(0.5) {
-            world.tell_seeds(&seeds(&world));
+        if self.random.chance(0.5) {
+            world.set_seeds(&seeds(&world));
         }
         sleep(ms(CATCH_UP)).await;
         if crash {
             // One more goes while the old one may still count as a voter.
             let core = world.core.borrow().clone();
-            let one = self.lot.of(&core).clone();
-            let away = self.lot.within(500.0..9000.0);
+            let one = self.random.of(&core).clone();
+            let away = self.random.within(500.0..9000.0);
             self.go(&[one], &[], away).await;
         }
         self.ends(what);
@@ -589,9 +592,9 @@
 
     async fn answers(&mut self) {
         for _ in 0..3 {
-            let long = self.lot.within(3000.0..10_000.0);
+            let long = self.random.within(3000.0..10_000.0);
             self.weather(long).await;
-            if self.lot.chance(0.5) {
+            if self.random.chance(0.5) {
                 self.anything().await;
             }
             self.waits(0.0..6000.0).await;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -2,28 +2,29 @@
 
 use crate::clients::OUTSIDE;
 use crate::disk::{Mounted, StateFile};
-use crate::history::{Acting, Content, Event, History};
-use crate::network::{Net, Seat, PLAIN};
-use crate::process::Life;
-use crate::{ms, Lot};
+use crate::history::{AppliedState, Content, Event, History};
+use crate::network::{Seat, SimulatedNetwork, PLAIN};
+use crate::process::Process;
+use crate::{ms, Random};
 use bytes::Bytes;
 use oatbank_cluster_state::admin_query::Commands;
+use oatbank_cluster_state::clock::MonotonicClock;
+use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_cluster_state::messages::call;
-use oatbank_cluster_state::replication::{Knowledge, Steady};
 use oatbank_cluster_state::state::{member_state, server_state};
 use oatbank_config_store::messages::{
     kind, LocalState, LocalStateRequest, ProposalNumber, VoterConfiguration, VoterId,
 };
 use oatbank_config_store::voter::{Voter, VoterOptions};
-use oatbank_node_runtime::error_kind::Kind;
-use oatbank_node_runtime::process::Told;
-use oatbank_node_runtime::rpc::{Answering, Link};
-use oatbank_node_runtime::settings::place::{PROXY, REGISTRY, STORE};
+use oatbank_node_runtime::error_kind::ErrorKind;
+use oatbank_node_runtime::process::ReloadableSettings;
+use oatbank_node_runtime::rpc::{Handler, RpcClient};
+use oatbank_node_runtime::settings::port_offset::{PROXY, REGISTRY, STORE};
 use oatbank_node_runtime::settings::Settings;
-use oatbank_proxy::lease::{Acting as Acts, Lease};
-use oatbank_proxy::session::{Links, Session};
-use oatbank_registry::control_api::Outside;
-use oatbank_registry::node::Station;
+use oatbank_proxy::lease::{Lease, LeaseState};
+use oatbank_proxy::session::{PeerClients, Session};
+use oatbank_registry::control_api::ControlApi;
+use oatbank_registry::node::RegistryNode;
 use prost::Message;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -37,39 +38,39 @@
 /// Where a core machine is called from outside.
 const CONTROL: u16 = 8688;
 /// Between two looks at what a follower does.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Between two notes of it where nothing changes.
-const NOTE: f64 = 250.0;
+const RECORD_INTERVAL: f64 = 250.0;
 
 /// A machine with its programs.
 pub struct Machine {
     /// Its address.
     pub ip: Ipv4Addr,
     /// What its programs are told.
-    pub told: Rc<Told>,
+    pub settings: Rc<ReloadableSettings>,
     /// Its disk.
     pub disk: Rc<StateFile>,
     /// What its clocks count for a second.
     pub rate: Cell<f64>,
     /// Its programs that run.
-    lives: RefCell<BTreeMap<u8, Rc<Life>>>,
+    processes: RefCell<BTreeMap<u8, Rc<Process>>>,
     voter: RefCell<Option<Rc<Voter>>>,
     /// The voter's watch over the others.
-    looks: RefCell<Option<AbortHandle>>,
+    maintenance: RefCell<Option<AbortHandle>>,
 }
 
 impl Machine {
     /// Its programs are told to end, and do so in order.
-    pub async fn leave(&self, net: &Rc<Net>) {
+    pub async fn leave(&self, network: &Rc<SimulatedNetwork>) {
         let voter = self.voter.borrow().clone();
         if let Some(voter) = voter {
             // As its own main does: it looks no more, and tries to be let go.
-            if let Some(looks) = self.looks.take() {
-                looks.abort();
+            if let Some(maintenance) = self.maintenance.take() {
+                maintenance.abort();
             }
             let done = Rc::new(Cell::new(false));
             let ends = done.clone();
-            let leaving = Life::start(net, self.ip, |_| async move {
+            let leaving = Process::start(network, self.ip, |_| async move {
                 let _ = tokio::time::timeout(ms(1500.0), voter.leave()).await;
                 ends.set(true);
             });
@@ -83,23 +84,23 @@
 
     /// Whether it runs.
     pub fn runs(&self) -> bool {
-        !self.lives.borrow().is_empty()
+        !self.processes.borrow().is_empty()
     }
 
     /// Stands still for so long, ms.
     pub fn freeze(&self, long: f64) {
-        self.lives.borrow().values().for_each(|life| life.freeze(Instant::now() + ms(long)));
+        self.processes.borrow().values().for_each(|process| process.freeze(Instant::now() + ms(long)));
     }
 
     /// Its processes are killed.
     pub fn kill(&self) {
         self.voter.take();
-        self.lives.take().values().for_each(|life| life.kill());
+        self.processes.take().values().for_each(|process| process.kill());
     }
 
     /// A program in this place, instead of the one that is there.
-    fn takes_on(&self, place: u8, life: Rc<Life>) {
-        if let Some(before) = self.lives.borrow_mut().insert(place, life) {
+    fn run_program(&self, place: u8, process: Rc<Process>) {
+        if let Some(before) = self.processes.borrow_mut().insert(place, process) {
             before.kill();
         }
     }
@@ -108,7 +109,7 @@
 /// All there is.
 pub struct World {
     /// The network.
-    pub net: Rc<Net>,
+    pub network: Rc<SimulatedNetwork>,
     /// What callers see.
     pub history: Rc<History>,
     /// Core machines.
@@ -116,11 +117,11 @@
     /// Machines that follow them.
     pub followers: RefCell<Vec<Rc<Machine>>>,
     /// Draws.
-    pub lot: RefCell<Lot>,
+    pub random: RefCell<Random>,
     /// Nobody begins anything new.
     pub over: Cell<bool>,
     /// Lives of followers.
-    lives: Cell<u64>,
+    processes: Cell<u64>,
     /// How many core machines may be lost at once.
     pub tolerate: usize,
 }
@@ -131,31 +132,31 @@
 fn settings(ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool, tolerate: usize) -> Settings {
     let text = include_str!("../../node-runtime/tests/node.toml");
     let mut settings = Settings::parse(text).expect("the example is in order");
-    settings.node = format!("n-{ip}");
+    settings.node_name = format!("n-{ip}");
     settings.ip = ip;
     settings.seeds = seeds.iter().map(|ip| SocketAddrV4::new(*ip, CONTROL)).collect();
     settings.first_start = first_start;
     settings.bounds.revoked_fail = true;
-    settings.tolerate.0 = tolerate as u64;
+    settings.tolerated.machines = tolerate as u64;
     settings.zone = ZONES[usize::from(ip.octets()[3]) % ZONES.len()].into();
     settings.region = settings.zone[..3].into();
-    settings.listen = vec![("front".into(), SocketAddr::from((ip, 8686)))];
+    settings.listen_addresses = vec![("front".into(), SocketAddr::from((ip, 8686)))];
     settings
 }
 
 impl World {
     /// So many core machines and followers, not running yet.
     pub fn new(seed: u64, core: usize, followers: usize) -> Rc<World> {
-        let mut lot = Lot::new(seed);
-        let net = Net::new(lot.number());
+        let mut random = Random::new(seed);
+        let network = SimulatedNetwork::new(random.number());
         let world = World {
-            net,
+            network,
             history: History::new(),
             core: RefCell::default(),
             followers: RefCell::default(),
-            lot: RefCell::new(lot),
+            random: RefCell::new(random),
             over: Cell::new(false),
-            lives: Cell::new(0),
+            processes: Cell::new(0),
             tolerate: (core - 1) / 2,
         };
         let seeds: Vec<Ipv4Addr> = (0..core.min(3)).map(|n| Ipv4Addr::new(10, 0, 1, 1 + n as u8)).collect();
@@ -173,12 +174,12 @@
     fn machine(&self, settings: Settings) -> Rc<Machine> {
         Rc::new(Machine {
             ip: settings.ip,
-            told: Rc::new(Told::new(String::new(), settings)),
-            disk: StateFile::new(self.lot.borrow_mut().number()),
+            settings: Rc::new(ReloadableSettings::new(String::new(), settings)),
+            disk: StateFile::new(self.random.borrow_mut().number()),
             rate: Cell::new(1.0),
-            lives: RefCell::default(),
+            processes: RefCell::default(),
             voter: RefCell::default(),
-            looks: RefCell::default(),
+            maintenance: RefCell::default(),
         })
     }
 
@@ -195,80 +196,83 @@
     }
 
     /// All core machines and followers are told of these seeds.
-    pub fn tell_seeds(&self, seeds: &[Ipv4Addr]) {
+    pub fn set_seeds(&self, seeds: &[Ipv4Addr]) {
         for machine in self.core.borrow().iter().chain(self.followers.borrow().iter()) {
-            let mut settings = machine.told.settings();
+            let mut settings = machine.settings.settings();
             settings.seeds = seeds.iter().map(|ip| SocketAddrV4::new(*ip, CONTROL)).collect();
-            let stores = settings.seeds.iter().map(|seed| settings.inner_of(*seed.ip(), STORE)).collect();
+            let stores =
+                settings.seeds.iter().map(|seed| settings.rpc_address_of(*seed.ip(), STORE)).collect();
             if let Some(voter) = &*machine.voter.borrow() {
                 voter.set_seeds(stores);
             }
-            machine.told.take(settings);
+            machine.settings.replace(settings);
         }
     }
 
     /// Starts a core machine's programs.
     pub fn start_core(self: &Rc<Self>, machine: &Rc<Machine>) {
-        self.net.off(machine.ip, false);
+        self.network.off(machine.ip, false);
         self.start_store(machine);
         self.start_registry(machine);
     }
 
     /// Starts a core machine's store, anew if it runs.
     pub fn start_store(self: &Rc<Self>, machine: &Rc<Machine>) {
-        let (of, at, settings) = (machine.clone(), machine.ip, machine.told.settings());
+        let (of, at, settings) = (machine.clone(), machine.ip, machine.settings.settings());
         machine.voter.take();
-        let store = Life::start(&self.net, at, |seat| async move { store(of, settings, seat).await });
+        let store = Process::start(&self.network, at, |seat| async move { store(of, settings, seat).await });
         machine.disk.used_by(&store);
-        machine.takes_on(0, store);
+        machine.run_program(0, store);
         // What it reads at its next start: the whole system starts for the first time only once.
-        let again = Settings { first_start: false, ..machine.told.settings() };
-        machine.told.take(again);
+        let again = Settings { first_start: false, ..machine.settings.settings() };
+        machine.settings.replace(again);
     }
 
     /// Starts a core machine's registry, anew if it runs.
     pub fn start_registry(self: &Rc<Self>, machine: &Rc<Machine>) {
         let of = machine.clone();
-        machine
-            .takes_on(1, Life::start(&self.net, machine.ip, |seat| async move { registry(of, seat).await }));
+        machine.run_program(
+            1,
+            Process::start(&self.network, machine.ip, |seat| async move { registry(of, seat).await }),
+        );
     }
 
     /// Starts a follower.
     pub fn start_follower(self: &Rc<Self>, which: usize) {
         let machine = self.followers.borrow()[which].clone();
-        self.net.off(machine.ip, false);
-        let (world, of, life) = (self.clone(), machine.clone(), self.lives.get() + 1);
-        self.lives.set(life);
-        let life = Life::start(&self.net, machine.ip, |seat| async move {
-            follower(world, of, seat, which, life).await;
+        self.network.off(machine.ip, false);
+        let (world, of, process) = (self.clone(), machine.clone(), self.processes.get() + 1);
+        self.processes.set(process);
+        let process = Process::start(&self.network, machine.ip, |seat| async move {
+            follower(world, of, seat, which, process).await;
         });
-        machine.takes_on(2, life);
+        machine.run_program(2, process);
     }
 
     /// The machine loses its power.
     pub fn lose_power(&self, machine: &Machine) {
-        self.net.off(machine.ip, true);
+        self.network.off(machine.ip, true);
         machine.voter.take();
-        machine.lives.take().values().for_each(|life| life.lose_power());
+        machine.processes.take().values().for_each(|process| process.lose_power());
     }
 
     /// Both ways, or one, between a machine and these.
     pub fn cut(&self, from: Ipv4Addr, to: &[Ipv4Addr], heal: bool) {
         for to in to.iter().filter(|to| **to != from) {
             if heal {
-                self.net.heal(from, *to);
+                self.network.heal(from, *to);
             } else {
-                self.net.cut(from, *to);
+                self.network.cut(from, *to);
             }
         }
     }
 
     /// Asks the stores who votes, as an operator may; the voters' addresses where all that run agree and nothing changes.
-    pub async fn voters(&self, link_to: impl Fn(SocketAddr) -> Rc<Link>) -> Option<Vec<String>> {
+    pub async fn voters(&self, link_to: impl Fn(SocketAddr) -> Rc<RpcClient>) -> Option<Vec<String>> {
         let mut agreed: Option<Vec<String>> = None;
         let core: Vec<_> = self.core.borrow().iter().filter(|m| m.runs()).cloned().collect();
         for machine in core {
-            let at = SocketAddr::from((machine.ip, machine.told.settings().inner_address(STORE).port()));
+            let at = SocketAddr::from((machine.ip, machine.settings.settings().rpc_address(STORE).port()));
             let who = LocalStateRequest { known: ProposalNumber::default() }.encode_to_vec();
             let answer = link_to(at).call(kind::LOCAL_STATE, who, ms(800.0)).await.ok()?;
             let here = LocalState::decode(answer).ok()?;
@@ -290,11 +294,11 @@
 
 async fn store(machine: Rc<Machine>, settings: Settings, seat: Rc<Seat>) {
     let terms = VoterOptions {
-        address: settings.inner_address(STORE),
-        seeds: settings.seeds.iter().map(|seed| settings.inner_of(*seed.ip(), STORE)).collect(),
+        address: settings.rpc_address(STORE),
+        seeds: settings.seeds.iter().map(|seed| settings.rpc_address_of(*seed.ip(), STORE)).collect(),
         first_start: settings.first_start,
         folder: PathBuf::new(),
-        tolerated_failures: settings.tolerate.0 as usize,
+        tolerated_failures: settings.tolerated.machines as usize,
     };
     let voter = loop {
         match Voter::start_at(&Mounted(machine.disk.clone()), terms.clone()) {
@@ -304,25 +308,25 @@
     };
     *machine.voter.borrow_mut() = Some(voter.clone());
     tokio::task::spawn_local(voter.clone().run());
-    let looks = tokio::task::spawn_local(voter.clone().maintain_voters());
-    *machine.looks.borrow_mut() = Some(looks.abort_handle());
+    let maintenance = tokio::task::spawn_local(voter.clone().maintain_voters());
+    *machine.maintenance.borrow_mut() = Some(maintenance.abort_handle());
     seat.serve(terms.address, voter.handler());
 }
 
 async fn registry(machine: Rc<Machine>, seat: Rc<Seat>) {
-    let settings = machine.told.settings();
-    let station = Station::new(machine.told.clone(), Steady::at_rate(machine.rate.get()));
-    let commands = Commands::of(station.known(), "oatbank-registry", &settings.node);
-    seat.serve(settings.inner_address(REGISTRY), station.handler(commands));
-    station.listens();
-    let outside = station.opens().await;
-    seat.serve(SocketAddr::from((machine.ip, CONTROL)), calls(outside));
+    let settings = machine.settings.settings();
+    let registry = RegistryNode::new(machine.settings.clone(), MonotonicClock::at_rate(machine.rate.get()));
+    let commands = Commands::of(registry.view(), "oatbank-registry", &settings.node_name);
+    seat.serve(settings.rpc_address(REGISTRY), registry.handler(commands));
+    registry.start_following();
+    let api = registry.open_control_api().await;
+    seat.serve(SocketAddr::from((machine.ip, CONTROL)), api_handler(api));
 }
 
 /// Calls from outside, without their HTTP.
-fn calls(outside: Rc<Outside>) -> Rc<dyn Fn(u8, Bytes) -> Answering> {
-    Rc::new(move |kind, body| {
-        let outside = outside.clone();
+fn api_handler(api: Rc<ControlApi>) -> Handler {
+    Rc::new(move |kind, body: Bytes| {
+        let api = api.clone();
         Box::pin(async move {
             if kind != OUTSIDE && kind != PLAIN {
                 return Vec::new();
@@ -330,23 +334,23 @@
             let line = body.iter().position(|b| *b == b'\n').unwrap_or(body.len());
             let head = String::from_utf8_lossy(&body[..line]).into_owned();
             let (method, path) = head.split_once(' ').unwrap_or_default();
-            let (status, text) = match oatbank_config_model::parse(method, path) {
+            let (status, text) = match oatbank_config_model::parse_call(method, path) {
                 Some(call) => {
-                    let answer = outside.carry_out(call, &body[(line + 1).min(body.len())..]).await;
+                    let answer = api.carry_out(call, &body[(line + 1).min(body.len())..]).await;
                     (answer.status, answer.body)
                 }
-                None => (Kind::Unknown.status(), String::new()),
+                None => (ErrorKind::NotFound.status(), String::new()),
             };
             [&status.to_be_bytes()[..], text.as_bytes()].concat()
         })
     })
 }
 
-async fn follower(world: Rc<World>, machine: Rc<Machine>, seat: Rc<Seat>, which: usize, life: u64) {
-    let settings = machine.told.settings();
-    let known = Knowledge::new(Steady::at_rate(machine.rate.get()), settings.beat_every);
+async fn follower(world: Rc<World>, machine: Rc<Machine>, seat: Rc<Seat>, which: usize, process: u64) {
+    let settings = machine.settings.settings();
+    let known = ClusterView::new(MonotonicClock::at_rate(machine.rate.get()), settings.heartbeat_interval);
     let telling = known.clone();
-    let handler: Rc<dyn Fn(u8, Bytes) -> Answering> = Rc::new(move |kind, body| {
+    let handler: Handler = Rc::new(move |kind, body: Bytes| {
         let known = telling.clone();
         Box::pin(async move {
             match kind {
@@ -355,53 +359,54 @@
             }
         })
     });
-    seat.serve(settings.inner_address(PROXY), handler);
-    let session = Session::new(known.clone(), machine.told.clone(), Rc::new(Links::default()));
-    tokio::task::spawn_local(session.clone().hold());
-    session.follow_few();
-    let acts = Acts::new(Lease::new(&settings.bounds));
-    let mut last: Option<(f64, Acting)> = None;
+    seat.serve(settings.rpc_address(PROXY), handler);
+    let session = Session::new(known.clone(), machine.settings.clone(), Rc::new(PeerClients::default()));
+    tokio::task::spawn_local(session.clone().run());
+    session.follow_limiters();
+    let acts = LeaseState::new(Lease::new(&settings.bounds));
+    let mut last: Option<(f64, AppliedState)> = None;
     let mut read = (0, Rc::new(Content::default()));
     loop {
-        let decided = known.decided();
+        let agreed_state = known.agreed_state();
         if known.edition() != read.0 {
-            read = (known.edition(), Rc::new(Content::read(&decided.config)));
+            read = (known.edition(), Rc::new(Content::read(&agreed_state.config)));
         }
         let knows = || known.with(|book, now| book.servers(now).next().is_some());
-        let has = !decided.config.is_empty();
-        let acting = has && acts.acts(known.now(), known.fresh_ago(), knows);
-        session.turn(if acting { member_state::READY } else { member_state::STARTING });
+        let has = !agreed_state.config.is_empty();
+        let acting = has && acts.is_active(known.now(), known.confirmed_ago(), knows);
+        session.set_state(if acting { member_state::READY } else { member_state::STARTING });
         let servers = known.with(|book, now| -> Vec<String> {
-            let ready = book.servers(now).filter(|(row, _)| row.state == server_state::READY && !row.silent);
+            let ready =
+                book.servers(now).filter(|(row, _)| row.state == server_state::READY && !row.timed_out);
             ready.map(|(row, _)| row.id.clone()).collect()
         });
-        let acting = Acting {
+        let acting = AppliedState {
             acts: acting,
             content: read.1.clone(),
-            empty: decided.empty.clone(),
+            empty: agreed_state.empty.clone(),
             servers: Rc::new(servers),
         };
         let now = world.history.now();
-        if last.as_ref().is_none_or(|(at, before)| now - at >= NOTE || *before != acting) {
-            world.history.saw(Event::Acts(which, life, acting.clone()));
+        if last.as_ref().is_none_or(|(at, before)| now - at >= RECORD_INTERVAL || *before != acting) {
+            world.history.record(Event::Acts(which, process, acting.clone()));
             last = Some((now, acting));
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
 /// Links of one caller.
 #[derive(Default)]
-pub struct Calls(RefCell<VecDeque<(SocketAddr, Rc<Link>)>>);
+pub struct Calls(RefCell<VecDeque<(SocketAddr, Rc<RpcClient>)>>);
 
 impl Calls {
     /// The link to this address.
-    pub fn to(&self, at: SocketAddr) -> Rc<Link> {
+    pub fn to(&self, at: SocketAddr) -> Rc<RpcClient> {
         let mut links = self.0.borrow_mut();
         if let Some((_, link)) = links.iter().find(|(to, _)| *to == at) {
             return link.clone();
         }
-        let link = Link::new(at);
+        let link = RpcClient::new(at);
         links.push_back((at, link.clone()));
         link
     }
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -1,14 +1,14 @@
 //! Histories that break one rule each, and the same ones made whole: the checker is not the control side's friend.
 
 use oatbank_simulation::checker::check;
-use oatbank_simulation::history::{Acting, Content, Event, Order, What};
+use oatbank_simulation::history::{AppliedState, Content, Event, OperatorCommand, What};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
 const AT: Ipv4Addr = Ipv4Addr::new(10, 0, 1, 1);
 
 fn order(number: u64, built_on: u64, tag: u64, what: What) -> Event {
-    Event::Ordered(Order { number, built_on, tag, what })
+    Event::Ordered(OperatorCommand { number, built_on, tag, what })
 }
 
 fn content(number: u64, tags: &[u64]) -> Content {
@@ -19,9 +19,13 @@
     Event::Read(began, AT, 200, content(number, tags))
 }
 
-fn acts(life: u64, acts: bool, number: u64, tags: &[u64], servers: &[&str]) -> Event {
+fn acts(process: u64, acts: bool, number: u64, tags: &[u64], servers: &[&str]) -> Event {
     let servers = Rc::new(servers.iter().map(ToString::to_string).collect());
-    Event::Acts(0, life, Acting { acts, content: Rc::new(content(number, tags)), empty: Vec::new(), servers })
+    Event::Acts(
+        0,
+        process,
+        AppliedState { acts, content: Rc::new(content(number, tags)), empty: Vec::new(), servers },
+    )
 }
 
 /// r1 and r2 are acknowledged at 100 and 200 ms; then comes this.
@@ -29,10 +33,10 @@
     let mut history = vec![
         (0.0, order(1, 0, 1, What::Replace)),
         (0.0, Event::Asked(0, AT)),
-        (100.0, Event::Told(0, AT, Some(200))),
+        (100.0, Event::OperatorAnswer(0, AT, Some(200))),
         (150.0, order(2, 1, 2, What::Change)),
         (150.0, Event::Asked(1, AT)),
-        (200.0, Event::Told(1, AT, Some(200))),
+        (200.0, Event::OperatorAnswer(1, AT, Some(200))),
     ];
     history.extend(more);
     check(&history).into_iter().map(|broken| broken.rule).collect()
@@ -60,7 +64,7 @@
         vec![
             (210.0, order(number, built_on, 9, What::Replace)),
             (210.0, Event::Asked(2, AT)),
-            (220.0, Event::Told(2, AT, Some(status))),
+            (220.0, Event::OperatorAnswer(2, AT, Some(status))),
         ]
     };
     assert!(after_two(rival(2, 1, 412)).is_empty());
@@ -76,7 +80,7 @@
 
 #[test]
 fn what_was_taken_is_never_refused() {
-    let again = |status| vec![(300.0, Event::Asked(1, AT)), (310.0, Event::Told(1, AT, status))];
+    let again = |status| vec![(300.0, Event::Asked(1, AT)), (310.0, Event::OperatorAnswer(1, AT, status))];
     for status in [None, Some(200), Some(503), Some(504)] {
         assert!(after_two(again(status)).is_empty());
     }
@@ -86,7 +90,8 @@
 
 #[test]
 fn followers_never_go_back_and_stop_in_time() {
-    let goes = |life| vec![(300.0, acts(1, true, 2, &[1, 2], &[])), (400.0, acts(life, true, 1, &[1], &[]))];
+    let goes =
+        |process| vec![(300.0, acts(1, true, 2, &[1, 2], &[])), (400.0, acts(process, true, 1, &[1], &[]))];
     assert!(after_two(goes(2)).is_empty(), "another life");
     assert_eq!(after_two(goes(1)), ["goes back"]);
     // In trouble, and long after: only who does not act may know less.
@@ -105,7 +110,7 @@
 fn no_server_is_lost_doubled_or_kept() {
     let id = || "i-1".to_owned();
     let day = |more: Vec<(f64, Event)>, at, servers: &[&str]| {
-        let mut events = vec![(300.0, Event::Begins(id())), (400.0, Event::Heard(id(), 0))];
+        let mut events = vec![(300.0, Event::Begins(id())), (400.0, Event::ReadAnswer(id(), 0))];
         events.extend(more);
         events.push((at, acts(1, true, 2, &[1, 2], servers)));
         after_two(events)
@@ -114,7 +119,7 @@
     assert_eq!(day(vec![], 5300.0, &[]), ["servers"], "lost");
     assert_eq!(day(vec![], 5300.0, &["i-1", "i-1"]), ["servers"], "doubled");
     assert!(day(vec![(5000.0, Event::Trouble(true, String::new()))], 5300.0, &[]).is_empty(), "in trouble");
-    let leaves = || vec![(1000.0, Event::Leaves(id())), (1100.0, Event::Heard(id(), 1))];
+    let leaves = || vec![(1000.0, Event::Leaves(id())), (1100.0, Event::ReadAnswer(id(), 1))];
     assert!(day(leaves(), 5300.0, &[]).is_empty());
     assert_eq!(day(leaves(), 5300.0, &["i-1"]), ["servers"], "kept");
     let crash = || vec![(1000.0, Event::Ended(id()))];
@@ -137,8 +142,9 @@
 
 #[test]
 fn an_emptied_zone_stays_so_and_a_copy_of_an_old_call_makes_it_unclear() {
-    let call =
-        |order, at, status| vec![(at, Event::Asked(order, AT)), (at + 50.0, Event::Told(order, AT, status))];
+    let call = |order, at, status| {
+        vec![(at, Event::Asked(order, AT)), (at + 50.0, Event::OperatorAnswer(order, AT, status))]
+    };
     let mut history = vec![
         (0.0, order(0, 0, 8, What::Empty("z".into(), true))),
         (0.0, order(0, 0, 9, What::Empty("z".into(), false))),
@@ -153,8 +159,8 @@
     history.splice(2..2, call(0, 20.0, None));
     history.truncate(6);
     history.extend(call(1, 300.0, Some(200)));
-    let Event::Acts(who, life, acting) = acts(1, true, 0, &[], &[]) else { unreachable!() };
-    let empty = Acting { empty: vec!["z".into()], ..acting };
-    history.push((9000.0, Event::Acts(who, life, empty)));
+    let Event::Acts(who, process, acting) = acts(1, true, 0, &[], &[]) else { unreachable!() };
+    let empty = AppliedState { empty: vec!["z".into()], ..acting };
+    history.push((9000.0, Event::Acts(who, process, empty)));
     assert!(rules(&history).is_empty());
 }
