--- a/benches/src/scale/bad_day.rs
+++ b/benches/src/scale/bad_day.rs
@@ -31,7 +31,7 @@
     let parties = rig.parties();
     let read = |parties: &[Party]| gauge::read(parties).map_err(|e| e.to_string());
     let (before, began) = (read(&parties)?, Instant::now());
-    rig.hollows = followers(&rig.stage, load)?;
+    rig.hollows = followers(&rig.cluster, load)?;
     rig.until_known(load)?;
     point.insert(("back", "s until the last knows all".into()), began.elapsed().as_secs_f64());
     // Who follows now is told from whom it follows: read with them.
@@ -46,10 +46,11 @@
 
 /// All programs of the core are killed and started; until an order after it is in force at the last follower.
 fn restart(rig: &mut Rig, load: &Load, point: &mut Point) -> Result<(), String> {
-    rig.stage.kill_all(&rig.stage.core());
+    rig.cluster.kill_all(&rig.cluster.core());
     let began = Instant::now();
-    for (core, role) in rig.stage.cores().flat_map(|core| CORE.map(|role| (core, role))).collect::<Vec<_>>() {
-        rig.stage.run(core, role).map_err(|e| e.to_string())?;
+    for (core, role) in rig.cluster.cores().flat_map(|core| CORE.map(|role| (core, role))).collect::<Vec<_>>()
+    {
+        rig.cluster.run(core, role).map_err(|e| e.to_string())?;
     }
     let order = loop {
         match rig.operator.order() {
@@ -62,7 +63,7 @@
     let all = rig.in_force(&[order], load.patience)?;
     let last = all.iter().max().map_or(0.0, |at| at.saturating_duration_since(began).as_secs_f64());
     point.insert(("restart", "s until the last acts by it".into()), last);
-    let registries = rig.stage.cores().filter_map(|core| rig.stage.process(core, Role::Registry));
+    let registries = rig.cluster.cores().filter_map(|core| rig.cluster.process(core, Role::Registry));
     let peak = registries.map(gauge::peak).max().unwrap_or(0);
     point.insert(("restart", "registry, peak MB".into()), peak as f64 / 1e6);
     Ok(())
--- a/benches/src/scale/decisions.rs
+++ b/benches/src/scale/decisions.rs
@@ -126,12 +126,12 @@
 
 fn look_up_route(many: usize) -> f64 {
     let table = route_table(routes(many));
-    let asked: Vec<(String, String)> = (0..4096)
+    let command_line: Vec<(String, String)> = (0..4096)
         .map(|n: usize| n * 7919 % many)
         .map(|nth| (format!("host-{:04}.example", nth / 33), format!("/p-{nth}/some/page?x=1")))
         .collect();
     took(|n| {
-        let (host, path) = &asked[n % asked.len()];
+        let (host, path) = &command_line[n % command_line.len()];
         assert!(table.route(host, path).is_some());
     })
 }
@@ -161,12 +161,12 @@
             let phase_id = operation.phase_id();
             let mut answers = Vec::new();
             match &step {
-                Step::Prepare(asked) => {
-                    answers.extend(voters.iter_mut().map(|voter| voter.prepare(asked).0));
+                Step::Prepare(command_line) => {
+                    answers.extend(voters.iter_mut().map(|voter| voter.prepare(command_line).0));
                 }
-                Step::Accept(asked) => {
+                Step::Accept(command_line) => {
                     for voter in &mut voters {
-                        let travels = Accept::decode(&asked.encode_to_vec()[..]).expect("readable");
+                        let travels = Accept::decode(&command_line.encode_to_vec()[..]).expect("readable");
                         answers.push(voter.accept(&travels).0);
                     }
                 }
@@ -372,9 +372,9 @@
             let output =
                 Command::new(own).args(["decision", name, &size.to_string()]).output().expect("it runs");
             let text = String::from_utf8_lossy(&output.stdout).into_owned();
-            let told =
+            let acknowledged =
                 text.trim().split_once(' ').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
-            let Some((us, peak)) = told else {
+            let Some((us, peak)) = acknowledged else {
                 println!("{name} at {size}: failed, {}", String::from_utf8_lossy(&output.stderr).trim());
                 good = false;
                 continue;
--- a/benches/src/scale/hollow.rs
+++ b/benches/src/scale/hollow.rs
@@ -175,11 +175,11 @@
         let mut all = Vec::new();
         for nth in 0..many {
             let view = ClusterView::new(MonotonicClock::start(), cast.heartbeat_interval);
-            let (looked, edition, told) = (Rc::downgrade(&view), Cell::new(0), tally.clone());
+            let (looked, edition, acknowledged) = (Rc::downgrade(&view), Cell::new(0), tally.clone());
             view.on_change(Rc::new(move || {
                 let Some(view) = looked.upgrade() else { return };
                 if edition.replace(view.edition()) != view.edition() {
-                    if let Some(least) = told.takes(nth, version(&view.agreed_state().config)) {
+                    if let Some(least) = acknowledged.takes(nth, version(&view.agreed_state().config)) {
                         say(&format!("all {least}"));
                     }
                 }
@@ -199,8 +199,8 @@
 
 fn say(line: &str) {
     let mut out = std::io::stdout().lock();
-    let told = writeln!(out, "{line}").and_then(|()| out.flush());
-    if told.is_err() {
+    let acknowledged = writeln!(out, "{line}").and_then(|()| out.flush());
+    if acknowledged.is_err() {
         std::process::exit(0);
     }
 }
--- a/benches/src/scale/load.rs
+++ b/benches/src/scale/load.rs
@@ -1,6 +1,6 @@
 //! Configurations, changes and beats of any size.
 
-use oatbank_local_cluster::http::Wire;
+use oatbank_local_cluster::http::HttpConnection;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -101,14 +101,14 @@
 pub struct Beats {
     ends: Arc<AtomicBool>,
     /// Words acknowledged, and words that were not.
-    told: Arc<[AtomicU64; 2]>,
+    acknowledged: Arc<[AtomicU64; 2]>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Beats {
     /// Each server speaks with one of these core machines.
     pub fn start(servers: &Servers, controls: &[SocketAddr]) -> Beats {
-        let (ends, told) =
+        let (ends, acknowledged) =
             (Arc::new(AtomicBool::new(false)), Arc::new([AtomicU64::new(0), AtomicU64::new(0)]));
         let threads = controls.iter().enumerate().map(|(at, to)| {
             let own: Vec<usize> = (at..servers.many).step_by(controls.len()).collect();
@@ -117,18 +117,18 @@
                 said: own.into_iter().map(|nth| (nth, 0, 0)).collect(),
                 to: *to,
                 wires: Vec::new(),
-                told: told.clone(),
+                acknowledged: acknowledged.clone(),
             };
             let ends = ends.clone();
             std::thread::spawn(move || speaker.run(&ends))
         });
         let threads = threads.collect();
-        Beats { ends, told, threads }
+        Beats { ends, acknowledged, threads }
     }
 
     /// Words acknowledged so far, and words that were not.
-    pub fn told(&self) -> (u64, u64) {
-        (self.told[0].load(Ordering::Relaxed), self.told[1].load(Ordering::Relaxed))
+    pub fn acknowledged(&self) -> (u64, u64) {
+        (self.acknowledged[0].load(Ordering::Relaxed), self.acknowledged[1].load(Ordering::Relaxed))
     }
 }
 
@@ -145,8 +145,8 @@
     /// Each with its life and its words in it.
     said: Vec<(usize, u64, u64)>,
     to: SocketAddr,
-    wires: Vec<Wire>,
-    told: Arc<[AtomicU64; 2]>,
+    wires: Vec<HttpConnection>,
+    acknowledged: Arc<[AtomicU64; 2]>,
 }
 
 impl Speaker {
@@ -202,8 +202,8 @@
     fn say(&mut self, call_count: Vec<String>) {
         let until = Instant::now() + PATIENCE;
         while self.wires.len() < call_count.len().min(WIRES) {
-            match Wire::connect(self.to, Duration::from_secs(1)) {
-                Ok(wire) => self.wires.push(wire),
+            match HttpConnection::connect(self.to, Duration::from_secs(1)) {
+                Ok(connection) => self.wires.push(connection),
                 Err(_) => return self.count(0, call_count.len()),
             }
         }
@@ -225,8 +225,8 @@
     }
 
     fn count(&self, good: usize, bad: usize) {
-        self.told[0].fetch_add(good as u64, Ordering::Relaxed);
-        self.told[1].fetch_add(bad as u64, Ordering::Relaxed);
+        self.acknowledged[0].fetch_add(good as u64, Ordering::Relaxed);
+        self.acknowledged[1].fetch_add(bad as u64, Ordering::Relaxed);
     }
 }
 
@@ -234,7 +234,7 @@
 pub struct Operator {
     size: Size,
     to: SocketAddr,
-    wire: Option<Wire>,
+    connection: Option<HttpConnection>,
     /// The version in force.
     pub version: u64,
 }
@@ -253,7 +253,7 @@
 impl Operator {
     /// At this core machine.
     pub fn new(size: Size, to: SocketAddr) -> Operator {
-        Operator { size, to, wire: None, version: 0 }
+        Operator { size, to, connection: None, version: 0 }
     }
 
     /// Puts the first configuration, or changes one route; what it was answered last where it is not taken.
@@ -283,18 +283,18 @@
     }
 
     fn say(&mut self, call: &str) -> Result<(u16, String), String> {
-        let wire = match self.wire.take() {
-            Some(wire) if wire.is_quiet() => wire,
-            _ => Wire::connect(self.to, Duration::from_secs(1)).map_err(|e| e.to_string())?,
+        let connection = match self.connection.take() {
+            Some(connection) if connection.is_quiet() => connection,
+            _ => HttpConnection::connect(self.to, Duration::from_secs(1)).map_err(|e| e.to_string())?,
         };
-        let wire = self.wire.insert(wire);
-        let answer = wire.send(call.as_bytes()).map_err(|e| e.to_string());
+        let connection = self.connection.insert(connection);
+        let answer = connection.send(call.as_bytes()).map_err(|e| e.to_string());
         let answer =
-            answer.and_then(|()| wire.answer(Instant::now() + PATIENCE).map_err(|e| format!("{e:?}")));
+            answer.and_then(|()| connection.answer(Instant::now() + PATIENCE).map_err(|e| format!("{e:?}")));
         match answer {
             Ok(answer) => Ok((answer.status, String::from_utf8_lossy(&answer.body).into_owned())),
             Err(e) => {
-                self.wire = None;
+                self.connection = None;
                 Err(e)
             }
         }
--- a/benches/src/scale/sweep.rs
+++ b/benches/src/scale/sweep.rs
@@ -4,7 +4,7 @@
 use super::gauge::{self, Party, Usage};
 use super::hollow::{Cast, Hollow};
 use super::load::{Beats, Operator, OperatorCommand, Servers, Size};
-use oatbank_local_cluster::cluster::{Plan, Role, Stage, INNER_REGISTRY, ZONES};
+use oatbank_local_cluster::cluster::{LocalCluster, Plan, Role, INNER_REGISTRY, ZONES};
 use oatbank_local_cluster::shell;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -135,8 +135,8 @@
 }
 
 /// Starts the hollow followers.
-pub(super) fn followers(stage: &Stage, load: &Load) -> Result<Vec<Hollow>, String> {
-    let registries = stage.cores().map(|core| stage.inner(core, INNER_REGISTRY)).collect::<Vec<_>>();
+pub(super) fn followers(cluster: &LocalCluster, load: &Load) -> Result<Vec<Hollow>, String> {
+    let registries = cluster.cores().map(|core| cluster.inner(core, INNER_REGISTRY)).collect::<Vec<_>>();
     let hollows = (0..load.followers.div_ceil(SHARED)).map(|at| {
         let many = SHARED.min(load.followers - at * SHARED);
         let deaf = load.deaf.saturating_sub(at * SHARED).min(many);
@@ -158,7 +158,7 @@
 
 /// The system under a load.
 pub(super) struct Rig {
-    pub(super) stage: Stage,
+    pub(super) cluster: LocalCluster,
     pub(super) hollows: Vec<Hollow>,
     beats: Beats,
     pub(super) operator: Operator,
@@ -170,8 +170,8 @@
         let every = heartbeat_interval(load);
         let (cores, proxies, beat_every_ms) = (load.cores, load.proxies, every.as_millis() as u64);
         let plan = Plan { cores, proxies, beat_every_ms, log_level: "info", ..Plan::default() };
-        let stage = Stage::start(plan).map_err(|e| e.to_string())?;
-        let mut operator = Operator::new(load.size, stage.controls()[0]);
+        let cluster = LocalCluster::start(plan).map_err(|e| e.to_string())?;
+        let mut operator = Operator::new(load.size, cluster.controls()[0]);
         let until = Instant::now() + load.patience;
         while let Err(e) = operator.order() {
             if Instant::now() > until || e.contains("413") {
@@ -185,9 +185,9 @@
             every,
             churn: load.churn,
         };
-        let beats = Beats::start(&servers, &stage.controls());
-        let hollows = followers(&stage, load)?;
-        let rig = Rig { stage, hollows, beats, operator };
+        let beats = Beats::start(&servers, &cluster.controls());
+        let hollows = followers(&cluster, load)?;
+        let rig = Rig { cluster, hollows, beats, operator };
         rig.until_known(load)?;
         Ok(rig)
     }
@@ -217,9 +217,9 @@
     pub(super) fn parties(&self) -> Vec<Party> {
         let mut parties = vec![Party { role: "load", pid: std::process::id() }];
         let roles = [(Role::Store, "store"), (Role::Registry, "registry"), (Role::Proxy, "proxy")];
-        for machine in self.stage.cores().chain(self.stage.proxies()) {
+        for machine in self.cluster.cores().chain(self.cluster.proxies()) {
             for (role, name) in roles {
-                parties.extend(self.stage.process(machine, role).map(|pid| Party { role: name, pid }));
+                parties.extend(self.cluster.process(machine, role).map(|pid| Party { role: name, pid }));
             }
         }
         parties.extend(self.hollows.iter().map(|h| Party { role: "follower", pid: h.pid() }));
@@ -274,15 +274,16 @@
     let parties = rig.parties();
     let call_count = |rig: &Rig| rig.hollows.iter().map(|h| h.said().call_count).sum::<u64>();
     let read = || gauge::read(&parties).map_err(|e| format!("connections: {e}"));
-    let (before, told, called, began) = (read()?, rig.beats.told(), call_count(&rig), Instant::now());
+    let (before, acknowledged, called, began) =
+        (read()?, rig.beats.acknowledged(), call_count(&rig), Instant::now());
     let operator_command = rig.change(load)?;
     let (after, span) = (read()?, began.elapsed().as_secs_f64());
-    let (told_after, called_after) = (rig.beats.told(), call_count(&rig));
+    let (told_after, called_after) = (rig.beats.acknowledged(), call_count(&rig));
     let in_force = rig.in_force(&operator_command, load.patience)?;
     let mut point = by_role(&parties, &before, &after, span, load.followers);
     let mut put = |role, resource: &str, value| point.insert((role, resource.to_owned()), value);
-    put("load", "words taken/s", (told_after.0 - told.0) as f64 / span);
-    put("load", "words refused/s", (told_after.1 - told.1) as f64 / span);
+    put("load", "words taken/s", (told_after.0 - acknowledged.0) as f64 / span);
+    put("load", "words refused/s", (told_after.1 - acknowledged.1) as f64 / span);
     put("load", "changes/s", operator_command.len() as f64 / span);
     if load.followers > 0 {
         put("follower", "calls/s", (called_after - called) as f64 / span / load.followers as f64);
@@ -304,15 +305,15 @@
         put("order", &format!("{what}, median ms"), times[times.len() / 2]);
         put("order", &format!("{what}, most ms"), *most);
     }
-    let disks: Vec<u64> = rig.stage.cores().map(|core| gauge::disk(&rig.stage.data(core))).collect();
+    let disks: Vec<u64> = rig.cluster.cores().map(|core| gauge::disk(&rig.cluster.data(core))).collect();
     put("store", "disk MB", disks.iter().sum::<u64>() as f64 / 1e6 / disks.len() as f64);
     for words in ["limiters", "servers"] {
         let began = Instant::now();
-        let told = shell::ask(rig.stage.inner(0, INNER_REGISTRY), &[words]);
+        let acknowledged = shell::ask(rig.cluster.inner(0, INNER_REGISTRY), &[words]);
         put("shell", &format!("{words} ms"), began.elapsed().as_secs_f64() * 1000.0);
-        put("shell", &format!("{words} rows"), told.map_or(0.0, |table| table.rows.len() as f64));
+        put("shell", &format!("{words} rows"), acknowledged.map_or(0.0, |table| table.rows.len() as f64));
     }
-    let lost = rig.stage.lost();
+    let lost = rig.cluster.lost();
     if lost.is_empty() {
         Ok(point)
     } else {
--- a/benches/tests/scale.rs
+++ b/benches/tests/scale.rs
@@ -47,9 +47,9 @@
             "{text}"
         );
         // What followers are told is what registries tell them.
-        let told = 3.0 * of("registry", "kB/s out to follower");
+        let acknowledged = 3.0 * of("registry", "kB/s out to follower");
         let heard = f64::from(size) * of("follower", "kB/s in from registry");
-        assert!((told - heard).abs() < 0.2 * told.max(heard), "{told} {heard}");
+        assert!((acknowledged - heard).abs() < 0.2 * acknowledged.max(heard), "{acknowledged} {heard}");
     }
     assert!(text.contains("fit followers, registry, connections: "), "{text}");
 }
@@ -60,9 +60,9 @@
         let output = scale(&["followers", "--sizes", "4", "--patience", "6", "--deaf", deaf]);
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         assert!(!output.status.success(), "{deaf} of 4 deaf: {text}");
-        let told =
+        let acknowledged =
             format!("{deaf} of 4 followers have taken in no configuration, the least knowing one 0 of 6");
-        assert!(text.contains(&told), "{text}");
+        assert!(text.contains(&acknowledged), "{text}");
     }
 }
 
--- a/crates/local-cluster/src/changes.rs
+++ b/crates/local-cluster/src/changes.rs
@@ -2,9 +2,9 @@
 //! at that moment.
 
 use crate::client::{try_at, Ask};
-use crate::cluster::{Plan, Stage};
-use crate::error::Fault;
-use crate::operator::{Bill, Operator};
+use crate::cluster::{LocalCluster, Plan};
+use crate::error::ClusterError;
+use crate::operator::{Operator, TestConfiguration};
 use crate::server::Server;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -39,30 +39,30 @@
     wanted: Wanted,
     end: &AtomicBool,
     mut hears: impl FnMut(usize, Change),
-) -> Result<Vec<Change>, Fault> {
-    let stage = Stage::start(
+) -> Result<Vec<Change>, ClusterError> {
+    let cluster = LocalCluster::start(
         Plan { cores: wanted.cores, proxies: wanted.proxies, ..Plan::default() }.bound("graceS", 2),
     )?;
-    let operator = Operator::new(stage.controls());
-    let mut bill = Bill::new(HOST).route("/first/", "safe", "reader");
-    operator.must_put(&bill)?;
-    let server = Server::start(&stage, 0, "reader")?;
-    server.enlist()?;
-    stage.until_ready()?;
+    let operator = Operator::new(cluster.controls());
+    let mut configuration = TestConfiguration::new(HOST).route("/first/", "safe", "reader");
+    operator.must_put(&configuration)?;
+    let server = Server::start(&cluster, 0, "reader")?;
+    server.register()?;
+    cluster.until_ready()?;
     let mut changes = Vec::new();
     for nth in 0..wanted.changes {
         if end.load(Ordering::SeqCst) {
             break;
         }
         let path = format!("/change-{nth}/");
-        bill = bill.next();
-        bill.routes.truncate(1);
-        bill = bill.route(&path, "safe", "reader");
+        configuration = configuration.next();
+        configuration.routes.truncate(1);
+        configuration = configuration.route(&path, "safe", "reader");
         let sent = Instant::now();
-        operator.must_put(&bill)?;
+        operator.must_put(&configuration)?;
         let took = sent.elapsed();
         let ask = Ask::get(HOST, &format!("{path}1"));
-        let asked: Vec<_> = stage
+        let command_line: Vec<_> = cluster
             .fronts()
             .into_iter()
             .map(|front| {
@@ -70,12 +70,12 @@
                 std::thread::spawn(move || try_at(front, &ask).status() == 404)
             })
             .collect();
-        let behind = asked.into_iter().filter_map(|a| a.join().ok()).filter(|behind| *behind).count();
+        let behind = command_line.into_iter().filter_map(|a| a.join().ok()).filter(|behind| *behind).count();
         let change = Change { took, behind };
         hears(nth, change);
         changes.push(change);
     }
-    stage.end();
+    cluster.end();
     Ok(changes)
 }
 
--- a/crates/local-cluster/src/checker.rs
+++ b/crates/local-cluster/src/checker.rs
@@ -5,7 +5,7 @@
 
 /// A try of a request that runs once, and what its client was told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct AcknowledgedCall {
     /// Its id.
     pub id: String,
     /// The status of the answer; 0: none came whole.
@@ -25,9 +25,9 @@
 
 /// What was seen of a run of the system.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Requests that run once, each with its tries.
-    pub requests: Vec<Vec<Told>>,
+    pub requests: Vec<Vec<AcknowledgedCall>>,
     /// What servers ran of them.
     pub runs: Vec<Ran>,
     /// What the system says of tries whose clients could not know, by id.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Found {
     /// Requests.
-    pub asked: usize,
+    pub command_line: usize,
     /// Requests that a server ran.
     pub run: usize,
     /// Requests whose client was told what a server said.
@@ -59,8 +59,8 @@
 }
 
 /// Whether an answer is a server's own, or a refusal of what was sent.
-fn is_answer(told: &Told) -> bool {
-    told.by.is_some() || told.status == 500
+fn is_answer(acknowledged: &AcknowledgedCall) -> bool {
+    acknowledged.by.is_some() || acknowledged.status == 500
 }
 
 /// Whether the system says that a try ran; none: it cannot tell.
@@ -73,46 +73,51 @@
 }
 
 /// Holds one against the other.
-pub fn check(seen: &Seen) -> Found {
-    let mut found = Found { asked: seen.requests.len(), ..Found::default() };
+pub fn check(seen: &ReceivedRequest) -> Found {
+    let mut found = Found { command_line: seen.requests.len(), ..Found::default() };
     let mut runs: HashMap<&str, Vec<&str>> = HashMap::new();
     for run in &seen.runs {
         runs.entry(run.id.as_str()).or_default().push(&run.server);
     }
     let mut sent: HashSet<&str> = HashSet::new();
-    for tries in &seen.requests {
+    for max_attempts in &seen.requests {
         let mut all = 0;
-        for told in tries {
-            sent.insert(&told.id);
-            let ran = runs.get(told.id.as_str()).map_or(&[][..], Vec::as_slice);
+        for acknowledged in max_attempts {
+            sent.insert(&acknowledged.id);
+            let ran = runs.get(acknowledged.id.as_str()).map_or(&[][..], Vec::as_slice);
             all += ran.len();
             let mut wrong = |what: &str| {
-                found.wrongs.push(format!("{}: {what}: told {}, ran at {ran:?}", told.id, told.status));
+                found.wrongs.push(format!(
+                    "{}: {what}: told {}, ran at {ran:?}",
+                    acknowledged.id, acknowledged.status
+                ));
             };
             if ran.len() > 1 {
                 wrong("ran more than once");
             }
-            if is_promise(told.status) && !ran.is_empty() {
+            if is_promise(acknowledged.status) && !ran.is_empty() {
                 wrong("a promise that was not kept");
             }
-            match &told.by {
+            match &acknowledged.by {
                 Some(by) if ran != [by.as_str()] => wrong("a success of another run"),
-                None if (200..300).contains(&told.status) => wrong("a success that is no server's"),
-                None if told.status == 500 && ran.is_empty() => wrong("a failure of a run that was not"),
+                None if (200..300).contains(&acknowledged.status) => wrong("a success that is no server's"),
+                None if acknowledged.status == 500 && ran.is_empty() => {
+                    wrong("a failure of a run that was not")
+                }
                 _ => {}
             }
-            let said = seen.said.get(&told.id).and_then(|said| says_ran(said));
+            let said = seen.said.get(&acknowledged.id).and_then(|said| says_ran(said));
             if said.is_some_and(|said| said == ran.is_empty()) {
                 wrong("the system says otherwise afterwards");
             }
             found.settled += usize::from(said.is_some());
         }
-        if all > 1 && tries.len() > 1 {
-            let ids: Vec<&str> = tries.iter().map(|t| t.id.as_str()).collect();
+        if all > 1 && max_attempts.len() > 1 {
+            let ids: Vec<&str> = max_attempts.iter().map(|t| t.id.as_str()).collect();
             found.wrongs.push(format!("{ids:?}: one request ran {all} times"));
         }
         found.run += usize::from(all > 0);
-        match tries.last() {
+        match max_attempts.last() {
             Some(last) if is_answer(last) => found.answered += 1,
             Some(last) if is_promise(last.status) => found.refused += 1,
             _ => found.unknown += 1,
@@ -128,48 +133,50 @@
 mod tests {
     use super::*;
 
-    fn told(id: &str, status: u16, by: Option<&str>) -> Told {
-        Told { id: id.into(), status, by: by.map(str::to_owned) }
+    fn acknowledged(id: &str, status: u16, by: Option<&str>) -> AcknowledgedCall {
+        AcknowledgedCall { id: id.into(), status, by: by.map(str::to_owned) }
     }
 
     fn ran(id: &str, server: &str) -> Ran {
         Ran { id: id.into(), server: server.into() }
     }
 
-    type Case = (&'static str, Vec<Vec<Told>>, Vec<Ran>, &'static str);
+    type Case = (&'static str, Vec<Vec<AcknowledgedCall>>, Vec<Ran>, &'static str);
 
     #[test]
     fn each_wrong_is_found_and_a_sound_run_has_none() {
         let said = |said: &str| BTreeMap::from([("a".to_owned(), said.to_owned())]);
-        let once = vec![vec![told("a", 200, Some("s1"))]];
-        let sound = Seen {
+        let once = vec![vec![acknowledged("a", 200, Some("s1"))]];
+        let sound = ReceivedRequest {
             requests: vec![
-                vec![told("p", 503, None), told("a", 200, Some("s1"))],
-                vec![told("b", 502, None)],
-                vec![told("c", 500, None)],
-                vec![told("d", 429, None)],
+                vec![acknowledged("p", 503, None), acknowledged("a", 200, Some("s1"))],
+                vec![acknowledged("b", 502, None)],
+                vec![acknowledged("c", 500, None)],
+                vec![acknowledged("d", 429, None)],
             ],
             runs: vec![ran("a", "s1"), ran("b", "s2"), ran("c", "s2")],
             said: BTreeMap::from([("b".to_owned(), "ran and failed".to_owned())]),
         };
         let found = check(&sound);
         assert!(found.wrongs.is_empty(), "{:?}", found.wrongs);
-        let counts = (found.asked, found.run, found.answered, found.refused, found.unknown, found.settled);
+        let counts =
+            (found.command_line, found.run, found.answered, found.refused, found.unknown, found.settled);
         assert_eq!(counts, (4, 3, 2, 1, 1, 1));
 
-        let two = |status, id: &str| vec![vec![told("a", status, None), told(id, 200, Some("s1"))]];
+        let two =
+            |status, id: &str| vec![vec![acknowledged("a", status, None), acknowledged(id, 200, Some("s1"))]];
         let cases: [Case; 8] = [
             ("more than once", once.clone(), vec![ran("a", "s1"), ran("a", "s1")], ""),
-            ("promise", vec![vec![told("a", 503, None)]], vec![ran("a", "s1")], ""),
+            ("promise", vec![vec![acknowledged("a", 503, None)]], vec![ran("a", "s1")], ""),
             ("of another run", once.clone(), vec![ran("a", "s2")], ""),
-            ("no server's", vec![vec![told("a", 200, None)]], vec![ran("a", "s1")], ""),
-            ("that was not", vec![vec![told("a", 500, None)]], vec![], ""),
+            ("no server's", vec![vec![acknowledged("a", 200, None)]], vec![ran("a", "s1")], ""),
+            ("that was not", vec![vec![acknowledged("a", 500, None)]], vec![], ""),
             ("one request ran 2", two(502, "b"), vec![ran("a", "s2"), ran("b", "s1")], ""),
             ("no client sent", once.clone(), vec![ran("a", "s1"), ran("z", "s1")], ""),
-            ("says otherwise", vec![vec![told("a", 504, None)]], vec![ran("a", "s1")], "did not run"),
+            ("says otherwise", vec![vec![acknowledged("a", 504, None)]], vec![ran("a", "s1")], "did not run"),
         ];
         for (what, requests, runs, word) in cases {
-            let found = check(&Seen { requests, runs, said: said(word) });
+            let found = check(&ReceivedRequest { requests, runs, said: said(word) });
             assert!(found.wrongs.iter().any(|w| w.contains(what)), "{what}: {:?}", found.wrongs);
         }
     }
--- a/crates/local-cluster/src/client.rs
+++ b/crates/local-cluster/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients: one try at one proxy, and requests by way of the directory, over connections that are kept.
 
 use crate::cluster::get;
-use crate::http::{Broken, Message, Wire};
+use crate::http::{HttpConnection, HttpError, Message};
 use crate::server::sealed_by;
 use miniserde::{json, Deserialize};
 use std::collections::HashMap;
@@ -62,7 +62,7 @@
     /// When it had ended.
     pub ended: Instant,
     /// What came back.
-    pub got: Result<Message, Broken>,
+    pub got: Result<Message, HttpError>,
 }
 
 impl Try {
@@ -95,11 +95,16 @@
 
 /// A name for a try.
 pub fn try_id() -> String {
-    format!("{:016x}", crate::chance())
+    format!("{:016x}", crate::random_u64())
 }
 
 /// Sends one try on this connection and reads its answer.
-fn exchange(wire: &mut Wire, ask: &Ask, id: &str, until: Instant) -> Result<Message, Broken> {
+fn exchange(
+    connection: &mut HttpConnection,
+    ask: &Ask,
+    id: &str,
+    until: Instant,
+) -> Result<Message, HttpError> {
     let left = until.saturating_duration_since(Instant::now()).as_millis();
     let key = ask.key.as_ref().map_or(String::new(), |k| format!("Authorization: Bearer {k}\r\n"));
     let length = match ask.method {
@@ -111,8 +116,8 @@
         ask.method, ask.path, ask.host
     );
     // A failed write may still have an answer before it.
-    let _ = wire.send(&[head.as_bytes(), &ask.body].concat());
-    wire.answer(until)
+    let _ = connection.send(&[head.as_bytes(), &ask.body].concat());
+    connection.answer(until)
 }
 
 /// One try at this proxy, on a connection of its own.
@@ -124,15 +129,15 @@
 /// looks for that.
 pub fn again_at(to: SocketAddr, ask: &Ask, id: &str) -> Try {
     let (id, sent) = (id.to_owned(), Instant::now());
-    let got = match Wire::connect(to, SECOND) {
-        Ok(mut wire) => exchange(&mut wire, ask, &id, sent + ask.within),
-        Err(_) => Err(Broken::Unreachable),
+    let got = match HttpConnection::connect(to, SECOND) {
+        Ok(mut connection) => exchange(&mut connection, ask, &id, sent + ask.within),
+        Err(_) => Err(HttpError::Unreachable),
     };
     Try { id, to, sent, ended: Instant::now(), got }
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct LookupAnswer {
     addresses: Vec<String>,
     #[serde(rename = "validS")]
     valid: f64,
@@ -146,13 +151,13 @@
     directory: SocketAddr,
     host: &str,
     zone: (&str, &str),
-) -> Result<(Vec<SocketAddr>, Duration), Broken> {
+) -> Result<(Vec<SocketAddr>, Duration), HttpError> {
     let path = format!("/lookup?name={host}&region={}&zone={}", zone.1, zone.0);
     let answer = get(directory, &path, SECOND)?;
-    let text = String::from_utf8(answer.body).map_err(|_| Broken::Garbled)?;
-    let told: Told = json::from_str(&text).map_err(|_| Broken::Garbled)?;
-    let addresses: Option<Vec<SocketAddr>> = told.addresses.iter().map(|a| a.parse().ok()).collect();
-    Ok((addresses.ok_or(Broken::Garbled)?, Duration::from_secs_f64(told.valid.clamp(0.0, 5.0))))
+    let text = String::from_utf8(answer.body).map_err(|_| HttpError::Garbled)?;
+    let acknowledged: LookupAnswer = json::from_str(&text).map_err(|_| HttpError::Garbled)?;
+    let addresses: Option<Vec<SocketAddr>> = acknowledged.addresses.iter().map(|a| a.parse().ok()).collect();
+    Ok((addresses.ok_or(HttpError::Garbled)?, Duration::from_secs_f64(acknowledged.valid.clamp(0.0, 5.0))))
 }
 
 /// What came of a request.
@@ -172,7 +177,7 @@
     zone: (&'static str, &'static str),
     addresses: Vec<SocketAddr>,
     until: Instant,
-    kept: HashMap<SocketAddr, Vec<Wire>>,
+    kept: HashMap<SocketAddr, Vec<HttpConnection>>,
     failed: HashMap<SocketAddr, Instant>,
 }
 
@@ -187,8 +192,8 @@
         if Instant::now() < self.until && !self.addresses.is_empty() {
             return;
         }
-        let told = self.directories.iter().take(3).find_map(|at| lookup(*at, host, self.zone).ok());
-        match told {
+        let acknowledged = self.directories.iter().take(3).find_map(|at| lookup(*at, host, self.zone).ok());
+        match acknowledged {
             Some((addresses, valid)) => {
                 self.kept.retain(|to, _| addresses.contains(to));
                 self.addresses = addresses;
@@ -202,44 +207,45 @@
     /// Sends a request, again where that is allowed and helps; all tries, the last one last.
     pub fn ask(&mut self, ask: &Ask) -> (End, Vec<Try>) {
         let until = Instant::now() + ask.within;
-        let mut tries: Vec<Try> = Vec::new();
-        while tries.len() < TRIES && Instant::now() < until {
+        let mut max_attempts: Vec<Try> = Vec::new();
+        while max_attempts.len() < TRIES && Instant::now() < until {
             self.look_up(&ask.host);
             let able: Vec<SocketAddr> = {
                 let failed = |a: &&SocketAddr| self.failed.get(*a).is_none_or(|at| at.elapsed() > SECOND);
                 self.addresses.iter().filter(failed).copied().collect()
             };
             let from = if able.is_empty() { &self.addresses } else { &able };
-            let Some(to) = from.get(crate::chance() as usize % from.len().max(1)).copied() else {
+            let Some(to) = from.get(crate::random_u64() as usize % from.len().max(1)).copied() else {
                 std::thread::sleep(SECOND / 20);
                 continue;
             };
             // After a failure connections are new ones.
-            let kept = if tries.is_empty() { self.kept.entry(to).or_default() } else { &mut Vec::new() };
-            let quiet = std::iter::from_fn(|| kept.pop()).find(Wire::is_quiet);
+            let kept =
+                if max_attempts.is_empty() { self.kept.entry(to).or_default() } else { &mut Vec::new() };
+            let quiet = std::iter::from_fn(|| kept.pop()).find(HttpConnection::is_quiet);
             let (id, sent) = (try_id(), Instant::now());
-            let wire = quiet.or_else(|| Wire::connect(to, SECOND).ok());
-            let got = match wire {
-                Some(mut wire) => {
-                    let got = exchange(&mut wire, ask, &id, until);
+            let connection = quiet.or_else(|| HttpConnection::connect(to, SECOND).ok());
+            let got = match connection {
+                Some(mut connection) => {
+                    let got = exchange(&mut connection, ask, &id, until);
                     if got.as_ref().is_ok_and(|answer| !answer.closes()) {
-                        self.kept.entry(to).or_default().push(wire);
+                        self.kept.entry(to).or_default().push(connection);
                     }
                     got
                 }
-                None => Err(Broken::Unreachable),
+                None => Err(HttpError::Unreachable),
             };
             let wait = got.as_ref().ok().and_then(|a| a.field("retry-after")?.parse::<f64>().ok());
-            tries.push(Try { id, to, sent, ended: Instant::now(), got });
-            let Some(last) = tries.last() else { break };
+            max_attempts.push(Try { id, to, sent, ended: Instant::now(), got });
+            let Some(last) = max_attempts.last() else { break };
             match last.status() {
-                200..=299 => return (End::Served, tries),
+                200..=299 => return (End::Served, max_attempts),
                 400 | 401 | 404 | 413 | 431 => break,
                 0 => _ = self.failed.insert(to, Instant::now()),
                 _ => {}
             }
             let again =
-                ask.safe || last.is_promise() || last.got.as_ref().err() == Some(&Broken::Unreachable);
+                ask.safe || last.is_promise() || last.got.as_ref().err() == Some(&HttpError::Unreachable);
             if !again {
                 break;
             }
@@ -247,7 +253,7 @@
             let wait = Duration::from_secs_f64(wait.unwrap_or(0.02).clamp(0.0, 10.0));
             std::thread::sleep(wait.min(left / 3));
         }
-        let refused = tries.last().is_some_and(Try::is_promise);
-        (if refused { End::Refused } else { End::Failed }, tries)
+        let refused = max_attempts.last().is_some_and(Try::is_promise);
+        (if refused { End::Refused } else { End::Failed }, max_attempts)
     }
 }
--- a/crates/local-cluster/src/cluster.rs
+++ b/crates/local-cluster/src/cluster.rs
@@ -1,7 +1,7 @@
 //! Machines on loopback: addresses, settings files, and the programs as processes that can be killed, frozen and ended.
 
-use crate::error::Fault;
-use crate::http::{Message, Wire};
+use crate::error::ClusterError;
+use crate::http::{HttpConnection, Message};
 use crate::wait;
 use std::fs::{self, File};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -127,7 +127,7 @@
 
 /// The system. What it has started ends with it.
 #[derive(Debug)]
-pub struct Stage {
+pub struct LocalCluster {
     folder: PathBuf,
     plan: Plan,
     first_port: u16,
@@ -140,31 +140,31 @@
 }
 
 /// Addresses that no other local cluster on this machine uses: 127.0.N.*.
-fn draw_net() -> Result<(u8, TcpListener), Fault> {
+fn draw_net() -> Result<(u8, TcpListener), ClusterError> {
     const GUARD: u16 = 7641;
     let free = |n: u8| Some((n, TcpListener::bind((Ipv4Addr::new(127, 0, n, 254), GUARD)).ok()?));
-    (1..=254).find_map(free).ok_or_else(|| Fault::NoRoom("all loopback addresses are in use".into()))
+    (1..=254).find_map(free).ok_or_else(|| ClusterError::NoRoom("all loopback addresses are in use".into()))
 }
 
 /// Ports that are free on all addresses, below those that the system gives to outgoing connections.
-fn draw_ports() -> Result<u16, Fault> {
+fn draw_ports() -> Result<u16, ClusterError> {
     let free =
         |first: &u16| (0..PORTS).all(|n| TcpListener::bind((Ipv4Addr::UNSPECIFIED, first + n)).is_ok());
-    let mut drawn = (0..200).map(|_| 10_000 + (crate::chance() % 20_000) as u16);
-    drawn.find(free).ok_or_else(|| Fault::NoRoom("no free ports in a row".into()))
+    let mut drawn = (0..200).map(|_| 10_000 + (crate::random_u64() % 20_000) as u16);
+    drawn.find(free).ok_or_else(|| ClusterError::NoRoom("no free ports in a row".into()))
 }
 
-impl Stage {
+impl LocalCluster {
     /// Writes all settings and starts all programs, on empty disks.
     ///
     /// # Errors
     /// When a program is missing, or does not start.
-    pub fn start(plan: Plan) -> Result<Stage, Fault> {
+    pub fn start(plan: Plan) -> Result<LocalCluster, ClusterError> {
         let programs = crate::programs::folder()?;
         let (net, guard) = draw_net()?;
         let first_port = draw_ports()?;
         let folder = std::env::temp_dir().join(format!("oatbank-local-cluster-{}-{net}", std::process::id()));
-        fs::create_dir_all(&folder).map_err(Fault::io(folder.display().to_string()))?;
+        fs::create_dir_all(&folder).map_err(ClusterError::io(folder.display().to_string()))?;
         let machine = |at: usize| {
             let core = at < plan.cores;
             let nth = if core { at } else { at - plan.cores };
@@ -173,16 +173,16 @@
             Machine { name, ip, zone: nth % ZONES.len(), core, born: false, running: Vec::new() }
         };
         let machines = Mutex::new((0..plan.cores + plan.proxies).map(machine).collect());
-        let stage = Stage { folder, plan, first_port, net, machines, programs, _guard: guard };
-        for core in stage.cores() {
+        let cluster = LocalCluster { folder, plan, first_port, net, machines, programs, _guard: guard };
+        for core in cluster.cores() {
             for role in CORE {
-                stage.run(core, role)?;
+                cluster.run(core, role)?;
             }
         }
-        for proxy in stage.proxies() {
-            stage.run(proxy, Role::Proxy)?;
+        for proxy in cluster.proxies() {
+            cluster.run(proxy, Role::Proxy)?;
         }
-        Ok(stage)
+        Ok(cluster)
     }
 
     /// The folder with settings, logs and data.
@@ -260,7 +260,7 @@
     }
 
     /// Servers speak up about this often.
-    pub fn beat_every(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(self.plan.beat_every_ms)
     }
 
@@ -295,7 +295,7 @@
             "nodeName = \"{name}\"\nrole = \"{class}\"\nmachineClass = \"{class}\"\nserves = [{serves}]\nip = \"{ip}\"\n\
              zone = \"{zone}\"\nregion = \"{region}\"\ninnerPorts = [{first},{last}]\nseeds = [{seeds}]\n\
              firstStart = {first_start}\ncounted = {core}\ndiscovery = \"sign_up\"\nentry = \"directory\"\n{data}\
-             beatEveryMs = {beat}\n\
+             beatEveryMs = {heartbeat}\n\
              rulesInForce = [\"base\",\"drain\",\"config\",\"cost\",\"retry\",\"recover\",\"places\",\"tenants\",\"quota\"]\n\
              [zones]\n{zones}[listenOn]\n{listen}\
              [limits]\ncpuShare = 1.0\ncores = 1\nmemoryMb = 400\nopenFiles = 4100\nlinkMbps = 1000.0\ndiskMb = 200\n\
@@ -307,7 +307,7 @@
             seeds = seeds.join(","),
             first_start = !m.born,
             core = m.core,
-            beat = self.plan.beat_every_ms,
+            heartbeat = self.plan.beat_every_ms,
             tolerates = self.plan.tolerates,
         )
     }
@@ -316,10 +316,10 @@
     ///
     /// # Errors
     /// When it does not start.
-    pub fn run(&self, machine: usize, role: Role) -> Result<(), Fault> {
+    pub fn run(&self, machine: usize, role: Role) -> Result<(), ClusterError> {
         self.with(machine, |m| {
             let folder = self.folder.join(&m.name);
-            let of = |path: &Path| Fault::io(path.display().to_string());
+            let of = |path: &Path| ClusterError::io(path.display().to_string());
             fs::create_dir_all(folder.join("data")).map_err(of(&folder))?;
             let settings = folder.join(format!("{}.toml", role.program()));
             fs::write(&settings, self.settings(machine, m)).map_err(of(&settings))?;
@@ -372,18 +372,26 @@
     ///
     /// # Errors
     /// When a program does not run.
-    pub fn signal(&self, name: &str, which: &[(usize, Role)]) -> Result<(), Fault> {
+    pub fn signal(&self, name: &str, which: &[(usize, Role)]) -> Result<(), ClusterError> {
         let mut ids = Vec::new();
         for (machine, role) in which {
             let id = self.with(*machine, |m| m.running.iter().find(|(r, _)| r == role).map(|(_, c)| c.id()));
-            ids.push(id.ok_or_else(|| Fault::Never(format!("{role:?} on {machine} runs")))?.to_string());
+            ids.push(
+                id.ok_or_else(|| ClusterError::Never(format!("{role:?} on {machine} runs")))?.to_string(),
+            );
         }
         if ids.is_empty() {
             return Ok(());
         }
-        let told =
-            Command::new("kill").arg(format!("-{name}")).args(&ids).status().map_err(Fault::io("kill"))?;
-        told.success().then_some(()).ok_or_else(|| Fault::Never(format!("kill -{name} {}", ids.join(" "))))
+        let acknowledged = Command::new("kill")
+            .arg(format!("-{name}"))
+            .args(&ids)
+            .status()
+            .map_err(ClusterError::io("kill"))?;
+        acknowledged
+            .success()
+            .then_some(())
+            .ok_or_else(|| ClusterError::Never(format!("kill -{name} {}", ids.join(" "))))
     }
 
     /// The id of a program's process, while it runs.
@@ -400,7 +408,7 @@
     ///
     /// # Errors
     /// When it does not end in time.
-    pub fn ended(&self, machine: usize, role: Role, within: Duration) -> Result<ExitStatus, Fault> {
+    pub fn ended(&self, machine: usize, role: Role, within: Duration) -> Result<ExitStatus, ClusterError> {
         let status = wait::until(within, &format!("{role:?} on {machine} ends"), || {
             self.with(machine, |m| {
                 let at = m.running.iter().position(|(r, _)| *r == role)?;
@@ -435,7 +443,7 @@
     }
 
     /// Whether a program has ever said this in its log.
-    pub fn has_said(&self, machine: usize, role: Role, words: &str) -> bool {
+    pub fn has_logged(&self, machine: usize, role: Role, words: &str) -> bool {
         let log = self.with(machine, |m| self.folder.join(&m.name).join(format!("{}.log", role.program())));
         fs::read_to_string(log).is_ok_and(|log| log.contains(words))
     }
@@ -444,7 +452,7 @@
     ///
     /// # Errors
     /// When they are not in time.
-    pub fn until_ready(&self) -> Result<(), Fault> {
+    pub fn until_ready(&self) -> Result<(), ClusterError> {
         for proxy in self.proxies() {
             wait::holds(wait::LONG, &format!("proxy {proxy} is ready"), || self.ready(proxy) == Some(200))?;
         }
@@ -470,7 +478,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for LocalCluster {
     fn drop(&mut self) {
         let all: Vec<(usize, Role)> = (0..self.plan.cores + self.plan.proxies)
             .flat_map(|at| [Role::Proxy, Role::Registry, Role::Store].map(|role| (at, role)))
@@ -489,7 +497,7 @@
 ///
 /// # Errors
 /// How it ended.
-pub fn get(to: SocketAddr, path: &str, within: Duration) -> Result<Message, crate::http::Broken> {
+pub fn get(to: SocketAddr, path: &str, within: Duration) -> Result<Message, crate::http::HttpError> {
     call(to, "GET", path, "", within)
 }
 
@@ -503,15 +511,15 @@
     path: &str,
     body: &str,
     within: Duration,
-) -> Result<Message, crate::http::Broken> {
-    use crate::http::Broken;
+) -> Result<Message, crate::http::HttpError> {
+    use crate::http::HttpError;
     let until = Instant::now() + within;
-    let mut wire = Wire::connect(to, within).map_err(|_| Broken::Unreachable)?;
+    let mut connection = HttpConnection::connect(to, within).map_err(|_| HttpError::Unreachable)?;
     let length = match method {
         "GET" => String::new(),
         _ => format!("Content-Type: application/json\r\nContent-Length: {}\r\n", body.len()),
     };
     let text = format!("{method} {path} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\n{length}\r\n{body}");
-    wire.send(text.as_bytes()).map_err(|_| Broken::Cut)?;
-    wire.answer(until)
+    connection.send(text.as_bytes()).map_err(|_| HttpError::Cut)?;
+    connection.answer(until)
 }
--- a/crates/local-cluster/src/error.rs
+++ b/crates/local-cluster/src/error.rs
@@ -6,7 +6,7 @@
     /// Why the system, or a call to it, did not come about.
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no words at fields.
-    pub enum Fault {
+    pub enum ClusterError {
         /// A file, folder or socket.
         Io(what: String, error: std::io::Error) {
             source(error)
@@ -31,9 +31,9 @@
     }
 }
 
-impl Fault {
+impl ClusterError {
     /// Something with a file or socket.
-    pub fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> Fault {
-        move |error| Fault::Io(what.into(), error)
+    pub fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ClusterError {
+        move |error| ClusterError::Io(what.into(), error)
     }
 }
--- a/crates/local-cluster/src/failing.rs
+++ b/crates/local-cluster/src/failing.rs
@@ -1,12 +1,12 @@
 //! A backend that turns slow, then fails, then recovers, under bookings that must land once: live figures,
 //! and the checker's word at the end.
 
-use crate::checker::{self, Found, Ran, Told};
+use crate::checker::{self, AcknowledgedCall, Found, Ran};
 use crate::client::{again_at, Ask, Try};
-use crate::cluster::{Plan, Stage, INNER_PROXY, INNER_REGISTRY};
-use crate::error::Fault;
-use crate::operator::{Bill, Operator};
-use crate::server::{Manner, Server};
+use crate::cluster::{LocalCluster, Plan, INNER_PROXY, INNER_REGISTRY};
+use crate::error::ClusterError;
+use crate::operator::{Operator, TestConfiguration};
+use crate::server::{Behaviour, Server};
 use crate::shell;
 use crate::traffic::Traffic;
 use crate::wait;
@@ -31,11 +31,11 @@
 const EACH: usize = 40;
 
 /// What the one backend does, from which share of the time on.
-const PHASES: [(f64, &str, Manner); 4] = [
-    (0.0, "calm", Manner::Serve),
-    (0.2, "slow", Manner::Slow),
-    (0.45, "failing", Manner::Fails),
-    (0.7, "recovered", Manner::Serve),
+const PHASES: [(f64, &str, Behaviour); 4] = [
+    (0.0, "calm", Behaviour::Serve),
+    (0.2, "slow", Behaviour::Slow),
+    (0.45, "failing", Behaviour::Fails),
+    (0.7, "recovered", Behaviour::Serve),
 ];
 
 /// What is wanted.
@@ -63,7 +63,7 @@
     pub shares: Vec<f64>,
     /// Bookings that ended in this time, those told what a server said, those promised that nothing ran, and
     /// the others.
-    pub asked: u64,
+    pub command_line: u64,
     /// Bookings that servers began.
     pub run: u64,
     /// Told what a server said.
@@ -92,18 +92,18 @@
     pub reads: Vec<u64>,
 }
 
-fn told(one: &Try) -> Told {
-    Told { id: one.id.clone(), status: one.status(), by: one.served_by() }
+fn acknowledged(one: &Try) -> AcknowledgedCall {
+    AcknowledgedCall { id: one.id.clone(), status: one.status(), by: one.served_by() }
 }
 
-fn phase(share: f64) -> (&'static str, Manner) {
+fn phase(share: f64) -> (&'static str, Behaviour) {
     let phase = PHASES.iter().rev().find(|(from, _, _)| share >= *from).unwrap_or(&PHASES[0]);
     (phase.1, phase.2)
 }
 
 /// What a proxy thinks of a server, if it answers that.
-fn verdict(stage: &Stage, proxy: usize, id: &str) -> Option<String> {
-    let table = shell::ask(stage.inner(proxy, INNER_PROXY), &["verdicts"])?;
+fn verdict(cluster: &LocalCluster, proxy: usize, id: &str) -> Option<String> {
+    let table = shell::ask(cluster.inner(proxy, INNER_PROXY), &["verdicts"])?;
     // Servers that are simply well have no row.
     Some(table.cell(id, "verdict").unwrap_or("well").to_owned())
 }
@@ -126,7 +126,7 @@
         m.at,
         m.phase,
         shares.join(" "),
-        m.asked,
+        m.command_line,
         m.run,
         m.answered,
         m.refused,
@@ -139,35 +139,38 @@
 ///
 /// # Errors
 /// When the system does not come about, or one of its programs ends by itself.
-pub fn play(wanted: &Wanted, end: &AtomicBool, mut tell: impl FnMut(&str)) -> Result<Played, Fault> {
-    let stage = Stage::start(Plan::default().bound("graceS", 2))?;
-    let operator = Operator::new(stage.controls());
-    operator.must_put(&Bill::new(HOST).route("/book/", "unsafe", BOOK).route("/read/", "safe", READ))?;
+pub fn play(wanted: &Wanted, end: &AtomicBool, mut tell: impl FnMut(&str)) -> Result<Played, ClusterError> {
+    let cluster = LocalCluster::start(Plan::default().bound("graceS", 2))?;
+    let operator = Operator::new(cluster.controls());
+    operator.must_put(
+        &TestConfiguration::new(HOST).route("/book/", "unsafe", BOOK).route("/read/", "safe", READ),
+    )?;
     let start = |nth: usize| {
         let service = if nth < BOOKERS { BOOK } else { READ };
-        Server::with(&stage, nth, service, SLOTS, WORK)
+        Server::with(&cluster, nth, service, SLOTS, WORK)
     };
     let servers: Vec<Server> = (0..BOOKERS + READERS).map(start).collect::<Result<_, _>>()?;
     for server in &servers {
-        server.enlist()?;
+        server.register()?;
     }
-    stage.until_ready()?;
+    cluster.until_ready()?;
     let (bookers, _) = servers.split_at(BOOKERS);
     let names: Vec<String> = bookers.iter().map(|s| s.id().to_owned()).collect();
     tell(&heading(&names));
     let booking = Ask { within: WITHIN, ..Ask::post(HOST, "/book/1", "a hall") };
-    let bookings = Traffic::start(&stage.directories(), std::slice::from_ref(&booking), wanted.rate, true);
-    let reads = Traffic::start(&stage.directories(), &[Ask::get(HOST, "/read/1")], wanted.rate / 2.0, false);
+    let bookings = Traffic::start(&cluster.directories(), std::slice::from_ref(&booking), wanted.rate, true);
+    let reads =
+        Traffic::start(&cluster.directories(), &[Ask::get(HOST, "/read/1")], wanted.rate / 2.0, false);
 
     let begun = Instant::now();
-    let mut seen = checker::Seen::default();
+    let mut seen = checker::ReceivedRequest::default();
     let mut moments: Vec<Moment> = Vec::new();
     let mut counted = vec![0; BOOKERS];
     let mut doubled: Vec<String> = Vec::new();
     let mut asks_verdicts = true;
     while begun.elapsed() < wanted.span && !end.load(Ordering::SeqCst) {
-        let (name, manner) = phase(begun.elapsed().as_secs_f64() / wanted.span.as_secs_f64());
-        bookers[0].turn(manner);
+        let (name, behaviour) = phase(begun.elapsed().as_secs_f64() / wanted.span.as_secs_f64());
+        bookers[0].set_behaviour(behaviour);
         wait::moment(begun + wanted.step * (moments.len() as u32 + 1));
         let count = bookings.take();
         let now: Vec<usize> =
@@ -175,19 +178,23 @@
         let run: Vec<u64> = now.iter().zip(&counted).map(|(now, before)| (now - before) as u64).collect();
         counted = now;
         let all: u64 = run.iter().sum();
-        let requests: Vec<Vec<Told>> =
-            count.tries.iter().map(|(_, tries)| tries.iter().map(told).collect()).collect();
-        let part = checker::check(&checker::Seen { requests: requests.clone(), ..Default::default() });
+        let requests: Vec<Vec<AcknowledgedCall>> = count
+            .max_attempts
+            .iter()
+            .map(|(_, max_attempts)| max_attempts.iter().map(acknowledged).collect())
+            .collect();
+        let part =
+            checker::check(&checker::ReceivedRequest { requests: requests.clone(), ..Default::default() });
         let mut verdicts = Vec::new();
         if asks_verdicts {
-            verdicts = stage.proxies().filter_map(|p| verdict(&stage, p, &names[0])).collect();
+            verdicts = cluster.proxies().filter_map(|p| verdict(&cluster, p, &names[0])).collect();
             asks_verdicts = !verdicts.is_empty();
         }
         let moment = Moment {
             at: begun.elapsed().as_secs_f64(),
             phase: name.to_owned(),
             shares: run.iter().map(|n| *n as f64 / all.max(1) as f64).collect(),
-            asked: part.asked as u64,
+            command_line: part.command_line as u64,
             run: all,
             answered: part.answered as u64,
             refused: part.refused as u64,
@@ -198,23 +205,25 @@
         moments.push(moment);
         seen.requests.extend(requests);
         if wanted.duplicate && seen.requests.len() / EACH > doubled.len() {
-            let fronts = stage.fronts();
+            let fronts = cluster.fronts();
             let first = crate::client::try_at(fronts[0], &booking);
             let second = again_at(fronts[1], &booking, &first.id);
-            seen.requests.push(vec![told(&first)]);
+            seen.requests.push(vec![acknowledged(&first)]);
             doubled.push(second.id);
         }
     }
     let more = bookings.stop();
-    seen.requests.extend(more.tries.iter().map(|(_, tries)| tries.iter().map(told).collect()));
+    seen.requests.extend(
+        more.max_attempts.iter().map(|(_, max_attempts)| max_attempts.iter().map(acknowledged).collect()),
+    );
     let reads = reads.stop();
     std::thread::sleep(CALM);
 
     // What clients could not know is asked for at the core, as a planner would.
-    let unsure = |t: &&Told| t.by.is_none() && t.status != 500 && !checker::is_promise(t.status);
+    let unsure = |t: &&AcknowledgedCall| t.by.is_none() && t.status != 500 && !checker::is_promise(t.status);
     let unsure: Vec<String> =
         seen.requests.iter().flatten().filter(unsure).map(|t| format!("outcome {}", t.id)).collect();
-    let core = stage.inner(stage.cores().start, INNER_REGISTRY);
+    let core = cluster.inner(cluster.cores().start, INNER_REGISTRY);
     for table in shell::ask_all(core, &unsure) {
         if let Some((id, said)) = table.title.split_once(": ") {
             let said = said.split([';', '(']).next().unwrap_or_default().trim().to_owned();
@@ -228,15 +237,15 @@
         let ran = server.seen().into_iter().filter(|s| s.ran);
         seen.runs.extend(ran.map(|s| Ran { id: s.try_id, server: server.id().to_owned() }));
     }
-    let lost = stage.lost();
+    let lost = cluster.lost();
     let mut found = checker::check(&seen);
     found.wrongs.extend(lost.iter().map(|program| format!("has ended by itself: {program}")));
     for said in words(&seen.said) {
         tell(&said);
     }
     tell(&closing(&found));
-    stage.end();
-    let totals = [found.asked, found.run, found.answered, found.refused, found.unknown, found.settled];
+    cluster.end();
+    let totals = [found.command_line, found.run, found.answered, found.refused, found.unknown, found.settled];
     Ok(Played {
         servers: names,
         moments,
@@ -259,7 +268,7 @@
 fn closing(found: &Found) -> String {
     let mut text = format!(
         "{} bookings: {} run, {} answered, {} refused, {} unknown to clients, {} settled afterwards",
-        found.asked, found.run, found.answered, found.refused, found.unknown, found.settled
+        found.command_line, found.run, found.answered, found.refused, found.unknown, found.settled
     );
     for wrong in &found.wrongs {
         text += &format!("\nWRONG {wrong}");
--- a/crates/local-cluster/src/http.rs
+++ b/crates/local-cluster/src/http.rs
@@ -9,7 +9,7 @@
 
 /// How a message ended before it was whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum HttpError {
     /// No connection came up.
     Unreachable,
     /// Closed before its first byte.
@@ -51,24 +51,24 @@
 
 /// One connection.
 #[derive(Debug)]
-pub struct Wire {
+pub struct HttpConnection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-impl Wire {
+impl HttpConnection {
     /// Connects.
     ///
     /// # Errors
     /// As the system says.
-    pub fn connect(to: SocketAddr, within: Duration) -> io::Result<Wire> {
-        Ok(Wire::new(TcpStream::connect_timeout(&to, within)?))
+    pub fn connect(to: SocketAddr, within: Duration) -> io::Result<HttpConnection> {
+        Ok(HttpConnection::new(TcpStream::connect_timeout(&to, within)?))
     }
 
     /// Over this stream.
-    pub fn new(stream: TcpStream) -> Wire {
+    pub fn new(stream: TcpStream) -> HttpConnection {
         let _ = stream.set_nodelay(true);
-        Wire { stream, buffer: Vec::new() }
+        HttpConnection { stream, buffer: Vec::new() }
     }
 
     /// Sends bytes.
@@ -98,21 +98,21 @@
     ///
     /// # Errors
     /// When the other side has closed.
-    pub fn wait(&mut self, within: Duration) -> Result<bool, Broken> {
+    pub fn wait(&mut self, within: Duration) -> Result<bool, HttpError> {
         if !self.buffer.is_empty() {
             return Ok(true);
         }
         match self.fill(Instant::now() + within) {
             Ok(()) => Ok(true),
-            Err(Broken::Late) => Ok(false),
+            Err(HttpError::Late) => Ok(false),
             Err(e) => Err(e),
         }
     }
 
-    fn fill(&mut self, until: Instant) -> Result<(), Broken> {
-        let broken = if self.buffer.is_empty() { Broken::Closed } else { Broken::Cut };
+    fn fill(&mut self, until: Instant) -> Result<(), HttpError> {
+        let broken = if self.buffer.is_empty() { HttpError::Closed } else { HttpError::Cut };
         let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-        self.stream.set_read_timeout(Some(left)).map_err(|_| Broken::Cut)?;
+        self.stream.set_read_timeout(Some(left)).map_err(|_| HttpError::Cut)?;
         let mut bytes = [0; 16 * 1024];
         match self.stream.read(&mut bytes) {
             Ok(0) => Err(broken),
@@ -121,10 +121,10 @@
                 Ok(())
             }
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                Err(Broken::Late)
+                Err(HttpError::Late)
             }
             Err(e) if e.kind() == io::ErrorKind::Interrupted => Ok(()),
-            Err(_) => Err(Broken::Cut),
+            Err(_) => Err(HttpError::Cut),
         }
     }
 
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// How it ended.
-    pub fn request(&mut self, until: Instant) -> Result<Message, Broken> {
+    pub fn request(&mut self, until: Instant) -> Result<Message, HttpError> {
         let mut message = self.head(until, request_head)?;
         self.body(&mut message, until, true)?;
         Ok(message)
@@ -142,13 +142,13 @@
     ///
     /// # Errors
     /// How it ended.
-    pub fn answer(&mut self, until: Instant) -> Result<Message, Broken> {
+    pub fn answer(&mut self, until: Instant) -> Result<Message, HttpError> {
         let mut message = self.head(until, answer_head)?;
         self.body(&mut message, until, false)?;
         Ok(message)
     }
 
-    fn head(&mut self, until: Instant, parse: fn(&[u8]) -> Parsed) -> Result<Message, Broken> {
+    fn head(&mut self, until: Instant, parse: fn(&[u8]) -> Parsed) -> Result<Message, HttpError> {
         loop {
             if !self.buffer.is_empty() {
                 if let Some((length, message)) = parse(&self.buffer)? {
@@ -156,16 +156,17 @@
                     return Ok(message);
                 }
                 if self.buffer.len() > LONGEST_HEAD {
-                    return Err(Broken::Garbled);
+                    return Err(HttpError::Garbled);
                 }
             }
             self.fill(until)?;
         }
     }
 
-    fn body(&mut self, message: &mut Message, until: Instant, request: bool) -> Result<(), Broken> {
+    fn body(&mut self, message: &mut Message, until: Instant, request: bool) -> Result<(), HttpError> {
         let chunked = message.field("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
-        let length = message.field("content-length").map(|v| v.parse::<usize>().map_err(|_| Broken::Garbled));
+        let length =
+            message.field("content-length").map(|v| v.parse::<usize>().map_err(|_| HttpError::Garbled));
         match length.transpose()? {
             _ if matches!(message.status, 204 | 304) => {}
             _ if chunked => message.body = self.chunks(until)?,
@@ -174,8 +175,8 @@
             None => loop {
                 match self.fill(until) {
                     Ok(()) => {}
-                    Err(Broken::Closed) => return Ok(()),
-                    Err(Broken::Cut) if self.stream.peek(&mut [0]).is_ok_and(|n| n == 0) => {
+                    Err(HttpError::Closed) => return Ok(()),
+                    Err(HttpError::Cut) if self.stream.peek(&mut [0]).is_ok_and(|n| n == 0) => {
                         message.body = std::mem::take(&mut self.buffer);
                         return Ok(());
                     }
@@ -187,48 +188,48 @@
     }
 
     /// Bytes within a message: an end here cuts it.
-    fn bytes(&mut self, length: usize, until: Instant) -> Result<Vec<u8>, Broken> {
+    fn bytes(&mut self, length: usize, until: Instant) -> Result<Vec<u8>, HttpError> {
         while self.buffer.len() < length {
-            self.fill(until).map_err(|e| if e == Broken::Closed { Broken::Cut } else { e })?;
+            self.fill(until).map_err(|e| if e == HttpError::Closed { HttpError::Cut } else { e })?;
         }
         Ok(self.buffer.drain(..length).collect())
     }
 
-    fn line(&mut self, until: Instant) -> Result<String, Broken> {
+    fn line(&mut self, until: Instant) -> Result<String, HttpError> {
         loop {
             if let Some(at) = self.buffer.windows(2).position(|w| w == b"\r\n") {
                 let line: Vec<u8> = self.buffer.drain(..at + 2).collect();
-                return String::from_utf8(line[..at].to_vec()).map_err(|_| Broken::Garbled);
+                return String::from_utf8(line[..at].to_vec()).map_err(|_| HttpError::Garbled);
             }
-            self.fill(until).map_err(|e| if e == Broken::Closed { Broken::Cut } else { e })?;
+            self.fill(until).map_err(|e| if e == HttpError::Closed { HttpError::Cut } else { e })?;
         }
     }
 
-    fn chunks(&mut self, until: Instant) -> Result<Vec<u8>, Broken> {
+    fn chunks(&mut self, until: Instant) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
         loop {
             let line = self.line(until)?;
             let size = line.split(';').next().unwrap_or_default().trim();
-            let size = usize::from_str_radix(size, 16).map_err(|_| Broken::Garbled)?;
+            let size = usize::from_str_radix(size, 16).map_err(|_| HttpError::Garbled)?;
             if size == 0 {
                 while !self.line(until)?.is_empty() {}
                 return Ok(body);
             }
             body.extend(self.bytes(size, until)?);
             if !self.line(until)?.is_empty() {
-                return Err(Broken::Garbled);
+                return Err(HttpError::Garbled);
             }
         }
     }
 }
 
 /// A head and its length, if it is whole.
-type Parsed = Result<Option<(usize, Message)>, Broken>;
+type Parsed = Result<Option<(usize, Message)>, HttpError>;
 
 fn request_head(bytes: &[u8]) -> Parsed {
     let mut fields = [httparse::EMPTY_HEADER; FIELDS];
     let mut head = httparse::Request::new(&mut fields);
-    let httparse::Status::Complete(length) = head.parse(bytes).map_err(|_| Broken::Garbled)? else {
+    let httparse::Status::Complete(length) = head.parse(bytes).map_err(|_| HttpError::Garbled)? else {
         return Ok(None);
     };
     let (method, path) =
@@ -239,7 +240,7 @@
 fn answer_head(bytes: &[u8]) -> Parsed {
     let mut fields = [httparse::EMPTY_HEADER; FIELDS];
     let mut head = httparse::Response::new(&mut fields);
-    let httparse::Status::Complete(length) = head.parse(bytes).map_err(|_| Broken::Garbled)? else {
+    let httparse::Status::Complete(length) = head.parse(bytes).map_err(|_| HttpError::Garbled)? else {
         return Ok(None);
     };
     let status = head.code.unwrap_or(0);
--- a/crates/local-cluster/src/lib.rs
+++ b/crates/local-cluster/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod wait;
 
 /// A number drawn by chance.
-pub fn chance() -> u64 {
+pub fn random_u64() -> u64 {
     use std::hash::{BuildHasher, RandomState};
     RandomState::new().hash_one(0u8)
 }
--- a/crates/local-cluster/src/main.rs
+++ b/crates/local-cluster/src/main.rs
@@ -3,10 +3,10 @@
 use oatbank_local_cluster::changes;
 use oatbank_local_cluster::chart;
 use oatbank_local_cluster::client::Ask;
-use oatbank_local_cluster::cluster::{Plan, Stage};
-use oatbank_local_cluster::error::Fault;
+use oatbank_local_cluster::cluster::{LocalCluster, Plan};
+use oatbank_local_cluster::error::ClusterError;
 use oatbank_local_cluster::failing::{self, Wanted};
-use oatbank_local_cluster::operator::{Bill, Operator};
+use oatbank_local_cluster::operator::{Operator, TestConfiguration};
 use oatbank_local_cluster::server::Server;
 use oatbank_local_cluster::traffic::{Count, Traffic};
 use std::process::ExitCode;
@@ -44,7 +44,7 @@
 ";
 const HOST: &str = "shop.example";
 
-struct Asked {
+struct CommandLine {
     proxies: usize,
     servers: usize,
     rate: f64,
@@ -58,9 +58,9 @@
     duplicate: bool,
 }
 
-fn asked() -> Result<Option<Asked>, lexopt::Error> {
+fn command_line() -> Result<Option<CommandLine>, lexopt::Error> {
     use lexopt::prelude::*;
-    let mut asked = Asked {
+    let mut command_line = CommandLine {
         proxies: 3,
         servers: 6,
         rate: 100.0,
@@ -75,27 +75,31 @@
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("proxies") if !asked.failing => asked.proxies = parser.value()?.parse()?,
-            Long("servers") if !asked.failing => asked.servers = parser.value()?.parse()?,
-            Long("rate") => asked.rate = parser.value()?.parse()?,
-            Long("seconds") => asked.seconds = parser.value()?.parse()?,
-            Long("keep") if !asked.failing => asked.keep = true,
-            Value(word) if word == "changes" && !asked.failing && asked.changes.is_none() => {
-                asked.changes = Some((3, 30));
+            Long("proxies") if !command_line.failing => command_line.proxies = parser.value()?.parse()?,
+            Long("servers") if !command_line.failing => command_line.servers = parser.value()?.parse()?,
+            Long("rate") => command_line.rate = parser.value()?.parse()?,
+            Long("seconds") => command_line.seconds = parser.value()?.parse()?,
+            Long("keep") if !command_line.failing => command_line.keep = true,
+            Value(word) if word == "changes" && !command_line.failing && command_line.changes.is_none() => {
+                command_line.changes = Some((3, 30));
             }
-            Long("cores") if asked.changes.is_some() => {
-                asked.changes = asked.changes.zip(Some(parser.value()?.parse()?)).map(|((_, n), c)| (c, n));
+            Long("cores") if command_line.changes.is_some() => {
+                command_line.changes =
+                    command_line.changes.zip(Some(parser.value()?.parse()?)).map(|((_, n), c)| (c, n));
             }
-            Long("changes") if asked.changes.is_some() => {
-                asked.changes = asked.changes.zip(Some(parser.value()?.parse()?)).map(|((c, _), n)| (c, n));
+            Long("changes") if command_line.changes.is_some() => {
+                command_line.changes =
+                    command_line.changes.zip(Some(parser.value()?.parse()?)).map(|((c, _), n)| (c, n));
             }
-            Value(word) if word == "failing-backend" && !asked.failing && asked.changes.is_none() => {
-                (asked.failing, asked.rate, asked.seconds) = (true, 80.0, 30);
+            Value(word)
+                if word == "failing-backend" && !command_line.failing && command_line.changes.is_none() =>
+            {
+                (command_line.failing, command_line.rate, command_line.seconds) = (true, 80.0, 30);
             }
-            Long("json") if asked.failing => asked.json = Some(parser.value()?.string()?),
-            Long("picture") if asked.failing => asked.picture = Some(parser.value()?.string()?),
-            Long("fault") if asked.failing => match parser.value()?.string()?.as_str() {
-                "duplicate" => asked.duplicate = true,
+            Long("json") if command_line.failing => command_line.json = Some(parser.value()?.string()?),
+            Long("picture") if command_line.failing => command_line.picture = Some(parser.value()?.string()?),
+            Long("fault") if command_line.failing => match parser.value()?.string()?.as_str() {
+                "duplicate" => command_line.duplicate = true,
                 other => return Err(lexopt::Error::from(format!("--fault: {other:?}; allowed: duplicate"))),
             },
             Short('h') | Long("help") => {
@@ -110,30 +114,33 @@
         }
     }
     let within = |what: &str, is: bool| if is { Ok(()) } else { Err(lexopt::Error::from(what.to_owned())) };
-    within("--proxies: 1 to 80", (1..=80).contains(&asked.proxies))?;
-    within("--servers: 1 to 150", (1..=150).contains(&asked.servers))?;
-    let changes = asked.changes.is_none_or(|(c, n)| (1..=9).contains(&c) && (1..=10_000).contains(&n));
+    within("--proxies: 1 to 80", (1..=80).contains(&command_line.proxies))?;
+    within("--servers: 1 to 150", (1..=150).contains(&command_line.servers))?;
+    let changes = command_line.changes.is_none_or(|(c, n)| (1..=9).contains(&c) && (1..=10_000).contains(&n));
     within("--cores: 1 to 9, --changes: 1 to 10000", changes)?;
-    within("--rate: 1 to 5000", (1.0..=5000.0).contains(&asked.rate))?;
-    within("--seconds: 4 to 600 for failing-backend", !asked.failing || (4..=600).contains(&asked.seconds))?;
-    Ok(Some(asked))
+    within("--rate: 1 to 5000", (1.0..=5000.0).contains(&command_line.rate))?;
+    within(
+        "--seconds: 4 to 600 for failing-backend",
+        !command_line.failing || (4..=600).contains(&command_line.seconds),
+    )?;
+    Ok(Some(command_line))
 }
 
 /// A backend fails and recovers; whether the checker finds nothing wrong.
-fn fail_a_backend(asked: &Asked, end: &AtomicBool) -> Result<bool, Fault> {
-    let (span, step) = (Duration::from_secs(asked.seconds), Duration::from_secs(1));
-    let wanted = Wanted { span, step, rate: asked.rate, duplicate: asked.duplicate };
+fn fail_a_backend(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
+    let (span, step) = (Duration::from_secs(command_line.seconds), Duration::from_secs(1));
+    let wanted = Wanted { span, step, rate: command_line.rate, duplicate: command_line.duplicate };
     let played = failing::play(&wanted, end, |line| println!("{line}"))?;
-    for (path, text) in [(&asked.json, played.json()), (&asked.picture, chart::draw(&played))] {
+    for (path, text) in [(&command_line.json, played.json()), (&command_line.picture, chart::draw(&played))] {
         if let Some(path) = path {
-            std::fs::write(path, text).map_err(Fault::io(path.clone()))?;
+            std::fs::write(path, text).map_err(ClusterError::io(path.clone()))?;
         }
     }
     Ok(played.wrongs.is_empty())
 }
 
 /// Changes the configuration again and again; whether all changes were taken.
-fn change(proxies: usize, (cores, changes): (usize, usize), end: &AtomicBool) -> Result<bool, Fault> {
+fn change(proxies: usize, (cores, changes): (usize, usize), end: &AtomicBool) -> Result<bool, ClusterError> {
     let wanted = changes::Wanted { cores, proxies, changes };
     let played = changes::play(wanted, end, |nth, change| {
         println!("{nth:5} acknowledged in {:4} ms, {} behind", change.took.as_millis(), change.behind);
@@ -150,9 +157,9 @@
 }
 
 /// Set once somebody wants this to end.
-fn told_to_end() -> Arc<AtomicBool> {
+fn shutdown_flag() -> Arc<AtomicBool> {
     let end = Arc::new(AtomicBool::new(false));
-    let told = end.clone();
+    let acknowledged = end.clone();
     std::thread::spawn(move || {
         use tokio::signal::unix::{signal, SignalKind};
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
@@ -164,40 +171,47 @@
             };
             loop {
                 tokio::select! { _ = int.recv() => {}, _ = term.recv() => {} }
-                told.store(true, Ordering::SeqCst);
+                acknowledged.store(true, Ordering::SeqCst);
             }
         });
     });
     end
 }
 
-fn rehearse(asked: &Asked, end: &AtomicBool) -> Result<bool, Fault> {
-    let plan = Plan { proxies: asked.proxies, keep: asked.keep, ..Plan::default() }.bound("graceS", 2);
-    let stage = Stage::start(plan)?;
-    let operator = Operator::new(stage.controls());
-    let bill = Bill::new(HOST).route("/read/", "safe", "reader").route("/write/", "unsafe", "writer");
-    let bill = bill.tenant("first", &["first-key"], 0.0).tenant("second", &["second-key"], 0.0);
-    operator.must_put(&bill)?;
-    let servers: Result<Vec<Server>, Fault> = (0..asked.servers)
+fn run_cluster(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
+    let plan =
+        Plan { proxies: command_line.proxies, keep: command_line.keep, ..Plan::default() }.bound("graceS", 2);
+    let cluster = LocalCluster::start(plan)?;
+    let operator = Operator::new(cluster.controls());
+    let configuration =
+        TestConfiguration::new(HOST).route("/read/", "safe", "reader").route("/write/", "unsafe", "writer");
+    let configuration =
+        configuration.tenant("first", &["first-key"], 0.0).tenant("second", &["second-key"], 0.0);
+    operator.must_put(&configuration)?;
+    let servers: Result<Vec<Server>, ClusterError> = (0..command_line.servers)
         .map(|nth| {
-            Server::start(&stage, nth, if nth % 2 == 0 || asked.servers == 1 { "reader" } else { "writer" })
+            Server::start(
+                &cluster,
+                nth,
+                if nth % 2 == 0 || command_line.servers == 1 { "reader" } else { "writer" },
+            )
         })
         .collect();
     let servers = servers?;
     for server in &servers {
-        server.enlist()?;
+        server.register()?;
     }
-    stage.until_ready()?;
-    let fronts: Vec<String> = stage.fronts().iter().map(ToString::to_string).collect();
-    println!("oatbank-local-cluster serves at {} in {}", fronts.join(", "), stage.folder().display());
+    cluster.until_ready()?;
+    let fronts: Vec<String> = cluster.fronts().iter().map(ToString::to_string).collect();
+    println!("oatbank-local-cluster serves at {} in {}", fronts.join(", "), cluster.folder().display());
     let mut asks = Vec::new();
     for key in ["first-key", "second-key"] {
         asks.push(Ask::get(HOST, "/read/1").key(key));
-        if asked.servers > 1 {
+        if command_line.servers > 1 {
             asks.push(Ask::post(HOST, "/write/1", "some words").key(key));
         }
     }
-    let traffic = Traffic::start(&stage.directories(), &asks, asked.rate, false);
+    let traffic = Traffic::start(&cluster.directories(), &asks, command_line.rate, false);
     let begun = Instant::now();
     let (mut all, mut lost) = (Count::default(), Vec::new());
     for second in 1.. {
@@ -208,34 +222,37 @@
         let count = traffic.take();
         println!("{second:5} s {}", count.line());
         all.add(count);
-        lost = stage.lost();
-        if !lost.is_empty() || end.load(Ordering::SeqCst) || asked.seconds > 0 && second >= asked.seconds {
+        lost = cluster.lost();
+        if !lost.is_empty()
+            || end.load(Ordering::SeqCst)
+            || command_line.seconds > 0 && second >= command_line.seconds
+        {
             break;
         }
     }
     all.add(traffic.stop());
     println!("  all   {}", all.line());
     lost.iter().for_each(|program| println!("has ended by itself: {program}"));
-    stage.end();
+    cluster.end();
     drop(servers);
     let served = all.ends[0] > 0 || end.load(Ordering::SeqCst);
     Ok(served && all.ends[2] == 0 && all.mixed == 0 && lost.is_empty())
 }
 
 fn main() -> ExitCode {
-    let asked = match asked() {
-        Ok(Some(asked)) => asked,
+    let command_line = match command_line() {
+        Ok(Some(command_line)) => command_line,
         Ok(None) => return ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("oatbank-local-cluster: {e}; see oatbank-local-cluster --help");
             return ExitCode::FAILURE;
         }
     };
-    let end = told_to_end();
-    let played = match asked.changes {
-        Some(changes) => change(asked.proxies, changes, &end),
-        None if asked.failing => fail_a_backend(&asked, &end),
-        None => rehearse(&asked, &end),
+    let end = shutdown_flag();
+    let played = match command_line.changes {
+        Some(changes) => change(command_line.proxies, changes, &end),
+        None if command_line.failing => fail_a_backend(&command_line, &end),
+        None => run_cluster(&command_line, &end),
     };
     match played {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/local-cluster/src/operator.rs
+++ b/crates/local-cluster/src/operator.rs
@@ -1,7 +1,7 @@
 //! Operators: configurations, and how they are sent.
 
 use crate::cluster::call;
-use crate::error::Fault;
+use crate::error::ClusterError;
 use crate::http::Message;
 use miniserde::{json, Deserialize};
 use std::fmt::Write;
@@ -20,7 +20,7 @@
     /// Its service.
     pub service: String,
     /// The most servers that one try may be sent to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Its requests need no key.
     pub keyless: bool,
 }
@@ -38,7 +38,7 @@
 
 /// A whole configuration.
 #[derive(Clone, Debug)]
-pub struct Bill {
+pub struct TestConfiguration {
     /// Its number.
     pub version: u64,
     /// The number that it builds on.
@@ -53,33 +53,33 @@
     pub tenants: Vec<Tenant>,
 }
 
-impl Bill {
+impl TestConfiguration {
     /// The first configuration of this host, without a route.
-    pub fn new(host: &str) -> Bill {
+    pub fn new(host: &str) -> TestConfiguration {
         let (routes, services, tenants) = (Vec::new(), Vec::new(), Vec::new());
-        Bill { version: 3, built_on: 0, host: host.to_owned(), routes, services, tenants }
+        TestConfiguration { version: 3, built_on: 0, host: host.to_owned(), routes, services, tenants }
     }
 
     /// With a route to a service; two servers may be tried.
-    pub fn route(mut self, prefix: &str, kind: &'static str, service: &str) -> Bill {
+    pub fn route(mut self, prefix: &str, kind: &'static str, service: &str) -> TestConfiguration {
         if !self.services.iter().any(|s| s == service) {
             self.services.push(service.to_owned());
         }
         let (prefix, service) = (prefix.to_owned(), service.to_owned());
-        self.routes.push(Route { prefix, kind, service, tries: 2, keyless: false });
+        self.routes.push(Route { prefix, kind, service, max_attempts: 2, keyless: false });
         self
     }
 
     /// With a tenant.
-    pub fn tenant(mut self, name: &str, keys: &[&str], rate: f64) -> Bill {
+    pub fn tenant(mut self, name: &str, keys: &[&str], rate: f64) -> TestConfiguration {
         let keys = keys.iter().map(|k| (*k).to_owned()).collect();
         self.tenants.push(Tenant { name: name.to_owned(), keys, rate });
         self
     }
 
     /// The next version, on top of this one.
-    pub fn next(&self) -> Bill {
-        Bill { version: self.version + 4, built_on: self.version, ..self.clone() }
+    pub fn next(&self) -> TestConfiguration {
+        TestConfiguration { version: self.version + 4, built_on: self.version, ..self.clone() }
     }
 
     /// As it travels.
@@ -91,7 +91,7 @@
             let _ = write!(
                 routes,
                 "{comma}[\"{name}\",\"{}\",\"{}\",\"{}\",2000,500,2,{},{},\"{}\"]",
-                self.host, r.prefix, r.kind, r.tries, r.keyless, r.service
+                self.host, r.prefix, r.kind, r.max_attempts, r.keyless, r.service
             );
         }
         let services: Vec<String> =
@@ -162,11 +162,11 @@
         path: &str,
         body: &str,
         within: Duration,
-    ) -> Result<(Answered, Message), Fault> {
+    ) -> Result<(Answered, Message), ClusterError> {
         let until = Instant::now() + within;
         let mut pause = Duration::from_millis(20);
         let mut last = "no answer".to_owned();
-        let first = crate::chance() as usize;
+        let first = crate::random_u64() as usize;
         for nth in 0.. {
             let by = self.controls[first.wrapping_add(nth) % self.controls.len()];
             match call(by, method, path, body, PATIENCE) {
@@ -182,27 +182,27 @@
             std::thread::sleep(pause);
             pause = (pause * 2).min(Duration::from_millis(500));
         }
-        Err(Fault::Never(format!("{method} {path} is answered; last: {last}")))
+        Err(ClusterError::Never(format!("{method} {path} is answered; last: {last}")))
     }
 
     /// Puts a configuration and gives its clear answer.
     ///
     /// # Errors
     /// When none comes in time.
-    pub fn put(&self, bill: &Bill) -> Result<Answered, Fault> {
-        Ok(self.send("POST", "/settings/replace", &bill.text(), Duration::from_secs(10))?.0)
+    pub fn put(&self, configuration: &TestConfiguration) -> Result<Answered, ClusterError> {
+        Ok(self.send("POST", "/settings/replace", &configuration.text(), Duration::from_secs(10))?.0)
     }
 
     /// Puts a configuration that is to be taken.
     ///
     /// # Errors
     /// When it is not.
-    pub fn must_put(&self, bill: &Bill) -> Result<Answered, Fault> {
+    pub fn must_put(&self, configuration: &TestConfiguration) -> Result<Answered, ClusterError> {
         let (answered, answer) =
-            self.send("POST", "/settings/replace", &bill.text(), Duration::from_secs(10))?;
+            self.send("POST", "/settings/replace", &configuration.text(), Duration::from_secs(10))?;
         match answered.status {
             200 => Ok(answered),
-            status => Err(Fault::Answer(status, String::from_utf8_lossy(&answer.body).into_owned())),
+            status => Err(ClusterError::Answer(status, String::from_utf8_lossy(&answer.body).into_owned())),
         }
     }
 
@@ -210,14 +210,14 @@
     ///
     /// # Errors
     /// When it does not come in time.
-    pub fn read(&self) -> Result<(u64, String), Fault> {
+    pub fn read(&self) -> Result<(u64, String), ClusterError> {
         let (answered, answer) = self.send("GET", "/settings/read", "", Duration::from_secs(10))?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         let version =
             json::from_str::<Version>(&text).ok().and_then(|v| v.version.strip_prefix('r')?.parse().ok());
         match version {
             Some(version) if answered.status == 200 => Ok((version, text)),
-            _ => Err(Fault::Answer(answered.status, text)),
+            _ => Err(ClusterError::Answer(answered.status, text)),
         }
     }
 }
--- a/crates/local-cluster/src/programs.rs
+++ b/crates/local-cluster/src/programs.rs
@@ -1,6 +1,6 @@
 //! Where the programs' files are, and building them.
 
-use crate::error::Fault;
+use crate::error::ClusterError;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::sync::OnceLock;
@@ -14,14 +14,14 @@
 ///
 /// # Errors
 /// When one is missing and cannot be built; the error names the command that builds it.
-pub fn folder() -> Result<PathBuf, Fault> {
+pub fn folder() -> Result<PathBuf, ClusterError> {
     static FOLDER: OnceLock<Result<PathBuf, String>> = OnceLock::new();
     let found = FOLDER.get_or_init(|| find().map_err(|e| e.to_string()));
-    found.clone().map_err(Fault::NoRoom)
+    found.clone().map_err(ClusterError::NoRoom)
 }
 
-fn find() -> Result<PathBuf, Fault> {
-    let own = std::env::current_exe().map_err(Fault::io("this program's own file"))?;
+fn find() -> Result<PathBuf, ClusterError> {
+    let own = std::env::current_exe().map_err(ClusterError::io("this program's own file"))?;
     let mut folder = own.parent().unwrap_or(Path::new(".")).to_owned();
     if folder.ends_with("deps") {
         folder.pop();
@@ -45,12 +45,12 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .status();
-        let _ = build.map_err(Fault::io("cargo"))?;
+        let _ = build.map_err(ClusterError::io("cargo"))?;
     }
     for name in NAMES {
         let path = folder.join(name);
         if !path.is_file() {
-            return Err(Fault::NoProgram(
+            return Err(ClusterError::NoProgram(
                 path.display().to_string(),
                 format!("cargo {}", arguments.join(" ")),
             ));
--- a/crates/local-cluster/src/server.rs
+++ b/crates/local-cluster/src/server.rs
@@ -1,8 +1,8 @@
 //! Stand-in servers: they speak up at the registry, run requests, and answer in a manner that a test chooses.
 
-use crate::cluster::{call, Stage};
-use crate::error::Fault;
-use crate::http::{Broken, Message, Wire};
+use crate::cluster::{call, LocalCluster};
+use crate::error::ClusterError;
+use crate::http::{HttpConnection, HttpError, Message};
 use crate::wait;
 use miniserde::{json, Deserialize};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -21,7 +21,7 @@
 
 /// How a server answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behaviour {
     /// In order.
     Serve,
     /// Says that it is full and has not run it.
@@ -54,7 +54,7 @@
 
 /// A request that reached a server.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// When it was read.
     pub at: Instant,
     /// Its `Try-Id`.
@@ -71,7 +71,7 @@
 
 /// Whose word was acknowledged, by whom and when.
 #[derive(Clone, Copy, Debug)]
-pub struct Acked {
+pub struct Acknowledgement {
     /// The address that acknowledged.
     pub by: SocketAddr,
     /// When the answer had come.
@@ -86,8 +86,8 @@
     slots: usize,
     work: Duration,
     controls: Vec<SocketAddr>,
-    manner: Mutex<Manner>,
-    seen: Mutex<Vec<Seen>>,
+    behaviour: Mutex<Behaviour>,
+    seen: Mutex<Vec<ReceivedRequest>>,
     busy: AtomicUsize,
     calls: AtomicU64,
     draining: AtomicBool,
@@ -103,7 +103,7 @@
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct AcknowledgedCall {
     #[serde(rename = "beatAddress")]
     address: Option<String>,
 }
@@ -134,8 +134,8 @@
     ///
     /// # Errors
     /// When it has no address.
-    pub fn start(stage: &Stage, nth: usize, service: &str) -> Result<Server, Fault> {
-        Server::with(stage, nth, service, 8, Duration::from_millis(4))
+    pub fn start(cluster: &LocalCluster, nth: usize, service: &str) -> Result<Server, ClusterError> {
+        Server::with(cluster, nth, service, 8, Duration::from_millis(4))
     }
 
     /// The same, with so many slots and such a time for each request.
@@ -143,26 +143,26 @@
     /// # Errors
     /// When it has no address.
     pub fn with(
-        stage: &Stage,
+        cluster: &LocalCluster,
         nth: usize,
         service: &str,
         slots: usize,
         work: Duration,
-    ) -> Result<Server, Fault> {
+    ) -> Result<Server, ClusterError> {
         let listener =
-            TcpListener::bind((stage.server_ip(nth), 0)).map_err(Fault::io("a server's address"))?;
-        let address = listener.local_addr().map_err(Fault::io("a server's address"))?;
-        let controls = stage.controls();
+            TcpListener::bind((cluster.server_ip(nth), 0)).map_err(ClusterError::io("a server's address"))?;
+        let address = listener.local_addr().map_err(ClusterError::io("a server's address"))?;
+        let controls = cluster.controls();
         let shared = Arc::new(Shared {
-            id: format!("i-{:08x}", crate::chance() as u32),
+            id: format!("i-{:08x}", crate::random_u64() as u32),
             service: service.to_owned(),
             address,
-            zone: stage.server_zone(nth).to_owned(),
+            zone: cluster.server_zone(nth).to_owned(),
             slots,
             work,
             next: Mutex::new(nth % controls.len().max(1)),
             controls,
-            manner: Mutex::new(Manner::Serve),
+            behaviour: Mutex::new(Behaviour::Serve),
             seen: Mutex::default(),
             busy: AtomicUsize::new(0),
             calls: AtomicU64::new(0),
@@ -172,11 +172,11 @@
         });
         let accepting = shared.clone();
         std::thread::spawn(move || accept(&accepting, &listener));
-        let (beating, every) = (shared.clone(), stage.beat_every());
+        let (beating, every) = (shared.clone(), cluster.heartbeat_interval());
         std::thread::spawn(move || {
             while !beating.ended.load(Ordering::SeqCst) {
                 if !beating.quiet.load(Ordering::SeqCst) {
-                    let _ = beating.beat();
+                    let _ = beating.heartbeat();
                 }
                 std::thread::sleep(every);
             }
@@ -195,17 +195,17 @@
     }
 
     /// How it answers from now on.
-    pub fn turn(&self, manner: Manner) {
-        *lock(&self.shared.manner) = manner;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        *lock(&self.shared.behaviour) = behaviour;
     }
 
     /// All that has reached it.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<ReceivedRequest> {
         lock(&self.shared.seen).clone()
     }
 
     /// Its next words go first to this core machine's address.
-    pub fn speak_to(&self, control: SocketAddr) {
+    pub fn prefer_registry(&self, control: SocketAddr) {
         if let Some(at) = self.shared.controls.iter().position(|c| *c == control) {
             *lock(&self.shared.next) = at;
         }
@@ -215,17 +215,17 @@
     ///
     /// # Errors
     /// When nobody acknowledges.
-    pub fn enlist(&self) -> Result<Acked, Fault> {
-        wait::until(wait::LONG, "a beat is acknowledged", || self.shared.beat())
+    pub fn register(&self) -> Result<Acknowledgement, ClusterError> {
+        wait::until(wait::LONG, "a beat is acknowledged", || self.shared.heartbeat())
     }
 
     /// Says that it drains, and waits until that is acknowledged. It goes on answering.
     ///
     /// # Errors
     /// When nobody acknowledges.
-    pub fn drain(&self) -> Result<Acked, Fault> {
+    pub fn drain(&self) -> Result<Acknowledgement, ClusterError> {
         self.shared.draining.store(true, Ordering::SeqCst);
-        wait::until(wait::LONG, "draining is acknowledged", || self.shared.beat())
+        wait::until(wait::LONG, "draining is acknowledged", || self.shared.heartbeat())
     }
 
     /// Says that it leaves, and waits until that is acknowledged. It says nothing more, but goes on answering who still
@@ -233,14 +233,14 @@
     ///
     /// # Errors
     /// When nobody acknowledges.
-    pub fn leave(&self) -> Result<Acked, Fault> {
+    pub fn leave(&self) -> Result<Acknowledgement, ClusterError> {
         self.shared.quiet.store(true, Ordering::SeqCst);
         let path = format!("/servers/{}/leave", self.shared.id);
         wait::until(wait::LONG, "leaving is acknowledged", || self.shared.say(&path, ""))
     }
 
     /// Says nothing more.
-    pub fn hush(&self) {
+    pub fn stop_heartbeats(&self) {
         self.shared.quiet.store(true, Ordering::SeqCst);
     }
 
@@ -261,7 +261,7 @@
 }
 
 impl Shared {
-    fn beat(&self) -> Option<Acked> {
+    fn heartbeat(&self) -> Option<Acknowledgement> {
         let calls = self.calls.fetch_add(1, Ordering::SeqCst) + 1;
         let state = if self.draining.load(Ordering::SeqCst) { "draining" } else { "ready" };
         let body = format!(
@@ -273,15 +273,16 @@
     }
 
     /// Tells one registry after the other, a second each.
-    fn say(&self, path: &str, body: &str) -> Option<Acked> {
+    fn say(&self, path: &str, body: &str) -> Option<Acknowledgement> {
         for _ in 0..self.controls.len() {
             let to = { self.controls[*lock(&self.next) % self.controls.len()] };
             match call(to, "POST", path, body, SECOND) {
                 Ok(answer) if (200..300).contains(&answer.status) && answer.body.len() <= 4096 => {
-                    let acked = Acked { by: to, at: Instant::now() };
-                    let told =
-                        std::str::from_utf8(&answer.body).ok().and_then(|t| json::from_str::<Told>(t).ok());
-                    let address = told.and_then(|t| t.address?.parse().ok());
+                    let acked = Acknowledgement { by: to, at: Instant::now() };
+                    let acknowledged = std::str::from_utf8(&answer.body)
+                        .ok()
+                        .and_then(|t| json::from_str::<AcknowledgedCall>(t).ok());
+                    let address = acknowledged.and_then(|t| t.address?.parse().ok());
                     if let Some(at) = address.and_then(|a| self.controls.iter().position(|c| *c == a)) {
                         *lock(&self.next) = at;
                     }
@@ -301,15 +302,15 @@
         }
         if let Ok(stream) = stream {
             let shared = shared.clone();
-            std::thread::spawn(move || connection(&shared, Wire::new(stream)));
+            std::thread::spawn(move || connection(&shared, HttpConnection::new(stream)));
         }
     }
 }
 
 /// Takes one off a count whichever way its holder ends.
-struct Held<'a>(&'a AtomicUsize);
+struct CountGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Held<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -321,25 +322,25 @@
     [head.as_bytes(), body].concat()
 }
 
-fn connection(shared: &Shared, mut wire: Wire) {
+fn connection(shared: &Shared, mut connection: HttpConnection) {
     let mut before: Option<Vec<u8>> = None;
     loop {
         let idle = Instant::now();
         loop {
-            match wire.wait(Duration::from_millis(200)) {
+            match connection.wait(Duration::from_millis(200)) {
                 Ok(true) => break,
                 Ok(false) if idle.elapsed() < IDLE && !shared.ended.load(Ordering::SeqCst) => {}
                 _ => return,
             }
         }
-        match wire.request(Instant::now() + Duration::from_secs(10)) {
+        match connection.request(Instant::now() + Duration::from_secs(10)) {
             Ok(request) => {
-                if !answer(shared, &mut wire, request, &mut before) {
+                if !answer(shared, &mut connection, request, &mut before) {
                     return;
                 }
             }
-            Err(Broken::Garbled) => {
-                let _ = wire.send(b"HTTP/1.1 400 Bad Request\r\nNot-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+            Err(HttpError::Garbled) => {
+                let _ = connection.send(b"HTTP/1.1 400 Bad Request\r\nNot-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
                 return;
             }
             Err(_) => return,
@@ -351,23 +352,28 @@
 }
 
 /// Answers one request; whether the connection goes on.
-fn answer(shared: &Shared, wire: &mut Wire, request: Message, before: &mut Option<Vec<u8>>) -> bool {
+fn answer(
+    shared: &Shared,
+    connection: &mut HttpConnection,
+    request: Message,
+    before: &mut Option<Vec<u8>>,
+) -> bool {
     let at = Instant::now();
     if request.method == "GET" && request.path == "/health" {
         let status =
             if shared.draining.load(Ordering::SeqCst) { "503 Service Unavailable" } else { "200 OK" };
         let text = format!("HTTP/1.1 {status}\r\nServer-Id: {}\r\nContent-Length: 0\r\n\r\n", shared.id);
-        return wire.send(text.as_bytes()).is_ok();
+        return connection.send(text.as_bytes()).is_ok();
     }
     let try_id = request.field("try-id").unwrap_or_default().to_owned();
-    let manner = *lock(&shared.manner);
+    let behaviour = *lock(&shared.behaviour);
     let full = shared.busy.fetch_add(1, Ordering::SeqCst) >= shared.slots + QUEUE;
-    let held = Held(&shared.busy);
-    let other =
-        request.field("meant-server").is_some_and(|id| id != shared.id) || manner == Manner::Misdirected;
-    let full = full || manner == Manner::Full;
+    let held = CountGuard(&shared.busy);
+    let other = request.field("meant-server").is_some_and(|id| id != shared.id)
+        || behaviour == Behaviour::Misdirected;
+    let full = full || behaviour == Behaviour::Full;
     let ran = !(other || full || try_id.is_empty());
-    lock(&shared.seen).push(Seen {
+    lock(&shared.seen).push(ReceivedRequest {
         at,
         try_id: try_id.clone(),
         customer: request.field("customer").map(str::to_owned),
@@ -383,9 +389,9 @@
         () => None,
     };
     if let Some(refusal) = refusal {
-        return wire.send(&refusal).is_ok();
+        return connection.send(&refusal).is_ok();
     }
-    std::thread::sleep(if manner == Manner::Slow { shared.work * SLOWER } else { shared.work });
+    std::thread::sleep(if behaviour == Behaviour::Slow { shared.work * SLOWER } else { shared.work });
     drop(held);
     let body = if request.path.ends_with("/large") {
         try_id.bytes().cycle().take(LARGE).collect()
@@ -394,32 +400,32 @@
     };
     let stamp = format!("Server-Seal: {}\r\n", seal(&shared.id, &try_id, &body));
     let whole = text("200 OK", &try_id, &stamp, &body);
-    let sent = match manner {
-        Manner::RunThenReset => {
-            wire.linger_none();
+    let sent = match behaviour {
+        Behaviour::RunThenReset => {
+            connection.linger_none();
             return false;
         }
-        Manner::RunThenClose => return false,
-        Manner::Fails if crate::chance() % 3 == 0 => {
-            wire.linger_none();
+        Behaviour::RunThenClose => return false,
+        Behaviour::Fails if crate::random_u64() % 3 == 0 => {
+            connection.linger_none();
             return false;
         }
-        Manner::Fails => text("500 Internal Server Error", &try_id, "", b"failed"),
-        Manner::Cut => {
-            let _ = wire.send(&whole[..whole.len() - body.len() / 2]);
+        Behaviour::Fails => text("500 Internal Server Error", &try_id, "", b"failed"),
+        Behaviour::Cut => {
+            let _ = connection.send(&whole[..whole.len() - body.len() / 2]);
             return false;
         }
-        Manner::Unsealed => text("200 OK", &try_id, "", &body),
-        Manner::WrongTry => text("200 OK", &format!("{try_id}x"), &stamp, &body),
-        Manner::Surplus => [whole.clone(), whole.clone()].concat(),
-        Manner::Late => [before.take().unwrap_or_default(), whole.clone()].concat(),
-        Manner::Coded => text("200 OK", &try_id, &format!("{stamp}Content-Encoding: gzip\r\n"), &body),
-        Manner::Garbled => {
-            let _ = wire.send(b"\x00\x01what is this\r\n\r\n");
+        Behaviour::Unsealed => text("200 OK", &try_id, "", &body),
+        Behaviour::WrongTry => text("200 OK", &format!("{try_id}x"), &stamp, &body),
+        Behaviour::Surplus => [whole.clone(), whole.clone()].concat(),
+        Behaviour::Late => [before.take().unwrap_or_default(), whole.clone()].concat(),
+        Behaviour::Coded => text("200 OK", &try_id, &format!("{stamp}Content-Encoding: gzip\r\n"), &body),
+        Behaviour::Garbled => {
+            let _ = connection.send(b"\x00\x01what is this\r\n\r\n");
             return false;
         }
         _ => whole.clone(),
     };
     *before = Some(whole);
-    wire.send(&sent).is_ok()
+    connection.send(&sent).is_ok()
 }
--- a/crates/local-cluster/src/traffic.rs
+++ b/crates/local-cluster/src/traffic.rs
@@ -21,7 +21,7 @@
     /// Time of those served, ms.
     pub took: Vec<f64>,
     /// The tries, where they are kept.
-    pub tries: Vec<(End, Vec<Try>)>,
+    pub max_attempts: Vec<(End, Vec<Try>)>,
 }
 
 impl Count {
@@ -35,7 +35,7 @@
         self.ends.iter_mut().zip(other.ends).for_each(|(own, more)| *own += more);
         self.mixed += other.mixed;
         self.took.extend(other.took);
-        self.tries.extend(other.tries);
+        self.max_attempts.extend(other.max_attempts);
     }
 
     /// One line.
@@ -76,23 +76,25 @@
             let (asks, stop, count) = (asks.to_vec(), stop.clone(), count.clone());
             std::thread::spawn(move || {
                 let mut client = Client::new(directories, ZONES[nth % ZONES.len()]);
-                let mut next = Instant::now() + every.mul_f64(crate::chance() as f64 / u64::MAX as f64);
-                let mut turn = nth;
+                let mut next = Instant::now() + every.mul_f64(crate::random_u64() as f64 / u64::MAX as f64);
+                let mut set_behaviour = nth;
                 while !stop.load(Ordering::SeqCst) {
                     crate::wait::moment(next);
                     next = (next + every).max(Instant::now() - every);
-                    turn += 1;
-                    let (end, tries) = client.ask(&asks[turn % asks.len()]);
+                    set_behaviour += 1;
+                    let (end, max_attempts) = client.ask(&asks[set_behaviour % asks.len()]);
                     let mut one = Count {
-                        mixed: tries.iter().filter(|t| t.is_mixed()).count() as u64,
+                        mixed: max_attempts.iter().filter(|t| t.is_mixed()).count() as u64,
                         ..Count::default()
                     };
                     one.ends[end as usize] = 1;
-                    if let (End::Served, Some(first), Some(last)) = (end, tries.first(), tries.last()) {
+                    if let (End::Served, Some(first), Some(last)) =
+                        (end, max_attempts.first(), max_attempts.last())
+                    {
                         one.took.push((last.ended - first.sent).as_secs_f64() * 1000.0);
                     }
                     if keep {
-                        one.tries.push((end, tries));
+                        one.max_attempts.push((end, max_attempts));
                     }
                     count.lock().unwrap_or_else(PoisonError::into_inner).add(one);
                 }
--- a/crates/local-cluster/src/wait.rs
+++ b/crates/local-cluster/src/wait.rs
@@ -1,6 +1,6 @@
 //! Waiting for conditions.
 
-use crate::error::Fault;
+use crate::error::ClusterError;
 use std::time::{Duration, Instant};
 
 /// Longest that anything is waited for, unless something else is said.
@@ -10,14 +10,18 @@
 ///
 /// # Errors
 /// When the time is up.
-pub fn until<T>(within: Duration, what: &str, mut look: impl FnMut() -> Option<T>) -> Result<T, Fault> {
+pub fn until<T>(
+    within: Duration,
+    what: &str,
+    mut look: impl FnMut() -> Option<T>,
+) -> Result<T, ClusterError> {
     let end = Instant::now() + within;
     loop {
         if let Some(found) = look() {
             return Ok(found);
         }
         if Instant::now() >= end {
-            return Err(Fault::Never(what.into()));
+            return Err(ClusterError::Never(what.into()));
         }
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -27,7 +31,7 @@
 ///
 /// # Errors
 /// When the time is up.
-pub fn holds(within: Duration, what: &str, mut look: impl FnMut() -> bool) -> Result<(), Fault> {
+pub fn holds(within: Duration, what: &str, mut look: impl FnMut() -> bool) -> Result<(), ClusterError> {
     until(within, what, || look().then_some(()))
 }
 
--- a/crates/local-cluster/tests/answers.rs
+++ b/crates/local-cluster/tests/answers.rs
@@ -5,9 +5,9 @@
 use common::{Hammer, System, HOST, MS};
 use oatbank_local_cluster::client::{try_at, try_id, Ask, Client, Try};
 use oatbank_local_cluster::cluster::{Plan, Role, ZONES};
-use oatbank_local_cluster::http::Wire;
-use oatbank_local_cluster::operator::Bill;
-use oatbank_local_cluster::server::Manner;
+use oatbank_local_cluster::http::HttpConnection;
+use oatbank_local_cluster::operator::TestConfiguration;
+use oatbank_local_cluster::server::Behaviour;
 use oatbank_local_cluster::wait::{holds, LONG};
 use std::time::{Duration, Instant};
 
@@ -19,34 +19,36 @@
 #[test]
 fn what_may_have_run_is_not_repeated_and_what_has_not_run_goes_to_another_server() {
     let services = ["reset", "close", "cut", "garbled", "full", "moved", "gone", "shut"];
-    let bill = services.iter().fold(Bill::new(HOST), |bill, s| bill.route(&format!("/{s}/"), "unsafe", s));
+    let configuration = services.iter().fold(TestConfiguration::new(HOST), |configuration, s| {
+        configuration.route(&format!("/{s}/"), "unsafe", s)
+    });
     let twice: Vec<&str> = services.iter().flat_map(|s| [*s, *s]).collect();
-    let system = System::serving(plan(), bill, &twice);
-    let turn = |service: &str, manners: [Manner; 2]| {
-        system.of(service).iter().zip(manners).for_each(|(s, m)| s.turn(m));
+    let system = System::serving(plan(), configuration, &twice);
+    let set_behaviour = |service: &str, manners: [Behaviour; 2]| {
+        system.of(service).iter().zip(manners).for_each(|(s, m)| s.set_behaviour(m));
     };
-    turn("reset", [Manner::RunThenReset; 2]);
-    turn("close", [Manner::RunThenClose; 2]);
-    turn("cut", [Manner::Cut; 2]);
-    turn("garbled", [Manner::Garbled; 2]);
-    turn("full", [Manner::Full, Manner::Serve]);
-    turn("moved", [Manner::Misdirected, Manner::Serve]);
-    turn("shut", [Manner::Full; 2]);
+    set_behaviour("reset", [Behaviour::RunThenReset; 2]);
+    set_behaviour("close", [Behaviour::RunThenClose; 2]);
+    set_behaviour("cut", [Behaviour::Cut; 2]);
+    set_behaviour("garbled", [Behaviour::Garbled; 2]);
+    set_behaviour("full", [Behaviour::Full, Behaviour::Serve]);
+    set_behaviour("moved", [Behaviour::Misdirected, Behaviour::Serve]);
+    set_behaviour("shut", [Behaviour::Full; 2]);
     let gone = system.of("gone")[0];
-    gone.hush();
+    gone.stop_heartbeats();
     gone.crash();
 
     // Each has another server near.
-    let fronts = system.stage.fronts();
-    let tries = |service: &str| -> Vec<Try> {
+    let fronts = system.cluster.fronts();
+    let max_attempts = |service: &str| -> Vec<Try> {
         let ask = Ask::post(HOST, &format!("/{service}/1"), "words");
         (0..24).map(|nth| try_at(fronts[nth % fronts.len()], &ask)).collect()
     };
     for service in ["reset", "close", "cut", "garbled"] {
-        let tries = tries(service);
-        let ran = tries.iter().filter(|t| system.runs(t) == 1).count();
+        let max_attempts = max_attempts(service);
+        let ran = max_attempts.iter().filter(|t| system.runs(t) == 1).count();
         assert!(ran > 2, "{service}: {ran} have run");
-        for one in &tries {
+        for one in &max_attempts {
             match system.runs(one) {
                 // Refused before it was sent: the servers had failed too often.
                 0 => assert!(one.is_promise(), "{service}: {one:?}"),
@@ -56,14 +58,14 @@
         }
     }
     for service in ["full", "moved", "gone"] {
-        for one in tries(service) {
+        for one in max_attempts(service) {
             assert!(one.served_by().is_some() && system.runs(&one) == 1, "{service}: {one:?}");
         }
         let bad = system.of(service)[0];
         let turned_away = bad.seen().iter().filter(|s| !s.ran).count();
         assert!(service == "gone" || turned_away > 0, "{service}: the bad one was tried");
     }
-    for one in tries("shut") {
+    for one in max_attempts("shut") {
         assert!(one.is_promise() && system.runs(&one) == 0, "{one:?}");
     }
     let seen = system.seen();
@@ -73,28 +75,28 @@
 #[test]
 fn no_success_is_spoilt_or_belongs_to_another_request() {
     let manners = [
-        ("surplus", Manner::Surplus),
-        ("late", Manner::Late),
-        ("other", Manner::WrongTry),
-        ("unsealed", Manner::Unsealed),
-        ("coded", Manner::Coded),
-        ("cut", Manner::Cut),
-        ("garbled", Manner::Garbled),
+        ("surplus", Behaviour::Surplus),
+        ("late", Behaviour::Late),
+        ("other", Behaviour::WrongTry),
+        ("unsealed", Behaviour::Unsealed),
+        ("coded", Behaviour::Coded),
+        ("cut", Behaviour::Cut),
+        ("garbled", Behaviour::Garbled),
     ];
-    let mut bill = Bill::new(HOST);
+    let mut configuration = TestConfiguration::new(HOST);
     for (service, _) in manners {
-        bill = bill.route(&format!("/{service}/"), "safe", service);
-        bill = bill.route(&format!("/post/{service}/"), "unsafe", service);
-        bill = bill.route(&format!("/down/{service}/"), "download", service);
+        configuration = configuration.route(&format!("/{service}/"), "safe", service);
+        configuration = configuration.route(&format!("/post/{service}/"), "unsafe", service);
+        configuration = configuration.route(&format!("/down/{service}/"), "download", service);
     }
     let twice: Vec<&str> = manners.iter().flat_map(|(s, _)| [*s, *s]).collect();
-    let system = System::serving(plan(), bill, &twice);
-    let directories = system.stage.directories();
+    let system = System::serving(plan(), configuration, &twice);
+    let directories = system.cluster.directories();
     for all_bad in [false, true] {
-        for (service, manner) in manners {
+        for (service, behaviour) in manners {
             let servers = system.of(service);
-            servers[0].turn(manner);
-            servers[1].turn(if all_bad { manner } else { Manner::Serve });
+            servers[0].set_behaviour(behaviour);
+            servers[1].set_behaviour(if all_bad { behaviour } else { Behaviour::Serve });
         }
         let clients: Vec<_> = manners
             .iter()
@@ -103,36 +105,37 @@
                 let directories = directories.clone();
                 std::thread::spawn(move || {
                     let mut client = Client::new(directories, ZONES[nth]);
-                    let mut tries = Vec::new();
-                    for turn in 0..if all_bad { 8 } else { 24 } {
-                        let ask = match turn % 4 {
-                            0 | 1 => Ask::get(HOST, &format!("/{service}/{turn}")),
-                            2 => Ask::post(HOST, &format!("/post/{service}/{turn}"), "words"),
+                    let mut max_attempts = Vec::new();
+                    for set_behaviour in 0..if all_bad { 8 } else { 24 } {
+                        let ask = match set_behaviour % 4 {
+                            0 | 1 => Ask::get(HOST, &format!("/{service}/{set_behaviour}")),
+                            2 => Ask::post(HOST, &format!("/post/{service}/{set_behaviour}"), "words"),
                             _ => Ask::get(HOST, &format!("/down/{service}/large")),
                         };
                         let within = if all_bad { 300 * MS } else { Duration::from_secs(3) };
-                        tries.extend(client.ask(&Ask { within, ..ask }).1);
+                        max_attempts.extend(client.ask(&Ask { within, ..ask }).1);
                     }
-                    (service, tries)
+                    (service, max_attempts)
                 })
             })
             .collect();
         for client in clients {
-            let (service, tries) = client.join().unwrap();
-            let mixed: Vec<_> = tries.iter().filter(|t| t.is_mixed()).map(|t| (&t.id, t.status())).collect();
+            let (service, max_attempts) = client.join().unwrap();
+            let mixed: Vec<_> =
+                max_attempts.iter().filter(|t| t.is_mixed()).map(|t| (&t.id, t.status())).collect();
             assert!(mixed.is_empty(), "{service}: {mixed:?}");
-            let served = tries.iter().filter(|t| t.served_by().is_some()).count();
+            let served = max_attempts.iter().filter(|t| t.served_by().is_some()).count();
             let sound = matches!(service, "surplus" | "late");
-            assert!(served > 0 || all_bad, "{service}: {} tries, none is served", tries.len());
+            assert!(served > 0 || all_bad, "{service}: {} tries, none is served", max_attempts.len());
             assert!(served == 0 || !all_bad || sound, "{service}: there is nothing that could be served");
             let seen = system.seen();
             let ran = |t: &&Try| seen.iter().any(|s| s.ran && s.try_id == t.id && s.what.0 == "POST");
-            let refused = tries.iter().filter(|t| t.is_promise()).find(ran);
+            let refused = max_attempts.iter().filter(|t| t.is_promise()).find(ran);
             assert!(refused.is_none(), "{service}: it has run: {refused:?}");
             let twice = |t: &&Try| {
                 seen.iter().filter(|s| s.ran && s.try_id == t.id && s.what.0 == "POST").count() > 1
             };
-            assert!(!tries.iter().any(|t| twice(&t)), "{service}: has run twice");
+            assert!(!max_attempts.iter().any(|t| twice(&t)), "{service}: has run twice");
         }
         let bad = |s: &str| system.of(s)[0].seen().iter().filter(|s| s.ran).count();
         assert!(manners.iter().all(|(s, _)| bad(s) > 0), "each bad one was used");
@@ -141,29 +144,30 @@
 
 #[test]
 fn behind_an_answer_that_ends_its_connection_nothing_that_runs_once_has_begun() {
-    let bill = Bill::new(HOST).route("/cut/", "download", "cut").route("/once/", "unsafe", "once");
-    let system = System::serving(plan(), bill, &["cut", "once"]);
-    system.of("cut")[0].turn(Manner::Cut);
-    let front = system.stage.fronts()[0];
+    let configuration =
+        TestConfiguration::new(HOST).route("/cut/", "download", "cut").route("/once/", "unsafe", "once");
+    let system = System::serving(plan(), configuration, &["cut", "once"]);
+    system.of("cut")[0].set_behaviour(Behaviour::Cut);
+    let front = system.cluster.fronts()[0];
     let (first, behind, alone) = (try_id(), try_id(), try_id());
     let get = |path: &str, id: &str| {
         format!("GET {path} HTTP/1.1\r\nHost: {HOST}\r\nTry-Id: {id}\r\nTime-Left-Ms: 2000\r\n\r\n")
     };
     let came = |id: &str| system.seen().iter().filter(|s| s.try_id == id).count();
 
-    let mut wire = Wire::connect(front, LONG).unwrap();
-    wire.send((get("/cut/large", &first) + &get("/once/1", &behind)).as_bytes()).unwrap();
+    let mut connection = HttpConnection::connect(front, LONG).unwrap();
+    connection.send((get("/cut/large", &first) + &get("/once/1", &behind)).as_bytes()).unwrap();
     let until = Instant::now() + LONG;
-    assert!(wire.answer(until).is_err(), "it breaks off");
-    assert!(wire.answer(until).is_err(), "and nothing follows it");
+    assert!(connection.answer(until).is_err(), "it breaks off");
+    assert!(connection.answer(until).is_err(), "and nothing follows it");
     assert_eq!((came(&first), came(&behind)), (1, 0));
 
     // In order: the second is sent on once the first has its answer.
-    system.of("cut")[0].turn(Manner::Serve);
-    let mut wire = Wire::connect(front, LONG).unwrap();
-    wire.send((get("/cut/1", &first) + &get("/once/2", &alone)).as_bytes()).unwrap();
+    system.of("cut")[0].set_behaviour(Behaviour::Serve);
+    let mut connection = HttpConnection::connect(front, LONG).unwrap();
+    connection.send((get("/cut/1", &first) + &get("/once/2", &alone)).as_bytes()).unwrap();
     for id in [&first, &alone] {
-        let answer = wire.answer(until).unwrap();
+        let answer = connection.answer(until).unwrap();
         assert_eq!((answer.status, answer.field("try-id")), (200, Some(&**id)));
     }
     holds(LONG, "each ran", || came(&alone) == 1).unwrap();
@@ -171,42 +175,43 @@
 
 #[test]
 fn answers_of_the_core_stand_in_the_order_of_their_requests_and_a_lost_one_can_be_asked_for_again() {
-    let system = System::serving(plan(), Bill::new(HOST).route("/x/", "safe", "one"), &["one"]);
-    let (stage, next) = (&system.stage, system.bill.next());
+    let system = System::serving(plan(), TestConfiguration::new(HOST).route("/x/", "safe", "one"), &["one"]);
+    let (cluster, next) = (&system.cluster, system.configuration.next());
     let call = |method: &str, path: &str, body: &str| {
         format!("{method} {path} HTTP/1.1\r\nHost: core\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     };
-    let put = |bill: &Bill| call("POST", "/settings/replace", &bill.text());
+    let put = |configuration: &TestConfiguration| call("POST", "/settings/replace", &configuration.text());
     let read = call("GET", "/settings/read", "");
     let all =
         call("POST", "/empty/nowhere/begin", "") + &read + &put(&next) + &read + &call("GET", "/ready", "");
-    let mut wire = Wire::connect(stage.control(0), LONG).unwrap();
-    wire.send(all.as_bytes()).unwrap();
+    let mut connection = HttpConnection::connect(cluster.control(0), LONG).unwrap();
+    connection.send(all.as_bytes()).unwrap();
     let until = Instant::now() + LONG;
-    let (old, new) = (format!("\"r{}\"", system.bill.version), format!("\"version\":\"r{}\"", next.version));
+    let (old, new) =
+        (format!("\"r{}\"", system.configuration.version), format!("\"version\":\"r{}\"", next.version));
     for (status, holds) in [(404, "no such zone"), (200, &*old), (200, "{}"), (200, &*new), (200, "{}")] {
-        let answer = wire.answer(until).unwrap();
+        let answer = connection.answer(until).unwrap();
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         assert!(answer.status == status && text.contains(holds), "{holds}: {} {text}", answer.status);
     }
 
     // The caller is gone before its answer; what it sent stands or not, and may be sent again anywhere.
     let after = next.next().route("/y/", "safe", "one");
-    let mut wire = Wire::connect(stage.control(1), LONG).unwrap();
-    wire.send(put(&after).as_bytes()).unwrap();
-    wire.linger_none();
-    drop(wire);
+    let mut connection = HttpConnection::connect(cluster.control(1), LONG).unwrap();
+    connection.send(put(&after).as_bytes()).unwrap();
+    connection.linger_none();
+    drop(connection);
     assert_eq!(system.operator.put(&after).unwrap().status, 200);
     assert_eq!(system.operator.read().unwrap().0, after.version);
 }
 
 #[test]
 fn bookings_run_once_at_most_while_machines_freeze_and_die_and_servers_lose_answers() {
-    let bill = Bill::new(HOST).route("/book/", "unsafe", "book");
-    let system = System::with(plan(), bill, &["book"; 4], 20 * MS);
-    let (stage, servers) = (&system.stage, system.of("book"));
+    let configuration = TestConfiguration::new(HOST).route("/book/", "unsafe", "book");
+    let system = System::with(plan(), configuration, &["book"; 4], 20 * MS);
+    let (cluster, servers) = (&system.cluster, system.of("book"));
     let ask = Ask { within: 400 * MS, ..Ask::post(HOST, "/book/1", "words") };
-    let (fronts, proxies) = (stage.fronts(), stage.proxies());
+    let (fronts, proxies) = (cluster.fronts(), cluster.proxies());
     // The third proxy takes tries all the while; the others are frozen and killed.
     let (steady, shaken) = (
         Hammer::start(&fronts[2..], std::slice::from_ref(&ask)),
@@ -214,34 +219,43 @@
     );
     let goes_on = || steady.until_after(Instant::now());
     let (first, second) = (proxies.start, proxies.start + 1);
-    let manners =
-        [Manner::RunThenReset, Manner::Late, Manner::WrongTry, Manner::RunThenClose, Manner::Surplus];
-    for (round, manner) in manners.into_iter().enumerate() {
-        servers[round % 4].turn(manner);
-        stage.signal("STOP", &[(first, Role::Proxy)]).unwrap();
+    let manners = [
+        Behaviour::RunThenReset,
+        Behaviour::Late,
+        Behaviour::WrongTry,
+        Behaviour::RunThenClose,
+        Behaviour::Surplus,
+    ];
+    for (round, behaviour) in manners.into_iter().enumerate() {
+        servers[round % 4].set_behaviour(behaviour);
+        cluster.signal("STOP", &[(first, Role::Proxy)]).unwrap();
         goes_on();
-        stage.signal("STOP", &stage.core()).unwrap();
+        cluster.signal("STOP", &cluster.core()).unwrap();
         goes_on();
-        stage.signal("CONT", &[(first, Role::Proxy)]).unwrap();
-        stage.kill(second, Role::Proxy);
+        cluster.signal("CONT", &[(first, Role::Proxy)]).unwrap();
+        cluster.kill(second, Role::Proxy);
         goes_on();
-        stage.signal("CONT", &stage.core()).unwrap();
-        stage.run(second, Role::Proxy).unwrap();
-        holds(LONG, "it is ready", || stage.ready(second) == Some(200)).unwrap();
+        cluster.signal("CONT", &cluster.core()).unwrap();
+        cluster.run(second, Role::Proxy).unwrap();
+        holds(LONG, "it is ready", || cluster.ready(second) == Some(200)).unwrap();
         goes_on();
-        servers[round % 4].turn(Manner::Serve);
+        servers[round % 4].set_behaviour(Behaviour::Serve);
     }
     shaken.until_after(Instant::now());
-    let tries: Vec<Try> = [steady.stop(), shaken.stop()].concat().into_iter().flatten().collect();
+    let max_attempts: Vec<Try> = [steady.stop(), shaken.stop()].concat().into_iter().flatten().collect();
     let seen = system.seen();
     let runs = |t: &Try| seen.iter().filter(|s| s.ran && s.try_id == t.id).count();
-    assert!(tries.iter().filter(|t| t.served_by().is_some()).count() > 50, "{} tries", tries.len());
-    for one in &tries {
+    assert!(
+        max_attempts.iter().filter(|t| t.served_by().is_some()).count() > 50,
+        "{} tries",
+        max_attempts.len()
+    );
+    for one in &max_attempts {
         assert!(runs(one) <= 1, "has run {} times: {one:?}", runs(one));
         assert!(runs(one) == 0 || !one.is_promise(), "promised, and has run: {one:?}");
         assert!(runs(one) == 1 || one.served_by().is_none(), "served, and has not run: {one:?}");
         assert!(!one.is_mixed(), "another's answer: {one:?}");
     }
-    let known = |id: &String| tries.iter().any(|t| t.id == *id);
+    let known = |id: &String| max_attempts.iter().any(|t| t.id == *id);
     assert!(seen.iter().all(|s| known(&s.try_id)), "what ran was asked for");
 }
--- a/crates/local-cluster/tests/common/mod.rs
+++ b/crates/local-cluster/tests/common/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code, unreachable_pub)]
 
 use oatbank_local_cluster::client::{try_at, Ask, Try};
-use oatbank_local_cluster::cluster::{Plan, Stage};
-use oatbank_local_cluster::operator::{Bill, Operator};
-use oatbank_local_cluster::server::{Seen, Server};
+use oatbank_local_cluster::cluster::{LocalCluster, Plan};
+use oatbank_local_cluster::operator::{Operator, TestConfiguration};
+use oatbank_local_cluster::server::{ReceivedRequest, Server};
 use oatbank_local_cluster::wait::{holds, LONG};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -42,29 +42,29 @@
 pub struct System {
     pub servers: Vec<(String, Server)>,
     pub operator: Operator,
-    pub bill: Bill,
-    pub stage: Stage,
+    pub configuration: TestConfiguration,
+    pub cluster: LocalCluster,
     _room: Room,
 }
 
 impl System {
     /// Serves by this configuration, with one server for each name of a service.
-    pub fn serving(plan: Plan, bill: Bill, services: &[&str]) -> System {
-        System::with(plan, bill, services, 4 * MS)
+    pub fn serving(plan: Plan, configuration: TestConfiguration, services: &[&str]) -> System {
+        System::with(plan, configuration, services, 4 * MS)
     }
 
     /// The same; servers work so long on a request.
-    pub fn with(plan: Plan, bill: Bill, services: &[&str], work: Duration) -> System {
+    pub fn with(plan: Plan, configuration: TestConfiguration, services: &[&str], work: Duration) -> System {
         let room = Room::take();
-        let stage = Stage::start(plan).unwrap();
-        let operator = Operator::new(stage.controls());
-        operator.must_put(&bill).unwrap();
+        let cluster = LocalCluster::start(plan).unwrap();
+        let operator = Operator::new(cluster.controls());
+        operator.must_put(&configuration).unwrap();
         let start =
-            |(nth, s): (usize, &&str)| ((*s).to_owned(), Server::with(&stage, nth, s, 16, work).unwrap());
+            |(nth, s): (usize, &&str)| ((*s).to_owned(), Server::with(&cluster, nth, s, 16, work).unwrap());
         let servers: Vec<(String, Server)> = services.iter().enumerate().map(start).collect();
-        servers.iter().for_each(|(_, server)| _ = server.enlist().unwrap());
-        stage.until_ready().unwrap();
-        System { servers, operator, bill, stage, _room: room }
+        servers.iter().for_each(|(_, server)| _ = server.register().unwrap());
+        cluster.until_ready().unwrap();
+        System { servers, operator, configuration, cluster, _room: room }
     }
 
     /// The servers of a service.
@@ -83,7 +83,7 @@
     }
 
     /// What all servers saw.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<ReceivedRequest> {
         self.servers.iter().flat_map(|(_, s)| s.seen()).collect()
     }
 
@@ -102,21 +102,21 @@
 /// Tries sent at proxies one after the other, by one thread a proxy and request, until it is stopped.
 pub struct Hammer {
     stop: Arc<AtomicBool>,
-    tries: Vec<Arc<Mutex<Vec<Try>>>>,
+    max_attempts: Vec<Arc<Mutex<Vec<Try>>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Hammer {
     pub fn start(fronts: &[SocketAddr], asks: &[Ask]) -> Hammer {
         let stop = Arc::new(AtomicBool::new(false));
-        let mut hammer = Hammer { stop, tries: Vec::new(), threads: Vec::new() };
+        let mut hammer = Hammer { stop, max_attempts: Vec::new(), threads: Vec::new() };
         for (front, ask) in fronts.iter().flat_map(|f| asks.iter().map(move |a| (*f, a.clone()))) {
-            let (stop, tries) = (hammer.stop.clone(), Arc::<Mutex<Vec<Try>>>::default());
-            hammer.tries.push(tries.clone());
+            let (stop, max_attempts) = (hammer.stop.clone(), Arc::<Mutex<Vec<Try>>>::default());
+            hammer.max_attempts.push(max_attempts.clone());
             hammer.threads.push(std::thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     let one = try_at(front, &ask);
-                    tries.lock().unwrap().push(one);
+                    max_attempts.lock().unwrap().push(one);
                     std::thread::sleep(5 * MS);
                 }
             }));
@@ -126,16 +126,17 @@
 
     /// Waits until each thread has had some tries that were sent after this.
     pub fn until_after(&self, at: Instant) {
-        let enough =
-            |tries: &Mutex<Vec<Try>>| tries.lock().unwrap().iter().filter(|t| t.sent > at).count() > 3;
+        let enough = |max_attempts: &Mutex<Vec<Try>>| {
+            max_attempts.lock().unwrap().iter().filter(|t| t.sent > at).count() > 3
+        };
         let left = at.saturating_duration_since(Instant::now()) + LONG;
-        holds(left, "tries are sent by each thread", || self.tries.iter().all(|t| enough(t))).unwrap();
+        holds(left, "tries are sent by each thread", || self.max_attempts.iter().all(|t| enough(t))).unwrap();
     }
 
     /// All tries, by thread: proxies in their order, and for each the requests in theirs.
     pub fn stop(self) -> Vec<Vec<Try>> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|t| t.join().unwrap());
-        self.tries.iter().map(|t| std::mem::take(&mut *t.lock().unwrap())).collect()
+        self.max_attempts.iter().map(|t| std::mem::take(&mut *t.lock().unwrap())).collect()
     }
 }
--- a/crates/local-cluster/tests/config.rs
+++ b/crates/local-cluster/tests/config.rs
@@ -6,7 +6,7 @@
 use oatbank_local_cluster::changes;
 use oatbank_local_cluster::client::{try_at, Ask};
 use oatbank_local_cluster::cluster::{call, Plan, Role};
-use oatbank_local_cluster::operator::{Bill, Operator};
+use oatbank_local_cluster::operator::{Operator, TestConfiguration};
 use oatbank_local_cluster::wait;
 use std::time::{Duration, Instant};
 
@@ -14,55 +14,59 @@
 const GO_BACK: Duration = Duration::from_millis(250);
 
 /// The same, its route to another service.
-fn moved(bill: &Bill, service: &str) -> Bill {
-    let mut next = bill.next();
+fn moved(configuration: &TestConfiguration, service: &str) -> TestConfiguration {
+    let mut next = configuration.next();
     next.routes[0].service = service.into();
     next
 }
 
 #[test]
 fn a_change_acts_everywhere_in_time_and_no_life_of_a_proxy_goes_back() {
-    let mut bill = Bill::new(HOST).route("/x/", "safe", "one");
-    bill.services.extend(["two".into(), "three".into()]);
-    let system = System::serving(Plan::default(), bill, &["one", "two", "three", "one", "two", "three"]);
-    let (stage, ask) = (&system.stage, Ask::get(HOST, "/x/1"));
+    let mut configuration = TestConfiguration::new(HOST).route("/x/", "safe", "one");
+    configuration.services.extend(["two".into(), "three".into()]);
+    let system =
+        System::serving(Plan::default(), configuration, &["one", "two", "three", "one", "two", "three"]);
+    let (cluster, ask) = (&system.cluster, Ask::get(HOST, "/x/1"));
 
-    let hammer = Hammer::start(&stage.fronts(), std::slice::from_ref(&ask));
+    let hammer = Hammer::start(&cluster.fronts(), std::slice::from_ref(&ask));
     let reached = || system.of("one").iter().all(|s| !s.seen().is_empty());
     wait::holds(wait::LONG, "the first service is used", reached).unwrap();
-    let second = moved(&system.bill, "two");
+    let second = moved(&system.configuration, "two");
     let acked = system.operator.must_put(&second).unwrap().at;
     hammer.until_after(acked + APPLY);
-    for (proxy, tries) in hammer.stop().iter().enumerate() {
+    for (proxy, max_attempts) in hammer.stop().iter().enumerate() {
         let late: Vec<_> =
-            tries.iter().filter(|t| t.sent > acked + APPLY).map(|t| system.served(t)).collect();
+            max_attempts.iter().filter(|t| t.sent > acked + APPLY).map(|t| system.served(t)).collect();
         assert!(late.iter().all(|s| *s == Some("two")), "proxy {proxy}: {late:?}");
-        let new =
-            tries.iter().find(|t| system.served(t) == Some("two")).expect("served by the new one").ended;
-        let back = tries.iter().find(|t| t.sent > new + GO_BACK && system.served(t) == Some("one"));
+        let new = max_attempts
+            .iter()
+            .find(|t| system.served(t) == Some("two"))
+            .expect("served by the new one")
+            .ended;
+        let back = max_attempts.iter().find(|t| t.sent > new + GO_BACK && system.served(t) == Some("one"));
         assert!(back.is_none(), "proxy {proxy} went back: {back:?}");
     }
 
     // One proxy dies, misses a change, and finds no core that answers when it comes back.
-    let proxy = stage.proxies().start;
-    let front = stage.front(proxy);
-    stage.kill(proxy, Role::Proxy);
+    let proxy = cluster.proxies().start;
+    let front = cluster.front(proxy);
+    cluster.kill(proxy, Role::Proxy);
     system.operator.must_put(&moved(&second, "three")).unwrap();
-    stage.signal("STOP", &stage.core()).unwrap();
-    stage.run(proxy, Role::Proxy).unwrap();
+    cluster.signal("STOP", &cluster.core()).unwrap();
+    cluster.run(proxy, Role::Proxy).unwrap();
     let hammer = Hammer::start(&[front], std::slice::from_ref(&ask));
-    wait::holds(wait::LONG, "it says that it is not ready", || stage.ready(proxy) == Some(503)).unwrap();
+    wait::holds(wait::LONG, "it says that it is not ready", || cluster.ready(proxy) == Some(503)).unwrap();
     let until = Instant::now() + 800 * MS;
     while Instant::now() < until {
-        assert_eq!(stage.ready(proxy), Some(503), "it cannot know the newest");
+        assert_eq!(cluster.ready(proxy), Some(503), "it cannot know the newest");
     }
     let without = hammer.stop();
     assert!(without[0].iter().any(|t| t.status() == 503), "it answers: {without:?}");
     assert!(without[0].iter().all(|t| matches!(t.status(), 0 | 503)), "it serves nobody: {without:?}");
 
     let hammer = Hammer::start(&[front], std::slice::from_ref(&ask));
-    stage.signal("CONT", &stage.core()).unwrap();
-    wait::holds(wait::LONG, "it is ready", || stage.ready(proxy) == Some(200)).unwrap();
+    cluster.signal("CONT", &cluster.core()).unwrap();
+    wait::holds(wait::LONG, "it is ready", || cluster.ready(proxy) == Some(200)).unwrap();
     system.until_served(front, &ask);
     hammer.until_after(Instant::now());
     let services: Vec<_> =
@@ -72,11 +76,12 @@
 
 #[test]
 fn of_two_on_top_of_the_same_version_one_wins_and_what_is_invalid_changes_nothing() {
-    let system = System::serving(Plan::default(), Bill::new(HOST).route("/x/", "safe", "one"), &["one"]);
-    let stage = &system.stage;
-    let mut current = system.bill.clone();
+    let system =
+        System::serving(Plan::default(), TestConfiguration::new(HOST).route("/x/", "safe", "one"), &["one"]);
+    let cluster = &system.cluster;
+    let mut current = system.configuration.clone();
     for round in 0..6 {
-        let controls = stage.controls();
+        let controls = cluster.controls();
         let rivals: Vec<_> = (0..2)
             .map(|nth| {
                 let mut next = current.next().route(&format!("/rival-{nth}/"), "safe", "one");
@@ -124,11 +129,11 @@
     let before = system.operator.read().unwrap();
     for (what, body) in &invalid {
         assert_ne!(*body, text, "{what}");
-        let answer = call(stage.control(0), "POST", "/settings/replace", body, wait::LONG).unwrap();
+        let answer = call(cluster.control(0), "POST", "/settings/replace", body, wait::LONG).unwrap();
         assert!((400..500).contains(&answer.status), "{what}: {}", answer.status);
     }
     assert_eq!(system.operator.read().unwrap(), before, "the old one stays");
-    for front in stage.fronts() {
+    for front in cluster.fronts() {
         assert_eq!(try_at(front, &Ask::get(HOST, "/x/1")).status(), 200);
     }
     assert_eq!(system.operator.put(&next).unwrap().status, 200, "and what was made wrong is right by itself");
--- a/crates/local-cluster/tests/cut_off.rs
+++ b/crates/local-cluster/tests/cut_off.rs
@@ -5,9 +5,9 @@
 
 use common::{Hammer, System, HOST, MS};
 use oatbank_local_cluster::client::{lookup, Ask};
-use oatbank_local_cluster::cluster::{call, get, Plan, Stage, CORE, INNER_REGISTRY, ZONES};
-use oatbank_local_cluster::http::{Broken, Message, Wire};
-use oatbank_local_cluster::operator::{Bill, Operator};
+use oatbank_local_cluster::cluster::{call, get, LocalCluster, Plan, CORE, INNER_REGISTRY, ZONES};
+use oatbank_local_cluster::http::{HttpConnection, HttpError, Message};
+use oatbank_local_cluster::operator::{Operator, TestConfiguration};
 use oatbank_local_cluster::shell;
 use oatbank_local_cluster::wait;
 use std::net::SocketAddr;
@@ -17,126 +17,127 @@
 const LONG_CUT: Duration = Duration::from_secs(20);
 
 /// A word of a server that no route leads to.
-fn beat(stage: &Stage, calls: u64) -> String {
+fn heartbeat(cluster: &LocalCluster, calls: u64) -> String {
     format!(
         r#"{{"service":"g","address":"{}:9","zone":"{}","serverState":"ready","slots":4,"callCount":{calls}}}"#,
-        stage.server_ip(99),
+        cluster.server_ip(99),
         ZONES[0].0
     )
 }
 
 /// Sends a call and leaves its answer where it is.
-fn leave_there(to: SocketAddr, path: &str, body: &str) -> Wire {
-    let mut wire = Wire::connect(to, SECOND).unwrap();
+fn leave_there(to: SocketAddr, path: &str, body: &str) -> HttpConnection {
+    let mut connection = HttpConnection::connect(to, SECOND).unwrap();
     let text = format!("POST {path} HTTP/1.1\r\nHost: {to}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    wire.send(text.as_bytes()).unwrap();
-    wire
+    connection.send(text.as_bytes()).unwrap();
+    connection
 }
 
-fn answer(mut wire: Wire) -> Result<Message, Broken> {
-    wire.answer(Instant::now() + 3 * SECOND)
+fn answer(mut connection: HttpConnection) -> Result<Message, HttpError> {
+    connection.answer(Instant::now() + 3 * SECOND)
 }
 
 /// Whether this core machine names the server among those it may be sent to.
-fn lists(stage: &Stage, machine: usize, id: &str) -> bool {
-    let table = shell::ask(stage.inner(machine, INNER_REGISTRY), &["servers"]).expect("it answers");
+fn lists(cluster: &LocalCluster, machine: usize, id: &str) -> bool {
+    let table = shell::ask(cluster.inner(machine, INNER_REGISTRY), &["servers"]).expect("it answers");
     table.cell(id, "state").is_some_and(|state| state == "ready")
 }
 
 #[test]
 fn a_core_machine_that_wakes_takes_no_old_word_and_no_old_order_for_a_new_one() {
-    let bill = Bill::new(HOST).route("/x/", "safe", "s");
-    let system = System::serving(Plan::default(), bill, &["s"; 3]);
-    let stage = &system.stage;
+    let configuration = TestConfiguration::new(HOST).route("/x/", "safe", "s");
+    let system = System::serving(Plan::default(), configuration, &["s"; 3]);
+    let cluster = &system.cluster;
     let (ghost, zone) = ("i-ghost", ZONES[0].0);
     let path = format!("/servers/{ghost}/beat");
-    let said = call(stage.control(1), "POST", &path, &beat(stage, 1), SECOND).unwrap();
+    let said = call(cluster.control(1), "POST", &path, &heartbeat(cluster, 1), SECOND).unwrap();
     assert_eq!(said.status, 200);
     let begin = format!("/empty/{zone}/begin");
-    let hammer = Hammer::start(&stage.fronts(), &[Ask::get(HOST, "/x/1")]);
+    let hammer = Hammer::start(&cluster.fronts(), &[Ask::get(HOST, "/x/1")]);
 
     let sleeper = CORE.map(|role| (0, role));
-    stage.signal("STOP", &sleeper).unwrap();
+    cluster.signal("STOP", &sleeper).unwrap();
     let asleep = Instant::now();
-    let order = leave_there(stage.control(0), &begin, "");
-    let word = leave_there(stage.control(0), &path, &beat(stage, 9));
-    let put = leave_there(stage.control(0), "/settings/replace", &system.bill.next().text());
+    let order = leave_there(cluster.control(0), &begin, "");
+    let word = leave_there(cluster.control(0), &path, &heartbeat(cluster, 9));
+    let put = leave_there(cluster.control(0), "/settings/replace", &system.configuration.next().text());
     // The others go on: the same order is taken, and taken back.
-    let others = Operator::new(vec![stage.control(1), stage.control(2)]);
+    let others = Operator::new(vec![cluster.control(1), cluster.control(2)]);
     for end in ["begin", "end"] {
         let (done, _) = others.send("POST", &format!("/empty/{zone}/{end}"), "", wait::LONG).unwrap();
         assert_eq!(done.status, 200, "{end}");
     }
-    let newer = system.bill.next().route("/y/", "safe", "s");
+    let newer = system.configuration.next().route("/y/", "safe", "s");
     others.must_put(&newer).unwrap();
-    wait::holds(LONG_CUT, "the ghost is silent", || !lists(stage, 1, ghost)).unwrap();
+    wait::holds(LONG_CUT, "the ghost is silent", || !lists(cluster, 1, ghost)).unwrap();
     wait::moment(asleep + LONG_CUT);
-    stage.signal("CONT", &sleeper).unwrap();
+    cluster.signal("CONT", &sleeper).unwrap();
     let woke = Instant::now();
     let statuses = [answer(word), answer(order), answer(put)].map(|a| a.map(|a| a.status));
     assert_eq!(statuses, [Ok(503), Ok(503), Ok(503)], "nothing that lay there is taken");
     // For as long as a silence would take to be judged again.
     while woke.elapsed() < 4 * SECOND {
-        assert!(!lists(stage, 1, ghost) && !lists(stage, 2, ghost), "{:?} after waking", woke.elapsed());
+        assert!(!lists(cluster, 1, ghost) && !lists(cluster, 2, ghost), "{:?} after waking", woke.elapsed());
         std::thread::sleep(100 * MS);
     }
     // It takes part again, and knows what was agreed meanwhile.
-    let read = get(stage.control(0), "/settings/read", SECOND).unwrap();
+    let read = get(cluster.control(0), "/settings/read", SECOND).unwrap();
     assert!(read.status == 200 && String::from_utf8_lossy(&read.body).contains("\"/y/\""));
-    assert_eq!(call(stage.control(0), "POST", &begin, "", 2 * SECOND).unwrap().status, 200);
-    let tries = hammer.stop();
-    assert!(tries.iter().flatten().all(|t| t.is_success()), "all are served");
-    assert!(stage.lost().is_empty());
+    assert_eq!(call(cluster.control(0), "POST", &begin, "", 2 * SECOND).unwrap().status, 200);
+    let max_attempts = hammer.stop();
+    assert!(max_attempts.iter().flatten().all(|t| t.is_success()), "all are served");
+    assert!(cluster.lost().is_empty());
 }
 
 #[test]
 fn a_core_machine_that_is_left_alone_confirms_nothing_and_gives_out_nothing_old() {
-    let bill = Bill::new(HOST).route("/x/", "safe", "s");
-    let system = System::serving(Plan::default(), bill, &["s"; 3]);
-    let stage = &system.stage;
-    let alone = stage.control(0);
+    let configuration = TestConfiguration::new(HOST).route("/x/", "safe", "s");
+    let system = System::serving(Plan::default(), configuration, &["s"; 3]);
+    let cluster = &system.cluster;
+    let alone = cluster.control(0);
     let path = "/servers/i-other/beat";
-    let (begin, next) = (format!("/empty/{}/begin", ZONES[0].0), system.bill.next());
-    let hammer = Hammer::start(&stage.fronts(), &[Ask::get(HOST, "/x/1")]);
+    let (begin, next) = (format!("/empty/{}/begin", ZONES[0].0), system.configuration.next());
+    let hammer = Hammer::start(&cluster.fronts(), &[Ask::get(HOST, "/x/1")]);
     let rest: Vec<_> = [1, 2].into_iter().flat_map(|m| CORE.map(|role| (m, role))).collect();
-    stage.signal("STOP", &rest).unwrap();
+    cluster.signal("STOP", &rest).unwrap();
     let cut = Instant::now();
     let mut calls = 0;
     let mut worst = [Duration::ZERO; 4];
     while cut.elapsed() < LONG_CUT {
         calls += 1;
         let since = cut.elapsed();
-        let mut timed = |nth: usize, asked: Instant| worst[nth] = worst[nth].max(asked.elapsed());
-        let asked = Instant::now();
-        let said = call(alone, "POST", path, &beat(stage, calls), SECOND).unwrap().status;
+        let mut timed =
+            |nth: usize, command_line: Instant| worst[nth] = worst[nth].max(command_line.elapsed());
+        let command_line = Instant::now();
+        let said = call(alone, "POST", path, &heartbeat(cluster, calls), SECOND).unwrap().status;
         // 1.5 s from its last question, and 0.3 s that an answer may have been held.
         assert!(said == 503 || said == 200 && since < 1900 * MS, "beat: {said} at {since:?}");
-        timed(0, asked);
-        let asked = Instant::now();
+        timed(0, command_line);
+        let command_line = Instant::now();
         let said = call(alone, "POST", "/servers/i-other/leave", "", SECOND).unwrap().status;
         assert_eq!(said, 503, "leave at {since:?}");
-        timed(1, asked);
-        let asked = Instant::now();
+        timed(1, command_line);
+        let command_line = Instant::now();
         let said = get(alone, "/settings/read", SECOND).unwrap().status;
         assert_eq!(said, 504, "read at {since:?}");
-        timed(2, asked);
+        timed(2, command_line);
         for (method, path, body) in [("POST", &*begin, ""), ("POST", "/settings/replace", &*next.text())] {
-            let asked = Instant::now();
+            let command_line = Instant::now();
             let said = call(alone, method, path, body, 2 * SECOND).unwrap().status;
             assert!(matches!(said, 503 | 504), "{path}: {said} at {since:?}");
             if since > 3500 * MS {
-                timed(3, asked);
+                timed(3, command_line);
             }
         }
-        let named = lookup(stage.directory(0), HOST, ZONES[0]);
-        assert!(named.as_ref().map_or(true, |(at, _)| at.iter().all(|a| stage.fronts().contains(a))));
+        let named = lookup(cluster.directory(0), HOST, ZONES[0]);
+        assert!(named.as_ref().map_or(true, |(at, _)| at.iter().all(|a| cluster.fronts().contains(a))));
     }
     println!("longest answers: beat, leave, read, orders past 3.5 s: {worst:?}");
     assert!(worst[0] < 200 * MS && worst[1] < 900 * MS && worst[2] < 700 * MS && worst[3] < 200 * MS);
-    stage.signal("CONT", &rest).unwrap();
+    cluster.signal("CONT", &rest).unwrap();
     system.operator.must_put(&next).unwrap();
     assert_eq!(system.operator.read().unwrap().0, next.version);
-    let tries = hammer.stop();
-    assert!(tries.iter().flatten().all(|t| t.is_success()), "all are served by what is known");
-    assert!(stage.lost().is_empty());
+    let max_attempts = hammer.stop();
+    assert!(max_attempts.iter().flatten().all(|t| t.is_success()), "all are served by what is known");
+    assert!(cluster.lost().is_empty());
 }
--- a/crates/local-cluster/tests/failing.rs
+++ b/crates/local-cluster/tests/failing.rs
@@ -7,9 +7,9 @@
 use oatbank_local_cluster::client::{try_at, Ask, Try};
 use oatbank_local_cluster::cluster::{Plan, INNER_PROXY, INNER_REGISTRY};
 use oatbank_local_cluster::failing::{play, Played, Wanted};
-use oatbank_local_cluster::http::Wire;
-use oatbank_local_cluster::operator::Bill;
-use oatbank_local_cluster::server::Manner;
+use oatbank_local_cluster::http::HttpConnection;
+use oatbank_local_cluster::operator::TestConfiguration;
+use oatbank_local_cluster::server::Behaviour;
 use oatbank_local_cluster::shell::{self, Table};
 use oatbank_local_cluster::wait::{holds, until, LONG};
 use std::process::Command;
@@ -41,7 +41,7 @@
 }
 
 fn outcome(system: &System, machine: usize, place: u16, id: &str) -> Table {
-    shell::ask(system.stage.inner(machine, place), &["outcome", id]).unwrap()
+    shell::ask(system.cluster.inner(machine, place), &["outcome", id]).unwrap()
 }
 
 fn says(table: &Table, what: &str) -> bool {
@@ -50,37 +50,38 @@
 
 #[test]
 fn a_client_learns_what_became_of_its_order_and_one_that_leaves_stops_nothing() {
-    let bill = Bill::new(HOST).route("/slow/", "unsafe", "slow").route("/full/", "unsafe", "full");
-    let system = System::with(Plan::default(), bill, &["slow", "full"], 500 * MS);
-    system.of("full")[0].turn(Manner::Full);
-    let (front, core, proxy) = (system.stage.fronts()[0], 0, system.stage.proxies().start);
+    let configuration =
+        TestConfiguration::new(HOST).route("/slow/", "unsafe", "slow").route("/full/", "unsafe", "full");
+    let system = System::with(Plan::default(), configuration, &["slow", "full"], 500 * MS);
+    system.of("full")[0].set_behaviour(Behaviour::Full);
+    let (front, core, proxy) = (system.cluster.fronts()[0], 0, system.cluster.proxies().start);
     let text = |one: &Try| String::from_utf8_lossy(&one.got.as_ref().unwrap().body).into_owned();
     let server = system.of("slow")[0].id().to_owned();
 
     // Told that it may have run, while it runs.
-    let asked = Ask { within: 300 * MS, ..Ask::post(HOST, "/slow/1", "a job") };
-    let late = try_at(front, &asked);
+    let command_line = Ask { within: 300 * MS, ..Ask::post(HOST, "/slow/1", "a job") };
+    let late = try_at(front, &command_line);
     assert!(matches!(late.status(), 502 | 504), "{late:?}");
     assert!(text(&late).contains(&format!("may have run; server {server}; try {}", late.id)), "{late:?}");
     assert!(says(&outcome(&system, core, INNER_REGISTRY, &late.id), "running"));
     holds(LONG, "it is done", || says(&outcome(&system, core, INNER_REGISTRY, &late.id), "done")).unwrap();
 
     // The same once more, by whoever doubles it on the way: it has run.
-    let again = oatbank_local_cluster::client::again_at(front, &asked, &late.id);
+    let again = oatbank_local_cluster::client::again_at(front, &command_line, &late.id);
     assert!(again.status() == 409 && text(&again).contains(&server), "{again:?}");
     assert_eq!(system.seen().iter().filter(|s| s.try_id == late.id).count(), 1);
 
     // A client that leaves.
     let id = oatbank_local_cluster::client::try_id();
-    let mut wire = Wire::connect(front, LONG).unwrap();
+    let mut connection = HttpConnection::connect(front, LONG).unwrap();
     let head = format!(
         "POST /slow/2 HTTP/1.1\r\nHost: {HOST}\r\nTry-Id: {id}\r\nTime-Left-Ms: 2000\r\nContent-Length: 1\r\n\r\nx"
     );
-    wire.send(head.as_bytes()).unwrap();
+    connection.send(head.as_bytes()).unwrap();
     let began = || system.seen().iter().any(|s| s.try_id == id);
     holds(LONG, "it runs", began).unwrap();
-    drop(wire);
-    let other = system.stage.proxies().start + 1;
+    drop(connection);
+    let other = system.cluster.proxies().start + 1;
     let done = until(LONG, "it is done", || {
         Some(outcome(&system, other, INNER_PROXY, &id)).filter(|table| says(table, "done"))
     });
@@ -88,17 +89,17 @@
     assert_eq!(system.seen().iter().filter(|s| s.ran && s.try_id == id).count(), 1);
 
     // A promise.
-    let asked = Ask { within: 600 * MS, ..Ask::post(HOST, "/full/1", "a job") };
-    let refused = try_at(front, &asked);
+    let command_line = Ask { within: 600 * MS, ..Ask::post(HOST, "/full/1", "a job") };
+    let refused = try_at(front, &command_line);
     assert!(refused.is_promise() && text(&refused).contains("has not run and never will"), "{refused:?}");
     assert!(says(&outcome(&system, proxy, INNER_PROXY, &refused.id), "did not run"));
-    let again = oatbank_local_cluster::client::again_at(front, &asked, &refused.id);
+    let again = oatbank_local_cluster::client::again_at(front, &command_line, &refused.id);
     assert!(again.is_promise(), "what has not run may come again: {again:?}");
 
     // The shell's other words.
-    let guard = shell::ask(system.stage.inner(proxy, INNER_PROXY), &["guard"]).unwrap();
+    let guard = shell::ask(system.cluster.inner(proxy, INNER_PROXY), &["guard"]).unwrap();
     assert_eq!((guard.cell("slow", "out"), guard.cell("slow", "kept from")), (Some("0"), Some("0")));
-    let at = system.stage.inner(core, INNER_REGISTRY);
+    let at = system.cluster.inner(core, INNER_REGISTRY);
     let rows = |words: &[&str]| shell::ask(at, words).map(|t| t.rows.len());
     assert_eq!((rows(&["servers"]), rows(&["servers", "slow"])), (Some(2), Some(1)));
     assert_eq!((rows(&["limiters"]), rows(&["core"]), rows(&["version"])), (Some(3), Some(3), Some(1)));
@@ -112,7 +113,7 @@
         code == Some(2) && error.contains("\"server\"") && error.contains("servers [SERVICE]"),
         "{error}"
     );
-    let nobody = system.stage.inner(core, 3).to_string();
+    let nobody = system.cluster.inner(core, 3).to_string();
     assert_eq!(run(nobody, &["core"]).0, Some(1));
     assert_eq!(run("here".into(), &["core"]).0, Some(2));
 }
--- a/crates/local-cluster/tests/names.rs
+++ b/crates/local-cluster/tests/names.rs
@@ -5,7 +5,7 @@
 use common::{Hammer, System, HOST, MS};
 use oatbank_local_cluster::client::{try_at, Ask, Try};
 use oatbank_local_cluster::cluster::{Plan, INNER_PROXY, INNER_REGISTRY};
-use oatbank_local_cluster::operator::Bill;
+use oatbank_local_cluster::operator::TestConfiguration;
 use oatbank_local_cluster::shell;
 use oatbank_local_cluster::wait::{holds, LONG};
 use std::time::{Duration, Instant};
@@ -16,11 +16,15 @@
 
 #[test]
 fn two_meshes_with_one_name_and_a_server_that_does_not_say_which() {
-    let bill =
-        Bill::new(HOST).route("/north/", "unsafe", "north/hall").route("/south/", "unsafe", "south/hall");
+    let configuration = TestConfiguration::new(HOST).route("/north/", "unsafe", "north/hall").route(
+        "/south/",
+        "unsafe",
+        "south/hall",
+    );
     // The last one beats for a hall of neither, or of both.
-    let system = System::serving(Plan::default(), bill, &["north/hall", "south/hall", "south/hall", "hall"]);
-    let fronts: Vec<_> = system.stage.fronts();
+    let system =
+        System::serving(Plan::default(), configuration, &["north/hall", "south/hall", "south/hall", "hall"]);
+    let fronts: Vec<_> = system.cluster.fronts();
     for front in &fronts {
         system.until_served(*front, &confirm("/north/1"));
         system.until_served(*front, &confirm("/south/1"));
@@ -29,7 +33,7 @@
 
     // The only one of the north gets a rival: another address beats under its id, with a higher number.
     let (victim, rival) = (system.of("north/hall")[0], system.of("hall")[0]);
-    let beat = |calls: u32| {
+    let heartbeat = |calls: u32| {
         let body = format!(
             r#"{{"mesh":"south","service":"hall","address":"{}","zone":"east-1","slots":8,"serverState":"ready","callCount":{calls}}}"#,
             rival.address()
@@ -37,20 +41,20 @@
         let path = format!("/servers/{}/beat", victim.id());
         system.operator.send("POST", &path, &body, LONG).unwrap();
     };
-    beat(1000);
+    heartbeat(1000);
     let refused = |t: &Try| t.status() == 503;
     let all = || fronts.iter().all(|front| refused(&try_at(*front, &confirm("/north/3"))));
     holds(LONG, "nobody sends the contested one anything", all).unwrap();
     // A proxy and a core machine say why, when asked.
-    let (proxy, core) = (system.stage.proxies().start, system.stage.cores().start);
-    for at in [system.stage.inner(proxy, INNER_PROXY), system.stage.inner(core, INNER_REGISTRY)] {
+    let (proxy, core) = (system.cluster.proxies().start, system.cluster.cores().start);
+    for at in [system.cluster.inner(proxy, INNER_PROXY), system.cluster.inner(core, INNER_REGISTRY)] {
         let table = shell::ask(at, &["who-owns", victim.id()]).expect("an answer");
         let contested = |cell: &String| cell.starts_with("contested");
         assert!(table.rows.iter().flatten().any(contested), "{table:?}");
     }
     let since = Instant::now();
     hammer.until_after(since + 300 * MS);
-    beat(1001);
+    heartbeat(1001);
     let until = Instant::now();
     // The rival falls silent, and the one that goes on is used again.
     for front in &fronts {
@@ -59,15 +63,19 @@
     assert!(until.elapsed() < Duration::from_secs(8), "{:?}", until.elapsed());
 
     // By proxy, and for each the north's and the south's.
-    let tries = hammer.stop();
-    for (nth, one) in tries.iter().enumerate().flat_map(|(nth, tries)| tries.iter().map(move |t| (nth, t))) {
+    let max_attempts = hammer.stop();
+    for (nth, one) in max_attempts
+        .iter()
+        .enumerate()
+        .flat_map(|(nth, max_attempts)| max_attempts.iter().map(move |t| (nth, t)))
+    {
         match system.served(one) {
             Some(service) => assert_eq!(service, ["north/hall", "south/hall"][nth % 2], "{one:?}"),
             None => assert!(one.is_promise() && system.runs(one) == 0, "{one:?}"),
         }
         assert!(nth % 2 == 0 || system.served(one).is_some(), "the south is not touched: {one:?}");
     }
-    for north in tries.iter().step_by(2) {
+    for north in max_attempts.iter().step_by(2) {
         let between: Vec<&Try> = north.iter().filter(|t| t.sent > since && t.sent < until).collect();
         assert!(between.len() > 3 && between.iter().all(|t| refused(t)), "{between:?}");
     }
