--- a/crates/registry/src/voters.rs
+++ b/crates/registry/src/voters.rs
@@ -51,7 +51,7 @@
     let row = |voter: &VoterId| {
         let response = response_of(responses, voter);
         let cell = |of: &dyn Fn(&VoterResponse) -> String| {
-            response.map_or_else(String::new, |response| of(response))
+            response.map_or_else(String::new, of)
         };
         vec![
             voter.address.clone(),
