--- a/crates/daemon/src/fleet/apply.rs
+++ b/crates/daemon/src/fleet/apply.rs
@@ -5,7 +5,7 @@
 use oatbank_engine::ports::membership::{News, Told};
 use oatbank_engine::upstreams::http1::Http1;
 use oatbank_fleet::document::{Id, Revision};
-use oatbank_fleet::member::Acting;
+use oatbank_fleet::member::ActiveRules;
 use oatbank_fleet::strict::{stricter, Rules};
 use oatbank_limiter_core::interface::ServerState;
 use oatbank_zones::zones::Cold;
@@ -23,14 +23,14 @@
     servers: Told,
     /// This limiter's place among all, from 0 to below 1.
     place: f64,
-    acting: Acting,
+    active_rules: ActiveRules,
     /// Revisions that this limiter can act by.
     checked: BTreeMap<Id, Config>,
 }
 
 impl Applied {
     pub(super) fn new(base: Base, engine: Rc<Engine<Http1>>, servers: Told, place: f64) -> Self {
-        Applied { base, engine, servers, place, acting: Acting::Refuse, checked: BTreeMap::new() }
+        Applied { base, engine, servers, place, active_rules: ActiveRules::Reject, checked: BTreeMap::new() }
     }
 
     /// The zones of which a revision uses less than all.
@@ -53,13 +53,13 @@
     }
 
     /// The engine acts by this already.
-    pub(super) fn is(&self, acting: Acting) -> bool {
-        self.acting == acting
+    pub(super) fn is(&self, active_rules: ActiveRules) -> bool {
+        self.active_rules == active_rules
     }
 
     /// It acts by rules that were known to be current.
     pub(super) fn is_current(&self) -> bool {
-        matches!(self.acting, Acting::By(_))
+        matches!(self.active_rules, ActiveRules::Current(_))
     }
 
     /// Whether this limiter could act by a revision, whole.
@@ -73,19 +73,24 @@
     }
 
     /// Gives the engine what it is to act by from now on.
-    pub(super) fn act(&mut self, acting: Acting, held: Option<&Revision>, other: Option<&Revision>) {
-        self.acting = acting;
+    pub(super) fn act(
+        &mut self,
+        active_rules: ActiveRules,
+        held: Option<&Revision>,
+        other: Option<&Revision>,
+    ) {
+        self.active_rules = active_rules;
         let Some(held) = held else { return };
         let Some(config) = self.config(held).cloned() else { return };
-        match acting {
-            Acting::By(_) | Acting::Strict(_, None) => self.give(config),
-            Acting::Strict(_, Some(_)) => {
+        match active_rules {
+            ActiveRules::Current(_) | ActiveRules::Strict(_, None) => self.give(config),
+            ActiveRules::Strict(_, Some(_)) => {
                 if let Some(other) = other.and_then(|r| self.config(r)) {
                     let both = strict(config, other);
                     self.give(both);
                 }
             }
-            Acting::Refuse => {}
+            ActiveRules::Reject => {}
         }
     }
 
--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -15,12 +15,12 @@
 use oatbank_engine::ports::membership::Told;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::Http1;
-use oatbank_fleet::decider::{Answer, Proposal};
+use oatbank_fleet::decider::{Proposal, ProposalOutcome};
 use oatbank_fleet::document::Revision;
-use oatbank_fleet::election::Outcome;
-use oatbank_fleet::member::Acting;
-use oatbank_fleet::message::{Dropped, Message, Seal, Verdict, MOST_FRAME};
-use oatbank_fleet::node::{Event, Node, Output, Setup};
+use oatbank_fleet::election::RegisterResponse;
+use oatbank_fleet::member::ActiveRules;
+use oatbank_fleet::message::{FrameCodec, FrameError, Message, Verdict, MAX_FRAME_BYTES};
+use oatbank_fleet::node::{Event, Node, NodeOptions, Output};
 use oatbank_fleet::{Millis, Peer};
 use oatbank_zookeeper::registers::Registers;
 use std::cell::{Cell, RefCell};
@@ -48,18 +48,18 @@
 pub struct Fleet {
     node: RefCell<Node>,
     settings: Settings,
-    seal: Seal,
+    codec: FrameCodec,
     socket: UdpSocket,
     /// Where the decider is elected.
     tree: Option<Rc<Registers>>,
     clock: Rc<dyn Clock>,
     engine: Rc<Engine<Http1>>,
     applied: RefCell<Applied>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<ProposalOutcome>>>,
     next_ticket: Cell<u64>,
     traffic: Cell<Traffic>,
     /// Frames of strangers, other fleets or other versions, and damaged ones.
-    drops: RefCell<BTreeMap<Dropped, u64>>,
+    drops: RefCell<BTreeMap<FrameError, u64>>,
     /// How often a lease has ended without another.
     lapses: Cell<u64>,
     /// Tells this process from others of its name.
@@ -88,8 +88,8 @@
         });
         let socket = socket.map_err(|e| format!("fleet.listen {}: {e}", settings.listen))?;
         let now = clock.now() as Millis;
-        let setup = Setup {
-            terms: settings.terms,
+        let options = NodeOptions {
+            timing: settings.timing,
             me: settings.me,
             peers: settings.peers.len() as u16,
             decider: settings.decider,
@@ -100,11 +100,11 @@
         };
         let place = f64::from(settings.me.0) / settings.peers.len().max(1) as f64;
         let fleet = Rc::new(Fleet {
-            node: RefCell::new(Node::new(&setup, now)),
+            node: RefCell::new(Node::new(&options, now)),
             settings: settings.clone(),
-            seal: Seal::new(&settings.key),
+            codec: FrameCodec::new(&settings.key),
             socket,
-            tree: settings.tree.as_ref().map(|tree| registers(tree, settings.terms.lease)),
+            tree: settings.tree.as_ref().map(|tree| registers(tree, settings.timing.lease)),
             clock,
             engine: engine.clone(),
             applied: RefCell::new(Applied::new(base, engine.clone(), servers, place)),
@@ -113,7 +113,7 @@
             traffic: Cell::default(),
             drops: RefCell::default(),
             lapses: Cell::new(0),
-            life: setup.seed,
+            life: options.seed,
             led: zones::Led::default(),
             sooner: Notify::new(),
         });
@@ -159,13 +159,13 @@
     }
 
     /// Asks for a change, and waits for what becomes of it.
-    pub async fn propose(self: &Rc<Self>, ask: Proposal) -> Answer {
+    pub async fn propose(self: &Rc<Self>, ask: Proposal) -> ProposalOutcome {
         let ticket = self.next_ticket.replace(self.next_ticket.get() + 1);
         let (tell, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, tell);
         self.feed(Event::Propose(Proposal { ticket, ..ask }));
         // Each proposal has one answer; without, the process is ending.
-        told.await.unwrap_or(Answer::TimedOut(Vec::new()))
+        told.await.unwrap_or(ProposalOutcome::TimedOut(Vec::new()))
     }
 
     /// The file's own rules have changed: where this limiter decides they are proposed, elsewhere they are a hint for
@@ -179,7 +179,7 @@
         let fleet = self.clone();
         tokio::task::spawn_local(async move {
             let author = "SIGHUP".to_owned();
-            let ask = Proposal { author, text: rules.into(), patience: PATIENCE, ..Proposal::default() };
+            let ask = Proposal { author, text: rules.into(), timeout: PATIENCE, ..Proposal::default() };
             let answer = fleet.propose(ask).await;
             tracing::info!("fleet: the file's rules: {}", fleet.worded(&answer).1);
         });
@@ -193,31 +193,33 @@
             // This process stood still, or was busy: what is due comes before what it acts by.
             self.turn(Event::Tick);
         }
-        let acting = self.node.borrow().acting(now);
-        if !self.applied.borrow().is(acting) {
-            self.act(acting);
+        let active_rules = self.node.borrow().active_rules(now);
+        if !self.applied.borrow().is(active_rules) {
+            self.act(active_rules);
         }
-        (acting == Acting::Refuse).then_some(self.settings.terms.lease as f64)
+        (active_rules == ActiveRules::Reject).then_some(self.settings.timing.lease as f64)
     }
 
-    fn act(&self, acting: Acting) {
+    fn act(&self, active_rules: ActiveRules) {
         let (held, other) = {
             let node = self.node.borrow();
             (node.held().cloned(), node.confirmed().cloned())
         };
-        match (acting, &held) {
-            (Acting::By(id), Some(held)) => tracing::info!("fleet: acts by {id} ({})", held.head.digest),
-            (Acting::Strict(id, None), _) => tracing::warn!("fleet: cut off; goes on by {id}"),
-            (Acting::Strict(id, Some(other)), _) => {
+        match (active_rules, &held) {
+            (ActiveRules::Current(id), Some(held)) => {
+                tracing::info!("fleet: acts by {id} ({})", held.head.digest)
+            }
+            (ActiveRules::Strict(id, None), _) => tracing::warn!("fleet: cut off; goes on by {id}"),
+            (ActiveRules::Strict(id, Some(other)), _) => {
                 tracing::warn!("fleet: cut off; goes on by the stricter of {id} and {other}");
             }
             _ => tracing::warn!("fleet: cut off, or its rules are not known; refuses"),
         }
-        if !matches!(acting, Acting::By(_)) && self.applied.borrow().is_current() {
+        if !matches!(active_rules, ActiveRules::Current(_)) && self.applied.borrow().is_current() {
             self.lapses.set(self.lapses.get() + 1);
         }
-        self.engine.hold(acting == Acting::Refuse);
-        self.applied.borrow_mut().act(acting, held.as_deref(), other.as_deref());
+        self.engine.hold(active_rules == ActiveRules::Reject);
+        self.applied.borrow_mut().act(active_rules, held.as_deref(), other.as_deref());
     }
 
     fn feed(self: &Rc<Self>, event: Event) {
@@ -245,19 +247,19 @@
                 let verdict = self.check(&revision);
                 events.push_back(Event::Checked(revision.id(), verdict));
             }
-            Output::Ask(register, serial, ask) => {
+            Output::Register(register, serial, ask) => {
                 let (fleet, tree) = (self.clone(), self.tree.clone());
                 tokio::task::spawn_local(async move {
                     let outcome = match &tree {
                         Some(tree) => tree.carry_out(register, ask).await,
-                        None => Outcome::Lost,
+                        None => RegisterResponse::Unknown,
                     };
-                    fleet.feed(Event::Tree(register, serial, outcome));
+                    fleet.feed(Event::Register(register, serial, outcome));
                 });
             }
             // What it may act by is looked at after every event.
-            Output::Act(_) | Output::Stopped => {}
-            Output::Answer(ticket, answer) => {
+            Output::Activate(_) | Output::Deactivate => {}
+            Output::ProposalFinished(ticket, answer) => {
                 if let Some(tell) = self.waiting.borrow_mut().remove(&ticket) {
                     // Who asked may have left.
                     let _ = tell.send(answer);
@@ -278,7 +280,7 @@
 
     fn send(&self, to: Peer, message: &Message) {
         let Some(peer) = self.peer(to) else { return };
-        let frame = self.seal.frame(self.settings.me, to, message);
+        let frame = self.codec.frame(self.settings.me, to, message);
         // Lost is lost: all that matters is asked for again.
         if self.socket.try_send_to(&frame, peer.address).is_ok() {
             let traffic = self.traffic.get();
@@ -288,7 +290,7 @@
     }
 
     async fn hear(self: Rc<Self>) {
-        let mut buffer = [0; MOST_FRAME + 1];
+        let mut buffer = [0; MAX_FRAME_BYTES + 1];
         loop {
             let Ok((len, _)) = self.socket.recv_from(&mut buffer).await else {
                 // A link that refused what was sent to it before says so here. An error that stays is not to spin.
@@ -298,16 +300,16 @@
             let traffic = self.traffic.get();
             let (received, received_bytes) = (traffic.received + 1, traffic.received_bytes + len as u64);
             self.traffic.set(Traffic { received, received_bytes, ..traffic });
-            match self.seal.read(self.settings.me, &buffer[..len]) {
-                Ok((from, _)) if self.peer(from).is_none() => self.drop_frame(Dropped::Form),
-                Ok((from, Message::Beside(bytes))) => self.beside(from, &bytes),
+            match self.codec.read(self.settings.me, &buffer[..len]) {
+                Ok((from, _)) if self.peer(from).is_none() => self.drop_frame(FrameError::Malformed),
+                Ok((from, Message::Attachment(bytes))) => self.beside(from, &bytes),
                 Ok((from, message)) => self.feed(Event::Message(from, message)),
                 Err(why) => self.drop_frame(why),
             }
         }
     }
 
-    fn drop_frame(&self, why: Dropped) {
+    fn drop_frame(&self, why: FrameError) {
         *self.drops.borrow_mut().entry(why).or_default() += 1;
     }
 
--- a/crates/daemon/src/fleet/told.rs
+++ b/crates/daemon/src/fleet/told.rs
@@ -5,9 +5,9 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use oatbank_fleet::decider::{Answer, Proposal};
-use oatbank_fleet::document::{Revision, MOST_BYTES};
-use oatbank_fleet::member::Acting;
+use oatbank_fleet::decider::{Proposal, ProposalOutcome};
+use oatbank_fleet::document::{Revision, MAX_REVISION_BYTES};
+use oatbank_fleet::member::ActiveRules;
 use oatbank_fleet::message::Verdict;
 use oatbank_fleet::{Millis, Peer};
 use percent_encoding::percent_decode_str;
@@ -45,7 +45,7 @@
 
     pub(super) fn elsewhere(&self) -> Told {
         let (decider, _) = self.node.borrow().decider();
-        self.worded(&Answer::NotDecider(decider))
+        self.worded(&ProposalOutcome::NotDecider(decider))
     }
 
     async fn asked(self: &Rc<Self>, request: Request<Incoming>) -> Told {
@@ -54,10 +54,10 @@
             Ok(ask) => ask,
             Err(why) => return (StatusCode::BAD_REQUEST, json!({"error": why}).to_string() + "\n"),
         };
-        let body = Limited::new(request.into_body(), MOST_BYTES).collect().await;
+        let body = Limited::new(request.into_body(), MAX_REVISION_BYTES).collect().await;
         let text = body.ok().map(|b| b.to_bytes()).and_then(|b: Bytes| String::from_utf8(b.to_vec()).ok());
         let Some(text) = text else {
-            let why = format!("the body is no text of up to {MOST_BYTES} bytes");
+            let why = format!("the body is no text of up to {MAX_REVISION_BYTES} bytes");
             return (StatusCode::BAD_REQUEST, json!({"error": why}).to_string() + "\n");
         };
         let answer = self.propose(Proposal { text: text.into(), ..ask }).await;
@@ -66,7 +66,7 @@
 
     /// `expect=N&author=NAME&without=A,B&dry_run=1&patience_ms=4000`.
     fn parameters(&self, query: &str) -> Result<Proposal, String> {
-        let mut ask = Proposal { author: "operator".into(), patience: PATIENCE, ..Proposal::default() };
+        let mut ask = Proposal { author: "operator".into(), timeout: PATIENCE, ..Proposal::default() };
         for pair in query.split('&').filter(|p| !p.is_empty()) {
             let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
             let value = percent_decode_str(value).decode_utf8_lossy().into_owned();
@@ -74,10 +74,10 @@
                 || value.parse::<u64>().map_err(|_| format!("{key}: {value:?}; a whole number is wanted"));
             match key {
                 "expect" => ask.expect = Some(number()?),
-                "patience_ms" => ask.patience = number()?.min(60_000),
+                "patience_ms" => ask.timeout = number()?.min(60_000),
                 "author" => ask.author = value,
                 "dry_run" => ask.dry_run = value != "0",
-                "without" => ask.without = self.named(&value)?,
+                "without" => ask.excluded = self.named(&value)?,
                 _ => {
                     return Err(format!(
                         "{key}: no such parameter; expect, author, without, dry_run, patience_ms are"
@@ -97,19 +97,19 @@
     }
 
     /// What became of a proposal, with the status that stands for it.
-    pub(crate) fn worded(&self, answer: &Answer) -> Told {
+    pub(crate) fn worded(&self, answer: &ProposalOutcome) -> Told {
         let names = |peers: &[Peer]| peers.iter().map(|p| self.name(*p)).collect::<Vec<_>>().join(", ");
         let (status, result, say) = match answer {
-            Answer::Decided(id, left) => {
+            ProposalOutcome::Decided(id, left) => {
                 (StatusCode::OK, "decided", format!("{id} is decided and takes effect in {left} ms"))
             }
-            Answer::WouldDo => (StatusCode::OK, "would do", "all could take it; nothing has changed".into()),
-            Answer::Vetoed(by, why) => {
+            ProposalOutcome::Acceptable => (StatusCode::OK, "would do", "all could take it; nothing has changed".into()),
+            ProposalOutcome::Vetoed(by, why) => {
                 (StatusCode::UNPROCESSABLE_ENTITY, "vetoed", format!("{} cannot take it: {why}", self.name(*by)))
             }
-            Answer::Conflict(id) => (StatusCode::CONFLICT, "conflict", format!("{id} is current; look at it first")),
-            Answer::Busy(id) => (StatusCode::CONFLICT, "busy", format!("{id} is being decided")),
-            Answer::TimedOut(missing) => (
+            ProposalOutcome::Conflict(id) => (StatusCode::CONFLICT, "conflict", format!("{id} is current; look at it first")),
+            ProposalOutcome::Busy(id) => (StatusCode::CONFLICT, "busy", format!("{id} is being decided")),
+            ProposalOutcome::TimedOut(missing) => (
                 StatusCode::GATEWAY_TIMEOUT,
                 "timed out",
                 format!(
@@ -118,29 +118,29 @@
                     names(missing)
                 ),
             ),
-            Answer::Recovering(missing) => (
+            ProposalOutcome::Recovering(missing) => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "recovering",
                 format!("has just started and waits for {}; if they are gone for good: --without", names(missing)),
             ),
-            Answer::TooLong(len) => (
+            ProposalOutcome::TooLong(len) => (
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too long",
-                format!("{len} bytes; up to {MOST_BYTES} are allowed"),
+                format!("{len} bytes; up to {MAX_REVISION_BYTES} are allowed"),
             ),
-            Answer::NotDecider(Some(decider)) => {
+            ProposalOutcome::NotDecider(Some(decider)) => {
                 let name = self.name(*decider);
                 (StatusCode::MISDIRECTED_REQUEST, "not decider", format!("{name} decides; ask at its fleet.control"))
             }
-            Answer::NotDecider(None) => {
+            ProposalOutcome::NotDecider(None) => {
                 (StatusCode::SERVICE_UNAVAILABLE, "no decider", "nobody is known to decide at present".into())
             }
-            Answer::NoCoordinator => (
+            ProposalOutcome::NoCoordinator => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no coordinator",
                 "the coordinator does not answer, and nothing is decided without it; the rules stay".into(),
             ),
-            Answer::Unsure(id) => (
+            ProposalOutcome::Unknown(id) => (
                 StatusCode::BAD_GATEWAY,
                 "unsure",
                 format!("whether {id} is decided is not known here: look at the status of the others"),
@@ -168,32 +168,31 @@
     /// What this limiter acts by and knows of the others.
     pub(crate) fn status(&self) -> Value {
         let (now, node) = (self.now(), self.node.borrow());
-        let acting = match node.acting(now) {
-            Acting::By(_) => "current",
-            Acting::Strict(..) => "strict",
-            Acting::Refuse => "refuses",
+        let active_rules = match node.active_rules(now) {
+            ActiveRules::Current(_) => "current",
+            ActiveRules::Strict(..) => "strict",
+            ActiveRules::Reject => "refuses",
         };
         let lease = Some(node.lease_left(now)).filter(|left| *left != Millis::MAX);
         let drops = self.drops.borrow();
         let mut traffic = json!(self.traffic.get());
         traffic["dropped"] = drops.values().sum::<u64>().into();
-        let drops: Value =
-            drops.iter().map(|(why, n)| (format!("{why:?}").to_lowercase(), json!(n))).collect();
+        let drops: Value = drops.iter().map(|(why, n)| (why.name().to_owned(), json!(n))).collect();
         let mut status = json!({
             "limiter": self.name(self.settings.me),
             "decider": node.decider().0.map(|peer| self.name(peer)),
-            "acting": acting,
+            "acting": active_rules,
             "holds": node.held().map(row),
             "staged": node.confirmed().map(row),
             "lease_left_ms": lease,
             "veto": node.veto().map(|(id, why)| json!({"revision": id.to_string(), "why": why})),
             "lapses": self.lapses.get(),
-            "within_ms": self.settings.terms.within,
-            "bound_ms": self.settings.terms.bound(),
+            "within_ms": self.settings.timing.max_divergence,
+            "bound_ms": self.settings.timing.divergence_bound(),
             "traffic": traffic,
             "drops": drops,
         });
-        if let Some(heard) = node.tree_heard() {
+        if let Some(heard) = node.register_last_response() {
             status["term"] = node.decider().1.into();
             status["coordinator_heard_ms_ago"] = heard.map(|at| now.saturating_sub(at)).into();
         }
@@ -209,7 +208,7 @@
         let node = self.node.borrow();
         let Some(known) = node.known() else { return Vec::new() };
         let current = node.held().map(|r| r.id());
-        let line = |(peer, known): (&Peer, &oatbank_fleet::decider::Known)| {
+        let line = |(peer, known): (&Peer, &oatbank_fleet::decider::MemberRecord)| {
             let veto = match &known.staged {
                 Some((id, Verdict::Vetoed(why))) => Some(format!("{id}: {why}")),
                 _ => None,
@@ -218,7 +217,7 @@
                 "limiter": self.name(*peer),
                 "holds": known.holds.to_string(),
                 "current": Some(known.holds) == current,
-                "heard_ms_ago": known.heard.map(|at| now.saturating_sub(at)),
+                "heard_ms_ago": known.last_heard.map(|at| now.saturating_sub(at)),
                 "leased_ms": known.leased_until.saturating_sub(now),
                 "veto": veto,
             })
--- a/crates/daemon/src/fleet/zones.rs
+++ b/crates/daemon/src/fleet/zones.rs
@@ -49,7 +49,7 @@
             *self.led.zones.borrow_mut() = None;
             let (decider, _) = self.node.borrow().decider();
             if let Some(decider) = decider.filter(|peer| *peer != self.settings.me) {
-                self.send(decider, &Message::Beside(bytes(report)));
+                self.send(decider, &Message::Attachment(bytes(report)));
             }
         }
     }
@@ -88,8 +88,8 @@
         let fleet = self.clone();
         tokio::task::spawn_local(async move {
             let expect = Some(held.id().number);
-            let (author, patience) = ("zones".to_owned(), PATIENCE);
-            let ask = Proposal { expect, author, text: text.into(), patience, ..Proposal::default() };
+            let (author, timeout) = ("zones".to_owned(), PATIENCE);
+            let ask = Proposal { expect, author, text: text.into(), timeout, ..Proposal::default() };
             let answer = fleet.propose(ask).await;
             let list: Vec<String> = wanted.iter().map(|l| format!("{} {:.2}", l.zone, l.share)).collect();
             tracing::info!("zones: uses [{}]: {}", list.join(", "), fleet.worded(&answer).1.trim_end());
--- a/crates/engine/src/config/fleet.rs
+++ b/crates/engine/src/config/fleet.rs
@@ -3,7 +3,7 @@
 use super::file::NAME;
 use super::mistake::{Mistake, Step};
 use super::{text, Config, ConfigError};
-use oatbank_fleet::terms::{OnLapse, Terms};
+use oatbank_fleet::timing::{LeaseTiming, OnLeaseExpiry};
 use oatbank_fleet::{Millis, Peer};
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -100,27 +100,27 @@
 }
 
 fn lease() -> Millis {
-    Terms::default().lease
+    LeaseTiming::default().lease
 }
 
 fn heartbeat() -> Millis {
-    Terms::default().heartbeat
+    LeaseTiming::default().heartbeat
 }
 
 fn message() -> Millis {
-    Terms::default().message
+    LeaseTiming::default().message_delay
 }
 
 fn effect() -> Millis {
-    Terms::default().effect
+    LeaseTiming::default().activation_delay
 }
 
 fn drift() -> u32 {
-    Terms::default().drift_ppm
+    LeaseTiming::default().drift_ppm
 }
 
 fn within() -> Millis {
-    Terms::default().within
+    LeaseTiming::default().max_divergence
 }
 
 /// A coordinator's folder that is a fleet's.
@@ -152,24 +152,24 @@
     /// All limiters.
     pub peers: Vec<FleetPeer>,
     /// The fleet's times.
-    pub terms: Terms,
+    pub timing: LeaseTiming,
     /// Zones that fail are left as a fleet.
     pub zones: bool,
 }
 
 impl FleetTable {
-    fn terms(&self) -> Terms {
+    fn timing(&self) -> LeaseTiming {
         let on_lapse = match self.on_lapse {
-            Lapse::Strict => OnLapse::Strict(self.strict_for_ms.unwrap_or(Millis::MAX)),
-            Lapse::Refuse => OnLapse::Refuse,
+            Lapse::Strict => OnLeaseExpiry::Strict(self.strict_for_ms.unwrap_or(Millis::MAX)),
+            Lapse::Refuse => OnLeaseExpiry::Refuse,
         };
-        Terms {
+        LeaseTiming {
             lease: self.lease_ms,
             heartbeat: self.heartbeat_ms,
-            message: self.message_ms,
-            effect: self.effect_ms,
+            message_delay: self.message_ms,
+            activation_delay: self.effect_ms,
             drift_ppm: self.drift_ppm,
-            within: self.within_ms,
+            max_divergence: self.within_ms,
             on_lapse,
         }
     }
@@ -193,7 +193,7 @@
             },
             tree: self.tree(),
             peers: self.peers.clone(),
-            terms: self.terms(),
+            timing: self.timing(),
             zones: self.zones,
         })
     }
@@ -241,7 +241,7 @@
         );
         mistakes.push(at("peers", why));
     }
-    if let Err(broken) = table.terms().check() {
+    if let Err(broken) = table.timing().check() {
         mistakes.push(at(broken.key, broken.why));
     }
     mistakes
--- /dev/null
+++ b/crates/fleet/src/decider/leases.rs
@@ -0,0 +1,91 @@
+//! Questions of limiters and the leases that their answers grant.
+
+use super::Decider;
+use crate::document::Id;
+use crate::message::{Message, Ping, Pong, Verdict};
+use crate::node::Output;
+use crate::{Millis, Peer};
+use std::collections::VecDeque;
+
+impl Decider {
+    /// Takes in a limiter's question and answers it.
+    pub fn ping(&mut self, now: Millis, from: Peer, ping: Ping, out: &mut VecDeque<Output>) {
+        let Some(known) = self.known.get_mut(&from) else { return };
+        // One for each process, whatever comes twice or late: only that process is told it.
+        let token = match ping.token == known.token && known.token != 0 {
+            true => known.token,
+            false => splitmix64(
+                self.seed ^ u64::from(from.0) ^ splitmix64(ping.process_id ^ splitmix64(known.incarnations)),
+            ),
+        };
+        if ping.token != token {
+            let pong = Pong { seq: ping.seq, token, current: None, proposal: None, effective_in: None };
+            out.push_back(Output::Send(from, Message::Pong(pong)));
+            return;
+        }
+        if known.token != token {
+            known.incarnations += 1;
+            (known.token, known.last_seq, known.last_lease_seq) = (token, 0, 0);
+        }
+        if ping.seq <= known.last_seq {
+            return;
+        }
+        known.last_seq = ping.seq;
+        if let Some((_, at)) = known.recent_pongs.iter().find(|(seq, _)| *seq == ping.answered) {
+            known.last_acked = known.last_acked.max(Some(*at));
+        }
+        let holds = ping.holds;
+        (known.last_heard, known.holds, known.staged) = (Some(now), holds, ping.staged);
+        let confirmed = matches!(known.staged, Some((_, Verdict::Confirmed)));
+        if holds == Id::NONE && !confirmed && ping.answered >= known.last_lease_seq {
+            // It acts by nothing, no answer that is still on its way lets it, and it waits for no effect.
+            (known.leased_until, known.bound_until) = (now, now);
+        }
+        self.excluded.remove(&from);
+        self.advance_epoch(holds);
+        self.tick(now, out);
+        self.on_veto(from, out);
+        self.answer(now, from, ping.seq, out);
+    }
+
+    pub(super) fn answer(&mut self, now: Millis, to: Peer, seq: u64, out: &mut VecDeque<Output>) {
+        let may = now < self.authority();
+        let elected = self.term.is_some();
+        let Some(known) = self.known.get_mut(&to) else { return };
+        if elected {
+            known.push_pong(seq, now);
+        }
+        if !may {
+            // It lets nobody do anything, and hears by the next question that it is taken for the decider still.
+            let pong = Pong { seq, token: known.token, current: None, proposal: None, effective_in: None };
+            return out.push_back(Output::Send(to, Message::Pong(pong)));
+        }
+        let Some(known) = self.known.get(&to) else { return };
+        let running = self.running.as_ref();
+        let confirmed = running.is_some_and(|r| known.confirms(r.revision.id()));
+        let effective_in = running.and_then(|r| r.effective_at).map(|at| at.saturating_sub(now));
+        // Once it is decided, the old rules are kept current for nobody to whom the new ones are news, and who holds
+        // none waits for the new.
+        let keeps = effective_in.is_none() || confirmed && known.holds != Id::NONE;
+        let current = self.current.as_ref().filter(|_| keeps).map(|r| r.head.clone());
+        let proposal = running.map(|r| r.revision.head.clone());
+        let token = known.token;
+        // Either lets it act by something, now or when that takes effect.
+        if current.is_some() || effective_in.is_some() {
+            if let Some(known) = self.known.get_mut(&to) {
+                known.last_lease_seq = seq;
+                known.leased_until = known.leased_until.max(now.saturating_add(self.timing.lease_expiry()));
+                known.bound_until = known.bound_until.max(now.saturating_add(self.timing.certain_expiry()));
+            }
+        }
+        out.push_back(Output::Send(to, Message::Pong(Pong { seq, token, current, proposal, effective_in })));
+    }
+}
+
+/// A number that does not come again (splitmix64), never 0.
+fn splitmix64(seed: u64) -> u64 {
+    let mut x = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    x = (x ^ x >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    x = (x ^ x >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
+    (x ^ x >> 31).max(1)
+}
--- /dev/null
+++ b/crates/fleet/src/decider/recovery.rs
@@ -0,0 +1,155 @@
+//! The time after a start: finds out what the others may act by, and decides it again before anything else.
+
+use super::member_record::MemberRecord;
+use super::proposal::{PendingRevision, Persistence};
+use super::{Decider, Proposal};
+use crate::document::{Head, Id, Revision};
+use crate::fetch::{Fetch, FetchProgress};
+use crate::message::{Message, Verdict};
+use crate::node::Output;
+use crate::{Millis, Peer};
+use std::collections::VecDeque;
+use std::sync::Arc;
+
+impl Decider {
+    /// The highest revision that a limiter acts by or has confirmed, and who has it. What was confirmed may have been
+    /// decided, and others may act by it.
+    pub(super) fn highest(&self) -> Option<(Id, Vec<Peer>)> {
+        let has = |known: &MemberRecord| {
+            let staged = known.staged.as_ref().filter(|(_, v)| *v == Verdict::Confirmed).map(|(id, _)| *id);
+            staged.map_or(known.holds, |staged| staged.max(known.holds))
+        };
+        let able = |id: &Id| *id != Id::NONE && !self.undecided.contains(id);
+        let heard = self.known.values().flat_map(|k| [has(k), k.holds]);
+        let highest = heard.chain(self.locally_known().map(|r| r.id())).filter(able).max()?;
+        let who = self.known.iter().filter(|(_, k)| k.holds == highest || k.confirms(highest));
+        Some((highest, who.map(|(peer, _)| *peer).collect()))
+    }
+
+    /// Revisions with their texts that are known here before the recovery is over: what the tree has, and what this limiter
+    /// held and had confirmed.
+    pub(super) fn locally_known(&self) -> impl Iterator<Item = &Arc<Revision>> {
+        let term = self.term.as_ref();
+        let found = term.and_then(|t| t.found.as_ref()).into_iter().flatten();
+        let before = term.and_then(|t| t.former_member.as_ref());
+        found.chain(before.into_iter().flat_map(|m| m.held().into_iter().chain(m.confirmed())))
+    }
+
+    pub(super) fn awaits(&self, peer: &Peer, known: &MemberRecord) -> bool {
+        known.last_heard.is_none() && !self.excluded.contains(peer)
+    }
+
+    /// Ends the recovery once every limiter was heard, or has surely stopped, or is gone by the operator's word.
+    pub(super) fn recover(&mut self, now: Millis, out: &mut VecDeque<Output>) {
+        let mut found = None;
+        if let Some(term) = &self.term {
+            let Some(kept) = &term.found else { return };
+            found = kept.as_ref();
+            if let Some(revision) = found.filter(|r| term.in_force(now, r)).cloned() {
+                return self.put_in_force(revision, out);
+            }
+        }
+        let waits = |bound: bool| {
+            self.known.iter().any(|(peer, k)| self.awaits(peer, k) && (now < k.bound_until || !bound))
+        };
+        let remember = self.known.values().filter(|k| k.last_heard.is_some() && k.holds != Id::NONE).count();
+        if waits(true)
+            || found.is_none() && waits(false) && remember < self.others() + 1 - self.others().div_ceil(2)
+        {
+            return;
+        }
+        let Some((id, who)) = self.highest() else {
+            let (text, id) = (self.first.clone(), self.next_id());
+            let first = Revision::new(id, Id::NONE, "first", text);
+            return match self.term {
+                Some(_) => self.redecide(now, first, out),
+                None => self.put_in_force(first, out),
+            };
+        };
+        let locally_known = self.locally_known().find(|r| r.id() == id).cloned();
+        if let Some(revision) = locally_known {
+            return self.redecide(now, revision, out);
+        }
+        // Each in turn: one may have died since it was heard.
+        let turn = (now / self.timing.heartbeat) as usize % who.len().max(1);
+        let Some(from) = who.get(turn).copied() else { return };
+        match self.fetch.as_mut().filter(|f| f.head.id == id) {
+            None => out.push_back(Output::Send(from, Message::HeadRequest(id))),
+            Some(fetch) if fetch.overdue(now, self.timing.heartbeat) => {
+                out.push_back(Output::Send(from, fetch.want(now)));
+            }
+            Some(_) => {}
+        }
+    }
+
+    /// The other limiters, without those that are gone by the operator's word.
+    pub(super) fn others(&self) -> usize {
+        self.known.keys().filter(|peer| !self.excluded.contains(peer)).count()
+    }
+
+    /// How many of them must have confirmed what is decided, beside all that may still act: so that it is known again
+    /// after this process has died, from any others that remember enough to be more than the rest.
+    pub(super) fn witnesses(&self) -> usize {
+        match self.term {
+            // The tree knows it again.
+            Some(_) => 0,
+            None => self.others().div_ceil(2),
+        }
+    }
+
+    /// A limiter shows the head of what it holds.
+    pub fn on_head(&mut self, now: Millis, from: Peer, head: Head, out: &mut VecDeque<Output>) {
+        let wanted = self.recovering && self.highest().is_some_and(|(id, _)| id == head.id);
+        if wanted && self.fetch.as_ref().is_none_or(|f| f.head != head) {
+            self.fetch = Fetch::new(head, now);
+            if let Some(fetch) = &mut self.fetch {
+                out.push_back(Output::Send(from, fetch.want(now)));
+            }
+        }
+    }
+
+    /// A part of the text that is wanted while recovering.
+    pub fn on_chunk(&mut self, now: Millis, from: Peer, message: &Message, out: &mut VecDeque<Output>) {
+        let Some(fetch) = self.fetch.as_mut().filter(|_| self.recovering) else { return };
+        match fetch.take(message) {
+            FetchProgress::RequestMore => out.push_back(Output::Send(from, fetch.want(now))),
+            FetchProgress::Waiting => {}
+            FetchProgress::HashMismatch => self.fetch = None,
+            FetchProgress::Complete(revision) => {
+                self.fetch = None;
+                self.redecide(now, revision, out);
+            }
+        }
+    }
+
+    /// What was decided before, or might have been, is decided again: by then everybody who may act by something else
+    /// has confirmed it, or has surely stopped.
+    pub(super) fn redecide(&mut self, now: Millis, revision: Arc<Revision>, out: &mut VecDeque<Output>) {
+        match &self.term {
+            // The tree counts the terms.
+            // The tree counts the terms, unless it was set back.
+            Some(_) => self.advance_epoch(revision.id()),
+            None => self.epoch = self.epoch.max(revision.id().epoch + 1),
+        }
+        self.number = self.number.max(revision.id().number);
+        let found = self.term.as_ref().and_then(|t| t.found.as_ref()).and_then(|f| f.as_ref());
+        let persistence = if found.is_some_and(|f| f.head == revision.head) {
+            Persistence::Stored
+        } else {
+            Persistence::NotStored
+        };
+        out.push_back(Output::Check(revision.clone()));
+        let ask = Proposal { text: revision.text.clone(), timeout: Millis::MAX, ..Proposal::default() };
+        let until = Millis::MAX;
+        self.running =
+            Some(PendingRevision { revision, ask, until, own: None, effective_at: None, persistence });
+        self.tick(now, out);
+    }
+
+    /// A limiter knows a later epoch than this decider's own: what is decided from now on must come after it.
+    pub(super) fn advance_epoch(&mut self, id: Id) {
+        if id.epoch > self.epoch {
+            self.epoch = id.epoch + 1;
+        }
+    }
+}
--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 /// The longest text of a revision, bytes.
-pub const MOST_BYTES: usize = 256 * 1024;
+pub const MAX_REVISION_BYTES: usize = 256 * 1024;
 
 /// Which revision: later ones compare as greater. The number counts on within an epoch, and a decider that starts
 /// anew begins a greater epoch.
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -5,7 +5,7 @@
 //! *asked*. Another limiter takes the next term once it has seen the register unchanged for that span by the slowest
 //! clock, by a write that goes well only if it is unchanged still: so the spans of two holders never meet.
 
-use crate::terms::Terms;
+use crate::timing::LeaseTiming;
 use crate::{Millis, Peer};
 
 /// What the tree keeps for a fleet.
@@ -18,28 +18,28 @@
 }
 
 /// A register's value, and the version that the coordinator counts for it.
-pub type Value = Option<(i32, Vec<u8>)>;
+pub type VersionedValue = Option<(i32, Vec<u8>)>;
 
-/// What is asked of the tree. Each has one [`Outcome`].
+/// What is asked of the tree. Each has one [`RegisterResponse`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Ask {
+pub enum RegisterRequest {
     /// The register as it is.
     Read,
     /// It is to be this from now on, if it still is of that version; nothing: if it is not there.
-    Swap(Option<i32>, Vec<u8>),
+    CompareAndSwap(Option<i32>, Vec<u8>),
 }
 
 /// What came of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Outcome {
-    /// As asked for by [`Ask::Read`].
-    Is(Value),
+pub enum RegisterResponse {
+    /// As asked for by [`RegisterRequest::Read`].
+    Value(VersionedValue),
     /// Done, and this is its version now.
     Swapped(i32),
     /// Not done: it is of another version.
-    Stale,
+    VersionMismatch,
     /// No answer: it may have been done.
-    Lost,
+    Unknown,
 }
 
 /// Who holds which term, as the register tells.
@@ -50,12 +50,12 @@
     /// The limiter that holds it.
     pub peer: Peer,
     /// Counts the holder's writes.
-    beat: u64,
+    renewals: u64,
 }
 
 impl Holder {
     fn bytes(self) -> Vec<u8> {
-        format!("{} {} {}", self.term, self.peer.0, self.beat).into_bytes()
+        format!("{} {} {}", self.term, self.peer.0, self.renewals).into_bytes()
     }
 
     fn read(bytes: &[u8]) -> Option<Holder> {
@@ -63,7 +63,7 @@
         let holder = Holder {
             term: words.next()?.parse().ok()?,
             peer: Peer(words.next()?.parse().ok()?),
-            beat: words.next()?.parse().ok()?,
+            renewals: words.next()?.parse().ok()?,
         };
         words.next().is_none().then_some(holder)
     }
@@ -71,37 +71,37 @@
 
 /// What a limiter learns of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum News {
+pub enum ElectionEvent {
     /// This limiter holds this term from now on.
     Won(u64),
     /// Another one holds a term.
-    Holds(Holder),
+    HolderObserved(Holder),
 }
 
 /// The register as it was last seen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Seen {
-    value: Value,
+struct Observation {
+    value: VersionedValue,
     /// It has been so since then, seen without a gap.
     since: Millis,
     last: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Open {
+enum InFlight {
     Read,
-    Stand(Holder),
+    Campaign(Holder),
     Renew(Holder),
 }
 
 /// A limiter's part in the election.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Election {
-    terms: Terms,
+    timing: LeaseTiming,
     me: Peer,
-    seen: Option<Seen>,
+    seen: Option<Observation>,
     /// What was asked and is not answered, and when it was asked.
-    open: Option<(Open, Millis)>,
+    open: Option<(InFlight, Millis)>,
     next: Millis,
     holds: Option<Holder>,
     /// Until then its last good write lets it decide.
@@ -112,16 +112,16 @@
     /// The highest term that it has heard of.
     highest: u64,
     /// It does not stand before.
-    stands_from: Millis,
+    campaign_not_before: Millis,
 }
 
 impl Election {
     /// A limiter that has just started. The first term of all, in a tree that has none, is `incarnation` (Unix ms): after
     /// the loss of all memory no term and no revision has a number that was used before.
-    pub fn new(terms: Terms, me: Peer, incarnation: u64, now: Millis) -> Election {
+    pub fn new(timing: LeaseTiming, me: Peer, incarnation: u64, now: Millis) -> Election {
         let (seen, open, holds) = Default::default();
         Election {
-            terms,
+            timing,
             me,
             seen,
             open,
@@ -131,7 +131,7 @@
             unbroken: now,
             first: incarnation,
             highest: 0,
-            stands_from: now,
+            campaign_not_before: now,
         }
     }
 
@@ -168,31 +168,31 @@
     }
 
     /// Time has passed: what is to be asked of [`Register::Decider`] now.
-    pub fn tick(&mut self, now: Millis) -> Option<Ask> {
+    pub fn tick(&mut self, now: Millis) -> Option<RegisterRequest> {
         if self.open.is_some() || now < self.next {
             return None;
         }
         let version = self.seen.as_ref().map(|s| s.value.as_ref().map(|v| v.0));
         let (Some(holds), Some(version)) = (self.holds, version) else {
             // Three times in the span that it must be seen unchanged.
-            self.next = now + self.terms.lease / 3;
-            return Some(self.ask(now, Open::Read));
+            self.next = now + self.timing.lease / 3;
+            return Some(self.ask(now, InFlight::Read));
         };
-        self.next = now + self.terms.heartbeat;
+        self.next = now + self.timing.heartbeat;
         // Somebody knows a later term, or the same of another holder: the tree has been set back meanwhile.
         let term = if self.highest > holds.term { self.highest + 1 } else { holds.term };
-        let renewed = Holder { term, beat: holds.beat + 1, ..holds };
-        self.open = Some((Open::Renew(renewed), now));
-        Some(Ask::Swap(version, renewed.bytes()))
+        let renewed = Holder { term, renewals: holds.renewals + 1, ..holds };
+        self.open = Some((InFlight::Renew(renewed), now));
+        Some(RegisterRequest::CompareAndSwap(version, renewed.bytes()))
     }
 
-    fn ask(&mut self, now: Millis, open: Open) -> Ask {
+    fn ask(&mut self, now: Millis, open: InFlight) -> RegisterRequest {
         self.open = Some((open, now));
-        Ask::Read
+        RegisterRequest::Read
     }
 
     /// A limiter says that this one holds a term, or that somebody does.
-    pub fn heard_of(&mut self, term: u64, peer: Option<Peer>) {
+    pub fn observe_term(&mut self, term: u64, peer: Option<Peer>) {
         let same = self.holds.is_some_and(|h| h.term == term && peer != Some(self.me));
         self.highest = self.highest.max(term + u64::from(same));
     }
@@ -200,59 +200,67 @@
     /// Gives the term up, and does not stand again before the others had their turn.
     pub fn resign(&mut self, now: Millis) {
         self.holds = None;
-        self.stands_from = now + 2 * self.terms.lease;
+        self.campaign_not_before = now + 2 * self.timing.lease;
     }
 
     /// What came of what was asked, and what is to be asked at once.
-    pub fn answered(&mut self, now: Millis, outcome: Outcome) -> (Option<News>, Option<Ask>) {
+    pub fn answered(
+        &mut self,
+        now: Millis,
+        outcome: RegisterResponse,
+    ) -> (Option<ElectionEvent>, Option<RegisterRequest>) {
         let Some((open, asked_at)) = self.open.take() else { return (None, None) };
         match (open, outcome) {
-            (Open::Read, Outcome::Is(value)) => self.read(now, value),
-            (Open::Stand(holder), Outcome::Swapped(version)) => {
+            (InFlight::Read, RegisterResponse::Value(value)) => self.read(now, value),
+            (InFlight::Campaign(holder), RegisterResponse::Swapped(version)) => {
                 self.holds = Some(holder);
                 self.wrote(now, asked_at, holder, version);
-                (Some(News::Won(holder.term)), None)
+                (Some(ElectionEvent::Won(holder.term)), None)
             }
-            (Open::Renew(holder), Outcome::Swapped(version)) if self.holds.is_some() => {
+            (InFlight::Renew(holder), RegisterResponse::Swapped(version)) if self.holds.is_some() => {
                 let before = self.holds.replace(holder);
                 self.wrote(now, asked_at, holder, version);
                 let anew = before.is_some_and(|b| b.term != holder.term);
-                (anew.then_some(News::Won(holder.term)), None)
+                (anew.then_some(ElectionEvent::Won(holder.term)), None)
             }
             // Read before anything else: it is not what it was, or may not be.
-            (_, Outcome::Stale) => (None, Some(self.ask(now, Open::Read))),
+            (_, RegisterResponse::VersionMismatch) => (None, Some(self.ask(now, InFlight::Read))),
             // No answer: what was seen before still tells what to write over, and whether there was a gap.
             _ => (None, None),
         }
     }
 
     fn wrote(&mut self, now: Millis, asked_at: Millis, holder: Holder, version: i32) {
-        self.sees(now, Some(holder));
-        self.until = asked_at + self.terms.lease;
+        self.observe(now, Some(holder));
+        self.until = asked_at + self.timing.lease;
         self.highest = self.highest.max(holder.term);
-        self.seen = Some(Seen { value: Some((version, holder.bytes())), since: now, last: now });
+        self.seen = Some(Observation { value: Some((version, holder.bytes())), since: now, last: now });
     }
 
     /// The register is like this now.
-    fn sees(&mut self, now: Millis, holder: Option<Holder>) {
-        let order = |holder: Option<Holder>| holder.map(|h| (h.term, h.beat));
+    fn observe(&mut self, now: Millis, holder: Option<Holder>) {
+        let order = |holder: Option<Holder>| holder.map(|h| (h.term, h.renewals));
         let before = self.seen.as_ref().map(|s| (s.last, s.value.as_ref().and_then(|v| Holder::read(&v.1))));
         let on =
-            before.is_some_and(|(last, was)| now - last < self.terms.lease && order(holder) >= order(was));
+            before.is_some_and(|(last, was)| now - last < self.timing.lease && order(holder) >= order(was));
         if !on {
             self.unbroken = now;
         }
     }
 
-    fn read(&mut self, now: Millis, value: Value) -> (Option<News>, Option<Ask>) {
+    fn read(
+        &mut self,
+        now: Millis,
+        value: VersionedValue,
+    ) -> (Option<ElectionEvent>, Option<RegisterRequest>) {
         let holder = value.as_ref().and_then(|(_, bytes)| Holder::read(bytes));
         self.highest = self.highest.max(holder.map_or(0, |h| h.term));
-        self.sees(now, holder);
+        self.observe(now, holder);
         // One seen before a gap may have changed meanwhile and back: the tree may have been set back.
-        let same = self.seen.as_ref().filter(|s| s.value == value && now - s.last < self.terms.lease);
+        let same = self.seen.as_ref().filter(|s| s.value == value && now - s.last < self.timing.lease);
         let since = same.map_or(now, |s| s.since);
         let version = value.as_ref().map(|v| v.0);
-        self.seen = Some(Seen { value, since, last: now });
+        self.seen = Some(Observation { value, since, last: now });
         if let Some(holds) = self.holds {
             // A write without an answer was done after all; or the tree is not what it was.
             if holder.is_some_and(|h| h.peer == self.me && h.term >= holds.term) {
@@ -263,14 +271,14 @@
         }
         let unchanged = now - since;
         // Not all at once.
-        let turn = u64::from(self.me.0 % 16) * self.terms.heartbeat / 4;
-        if unchanged >= self.terms.lease_over() + turn && now >= self.stands_from {
+        let turn = u64::from(self.me.0 % 16) * self.timing.heartbeat / 4;
+        if unchanged >= self.timing.lease_expiry() + turn && now >= self.campaign_not_before {
             let first = if holder.is_none() { self.first } else { 0 };
-            let holder = Holder { term: first.max(self.highest + 1), peer: self.me, beat: 0 };
-            self.open = Some((Open::Stand(holder), now));
-            return (None, Some(Ask::Swap(version, holder.bytes())));
+            let holder = Holder { term: first.max(self.highest + 1), peer: self.me, renewals: 0 };
+            self.open = Some((InFlight::Campaign(holder), now));
+            return (None, Some(RegisterRequest::CompareAndSwap(version, holder.bytes())));
         }
-        (holder.filter(|h| h.peer != self.me).map(News::Holds), None)
+        (holder.filter(|h| h.peer != self.me).map(ElectionEvent::HolderObserved), None)
     }
 }
 
--- a/crates/fleet/src/fetch.rs
+++ b/crates/fleet/src/fetch.rs
@@ -1,13 +1,13 @@
 //! A text on its way, part by part.
 
-use crate::document::{Head, Revision, MOST_BYTES};
-use crate::message::{Message, PIECE};
+use crate::document::{Head, Revision, MAX_REVISION_BYTES};
+use crate::message::{Message, CHUNK_BYTES};
 use crate::Millis;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// Parts that are asked for at once.
-const AHEAD: usize = 16;
+const CHUNK_WINDOW: usize = 16;
 
 /// What has come so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,32 +19,36 @@
 }
 
 /// What a part has brought.
-pub(crate) enum Step {
+pub(crate) enum FetchProgress {
     /// More is to be asked for now.
-    More,
+    RequestMore,
     /// More is on its way, or the part was none that is missing.
-    Wait,
+    Waiting,
     /// The text is here, and is the one that was named.
-    Whole(Arc<Revision>),
+    Complete(Arc<Revision>),
     /// It is here and is another one.
-    Wrong,
+    HashMismatch,
 }
 
 impl Fetch {
     /// Nothing where the text would be too long.
     pub(crate) fn new(head: Head, now: Millis) -> Option<Fetch> {
-        ((head.len as usize) <= MOST_BYTES).then(|| Fetch { head, parts: BTreeMap::new(), asked_at: now })
+        ((head.len as usize) <= MAX_REVISION_BYTES).then(|| Fetch {
+            head,
+            parts: BTreeMap::new(),
+            asked_at: now,
+        })
     }
 
     /// Asks for what is missing.
     pub(crate) fn want(&mut self, now: Millis) -> Message {
         self.asked_at = now;
-        Message::Want { digest: self.head.digest, from: self.missing_from() }
+        Message::ChunkRequest { digest: self.head.digest, from: self.missing_from() }
     }
 
     /// Whether what was asked for must have been lost.
-    pub(crate) fn overdue(&self, now: Millis, patience: Millis) -> bool {
-        now >= self.asked_at.saturating_add(patience)
+    pub(crate) fn overdue(&self, now: Millis, timeout: Millis) -> bool {
+        now >= self.asked_at.saturating_add(timeout)
     }
 
     /// The first byte that is missing.
@@ -55,24 +59,29 @@
     }
 
     /// Takes in a part.
-    pub(crate) fn take(&mut self, message: &Message) -> Step {
-        let Message::Piece { digest, from, bytes } = message else { return Step::Wait };
+    pub(crate) fn take(&mut self, message: &Message) -> FetchProgress {
+        let Message::Chunk { digest, from, bytes } = message else { return FetchProgress::Waiting };
         // Parts begin where whole ones end, so that none covers another.
-        let fits = *from as usize % PIECE == 0 && (*from as usize + bytes.len()) <= self.head.len as usize;
+        let fits =
+            *from as usize % CHUNK_BYTES == 0 && (*from as usize + bytes.len()) <= self.head.len as usize;
         if *digest != self.head.digest || !fits || bytes.is_empty() && self.head.len > 0 {
-            return Step::Wait;
+            return FetchProgress::Waiting;
         }
         let before = self.missing_from();
         self.parts.insert(*from, bytes.clone());
         let end = self.missing_from();
         if end < self.head.len {
-            let row = (AHEAD * PIECE) as u32;
-            return if end / row > before / row { Step::More } else { Step::Wait };
+            let row = (CHUNK_WINDOW * CHUNK_BYTES) as u32;
+            return if end / row > before / row {
+                FetchProgress::RequestMore
+            } else {
+                FetchProgress::Waiting
+            };
         }
         let whole: Vec<u8> = self.parts.values().flatten().copied().collect();
         let text = std::str::from_utf8(&whole).ok();
         let whole = text.and_then(|text| Revision::of(self.head.clone(), text));
-        whole.map_or(Step::Wrong, Step::Whole)
+        whole.map_or(FetchProgress::HashMismatch, FetchProgress::Complete)
     }
 }
 
@@ -81,8 +90,8 @@
     let digest = revision.head.digest;
     let rest = revision.text.as_bytes().get(from as usize..).unwrap_or_default();
     let empty = rest.is_empty().then_some(&[][..]);
-    rest.chunks(PIECE).chain(empty).take(AHEAD).enumerate().map(move |(i, part)| {
-        let from = from + (i * PIECE) as u32;
-        Message::Piece { digest, from, bytes: part.to_vec() }
+    rest.chunks(CHUNK_BYTES).chain(empty).take(CHUNK_WINDOW).enumerate().map(move |(i, part)| {
+        let from = from + (i * CHUNK_BYTES) as u32;
+        Message::Chunk { digest, from, bytes: part.to_vec() }
     })
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,13 +5,13 @@
 //!
 //! | module | does |
 //! | --- | --- |
-//! | `terms` | the times, and the formula that the stated time must keep |
+//! | `timing` | the times, and the formula that the stated time must keep |
 //! | `document` | revisions: immutable, numbered, hashed |
 //! | `fetch` | their texts, part by part |
 //! | `message` | what limiters say to each other, and frames that only their fleet can read and write |
 //! | `member` | a limiter's lease on its rules, and what it holds, stages and switches to |
 //! | `decider` | who has confirmed what, and when a revision may be decided |
-//! | `election`, `keeper` | who decides, and what was decided last, where a coordinator's tree keeps that |
+//! | `election`, `rules_register` | who decides, and what was decided last, where a coordinator's tree keeps that |
 //! | `node` | one limiter of a fleet: a member, or the decider where it is the one named or elected |
 //! | `strict` | what contradicts, and the stricter of two sets of rules |
 
@@ -19,12 +19,12 @@
 pub mod document;
 pub mod election;
 mod fetch;
-mod keeper;
 pub mod member;
 pub mod message;
 pub mod node;
+mod rules_register;
 pub mod strict;
-pub mod terms;
+pub mod timing;
 
 /// A point in time or a span, ms; points are on a monotonic clock of the caller's.
 pub type Millis = u64;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,26 +1,26 @@
 //! One limiter's side: the lease on its rules, what it holds and stages, and when it switches.
 
 use crate::document::{Head, Id, Revision};
-use crate::fetch::{Fetch, Step};
-use crate::message::{cut, Message, Ping, Pong, Verdict, MOST_REASON};
+use crate::fetch::{Fetch, FetchProgress};
+use crate::message::{truncate_utf8, Message, Ping, Pong, Verdict, MAX_REASON_BYTES};
 use crate::node::Output;
-use crate::terms::{OnLapse, Terms};
+use crate::timing::{LeaseTiming, OnLeaseExpiry};
 use crate::{Millis, Peer};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 /// Questions whose answers are still taken: those of a lease, which is three heartbeats at least.
-const OPEN_QUESTIONS: usize = 64;
+const MAX_UNANSWERED_PINGS: usize = 64;
 
 /// By which rules a limiter may act at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Acting {
+pub enum ActiveRules {
     /// By this revision, which is current as far as a lease can tell.
-    By(Id),
+    Current(Id),
     /// Its lease is over: by the stricter of these two, where it has confirmed another.
     Strict(Id, Option<Id>),
     /// By none: what comes is refused at once.
-    Refuse,
+    Reject,
 }
 
 /// A revision that was shown and is not in force here.
@@ -33,17 +33,17 @@
 /// A limiter as one of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    terms: Terms,
+    timing: LeaseTiming,
     /// Nothing: it has not heard of one.
     decider: Option<Peer>,
-    life: u64,
+    process_id: u64,
     held: Option<Arc<Revision>>,
     staged: Option<Staged>,
     /// The staged revision is decided, and takes effect then.
     due: Option<(Id, Millis)>,
     lease_until: Millis,
     /// Questions without an answer, and when each was asked.
-    asked: VecDeque<(u64, Millis)>,
+    unanswered: VecDeque<(u64, Millis)>,
     seq: u64,
     answered: u64,
     token: u64,
@@ -53,18 +53,18 @@
 
 impl Member {
     /// A limiter that has just started and holds nothing.
-    pub fn new(terms: Terms, decider: Option<Peer>, life: u64, now: Millis) -> Member {
+    pub fn new(timing: LeaseTiming, decider: Option<Peer>, process_id: u64, now: Millis) -> Member {
         let (held, staged, due, fetch) = Default::default();
-        let asked = VecDeque::new();
+        let unanswered = VecDeque::new();
         Member {
-            terms,
+            timing,
             decider,
-            life,
+            process_id,
             held,
             staged,
             due,
             lease_until: 0,
-            asked,
+            unanswered,
             seq: 0,
             answered: 0,
             token: 0,
@@ -87,16 +87,16 @@
     }
 
     /// What is due takes effect.
-    pub(crate) fn catch_up(&mut self, now: Millis, out: &mut VecDeque<Output>) {
+    pub(crate) fn activate_due(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         if self.due.is_some_and(|(_, at)| now >= at) {
-            self.switch(out);
+            self.activate(out);
         }
     }
 
     /// Another one decides from now on. What it holds, and for how long, stays.
-    pub(crate) fn led_by(&mut self, now: Millis, decider: Option<Peer>) {
+    pub(crate) fn set_decider(&mut self, now: Millis, decider: Option<Peer>) {
         (self.decider, self.token, self.next_ping, self.fetch) = (decider, 0, now, None);
-        self.asked.clear();
+        self.unanswered.clear();
         if self.staged.as_ref().is_some_and(|s| s.verdict.is_none()) {
             self.staged = None;
         }
@@ -104,17 +104,17 @@
 
     /// By which rules it may act now. Asked right before each first byte: a process that stood still finds its lease
     /// over before it does anything.
-    pub fn acting(&self, now: Millis) -> Acting {
+    pub fn active_rules(&self, now: Millis) -> ActiveRules {
         let overdue = self.due.is_some_and(|(_, at)| now >= at);
-        let Some(held) = self.held.as_ref().filter(|_| !overdue) else { return Acting::Refuse };
+        let Some(held) = self.held.as_ref().filter(|_| !overdue) else { return ActiveRules::Reject };
         if now < self.lease_until {
-            return Acting::By(held.id());
+            return ActiveRules::Current(held.id());
         }
-        match self.terms.on_lapse {
-            OnLapse::Strict(span) if now < self.lease_until.saturating_add(span) => {
-                Acting::Strict(held.id(), self.confirmed().map(|r| r.id()))
+        match self.timing.on_lapse {
+            OnLeaseExpiry::Strict(span) if now < self.lease_until.saturating_add(span) => {
+                ActiveRules::Strict(held.id(), self.confirmed().map(|r| r.id()))
             }
-            _ => Acting::Refuse,
+            _ => ActiveRules::Reject,
         }
     }
 
@@ -141,8 +141,8 @@
         self.lease_until.saturating_sub(now)
     }
 
-    pub(crate) fn terms(&self) -> &Terms {
-        &self.terms
+    pub(crate) fn timing(&self) -> &LeaseTiming {
+        &self.timing
     }
 
     /// Until when its rules were last known to be current.
@@ -159,24 +159,24 @@
 
     /// Time has passed.
     pub fn tick(&mut self, now: Millis, out: &mut VecDeque<Output>) {
-        self.catch_up(now, out);
+        self.activate_due(now, out);
         if now >= self.next_ping {
             self.ping(now, out);
         }
     }
 
     fn ping(&mut self, now: Millis, out: &mut VecDeque<Output>) {
-        self.next_ping = now + self.terms.heartbeat;
+        self.next_ping = now + self.timing.heartbeat;
         let Some(decider) = self.decider else { return };
         self.seq += 1;
-        self.asked.push_back((self.seq, now));
-        if self.asked.len() > OPEN_QUESTIONS {
-            self.asked.pop_front();
+        self.unanswered.push_back((self.seq, now));
+        if self.unanswered.len() > MAX_UNANSWERED_PINGS {
+            self.unanswered.pop_front();
         }
         let staged = self.staged.as_ref();
         let staged = staged.and_then(|s| s.verdict.clone().map(|verdict| (s.revision.id(), verdict)));
         let ping = Ping {
-            life: self.life,
+            process_id: self.process_id,
             seq: self.seq,
             token: self.token,
             answered: self.answered,
@@ -184,7 +184,7 @@
             staged,
         };
         out.push_back(Output::Send(decider, Message::Ping(ping)));
-        if self.fetch.as_ref().is_some_and(|f| f.overdue(now, self.terms.heartbeat)) {
+        if self.fetch.as_ref().is_some_and(|f| f.overdue(now, self.timing.heartbeat)) {
             self.want(now, out);
         }
     }
@@ -196,16 +196,16 @@
     /// Takes in the decider's answer. Those to older questions than the last one answered, and those to questions never
     /// asked, tell nothing.
     pub fn pong(&mut self, now: Millis, pong: Pong, out: &mut VecDeque<Output>) {
-        let Some(place) = self.asked.iter().position(|(seq, _)| *seq == pong.seq) else { return };
-        let (_, asked_at) = self.asked[place];
-        self.asked.drain(..=place);
+        let Some(place) = self.unanswered.iter().position(|(seq, _)| *seq == pong.seq) else { return };
+        let (_, asked_at) = self.unanswered[place];
+        self.unanswered.drain(..=place);
         self.answered = pong.seq;
         let greeted = std::mem::replace(&mut self.token, pong.token) == pong.token;
         if !greeted {
             // The decider knows this limiter only once it has heard its token back.
             self.next_ping = now;
         }
-        if asked_at.saturating_add(self.terms.lease) <= now {
+        if asked_at.saturating_add(self.timing.lease) <= now {
             // It keeps nothing current any more, and others may have gone on since.
             return;
         }
@@ -215,17 +215,17 @@
         }
         if let Some(current) = &pong.current {
             if self.id() != current.id {
-                self.follow(now, current, out);
+                self.adopt_current(now, current, out);
             }
             if self.id() != current.id {
                 // First the text of what is current.
                 return;
             }
             // From when the question went out: the decider counts from when it answered, and so for longer.
-            self.lease_until = self.lease_until.max(asked_at + self.terms.lease);
+            self.lease_until = self.lease_until.max(asked_at + self.timing.lease);
         }
         if pong.current.is_none() {
-            self.doubt(pong.proposal.as_ref(), out);
+            self.distrust_held(pong.proposal.as_ref(), out);
         }
         match pong.proposal {
             Some(head) => self.proposed(now, &head, pong.effective_in, out),
@@ -236,11 +236,11 @@
 
     /// A decider that does not say what is current shows another revision than the one that was confirmed here. That one
     /// may be in force elsewhere, so nothing can be done by what is held, strictly or not.
-    pub(crate) fn doubt(&mut self, proposal: Option<&Head>, out: &mut VecDeque<Output>) {
+    pub(crate) fn distrust_held(&mut self, proposal: Option<&Head>, out: &mut VecDeque<Output>) {
         let other = |head: &Head| self.confirmed().is_some_and(|r| r.head != *head);
         if proposal.is_some_and(other) && self.held.take().is_some() {
             self.lease_until = 0;
-            out.push_back(Output::Stopped);
+            out.push_back(Output::Deactivate);
         }
     }
 
@@ -257,13 +257,13 @@
     }
 
     /// What it holds is not what is current: it must not go on by it, and switches as soon as it has the text.
-    fn follow(&mut self, now: Millis, current: &Head, out: &mut VecDeque<Output>) {
+    fn adopt_current(&mut self, now: Millis, current: &Head, out: &mut VecDeque<Output>) {
         if self.confirmed().is_some_and(|r| r.head == *current) {
-            return self.switch(out);
+            return self.activate(out);
         }
         if self.held.take().is_some() {
             self.lease_until = 0;
-            out.push_back(Output::Stopped);
+            out.push_back(Output::Deactivate);
         }
         self.stage(now, current, out);
     }
@@ -287,14 +287,14 @@
     }
 
     /// Takes in a part of a text.
-    pub fn piece(&mut self, now: Millis, message: &Message, out: &mut VecDeque<Output>) {
+    pub fn on_chunk(&mut self, now: Millis, message: &Message, out: &mut VecDeque<Output>) {
         let Some(fetch) = &mut self.fetch else { return };
         match fetch.take(message) {
-            Step::More => self.want(now, out),
-            Step::Wait => {}
+            FetchProgress::RequestMore => self.want(now, out),
+            FetchProgress::Waiting => {}
             // Asked for anew with the next answer that names it.
-            Step::Wrong => self.fetch = None,
-            Step::Whole(revision) => {
+            FetchProgress::HashMismatch => self.fetch = None,
+            FetchProgress::Complete(revision) => {
                 self.fetch = None;
                 self.staged = Some(Staged { revision: revision.clone(), verdict: None });
                 out.push_back(Output::Check(revision));
@@ -303,7 +303,7 @@
     }
 
     /// What it can show of: what it holds, and what it has confirmed.
-    pub fn shows(&self, which: impl Fn(&Revision) -> bool) -> Option<&Arc<Revision>> {
+    pub fn known_revision(&self, which: impl Fn(&Revision) -> bool) -> Option<&Arc<Revision>> {
         self.held.iter().chain(self.confirmed()).find(|r| which(r))
     }
 
@@ -311,7 +311,9 @@
     pub fn checked(&mut self, now: Millis, id: Id, verdict: Verdict) {
         if let Some(staged) = self.staged.as_mut().filter(|s| s.revision.id() == id) {
             staged.verdict = Some(match verdict {
-                Verdict::Vetoed(reason) => Verdict::Vetoed(cut(&reason, MOST_REASON).to_owned()),
+                Verdict::Vetoed(reason) => {
+                    Verdict::Vetoed(truncate_utf8(&reason, MAX_REASON_BYTES).to_owned())
+                }
                 confirmed => confirmed,
             });
             // Said at once: everybody waits for it.
@@ -319,11 +321,11 @@
         }
     }
 
-    fn switch(&mut self, out: &mut VecDeque<Output>) {
+    fn activate(&mut self, out: &mut VecDeque<Output>) {
         self.due = None;
         let Some(revision) = self.confirmed().cloned() else { return };
         (self.staged, self.fetch) = (None, None);
         self.held = Some(revision.clone());
-        out.push_back(Output::Act(revision));
+        out.push_back(Output::Activate(revision));
     }
 }
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -11,14 +11,14 @@
 /// Version of the frames. Another one is dropped, and counted.
 pub const VERSION: u8 = 1;
 /// Most bytes of a text in one message: a datagram stays whole on usual networks.
-pub const PIECE: usize = 1024;
+pub const CHUNK_BYTES: usize = 1024;
 /// The longest frame, bytes: a veto's reason is cut to fit.
-pub const MOST_FRAME: usize = 1400;
+pub const MAX_FRAME_BYTES: usize = 1400;
 /// The longest reason of a veto, bytes.
-pub const MOST_REASON: usize = 300;
+pub const MAX_REASON_BYTES: usize = 300;
 /// The longest name of an author, bytes.
-pub const MOST_AUTHOR: usize = 64;
-const MAC: usize = 16;
+pub const MAX_AUTHOR_BYTES: usize = 64;
+const MAC_BYTES: usize = 16;
 
 /// What a limiter has found of a revision that it was shown.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ping {
     /// Tells a limiter's process from those before it: a number by chance.
-    pub life: u64,
+    pub process_id: u64,
     /// Counts the limiter's questions.
     pub seq: u64,
     /// The token that the decider last gave it; 0: none yet.
@@ -69,18 +69,18 @@
     #[allow(missing_docs)]
     Pong(Pong),
     /// The text of this hash is wanted, from this byte on.
-    Want {
+    ChunkRequest {
         /// The text.
         digest: Digest,
         /// The first byte.
         from: u32,
     },
     /// The head of this revision is wanted.
-    Show(Id),
+    HeadRequest(Id),
     /// That head.
-    Shown(Head),
+    HeadResponse(Head),
     /// A part of a text.
-    Piece {
+    Chunk {
         /// The text.
         digest: Digest,
         /// Where the part begins.
@@ -89,9 +89,9 @@
         bytes: Vec<u8>,
     },
     /// What a limiter tells the decider beside the agreement, which passes it on unread.
-    Beside(Vec<u8>),
+    Attachment(Vec<u8>),
     /// Who holds the latest term that the sender knows of, where a coordinator's tree elects the decider.
-    Decides {
+    TermAnnouncement {
         /// The term.
         term: u64,
         /// Its holder, if the sender knows that too.
@@ -101,37 +101,48 @@
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum FrameError {
     /// Of another version of frames.
     Version,
     /// Not made with this fleet's key, or changed.
     Key,
     /// It cannot be read, or is too long.
-    Form,
+    Malformed,
+}
+
+impl FrameError {
+    /// The name that the status page gives it.
+    pub fn name(self) -> &'static str {
+        match self {
+            FrameError::Version => "version",
+            FrameError::Key => "key",
+            FrameError::Malformed => "form",
+        }
+    }
 }
 
 /// What a fleet's frames are made and read with.
 #[derive(Clone)]
-pub struct Seal {
+pub struct FrameCodec {
     key: [u8; 32],
 }
 
-impl Seal {
+impl FrameCodec {
     /// From a secret that all limiters of the fleet share.
-    pub fn new(secret: &str) -> Seal {
-        Seal { key: blake3::derive_key("oatbank fleet frames 1", secret.as_bytes()) }
+    pub fn new(secret: &str) -> FrameCodec {
+        FrameCodec { key: blake3::derive_key("oatbank fleet frames 1", secret.as_bytes()) }
     }
 
     /// A frame with this message, from this limiter to that one.
     pub fn frame(&self, from: Peer, to: Peer, message: &Message) -> Vec<u8> {
         let mut frame = vec![VERSION];
-        frame.extend_from_slice(&[0; MAC]);
+        frame.extend_from_slice(&[0; MAC_BYTES]);
         let body = postcard::to_extend(&(from, to, message), frame);
         // Plain data without maps or floats has no way to fail.
         let mut frame = body.unwrap_or_default();
-        if frame.len() > MAC {
-            let mark = self.mark(&frame[1 + MAC..]);
-            frame[1..=MAC].copy_from_slice(&mark);
+        if frame.len() > MAC_BYTES {
+            let mark = self.mark(&frame[1 + MAC_BYTES..]);
+            frame[1..=MAC_BYTES].copy_from_slice(&mark);
         }
         frame
     }
@@ -140,30 +151,30 @@
     ///
     /// # Errors
     /// Why it is to be dropped.
-    pub fn read(&self, to: Peer, frame: &[u8]) -> Result<(Peer, Message), Dropped> {
-        let (version, rest) = frame.split_first().ok_or(Dropped::Form)?;
+    pub fn read(&self, to: Peer, frame: &[u8]) -> Result<(Peer, Message), FrameError> {
+        let (version, rest) = frame.split_first().ok_or(FrameError::Malformed)?;
         if *version != VERSION {
-            return Err(Dropped::Version);
+            return Err(FrameError::Version);
         }
-        if frame.len() > MOST_FRAME || rest.len() <= MAC {
-            return Err(Dropped::Form);
+        if frame.len() > MAX_FRAME_BYTES || rest.len() <= MAC_BYTES {
+            return Err(FrameError::Malformed);
         }
-        let (mark, body) = rest.split_at(MAC);
+        let (mark, body) = rest.split_at(MAC_BYTES);
         // In constant time: blake3's hashes compare so.
         if blake3::Hash::from_bytes(widen(mark)) != blake3::Hash::from_bytes(widen(&self.mark(body))) {
-            return Err(Dropped::Key);
+            return Err(FrameError::Key);
         }
         let (from, meant, message) =
-            postcard::from_bytes::<(Peer, Peer, Message)>(body).map_err(|_| Dropped::Form)?;
+            postcard::from_bytes::<(Peer, Peer, Message)>(body).map_err(|_| FrameError::Malformed)?;
         if meant != to {
-            return Err(Dropped::Form);
+            return Err(FrameError::Malformed);
         }
         Ok((from, message))
     }
 
-    fn mark(&self, body: &[u8]) -> [u8; MAC] {
-        let mut mark = [0; MAC];
-        mark.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..MAC]);
+    fn mark(&self, body: &[u8]) -> [u8; MAC_BYTES] {
+        let mut mark = [0; MAC_BYTES];
+        mark.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..MAC_BYTES]);
         mark
     }
 }
@@ -175,7 +186,7 @@
 }
 
 /// At most so many bytes of a text, cut between two characters.
-pub fn cut(text: &str, most: usize) -> &str {
+pub fn truncate_utf8(text: &str, most: usize) -> &str {
     let mut end = text.len().min(most);
     while !text.is_char_boundary(end) {
         end -= 1;
--- a/crates/fleet/src/message/tests.rs
+++ b/crates/fleet/src/message/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn pong() -> Message {
-    let head = Head { author: "a".repeat(MOST_AUTHOR), ..Head::default() };
+    let head = Head { author: "a".repeat(MAX_AUTHOR_BYTES), ..Head::default() };
     Message::Pong(Pong {
         seq: u64::MAX,
         token: u64::MAX,
@@ -15,11 +15,11 @@
 
 #[test]
 fn the_longest_messages_fit_and_come_whole() {
-    let seal = Seal::new("secret");
-    let reason = Verdict::Vetoed("r".repeat(MOST_REASON));
+    let codec = FrameCodec::new("secret");
+    let reason = Verdict::Vetoed("r".repeat(MAX_REASON_BYTES));
     let most = Id { epoch: u64::MAX, number: u64::MAX };
     let ping = Ping {
-        life: u64::MAX,
+        process_id: u64::MAX,
         seq: u64::MAX,
         answered: u64::MAX,
         token: u64::MAX,
@@ -27,26 +27,26 @@
         staged: Some((most, reason)),
     };
     let digest = Digest([255; 32]);
-    let piece = Message::Piece { digest, from: u32::MAX, bytes: vec![255; PIECE] };
-    for message in [pong(), Message::Ping(ping), piece, Message::Want { digest, from: 0 }] {
-        let frame = seal.frame(Peer(u16::MAX), Peer(2), &message);
-        assert!(frame.len() <= MOST_FRAME, "{} bytes: {message:?}", frame.len());
-        assert_eq!(seal.read(Peer(2), &frame), Ok((Peer(u16::MAX), message)));
+    let on_chunk = Message::Chunk { digest, from: u32::MAX, bytes: vec![255; CHUNK_BYTES] };
+    for message in [pong(), Message::Ping(ping), on_chunk, Message::ChunkRequest { digest, from: 0 }] {
+        let frame = codec.frame(Peer(u16::MAX), Peer(2), &message);
+        assert!(frame.len() <= MAX_FRAME_BYTES, "{} bytes: {message:?}", frame.len());
+        assert_eq!(codec.read(Peer(2), &frame), Ok((Peer(u16::MAX), message)));
     }
 }
 
 #[test]
 fn strangers_and_changed_frames_are_dropped() {
-    let (seal, other) = (Seal::new("secret"), Seal::new("another"));
-    let frame = seal.frame(Peer(1), Peer(2), &pong());
-    assert_eq!(other.read(Peer(2), &frame), Err(Dropped::Key));
-    assert_eq!(seal.read(Peer(3), &frame), Err(Dropped::Form), "meant for another limiter");
+    let (codec, other) = (FrameCodec::new("secret"), FrameCodec::new("another"));
+    let frame = codec.frame(Peer(1), Peer(2), &pong());
+    assert_eq!(other.read(Peer(2), &frame), Err(FrameError::Key));
+    assert_eq!(codec.read(Peer(3), &frame), Err(FrameError::Malformed), "meant for another limiter");
     for i in 0..frame.len() {
         let mut changed = frame.clone();
         changed[i] ^= 1;
-        assert!(seal.read(Peer(2), &changed).is_err(), "byte {i}");
+        assert!(codec.read(Peer(2), &changed).is_err(), "byte {i}");
     }
     for len in 0..frame.len() {
-        assert!(seal.read(Peer(2), &frame[..len]).is_err(), "{len} bytes");
+        assert!(codec.read(Peer(2), &frame[..len]).is_err(), "{len} bytes");
     }
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,21 +1,21 @@
 //! One limiter of a fleet: events in, outputs out.
 
-use crate::decider::{Answer, Decider, Known, Proposal};
+use crate::decider::{Decider, MemberRecord, Proposal, ProposalOutcome};
 use crate::document::{Id, Revision};
-use crate::election::{Ask, Election, News, Outcome, Register};
+use crate::election::{Election, ElectionEvent, Register, RegisterRequest, RegisterResponse};
 use crate::fetch::parts;
-use crate::member::{Acting, Member};
+use crate::member::{ActiveRules, Member};
 use crate::message::{Message, Verdict};
-use crate::terms::Terms;
+use crate::timing::LeaseTiming;
 use crate::{Millis, Peer};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 /// What a limiter of a fleet is started with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Setup {
+pub struct NodeOptions {
     /// The fleet's times.
-    pub terms: Terms,
+    pub timing: LeaseTiming,
     /// This limiter.
     pub me: Peer,
     /// How many there are on the list.
@@ -39,8 +39,8 @@
     Checked(Id, Verdict),
     /// An operator asks for a change.
     Propose(Proposal),
-    /// What came of [`Output::Ask`], by its register and serial number.
-    Tree(Register, u64, Outcome),
+    /// What came of [`Output::Register`], by its register and serial number.
+    Register(Register, u64, RegisterResponse),
     /// Time has passed.
     Tick,
 }
@@ -52,14 +52,14 @@
     Send(Peer, Message),
     /// Check whether this revision could be acted by, whole, and say so with [`Event::Checked`].
     Check(Arc<Revision>),
-    /// Act by this revision from now on, as long as [`Node::acting`] says so.
-    Act(Arc<Revision>),
-    /// Act by none until the next [`Output::Act`]: what was held is not current.
-    Stopped,
+    /// Act by this revision from now on, as long as [`Node::active_rules`] says so.
+    Activate(Arc<Revision>),
+    /// Act by none until the next [`Output::Activate`]: what was held is not current.
+    Deactivate,
     /// What became of a proposal, by its ticket.
-    Answer(u64, Answer),
-    /// Ask this of the coordinator's tree, and say what came of it with [`Event::Tree`], each once.
-    Ask(Register, u64, Ask),
+    ProposalFinished(u64, ProposalOutcome),
+    /// Ask this of the coordinator's tree, and say what came of it with [`Event::Register`], each once.
+    Register(Register, u64, RegisterRequest),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -71,7 +71,7 @@
 /// One limiter of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
-    setup: Setup,
+    options: NodeOptions,
     /// The one that decides, as far as is known.
     decider: Option<Peer>,
     /// The latest term that was heard of.
@@ -83,14 +83,15 @@
 
 impl Node {
     /// A limiter that has just started.
-    pub fn new(setup: &Setup, now: Millis) -> Node {
-        let Setup { terms, me, decider, seed, .. } = *setup;
+    pub fn new(options: &NodeOptions, now: Millis) -> Node {
+        let NodeOptions { timing, me, decider, seed, .. } = *options;
         let role = match decider == Some(me) {
-            true => Role::Decider(Box::new(deciding(setup, setup.incarnation, seed, now))),
-            false => Role::Member(Box::new(Member::new(terms, decider, seed, now))),
+            true => Role::Decider(Box::new(deciding(options, options.incarnation, seed, now))),
+            false => Role::Member(Box::new(Member::new(timing, decider, seed, now))),
         };
-        let election = decider.is_none().then(|| Box::new(Election::new(terms, me, setup.incarnation, now)));
-        Node { setup: setup.clone(), decider, term: 0, role, election, outputs: VecDeque::new() }
+        let election =
+            decider.is_none().then(|| Box::new(Election::new(timing, me, options.incarnation, now)));
+        Node { options: options.clone(), decider, term: 0, role, election, outputs: VecDeque::new() }
     }
 
     /// Takes in one event.
@@ -105,17 +106,20 @@
             }
             (Role::Decider(decider), Event::Checked(id, verdict)) => decider.checked(now, id, verdict, out),
             (Role::Member(_), Event::Propose(ask)) => {
-                out.push_back(Output::Answer(ask.ticket, Answer::NotDecider(self.decider)));
+                out.push_back(Output::ProposalFinished(
+                    ask.ticket,
+                    ProposalOutcome::NotDecider(self.decider),
+                ));
             }
             (Role::Decider(decider), Event::Propose(ask)) => decider.propose(now, ask, out),
             (_, Event::Message(from, message)) => self.hear(now, from, message),
-            (_, Event::Tree(Register::Decider, _, outcome)) => self.elected(now, outcome),
-            (Role::Decider(decider), Event::Tree(Register::Rules, serial, outcome)) => {
-                if decider.kept(now, serial, outcome, out) {
+            (_, Event::Register(Register::Decider, _, outcome)) => self.elected(now, outcome),
+            (Role::Decider(decider), Event::Register(Register::Rules, serial, outcome)) => {
+                if decider.on_register_response(now, serial, outcome, out) {
                     self.resign(now);
                 }
             }
-            (Role::Member(_), Event::Tree(Register::Rules, ..)) => {}
+            (Role::Member(_), Event::Register(Register::Rules, ..)) => {}
         }
         self.elect(now);
     }
@@ -125,56 +129,56 @@
     fn elect(&mut self, now: Millis) {
         let Some(election) = &mut self.election else { return };
         let ask = election.tick(now);
-        self.outputs.extend(ask.map(|ask| Output::Ask(Register::Decider, 0, ask)));
+        self.outputs.extend(ask.map(|ask| Output::Register(Register::Decider, 0, ask)));
         let Role::Decider(decider) = &mut self.role else { return };
-        decider.lead_until(election.until());
-        if decider.gives_up(now) {
+        decider.extend_term(election.until());
+        if decider.should_resign(now) {
             self.resign(now);
         }
     }
 
-    fn elected(&mut self, now: Millis, outcome: Outcome) {
+    fn elected(&mut self, now: Millis, outcome: RegisterResponse) {
         let Some(election) = &mut self.election else { return };
         let (news, ask) = election.answered(now, outcome);
-        self.outputs.extend(ask.map(|ask| Output::Ask(Register::Decider, 0, ask)));
+        self.outputs.extend(ask.map(|ask| Output::Register(Register::Decider, 0, ask)));
         match news {
-            Some(News::Won(term)) => self.won(now, term),
-            Some(News::Holds(holder)) => {
+            Some(ElectionEvent::Won(term)) => self.won(now, term),
+            Some(ElectionEvent::HolderObserved(holder)) => {
                 let over = matches!(&self.role, Role::Decider(decider) if now >= decider.authority());
                 if over && holder.term <= self.term {
-                    self.follow(now, None);
+                    self.adopt_current(now, None);
                 }
-                self.heard_of(now, holder.term, Some(holder.peer));
+                self.observe_term(now, holder.term, Some(holder.peer));
             }
             None => {}
         }
     }
 
     fn won(&mut self, now: Millis, term: u64) {
-        (self.term, self.decider) = (term, Some(self.setup.me));
+        (self.term, self.decider) = (term, Some(self.options.me));
         if let Role::Decider(decider) = &mut self.role {
             if now < decider.authority() {
-                return decider.go_on_in(term, now);
+                return decider.continue_in_term(term, now);
             }
         }
-        self.follow(now, None);
+        self.adopt_current(now, None);
         let Role::Member(member) = &self.role else { return };
-        let seed = self.setup.seed ^ term;
-        let decider = deciding(&self.setup, term, seed, now);
+        let seed = self.options.seed ^ term;
+        let decider = deciding(&self.options, term, seed, now);
         let unbroken = self.election.as_ref().map_or(now, |e| e.unbroken());
         let mut decider = decider.elected(term, unbroken, (**member).clone(), now, &mut self.outputs);
-        decider.lead_until(self.election.as_ref().map_or(0, |e| e.until()));
+        decider.extend_term(self.election.as_ref().map_or(0, |e| e.until()));
         decider.tick(now, &mut self.outputs);
-        (self.role, self.decider) = (Role::Decider(Box::new(decider)), Some(self.setup.me));
+        (self.role, self.decider) = (Role::Decider(Box::new(decider)), Some(self.options.me));
     }
 
     /// A limiter, or the tree, says who holds a term.
-    fn heard_of(&mut self, now: Millis, term: u64, peer: Option<Peer>) {
+    fn observe_term(&mut self, now: Millis, term: u64, peer: Option<Peer>) {
         let Some(election) = &mut self.election else { return };
-        election.heard_of(term, peer);
-        if let Some(peer) = peer.filter(|peer| term > self.term && *peer != self.setup.me) {
+        election.observe_term(term, peer);
+        if let Some(peer) = peer.filter(|peer| term > self.term && *peer != self.options.me) {
             self.term = term;
-            self.follow(now, Some(peer));
+            self.adopt_current(now, Some(peer));
         }
     }
 
@@ -183,42 +187,44 @@
     fn called(&mut self, now: Millis, from: Peer, term: u64, peer: Option<Peer>) {
         let known = (self.term, self.decider);
         if peer == Some(from) && matches!(self.role, Role::Member(_)) && term <= known.0 && peer != known.1 {
-            let message = Message::Decides { term: known.0, peer: known.1 };
+            let message = Message::TermAnnouncement { term: known.0, peer: known.1 };
             self.outputs.push_back(Output::Send(from, message));
         }
-        self.heard_of(now, term, peer);
+        self.observe_term(now, term, peer);
     }
 
     fn resign(&mut self, now: Millis) {
         if let Some(election) = &mut self.election {
             election.resign(now);
         }
-        self.follow(now, None);
+        self.adopt_current(now, None);
     }
 
     /// It is a member from now on, if it was none.
-    fn follow(&mut self, now: Millis, peer: Option<Peer>) {
+    fn adopt_current(&mut self, now: Millis, peer: Option<Peer>) {
         let out = &mut self.outputs;
         if let Role::Decider(decider) = &self.role {
-            let member = decider.clone().into_member(self.setup.seed, now, out);
+            let member = decider.clone().into_member(self.options.seed, now, out);
             self.role = Role::Member(Box::new(member));
         }
         if let Role::Member(member) = &mut self.role {
-            member.led_by(now, peer);
+            member.set_decider(now, peer);
         }
         self.decider = peer;
     }
 
     fn hear(&mut self, now: Millis, from: Peer, message: Message) {
-        if let Message::Decides { term, peer } = message {
+        if let Message::TermAnnouncement { term, peer } = message {
             return self.called(now, from, term, peer);
         }
         let out = &mut self.outputs;
         match (&mut self.role, message) {
             (Role::Decider(decider), Message::Ping(ping)) => decider.ping(now, from, ping, out),
-            (Role::Decider(decider), Message::Shown(head)) => decider.shown(now, from, head, out),
-            (Role::Decider(decider), piece @ Message::Piece { .. }) => decider.piece(now, from, &piece, out),
-            (Role::Decider(decider), Message::Want { digest, from: byte }) => {
+            (Role::Decider(decider), Message::HeadResponse(head)) => decider.on_head(now, from, head, out),
+            (Role::Decider(decider), on_chunk @ Message::Chunk { .. }) => {
+                decider.on_chunk(now, from, &on_chunk, out)
+            }
+            (Role::Decider(decider), Message::ChunkRequest { digest, from: byte }) => {
                 if let Some(revision) = decider.text(&digest) {
                     out.extend(parts(revision, byte).map(|part| Output::Send(from, part)));
                 }
@@ -226,7 +232,7 @@
             // Who asks has not heard of the latest term.
             (Role::Member(_), Message::Ping(_)) if self.election.is_some() => {
                 let (term, holder) = (self.term, self.decider.filter(|peer| *peer != from));
-                let told = |peer| Output::Send(from, Message::Decides { term, peer: Some(peer) });
+                let told = |peer| Output::Send(from, Message::TermAnnouncement { term, peer: Some(peer) });
                 out.extend(holder.map(told));
             }
             // Only the decider's word counts.
@@ -235,15 +241,16 @@
                 member.pong(now, pong, out);
                 member.tick(now, out);
             }
-            (Role::Member(member), piece @ Message::Piece { .. }) => member.piece(now, &piece, out),
-            (Role::Member(member), Message::Want { digest, from: byte }) => {
-                if let Some(revision) = member.shows(|r| r.head.digest == digest) {
+            (Role::Member(member), on_chunk @ Message::Chunk { .. }) => member.on_chunk(now, &on_chunk, out),
+            (Role::Member(member), Message::ChunkRequest { digest, from: byte }) => {
+                if let Some(revision) = member.known_revision(|r| r.head.digest == digest) {
                     out.extend(parts(revision, byte).map(|part| Output::Send(from, part)));
                 }
             }
-            (Role::Member(member), Message::Show(id)) => {
-                let shown = member.shows(|r| r.id() == id).map(|r| Message::Shown(r.head.clone()));
-                out.extend(shown.map(|shown| Output::Send(from, shown)));
+            (Role::Member(member), Message::HeadRequest(id)) => {
+                let on_head =
+                    member.known_revision(|r| r.id() == id).map(|r| Message::HeadResponse(r.head.clone()));
+                out.extend(on_head.map(|on_head| Output::Send(from, on_head)));
             }
             _ => {}
         }
@@ -269,15 +276,15 @@
     }
 
     /// When the coordinator's tree has last answered; nothing where there is none.
-    pub fn tree_heard(&self) -> Option<Option<Millis>> {
+    pub fn register_last_response(&self) -> Option<Option<Millis>> {
         self.election.as_ref().map(|e| e.heard())
     }
 
     /// By which rules this limiter may act now.
-    pub fn acting(&self, now: Millis) -> Acting {
+    pub fn active_rules(&self, now: Millis) -> ActiveRules {
         match &self.role {
-            Role::Member(member) => member.acting(now),
-            Role::Decider(decider) => decider.acting(now),
+            Role::Member(member) => member.active_rules(now),
+            Role::Decider(decider) => decider.active_rules(now),
         }
     }
 
@@ -317,7 +324,7 @@
     }
 
     /// What the decider knows of the others; nothing elsewhere.
-    pub fn known(&self) -> Option<&BTreeMap<Peer, Known>> {
+    pub fn known(&self) -> Option<&BTreeMap<Peer, MemberRecord>> {
         self.as_decider().map(Decider::known)
     }
 
@@ -330,7 +337,7 @@
     }
 }
 
-fn deciding(setup: &Setup, epoch: u64, seed: u64, now: Millis) -> Decider {
-    let Setup { terms, me, peers, ref first, .. } = *setup;
-    Decider::new(terms, me, peers, epoch, seed, first.clone(), now)
+fn deciding(options: &NodeOptions, epoch: u64, seed: u64, now: Millis) -> Decider {
+    let NodeOptions { timing, me, peers, ref first, .. } = *options;
+    Decider::new(timing, me, peers, epoch, seed, first.clone(), now)
 }
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/rules_register.rs
@@ -4,54 +4,54 @@
 //! has on its way can be written.
 
 use crate::document::{Head, Revision};
-use crate::election::{Ask, Outcome, Value};
+use crate::election::{RegisterRequest, RegisterResponse, VersionedValue};
 use crate::Millis;
 use std::sync::Arc;
 
 /// What an answer of the tree has brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Kept {
+pub(crate) enum RegisterEvent {
     Nothing,
     /// This is what was decided last, as far as the tree knows, and no earlier holder can change it any more.
     Found(Option<Arc<Revision>>),
     /// What was to be kept is kept.
     Stored(Arc<Revision>),
     /// A holder of a later term has written.
-    Overtaken,
+    Superseded,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Work {
     /// To be written again under the own term, once it is read.
-    Fence(Option<Value>),
+    Fence(Option<VersionedValue>),
     Store(Arc<Revision>),
 }
 
 /// One holder's way to what is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Keeper {
+pub(crate) struct RulesRegister {
     term: u64,
-    pause: Millis,
+    retry_interval: Millis,
     version: Option<i32>,
     work: Option<Work>,
     /// What the last write changed is not known: to be read first.
-    unsure: bool,
+    outcome_unknown: bool,
     /// Numbers what is asked; an answer to anything but the last is of another holder's time.
     serial: u64,
     open: bool,
     next: Millis,
 }
 
-impl Keeper {
-    /// For the holder of `term`; after no answer it asks again once `pause` is over.
-    pub(crate) fn new(term: u64, pause: Millis, now: Millis) -> Keeper {
+impl RulesRegister {
+    /// For the holder of `term`; after no answer it asks again once `retry_interval` is over.
+    pub(crate) fn new(term: u64, retry_interval: Millis, now: Millis) -> RulesRegister {
         let work = Some(Work::Fence(None));
-        Keeper {
+        RulesRegister {
             term,
-            pause,
+            retry_interval,
             version: None,
             work,
-            unsure: false,
+            outcome_unknown: false,
             serial: (term & 0xffff_ffff) << 32,
             open: false,
             next: now,
@@ -59,7 +59,7 @@
     }
 
     /// Its holder has taken another term, with nobody between.
-    pub(crate) fn go_on_in(&mut self, term: u64) {
+    pub(crate) fn continue_in_term(&mut self, term: u64) {
         self.term = term;
     }
 
@@ -76,72 +76,76 @@
     }
 
     /// What is to be asked now.
-    pub(crate) fn tick(&mut self, now: Millis) -> Option<(u64, Ask)> {
+    pub(crate) fn tick(&mut self, now: Millis) -> Option<(u64, RegisterRequest)> {
         if now < self.next_due() {
             return None;
         }
         let ask = match self.work.as_ref()? {
-            _ if self.unsure => Ask::Read,
-            Work::Fence(None) => Ask::Read,
+            _ if self.outcome_unknown => RegisterRequest::Read,
+            Work::Fence(None) => RegisterRequest::Read,
             Work::Fence(Some(found)) => {
                 let (_, revision) = found.as_ref().map_or((0, None), |(_, bytes)| read(bytes));
                 let version = found.as_ref().map(|(version, _)| *version);
-                Ask::Swap(version, bytes(self.term, revision.as_deref()))
+                RegisterRequest::CompareAndSwap(version, bytes(self.term, revision.as_deref()))
+            }
+            Work::Store(revision) => {
+                RegisterRequest::CompareAndSwap(self.version, bytes(self.term, Some(revision)))
             }
-            Work::Store(revision) => Ask::Swap(self.version, bytes(self.term, Some(revision))),
         };
         self.serial += 1;
-        (self.open, self.next) = (true, now + self.pause);
+        (self.open, self.next) = (true, now + self.retry_interval);
         Some((self.serial, ask))
     }
 
-    pub(crate) fn answered(&mut self, now: Millis, serial: u64, outcome: Outcome) -> Kept {
+    pub(crate) fn answered(&mut self, now: Millis, serial: u64, outcome: RegisterResponse) -> RegisterEvent {
         if serial != self.serial || !self.open {
-            return Kept::Nothing;
+            return RegisterEvent::Nothing;
         }
         self.open = false;
         match (self.work.take(), outcome) {
-            (Some(Work::Fence(_)), Outcome::Is(found)) => {
+            (Some(Work::Fence(_)), RegisterResponse::Value(found)) => {
                 let (term, _) = found.as_ref().map_or((0, None), |(_, bytes)| read(bytes));
                 if term > self.term {
-                    return Kept::Overtaken;
+                    return RegisterEvent::Superseded;
                 }
                 (self.work, self.next) = (Some(Work::Fence(Some(found))), now);
             }
-            (Some(Work::Fence(Some(found))), Outcome::Swapped(version)) => {
+            (Some(Work::Fence(Some(found))), RegisterResponse::Swapped(version)) => {
                 self.version = Some(version);
-                return Kept::Found(found.and_then(|(_, bytes)| read(&bytes).1));
+                return RegisterEvent::Found(found.and_then(|(_, bytes)| read(&bytes).1));
             }
             (Some(Work::Fence(_)), _) => self.work = Some(Work::Fence(None)),
-            (Some(Work::Store(revision)), Outcome::Swapped(version)) => {
+            (Some(Work::Store(revision)), RegisterResponse::Swapped(version)) => {
                 self.version = Some(version);
-                return Kept::Stored(revision);
+                return RegisterEvent::Stored(revision);
+            }
+            (Some(Work::Store(revision)), RegisterResponse::Value(found)) => {
+                return self.verify_write(now, revision, found)
             }
-            (Some(Work::Store(revision)), Outcome::Is(found)) => return self.sure(now, revision, found),
             (Some(Work::Store(revision)), lost) => {
-                (self.work, self.unsure) = (Some(Work::Store(revision)), true);
-                if lost == Outcome::Stale {
+                (self.work, self.outcome_unknown) = (Some(Work::Store(revision)), true);
+                if lost == RegisterResponse::VersionMismatch {
                     self.next = now;
                 }
             }
             (None, _) => {}
         }
-        Kept::Nothing
+        RegisterEvent::Nothing
     }
 
     /// It has read what stands where its write may have gone.
-    fn sure(&mut self, now: Millis, revision: Arc<Revision>, found: Value) -> Kept {
+    fn verify_write(&mut self, now: Millis, revision: Arc<Revision>, found: VersionedValue) -> RegisterEvent {
         let (term, stands) = found.as_ref().map_or((0, None), |(_, bytes)| read(bytes));
         if term > self.term {
-            return Kept::Overtaken;
+            return RegisterEvent::Superseded;
         }
-        (self.version, self.unsure) = (found.map(|(version, _)| version), false);
+        (self.version, self.outcome_unknown) = (found.map(|(version, _)| version), false);
         if stands.is_some_and(|stands| stands.head == revision.head) {
-            return Kept::Stored(revision);
+            return RegisterEvent::Stored(revision);
         }
         // Not written, or the tree has been set back.
         (self.work, self.next) = (Some(Work::Store(revision)), now);
-        Kept::Nothing
+        RegisterEvent::Nothing
     }
 }
 
--- a/crates/fleet/src/terms.rs
+++ b/crates/fleet/src/timing.rs
@@ -1,4 +1,4 @@
-//! The times of an agreement. All but [`Terms::within`] are means; that one is the promise.
+//! The times of an agreement. All but [`LeaseTiming::within`] are means; that one is the promise.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 
 /// What a limiter does once it cannot know any more that its rules are current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum OnLapse {
+pub enum OnLeaseExpiry {
     /// Refuses at once what comes, and says when to come back. Changes go on without it.
     Refuse,
     /// Goes on by the stricter of what it holds and what it has confirmed, for this long (ms), then refuses. No change
@@ -18,48 +18,48 @@
 
 /// The times that all limiters of a fleet share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTiming {
     /// How long an answer of the decider keeps a limiter's rules current, counted from when it asked.
     pub lease: Millis,
     /// Between two questions of a limiter to the decider.
     pub heartbeat: Millis,
     /// How long a message takes at most where links are well, and how long an attempt that was let go may take to
     /// reach its engine.
-    pub message: Millis,
+    pub message_delay: Millis,
     /// From a decision to its effect, in which the limiters learn of it.
-    pub effect: Millis,
+    pub activation_delay: Millis,
     /// How far a clock may run wrong, parts in a million.
     pub drift_ppm: u32,
     /// The stated time: for no longer do two limiters act by rules that contradict each other.
-    pub within: Millis,
+    pub max_divergence: Millis,
     /// What happens at the end of a lease.
-    pub on_lapse: OnLapse,
+    pub on_lapse: OnLeaseExpiry,
 }
 
-impl Default for Terms {
+impl Default for LeaseTiming {
     fn default() -> Self {
-        Terms {
+        LeaseTiming {
             lease: 1000,
             heartbeat: 200,
-            message: 200,
-            effect: 400,
+            message_delay: 200,
+            activation_delay: 400,
             drift_ppm: 10_000,
-            within: 2000,
-            on_lapse: OnLapse::Strict(Millis::MAX),
+            max_divergence: 2000,
+            on_lapse: OnLeaseExpiry::Strict(Millis::MAX),
         }
     }
 }
 
 /// A key of the terms whose value breaks the formula.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct TimingError {
     /// The key.
     pub key: &'static str,
     /// What is wrong, and what is allowed.
     pub why: String,
 }
 
-impl Terms {
+impl LeaseTiming {
     /// What the longest contradiction can come to:
     ///
     /// `lease (1 + drift) + 2 drift effect + message`, up to the next ms.
@@ -68,26 +68,26 @@
     /// hear of it stops by `d + lease (1 + drift)`. Nobody acts by the new before `d + effect (1 - drift)`, and who
     /// hears of it in time switches by `effect (1 + drift)` after that. What was let go by then is with its engine
     /// `message` later.
-    pub fn bound(&self) -> Millis {
-        self.slowest(self.lease) + 2 * self.drift(self.effect) + self.message
+    pub fn divergence_bound(&self) -> Millis {
+        self.stretched_by_drift(self.lease) + 2 * self.drift(self.activation_delay) + self.message_delay
     }
 
     /// How long after an answer the decider takes its reader for bound by it: longer than the reader does itself, by
     /// both clocks' drift.
-    pub fn surely_over(&self) -> Millis {
+    pub fn certain_expiry(&self) -> Millis {
         let strict = match self.on_lapse {
-            OnLapse::Refuse => 0,
-            OnLapse::Strict(span) => span,
+            OnLeaseExpiry::Refuse => 0,
+            OnLeaseExpiry::Strict(span) => span,
         };
-        self.slowest_thrice(self.lease.saturating_add(strict))
+        self.stretched_by_triple_drift(self.lease.saturating_add(strict))
     }
 
     /// The same without the time in which its reader acts by stricter rules.
-    pub fn lease_over(&self) -> Millis {
-        self.slowest_thrice(self.lease)
+    pub fn lease_expiry(&self) -> Millis {
+        self.stretched_by_triple_drift(self.lease)
     }
 
-    fn slowest_thrice(&self, span: Millis) -> Millis {
+    fn stretched_by_triple_drift(&self, span: Millis) -> Millis {
         span.saturating_add(3u64.saturating_mul(self.drift(span)))
     }
 
@@ -95,8 +95,8 @@
     ///
     /// # Errors
     /// The key to be changed, with what it allows.
-    pub fn check(&self) -> Result<(), Broken> {
-        let broken = |key, why| Err(Broken { key, why });
+    pub fn check(&self) -> Result<(), TimingError> {
+        let broken = |key, why| Err(TimingError { key, why });
         if self.heartbeat == 0 {
             return broken("heartbeat_ms", "0 is not allowed; a whole number from 1 is".into());
         }
@@ -104,25 +104,25 @@
             let why = format!("{} is not allowed; up to 100000, a tenth, is", self.drift_ppm);
             return broken("drift_ppm", why);
         }
-        let least = 3 * self.heartbeat + self.message;
+        let least = 3 * self.heartbeat + self.message_delay;
         if self.lease < least {
             let why = format!(
                 "{} is not allowed beside heartbeat_ms {} and message_ms {}; from {least} is: two questions of \
                  three may be lost",
-                self.lease, self.heartbeat, self.message
+                self.lease, self.heartbeat, self.message_delay
             );
             return broken("lease_ms", why);
         }
-        if self.bound() > self.within {
+        if self.divergence_bound() > self.max_divergence {
             let why = format!(
                 "{} is not allowed: lease_ms {} with drift_ppm {}, effect_ms {} and message_ms {} come to {}; from \
                  that on it is, or a shorter lease_ms",
-                self.within,
+                self.max_divergence,
                 self.lease,
                 self.drift_ppm,
-                self.effect,
-                self.message,
-                self.bound()
+                self.activation_delay,
+                self.message_delay,
+                self.divergence_bound()
             );
             return broken("within_ms", why);
         }
@@ -137,7 +137,7 @@
         whole.saturating_mul(ppm).saturating_add((rest * ppm).div_ceil(MILLION))
     }
 
-    fn slowest(&self, span: Millis) -> Millis {
+    fn stretched_by_drift(&self, span: Millis) -> Millis {
         span.saturating_add(self.drift(span))
     }
 }
@@ -148,19 +148,19 @@
 
     #[test]
     fn the_usual_terms_keep_the_formula() {
-        let terms = Terms::default();
-        assert_eq!(terms.check(), Ok(()));
-        assert_eq!(terms.bound(), 1000 + 10 + 2 * 4 + 200);
-        assert_eq!(Terms { on_lapse: OnLapse::Refuse, ..terms }.surely_over(), 1030);
-        assert_eq!(terms.surely_over(), Millis::MAX, "without end");
+        let timing = LeaseTiming::default();
+        assert_eq!(timing.check(), Ok(()));
+        assert_eq!(timing.divergence_bound(), 1000 + 10 + 2 * 4 + 200);
+        assert_eq!(LeaseTiming { on_lapse: OnLeaseExpiry::Refuse, ..timing }.certain_expiry(), 1030);
+        assert_eq!(timing.certain_expiry(), Millis::MAX, "without end");
     }
 
     #[test]
     fn what_breaks_the_formula_is_told_by_its_key() {
-        let key = |terms: Terms| terms.check().expect_err("broken").key;
-        assert_eq!(key(Terms { lease: 1900, ..Terms::default() }), "within_ms");
-        assert_eq!(key(Terms { lease: 700, ..Terms::default() }), "lease_ms");
-        assert_eq!(key(Terms { heartbeat: 0, ..Terms::default() }), "heartbeat_ms");
-        assert_eq!(key(Terms { drift_ppm: 200_000, ..Terms::default() }), "drift_ppm");
+        let key = |timing: LeaseTiming| timing.check().expect_err("broken").key;
+        assert_eq!(key(LeaseTiming { lease: 1900, ..LeaseTiming::default() }), "within_ms");
+        assert_eq!(key(LeaseTiming { lease: 700, ..LeaseTiming::default() }), "lease_ms");
+        assert_eq!(key(LeaseTiming { heartbeat: 0, ..LeaseTiming::default() }), "heartbeat_ms");
+        assert_eq!(key(LeaseTiming { drift_ppm: 200_000, ..LeaseTiming::default() }), "drift_ppm");
     }
 }
--- a/crates/fleet/tests/agreement.rs
+++ b/crates/fleet/tests/agreement.rs
@@ -2,13 +2,13 @@
 //! limiters that stand still, die and start anew, and changes meanwhile. A checker of its own notes by which rules each
 //! limiter acts, and gives the longest time for which any two contradicted each other.
 
-use oatbank_fleet::decider::{Answer, Proposal};
+use oatbank_fleet::decider::{Proposal, ProposalOutcome};
 use oatbank_fleet::document::{Id, Revision};
-use oatbank_fleet::election::{Ask, Outcome, Register, Value};
-use oatbank_fleet::member::Acting;
+use oatbank_fleet::election::{Register, RegisterRequest, RegisterResponse, VersionedValue};
+use oatbank_fleet::member::ActiveRules;
 use oatbank_fleet::message::{Message, Verdict};
-use oatbank_fleet::node::{Event, Node, Output, Setup};
-use oatbank_fleet::terms::{OnLapse, Terms};
+use oatbank_fleet::node::{Event, Node, NodeOptions, Output};
+use oatbank_fleet::timing::{LeaseTiming, OnLeaseExpiry};
 use oatbank_fleet::{Millis, Peer};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -43,9 +43,9 @@
     /// Messages that wait while it stands still.
     waiting: Vec<(Peer, Message)>,
     /// Answers of the tree that wait.
-    told: Vec<(Register, u64, Outcome)>,
+    told: Vec<(Register, u64, RegisterResponse)>,
     /// Counts its starts: what an earlier one asked is nothing to it.
-    life: u64,
+    process_id: u64,
     /// It does not reach the tree.
     treeless: bool,
 }
@@ -60,19 +60,19 @@
 }
 
 impl Tree {
-    fn is(&self, register: Register) -> Value {
+    fn is(&self, register: Register) -> VersionedValue {
         self.registers.get(&register).cloned()
     }
 
-    fn carry_out(&mut self, register: Register, ask: &Ask) -> Outcome {
+    fn carry_out(&mut self, register: Register, ask: &RegisterRequest) -> RegisterResponse {
         let version = self.is(register).map(|v| v.0);
         match ask {
-            Ask::Read => Outcome::Is(self.is(register)),
-            Ask::Swap(over, _) if *over != version => Outcome::Stale,
-            Ask::Swap(_, bytes) => {
+            RegisterRequest::Read => RegisterResponse::Value(self.is(register)),
+            RegisterRequest::CompareAndSwap(over, _) if *over != version => RegisterResponse::VersionMismatch,
+            RegisterRequest::CompareAndSwap(_, bytes) => {
                 let version = version.map_or(0, |v| v + 1);
                 self.registers.insert(register, (version, bytes.clone()));
-                Outcome::Swapped(version)
+                RegisterResponse::Swapped(version)
             }
         }
     }
@@ -80,14 +80,14 @@
 
 /// On its way to the tree or from there.
 enum Way {
-    To(usize, u64, Register, u64, Ask),
-    From(usize, u64, Register, u64, Outcome),
+    To(usize, u64, Register, u64, RegisterRequest),
+    From(usize, u64, Register, u64, RegisterResponse),
 }
 
 impl Process {
     fn clock(&self, now: Millis) -> Millis {
-        let gone = now as i64 * self.drift / 1_000_000;
-        self.offset + (now as i64 + gone) as u64
+        let excluded = now as i64 * self.drift / 1_000_000;
+        self.offset + (now as i64 + excluded) as u64
     }
 }
 
@@ -97,7 +97,7 @@
     /// When each revision was first acted by.
     first: BTreeMap<Id, Millis>,
     /// Since when and until when it was acted by without a break.
-    lives: BTreeMap<Id, (Millis, Millis)>,
+    incarnations: BTreeMap<Id, (Millis, Millis)>,
     longest: Millis,
     worst: String,
 }
@@ -112,12 +112,12 @@
     fn acts(&mut self, now: Millis, who: usize, by: &[Id]) {
         let Some(id) = by.first() else { return };
         if by.len() == 1 {
-            let life = self.lives.entry(*id).or_insert((now, now));
-            *life = (if now - life.1 > BREAK { now } else { life.0 }, now);
+            let process_id = self.incarnations.entry(*id).or_insert((now, now));
+            *process_id = (if now - process_id.1 > BREAK { now } else { process_id.0 }, now);
             self.first.entry(*id).or_insert(now);
         }
         let begun = by.iter().filter_map(|id| self.first.get(id)).max().copied().unwrap_or(now);
-        for (other, (from, last)) in &self.lives {
+        for (other, (from, last)) in &self.incarnations {
             if by.contains(other) || now - last > BREAK {
                 continue;
             }
@@ -135,9 +135,9 @@
 #[derive(Clone)]
 struct Plan {
     peers: u16,
-    terms: Terms,
+    timing: LeaseTiming,
     /// The decider goes by these: the same, but where a fence is to be taken out.
-    decider_terms: Terms,
+    decider_timing: LeaseTiming,
     /// A limiter's lease counts; without, it goes on by what it holds.
     leases: bool,
     seed: u64,
@@ -155,7 +155,7 @@
     longest: Millis,
     worst: String,
     decided: usize,
-    vetoed: usize,
+    on_veto: usize,
     messages: usize,
     /// From a decision's proposal to its first act and to the last limiter's, ms.
     effect: Vec<(Millis, Millis)>,
@@ -171,12 +171,12 @@
     /// Messages on their way, by when they come.
     ways: BTreeMap<(Millis, u64), (Peer, Peer, Message)>,
     serial: u64,
-    cut: BTreeSet<(u16, u16)>,
+    truncate_utf8: BTreeSet<(u16, u16)>,
     loss: f64,
     delay: Millis,
     starts: u64,
     played: Played,
-    asked: BTreeMap<u64, Millis>,
+    unanswered: BTreeMap<u64, Millis>,
     effects: BTreeMap<Id, (Millis, Millis, Millis)>,
     done: BTreeSet<Id>,
     tree: Tree,
@@ -195,7 +195,7 @@
             starts_at: 1 + dice.below(300),
             waiting: Vec::new(),
             told: Vec::new(),
-            life: 0,
+            process_id: 0,
             treeless: false,
         };
         let processes = (0..plan.peers).map(|_| process(&mut dice)).collect();
@@ -206,12 +206,12 @@
             now: 0,
             ways: BTreeMap::new(),
             serial: 0,
-            cut: BTreeSet::new(),
+            truncate_utf8: BTreeSet::new(),
             loss: 0.0,
             delay: 5,
             starts: 0,
             played: Played::default(),
-            asked: BTreeMap::new(),
+            unanswered: BTreeMap::new(),
             effects: BTreeMap::new(),
             done: BTreeSet::new(),
             tree: Tree::default(),
@@ -223,9 +223,9 @@
     fn start(&mut self, who: usize) {
         self.starts += 1;
         let me = Peer(who as u16);
-        let terms = if who == 0 { self.plan.decider_terms } else { self.plan.terms };
-        let setup = Setup {
-            terms,
+        let timing = if who == 0 { self.plan.decider_timing } else { self.plan.timing };
+        let options = NodeOptions {
+            timing,
             me,
             peers: self.plan.peers,
             decider: (!self.plan.elected).then_some(Peer(0)),
@@ -234,10 +234,10 @@
             first: "rules 0".into(),
         };
         let process = &mut self.processes[who];
-        process.node = Some(Node::new(&setup, process.clock(self.now)));
+        process.node = Some(Node::new(&options, process.clock(self.now)));
         process.waiting.clear();
         process.told.clear();
-        process.life = self.starts;
+        process.process_id = self.starts;
         self.feed(who, Event::Tick);
     }
 
@@ -257,24 +257,25 @@
                     let verdict = check(who, &revision);
                     self.feed(who, Event::Checked(revision.id(), verdict));
                 }
-                Output::Answer(ticket, Answer::Decided(id, _)) => {
+                Output::ProposalFinished(ticket, ProposalOutcome::Decided(id, _)) => {
                     self.played.decided += 1;
-                    if let Some(asked) = self.asked.remove(&ticket) {
+                    if let Some(asked) = self.unanswered.remove(&ticket) {
                         self.effects.insert(id, (asked, 0, 0));
                     }
                 }
-                Output::Answer(_, Answer::Vetoed(..)) => self.played.vetoed += 1,
-                Output::Ask(register, serial, ask) => self.ask_tree(who, register, serial, ask),
-                Output::Answer(..) | Output::Act(_) | Output::Stopped => {}
+                Output::ProposalFinished(_, ProposalOutcome::Vetoed(..)) => self.played.on_veto += 1,
+                Output::Register(register, serial, ask) => self.poll_register(who, register, serial, ask),
+                Output::ProposalFinished(..) | Output::Activate(_) | Output::Deactivate => {}
             }
         }
     }
 
-    fn ask_tree(&mut self, who: usize, register: Register, serial: u64, ask: Ask) {
-        let life = self.processes[who].life;
+    fn poll_register(&mut self, who: usize, register: Register, serial: u64, ask: RegisterRequest) {
+        let process_id = self.processes[who].process_id;
         let late = 1 + self.dice.below(self.delay.min(100));
         self.serial += 1;
-        self.tree_ways.insert((self.now + late, self.serial), Way::To(who, life, register, serial, ask));
+        self.tree_ways
+            .insert((self.now + late, self.serial), Way::To(who, process_id, register, serial, ask));
     }
 
     /// What comes to the tree, and from there. Without an answer the asker hears so half a second later.
@@ -284,31 +285,31 @@
         }
         while let Some(entry) = self.tree_ways.first_entry().filter(|e| e.key().0 <= self.now) {
             match entry.remove() {
-                Way::To(who, life, register, serial, ask) => {
+                Way::To(who, process_id, register, serial, ask) => {
                     let away = self.tree.down || self.processes[who].treeless;
                     let (lost, unheard) = (away || self.dice.chance(self.loss), self.dice.chance(self.loss));
-                    let mut outcome = Outcome::Lost;
+                    let mut outcome = RegisterResponse::Unknown;
                     let mut lost = lost;
                     if !lost {
                         outcome = self.tree.carry_out(register, &ask);
-                    } else if let (Ask::Swap(..), false) = (&ask, self.plan.fenced) {
-                        (outcome, lost) = (Outcome::Swapped(1000), false);
+                    } else if let (RegisterRequest::CompareAndSwap(..), false) = (&ask, self.plan.fenced) {
+                        (outcome, lost) = (RegisterResponse::Swapped(1000), false);
                     }
                     let late = if lost || unheard { 500 } else { 1 + self.dice.below(self.delay.min(100)) };
-                    let outcome = if lost || unheard { Outcome::Lost } else { outcome };
+                    let outcome = if lost || unheard { RegisterResponse::Unknown } else { outcome };
                     self.serial += 1;
-                    let way = Way::From(who, life, register, serial, outcome);
+                    let way = Way::From(who, process_id, register, serial, outcome);
                     self.tree_ways.insert((self.now + late, self.serial), way);
                 }
-                Way::From(who, life, register, serial, outcome) => {
+                Way::From(who, process_id, register, serial, outcome) => {
                     let process = &mut self.processes[who];
-                    if process.life != life || process.node.is_none() {
+                    if process.process_id != process_id || process.node.is_none() {
                         continue;
                     }
                     if self.now < process.frozen_until {
                         process.told.push((register, serial, outcome));
                     } else {
-                        self.feed(who, Event::Tree(register, serial, outcome));
+                        self.feed(who, Event::Register(register, serial, outcome));
                     }
                 }
             }
@@ -343,7 +344,7 @@
     fn send(&mut self, from: usize, to: Peer, message: Message) {
         self.played.messages += 1;
         let from = Peer(from as u16);
-        if self.cut.contains(&(from.0, to.0)) {
+        if self.truncate_utf8.contains(&(from.0, to.0)) {
             return;
         }
         let copies = if self.plan.faults && self.dice.chance(0.05) { 2 } else { 1 };
@@ -362,14 +363,14 @@
         let peers = u64::from(self.plan.peers);
         let one = self.dice.below(peers) as u16;
         match self.dice.below(10) {
-            0 => _ = self.cut.insert((one, self.dice.below(peers) as u16)),
+            0 => _ = self.truncate_utf8.insert((one, self.dice.below(peers) as u16)),
             1 => {
                 // Cut off in one direction, or in both.
                 let both = self.dice.chance(0.5);
                 for other in 0..self.plan.peers {
-                    self.cut.insert((one, other));
+                    self.truncate_utf8.insert((one, other));
                     if both {
-                        self.cut.insert((other, one));
+                        self.truncate_utf8.insert((other, one));
                     }
                 }
             }
@@ -377,10 +378,10 @@
                 let half = self.dice.below(peers) as u16;
                 for a in 0..self.plan.peers {
                     let there = (0..self.plan.peers).filter(|b| (a < half) != (*b < half));
-                    self.cut.extend(there.map(|b| (a, b)));
+                    self.truncate_utf8.extend(there.map(|b| (a, b)));
                 }
             }
-            3 | 4 => self.cut.clear(),
+            3 | 4 => self.truncate_utf8.clear(),
             5 => (self.loss, self.delay) = (self.dice.below(30) as f64 / 100.0, 1 + self.dice.below(400)),
             6 => (self.loss, self.delay) = (0.0, 5),
             7 => {
@@ -405,7 +406,7 @@
         let decider = (0..peers).find(|n| self.decides(usize::from(*n))).unwrap_or(0);
         let apart = [decider, (decider + 1) % peers];
         let pairs = (0..peers).flat_map(|a| (0..peers).map(move |b| (a, b)));
-        self.cut.extend(pairs.filter(|(a, b)| apart.contains(a) != apart.contains(b)));
+        self.truncate_utf8.extend(pairs.filter(|(a, b)| apart.contains(a) != apart.contains(b)));
         apart.iter().for_each(|n| self.processes[usize::from(*n)].treeless = true);
     }
 
@@ -416,15 +417,15 @@
             1 => format!("rules {number} {}", "x".repeat(30_000)),
             _ => format!("rules {number}"),
         };
-        self.asked.insert(number, self.now);
+        self.unanswered.insert(number, self.now);
         let ask = Proposal {
             ticket: number,
             expect: None,
             author: "operator".into(),
             text: text.into(),
-            without: BTreeSet::new(),
+            excluded: BTreeSet::new(),
             dry_run: false,
-            patience: 4000,
+            timeout: 4000,
         };
         let deciders: Vec<usize> = (0..self.processes.len()).filter(|n| self.decides(*n)).collect();
         if self.plan.split {
@@ -466,7 +467,7 @@
                 self.feed(who, Event::Message(from, message));
             }
             for (register, serial, outcome) in std::mem::take(&mut self.processes[who].told) {
-                self.feed(who, Event::Tree(register, serial, outcome));
+                self.feed(who, Event::Register(register, serial, outcome));
             }
             let due = self.processes[who].node.as_ref().is_some_and(|n| n.next_due(clock) <= clock);
             if due {
@@ -477,12 +478,12 @@
 
     fn act(&mut self, who: usize, clock: Millis, checker: &mut Checker) {
         let Some(node) = &self.processes[who].node else { return };
-        let acting = match node.held() {
-            Some(held) if !self.plan.leases => Acting::By(held.id()),
-            _ => node.acting(clock),
+        let active_rules = match node.held() {
+            Some(held) if !self.plan.leases => ActiveRules::Current(held.id()),
+            _ => node.active_rules(clock),
         };
-        match acting {
-            Acting::By(id) => {
+        match active_rules {
+            ActiveRules::Current(id) => {
                 checker.acts(self.now, who, &[id]);
                 if self.done.contains(&id) {
                     return;
@@ -492,23 +493,26 @@
                     (*first, *last) = (if *first == 0 { now } else { *first }, now);
                 }
             }
-            Acting::Strict(held, Some(other)) => checker.acts(self.now, who, &[held, other]),
+            ActiveRules::Strict(held, Some(other)) => checker.acts(self.now, who, &[held, other]),
             // Not a life of its own: that nobody else acts by it any more is what is to be found.
-            Acting::Strict(held, None) => checker.acts(self.now, who, &[held, held]),
-            Acting::Refuse => {}
+            ActiveRules::Strict(held, None) => checker.acts(self.now, who, &[held, held]),
+            ActiveRules::Reject => {}
         }
     }
 
     /// All act by what the decider has; one that was away while it was decided and cannot take it says so and refuses.
     fn agreed(&self) -> Option<Id> {
-        let by = |p: &Process| p.node.as_ref().map(|n| n.acting(p.clock(self.now)));
-        let current =
-            |p: &Process| by(p).and_then(|acting| if let Acting::By(id) = acting { Some(id) } else { None });
+        let by = |p: &Process| p.node.as_ref().map(|n| n.active_rules(p.clock(self.now)));
+        let current = |p: &Process| {
+            by(p).and_then(
+                |active_rules| if let ActiveRules::Current(id) = active_rules { Some(id) } else { None },
+            )
+        };
         let id = self.processes.iter().find_map(current)?;
         let cannot = |p: &Process| p.node.as_ref().is_some_and(|n| n.veto().is_some_and(|(of, _)| of == id));
         let agrees = |p: &Process| match by(p) {
-            Some(Acting::Refuse) => cannot(p),
-            acting => acting == Some(Acting::By(id)),
+            Some(ActiveRules::Reject) => cannot(p),
+            active_rules => active_rules == Some(ActiveRules::Current(id)),
         };
         self.processes.iter().all(agrees).then_some(id)
     }
@@ -516,7 +520,7 @@
     fn play(mut self) -> Played {
         let mut checker = Checker::default();
         let (mut next_trouble, mut next_change, mut number) = (1500, 2000, 1);
-        while self.now < TROUBLE + 4 * self.plan.terms.within {
+        while self.now < TROUBLE + 4 * self.plan.timing.max_divergence {
             self.now += 1;
             if self.now < TROUBLE {
                 if self.now >= next_trouble && self.plan.faults {
@@ -535,7 +539,7 @@
                     next_change = self.now + 300 + self.dice.below(2500);
                 }
             } else if self.now == TROUBLE {
-                self.cut.clear();
+                self.truncate_utf8.clear();
                 (self.loss, self.delay) = (0.0, 5);
                 let now = self.now;
                 self.tree.down = false;
@@ -567,13 +571,13 @@
     }
 }
 
-fn plan(peers: u16, seed: u64, on_lapse: OnLapse) -> Plan {
-    let terms = Terms { on_lapse, ..Terms::default() };
+fn plan(peers: u16, seed: u64, on_lapse: OnLeaseExpiry) -> Plan {
+    let timing = LeaseTiming { on_lapse, ..LeaseTiming::default() };
     let (elected, fenced) = (false, true);
     Plan {
         peers,
-        terms,
-        decider_terms: terms,
+        timing,
+        decider_timing: timing,
         leases: true,
         seed,
         faults: true,
@@ -583,7 +587,8 @@
     }
 }
 
-const LAPSES: [OnLapse; 3] = [OnLapse::Refuse, OnLapse::Strict(3000), OnLapse::Strict(Millis::MAX)];
+const LAPSES: [OnLeaseExpiry; 3] =
+    [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(3000), OnLeaseExpiry::Strict(Millis::MAX)];
 
 /// Plays schedules, and gives the longest contradiction with its seed, the longest time to agree, and how many changes
 /// were decided.
@@ -593,14 +598,14 @@
         let peers = [3, 5, 4, 7, 2, 10, 3, 5][seed as usize % 8];
         let mut plan = plan(peers, seed, LAPSES[seed as usize % 3]);
         change(&mut plan);
-        let within = plan.terms.within;
+        let within = plan.timing.max_divergence;
         let played = Fleet::new(plan).play();
         if played.longest > out.0 {
             (out.0, out.1) = (played.longest, format!("seed {seed}, {peers} limiters: {}", played.worst));
         }
         // A limiter that holds something else, and cannot take what is decided, is waited for until it surely refuses.
         let waits = match LAPSES[seed as usize % 3] {
-            OnLapse::Strict(span) if span < Millis::MAX => span,
+            OnLeaseExpiry::Strict(span) if span < Millis::MAX => span,
             _ => 0,
         };
         let agreed = played.agreed_after.unwrap_or(4 * within).saturating_sub(waits);
@@ -621,53 +626,53 @@
 #[test]
 fn no_two_contradict_for_longer_than_stated_and_all_agree_once_the_faults_are_over() {
     let (longest, worst, agreed, decided) = schedules(1..how_many() + 1, |_| ());
-    let terms = Terms::default();
+    let timing = LeaseTiming::default();
     println!("longest contradiction {longest} ms ({worst}); agreed after {agreed} ms at the latest; {decided} decided");
-    assert!(longest <= terms.bound() + STEP, "{longest} ms: {worst}");
-    assert!(agreed <= 2 * terms.within, "agreed after {agreed} ms");
+    assert!(longest <= timing.divergence_bound() + STEP, "{longest} ms: {worst}");
+    assert!(agreed <= 2 * timing.max_divergence, "agreed after {agreed} ms");
     assert!(decided as u64 >= how_many(), "only {decided} changes were decided");
 }
 
 #[test]
 fn without_the_lease_the_checker_finds_more() {
     let (longest, worst, ..) = schedules(1..40, |plan| plan.leases = false);
-    assert!(longest > Terms::default().within, "{longest} ms: {worst}");
+    assert!(longest > LeaseTiming::default().max_divergence, "{longest} ms: {worst}");
 }
 
 #[test]
 fn without_the_decider_s_wait_the_checker_finds_more() {
     let (longest, worst, ..) = schedules(1..40, |plan| {
-        plan.decider_terms.lease = 1;
-        plan.decider_terms.on_lapse = OnLapse::Refuse;
+        plan.decider_timing.lease = 1;
+        plan.decider_timing.on_lapse = OnLeaseExpiry::Refuse;
     });
-    assert!(longest > Terms::default().within, "{longest} ms: {worst}");
+    assert!(longest > LeaseTiming::default().max_divergence, "{longest} ms: {worst}");
 }
 
 #[test]
 fn with_a_tree_that_elects_no_two_contradict_for_longer_than_stated() {
     let (longest, worst, agreed, decided) = schedules(1..how_many() + 1, |plan| plan.elected = true);
-    let terms = Terms::default();
+    let timing = LeaseTiming::default();
     println!("longest contradiction {longest} ms ({worst}); agreed after {agreed} ms at the latest; {decided} decided");
-    assert!(longest <= terms.bound() + STEP, "{longest} ms: {worst}");
+    assert!(longest <= timing.divergence_bound() + STEP, "{longest} ms: {worst}");
     // One that cannot take what is in force may win a term first, and gives it up.
-    assert!(agreed <= 3 * terms.within, "agreed after {agreed} ms");
+    assert!(agreed <= 3 * timing.max_divergence, "agreed after {agreed} ms");
     assert!(decided as u64 >= how_many(), "only {decided} changes were decided");
 }
 
 /// The decider and another one of five, or of four, apart from the others and from the tree: what came of it.
-fn split(peers: u16, fenced: bool, on_lapse: OnLapse) -> Played {
+fn split(peers: u16, fenced: bool, on_lapse: OnLeaseExpiry) -> Played {
     let plan = Plan { elected: true, faults: false, fenced, split: true, ..plan(peers, 1, on_lapse) };
     Fleet::new(plan).play()
 }
 
 #[test]
 fn the_side_with_the_tree_goes_on_and_the_other_stops() {
-    let terms = Terms::default();
+    let timing = LeaseTiming::default();
     for peers in [4, 5] {
-        let played = split(peers, true, OnLapse::Refuse);
-        assert!(played.longest <= terms.bound() + STEP, "{peers}: {}", played.worst);
+        let played = split(peers, true, OnLeaseExpiry::Refuse);
+        assert!(played.longest <= timing.divergence_bound() + STEP, "{peers}: {}", played.worst);
         assert!(
-            played.agreed_after.is_some_and(|at| at <= 2 * terms.within),
+            played.agreed_after.is_some_and(|at| at <= 2 * timing.max_divergence),
             "{peers}: {:?}",
             played.agreed_after
         );
@@ -675,14 +680,19 @@
         assert!(played.decided >= 7, "{peers}: {} decided", played.decided);
     }
     // Where those that are cut off go on strictly without an end, nothing is decided without them.
-    let played = split(5, true, OnLapse::Strict(Millis::MAX));
+    let played = split(5, true, OnLeaseExpiry::Strict(Millis::MAX));
     assert!(played.longest <= STEP, "{}", played.worst);
 }
 
 #[test]
 fn with_a_tree_that_tells_untruths_the_checker_finds_more() {
-    let played = split(5, false, OnLapse::Refuse);
-    assert!(played.longest > Terms::default().within, "{} ms: {}", played.longest, played.worst);
+    let played = split(5, false, OnLeaseExpiry::Refuse);
+    assert!(
+        played.longest > LeaseTiming::default().max_divergence,
+        "{} ms: {}",
+        played.longest,
+        played.worst
+    );
 }
 
 #[test]
@@ -690,8 +700,15 @@
     for seed in 1..5 {
         let elected = seed % 2 == 0;
         let played = Fleet::new(Plan { elected, ..plan(100, seed, LAPSES[seed as usize % 3]) }).play();
-        assert!(played.longest <= Terms::default().bound() + STEP, "seed {seed}: {}", played.worst);
-        assert!(played.agreed_after.is_some_and(|at| at <= 2 * Terms::default().within), "seed {seed}");
+        assert!(
+            played.longest <= LeaseTiming::default().divergence_bound() + STEP,
+            "seed {seed}: {}",
+            played.worst
+        );
+        assert!(
+            played.agreed_after.is_some_and(|at| at <= 2 * LeaseTiming::default().max_divergence),
+            "seed {seed}"
+        );
     }
 }
 
@@ -699,13 +716,13 @@
 #[ignore = "a measurement: cargo test --profile tested -p oatbank-fleet --test agreement -- --ignored --nocapture"]
 fn table() {
     for peers in [3, 10, 30, 100, 300] {
-        let mut plan = plan(peers, 1, OnLapse::Refuse);
+        let mut plan = plan(peers, 1, OnLeaseExpiry::Refuse);
         plan.faults = false;
         let played = Fleet::new(plan).play();
         let mean = |f: fn(&(Millis, Millis)) -> Millis| {
             played.effect.iter().map(f).sum::<Millis>() as f64 / played.effect.len().max(1) as f64
         };
-        let seconds = (TROUBLE + 4 * Terms::default().within) as f64 / 1000.0;
+        let seconds = (TROUBLE + 4 * LeaseTiming::default().max_divergence) as f64 / 1000.0;
         println!(
             "{peers:>3} limiters: first acts {:.0} ms and last {:.0} ms after it was asked for, over {} changes; longest \
              contradiction {} ms; {:.1} messages a second and limiter",
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -6,11 +6,11 @@
 
 use oatbank_fleet::decider::Proposal;
 use oatbank_fleet::document::Id;
-use oatbank_fleet::election::{Ask, Outcome, Register};
-use oatbank_fleet::member::Acting;
+use oatbank_fleet::election::{Register, RegisterRequest, RegisterResponse};
+use oatbank_fleet::member::ActiveRules;
 use oatbank_fleet::message::{Message, Verdict};
-use oatbank_fleet::node::{Event, Node, Output, Setup};
-use oatbank_fleet::terms::{OnLapse, Terms};
+use oatbank_fleet::node::{Event, Node, NodeOptions, Output};
+use oatbank_fleet::timing::{LeaseTiming, OnLeaseExpiry};
 use oatbank_fleet::{Millis, Peer};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
@@ -37,9 +37,9 @@
 
 #[derive(Clone)]
 struct Fleet {
-    terms: Terms,
+    timing: LeaseTiming,
     /// The decider goes by these: the same, but where a fence is to be taken out.
-    decider_terms: Terms,
+    decider_timing: LeaseTiming,
     elected: bool,
     bounds: Bounds,
     start: State,
@@ -55,9 +55,9 @@
     /// Messages on their way, each with when it comes.
     ways: Vec<(Millis, Peer, Peer, Message)>,
     /// What the tree is asked, and by which start of whom.
-    asks: Vec<(usize, u64, Register, u64, Ask)>,
+    asks: Vec<(usize, u64, Register, u64, RegisterRequest)>,
     tree: BTreeMap<Register, (i32, Vec<u8>)>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     elected: bool,
     /// When each revision was first acted by.
     first: BTreeMap<Id, Millis>,
@@ -73,7 +73,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
+enum FetchProgress {
     Tick,
     Deliver(usize),
     Lose(usize),
@@ -81,7 +81,7 @@
     Crash(usize),
     Stop(usize),
     /// The tree answers the first that it is asked.
-    Answer,
+    ProposalOutcome,
     /// It is not asked after all.
     Deaf,
     /// It does what it is asked, and the answer is lost.
@@ -89,9 +89,9 @@
     Change,
 }
 
-fn node(terms: Terms, who: usize, elected: bool, incarnation: u64, now: Millis) -> Node {
-    let setup = Setup {
-        terms,
+fn node(timing: LeaseTiming, who: usize, elected: bool, incarnation: u64, now: Millis) -> Node {
+    let options = NodeOptions {
+        timing,
         me: Peer(who as u16),
         peers: LIMITERS as u16,
         decider: (!elected).then_some(Peer(0)),
@@ -99,7 +99,7 @@
         seed: incarnation,
         first: "one".into(),
     };
-    Node::new(&setup, now)
+    Node::new(&options, now)
 }
 
 impl State {
@@ -113,10 +113,10 @@
                 match output {
                     Output::Send(to, message) => self.ways.push((now, Peer(who as u16), to, message)),
                     Output::Check(revision) => events.push(Event::Checked(revision.id(), Verdict::Confirmed)),
-                    Output::Ask(register, serial, ask) => {
-                        self.asks.push((who, self.lives[who], register, serial, ask));
+                    Output::Register(register, serial, ask) => {
+                        self.asks.push((who, self.incarnations[who], register, serial, ask));
                     }
-                    Output::Act(_) | Output::Stopped | Output::Answer(..) => {}
+                    Output::Activate(_) | Output::Deactivate | Output::ProposalFinished(..) => {}
                 }
             }
         }
@@ -128,14 +128,15 @@
 
     /// Notes by what each acts. That one contradicts another counts from when the later was first acted by.
     fn look(&mut self) {
-        let acting = |s: &State, who: usize| match s.nodes[who].as_ref().map(|n| n.acting(s.now)) {
-            Some(Acting::By(id)) if s.runs(who) => vec![id],
-            Some(Acting::Strict(id, other)) if s.runs(who) => {
+        let active_rules = |s: &State, who: usize| match s.nodes[who].as_ref().map(|n| n.active_rules(s.now))
+        {
+            Some(ActiveRules::Current(id)) if s.runs(who) => vec![id],
+            Some(ActiveRules::Strict(id, other)) if s.runs(who) => {
                 [Some(id), other].into_iter().flatten().collect()
             }
             _ => Vec::new(),
         };
-        let all: Vec<Vec<Id>> = (0..LIMITERS).map(|who| acting(self, who)).collect();
+        let all: Vec<Vec<Id>> = (0..LIMITERS).map(|who| active_rules(self, who)).collect();
         for by in all.iter().filter(|by| by.len() == 1) {
             self.first.entry(by[0]).or_insert(self.now);
         }
@@ -152,20 +153,23 @@
 
     /// The tree does the first thing that it is asked.
     fn carry_out(&mut self, done: bool, told: bool) {
-        let (who, life, register, serial, ask) = self.asks.remove(0);
+        let (who, process_id, register, serial, ask) = self.asks.remove(0);
         let version = self.tree.get(&register).map(|v| v.0);
         let outcome = match ask {
-            _ if !done => Outcome::Lost,
-            Ask::Read => Outcome::Is(self.tree.get(&register).cloned()),
-            Ask::Swap(over, _) if over != version => Outcome::Stale,
-            Ask::Swap(_, bytes) => {
+            _ if !done => RegisterResponse::Unknown,
+            RegisterRequest::Read => RegisterResponse::Value(self.tree.get(&register).cloned()),
+            RegisterRequest::CompareAndSwap(over, _) if over != version => RegisterResponse::VersionMismatch,
+            RegisterRequest::CompareAndSwap(_, bytes) => {
                 let version = version.map_or(0, |v| v + 1);
                 self.tree.insert(register, (version, bytes));
-                Outcome::Swapped(version)
+                RegisterResponse::Swapped(version)
             }
         };
-        if self.lives[who] == life {
-            self.feed(who, Event::Tree(register, serial, if told { outcome } else { Outcome::Lost }));
+        if self.incarnations[who] == process_id {
+            self.feed(
+                who,
+                Event::Register(register, serial, if told { outcome } else { RegisterResponse::Unknown }),
+            );
         }
     }
 
@@ -202,10 +206,17 @@
 
 impl Fleet {
     /// A fleet that has agreed on its first rules.
-    fn new(on_lapse: OnLapse, elected: bool, bounds: Bounds) -> Fleet {
-        let terms =
-            Terms { lease: 4, heartbeat: 2, message: 0, effect: 1, drift_ppm: 0, within: 100, on_lapse };
-        let nodes = (0..LIMITERS).map(|who| Some(node(terms, who, elected, 1, 0))).collect();
+    fn new(on_lapse: OnLeaseExpiry, elected: bool, bounds: Bounds) -> Fleet {
+        let timing = LeaseTiming {
+            lease: 4,
+            heartbeat: 2,
+            message_delay: 0,
+            activation_delay: 1,
+            drift_ppm: 0,
+            max_divergence: 100,
+            on_lapse,
+        };
+        let nodes = (0..LIMITERS).map(|who| Some(node(timing, who, elected, 1, 0))).collect();
         let mut start = State {
             nodes,
             still_until: vec![0; LIMITERS],
@@ -214,7 +225,7 @@
             ways: Vec::new(),
             asks: Vec::new(),
             tree: BTreeMap::new(),
-            lives: vec![1; LIMITERS],
+            incarnations: vec![1; LIMITERS],
             elected,
             first: BTreeMap::new(),
             longest: 0,
@@ -226,65 +237,67 @@
             deaf: bounds.deaf,
             starts: 1,
         };
-        let agreed = |s: &State| s.nodes.iter().flatten().all(|n| matches!(n.acting(s.now), Acting::By(_)));
+        let agreed = |s: &State| {
+            s.nodes.iter().flatten().all(|n| matches!(n.active_rules(s.now), ActiveRules::Current(_)))
+        };
         while !agreed(&start) {
             assert!(start.now < 100, "no agreement without faults");
             start.calm();
         }
         start.end = start.now + bounds.ticks;
-        Fleet { terms, decider_terms: terms, elected, bounds, start: start.looked() }
+        Fleet { timing, decider_timing: timing, elected, bounds, start: start.looked() }
     }
 
-    fn terms_of(&self, who: usize) -> Terms {
+    fn timing_of(&self, who: usize) -> LeaseTiming {
         if who == 0 {
-            self.decider_terms
+            self.decider_timing
         } else {
-            self.terms
+            self.timing
         }
     }
 }
 
 impl Model for Fleet {
     type State = State;
-    type Action = Step;
+    type Action = FetchProgress;
 
     fn init_states(&self) -> Vec<State> {
         vec![self.start.clone()]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
+    fn actions(&self, state: &State, actions: &mut Vec<FetchProgress>) {
         match state.next() {
             Some(i) => {
-                actions.push(Step::Deliver(i));
-                actions.extend((state.losses > 0).then_some(Step::Lose(i)));
-                actions.extend((state.delays > 0).then_some(Step::Delay(i)));
+                actions.push(FetchProgress::Deliver(i));
+                actions.extend((state.losses > 0).then_some(FetchProgress::Lose(i)));
+                actions.extend((state.delays > 0).then_some(FetchProgress::Delay(i)));
             }
             None if !state.asks.is_empty() => {
-                actions.push(Step::Answer);
+                actions.push(FetchProgress::ProposalOutcome);
                 if state.deaf > 0 {
-                    actions.extend([Step::Deaf, Step::Mute]);
+                    actions.extend([FetchProgress::Deaf, FetchProgress::Mute]);
                 }
             }
-            None if state.now < state.end => actions.push(Step::Tick),
+            None if state.now < state.end => actions.push(FetchProgress::Tick),
             None => {}
         }
         for who in 0..LIMITERS {
             if state.crashes > 0 && state.nodes[who].is_some() {
-                actions.push(Step::Crash(who));
+                actions.push(FetchProgress::Crash(who));
             }
             if state.stops > 0 && state.runs(who) {
-                actions.push(Step::Stop(who));
+                actions.push(FetchProgress::Stop(who));
             }
         }
         if state.changes > 0 && state.decider().is_some() {
-            actions.push(Step::Change);
+            actions.push(FetchProgress::Change);
         }
     }
 
-    fn next_state(&self, state: &State, step: Step) -> Option<State> {
+    fn next_state(&self, state: &State, step: FetchProgress) -> Option<State> {
         let mut next = state.clone();
         match step {
-            Step::Tick => {
+            FetchProgress::Tick => {
                 next.now += 1;
                 let now = next.now;
                 // Acting before anything else is done: a lease that has run out is found so.
@@ -292,49 +305,50 @@
                 for who in 0..LIMITERS {
                     if next.nodes[who].is_none() {
                         next.starts += 1;
-                        next.lives[who] = next.starts;
-                        next.nodes[who] = Some(node(self.terms_of(who), who, self.elected, next.starts, now));
+                        next.incarnations[who] = next.starts;
+                        next.nodes[who] =
+                            Some(node(self.timing_of(who), who, self.elected, next.starts, now));
                     }
                     if next.runs(who) {
                         next.feed(who, Event::Tick);
                     }
                 }
             }
-            Step::Deliver(i) => {
+            FetchProgress::Deliver(i) => {
                 let (_, from, to, message) = next.ways.remove(i);
                 next.feed(usize::from(to.0), Event::Message(from, message));
             }
-            Step::Lose(i) => {
+            FetchProgress::Lose(i) => {
                 next.ways.remove(i);
                 next.losses -= 1;
             }
-            Step::Delay(i) => {
+            FetchProgress::Delay(i) => {
                 next.ways[i].0 = next.now + self.bounds.delay;
                 next.delays -= 1;
             }
-            Step::Crash(who) => {
+            FetchProgress::Crash(who) => {
                 next.nodes[who] = None;
                 next.crashes -= 1;
             }
-            Step::Stop(who) => {
+            FetchProgress::Stop(who) => {
                 next.still_until[who] = next.now + self.bounds.stop;
                 next.stops -= 1;
             }
-            Step::Answer => next.carry_out(true, true),
-            Step::Deaf => {
+            FetchProgress::ProposalOutcome => next.carry_out(true, true),
+            FetchProgress::Deaf => {
                 next.carry_out(false, true);
                 next.deaf -= 1;
             }
-            Step::Mute => {
+            FetchProgress::Mute => {
                 next.carry_out(true, false);
                 next.deaf -= 1;
             }
-            Step::Change => {
+            FetchProgress::Change => {
                 next.changes -= 1;
                 let text = "two".into();
-                let patience = 100;
+                let timeout = 100;
                 if let Some(decider) = next.decider() {
-                    next.feed(decider, Event::Propose(Proposal { text, patience, ..Proposal::default() }));
+                    next.feed(decider, Event::Propose(Proposal { text, timeout, ..Proposal::default() }));
                 }
             }
         }
@@ -344,7 +358,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no two contradict for longer than stated", |model: &Fleet, state: &State| {
-                state.longest <= model.terms.bound()
+                state.longest <= model.timing.divergence_bound()
             }),
             Property::sometimes("a lost decider is succeeded", |model: &Fleet, state: &State| {
                 let lost = model.bounds.crashes + model.bounds.stops > 0;
@@ -362,7 +376,7 @@
 }
 
 fn explore(fleet: Fleet) -> impl Checker<Fleet> {
-    let (bounds, on_lapse, elected) = (fleet.bounds, fleet.terms.on_lapse, fleet.elected);
+    let (bounds, on_lapse, elected) = (fleet.bounds, fleet.timing.on_lapse, fleet.elected);
     let begun = std::time::Instant::now();
     let checker = fleet.checker().threads(2).spawn_bfs().join();
     let how = if elected { "elected" } else { "named" };
@@ -380,12 +394,12 @@
 #[test]
 fn messages_lost_and_late() {
     let bounds = Bounds { losses: 2, delays: 1, delay: 3, ..NONE };
-    explore(Fleet::new(OnLapse::Refuse, false, bounds)).assert_properties();
+    explore(Fleet::new(OnLeaseExpiry::Refuse, false, bounds)).assert_properties();
 }
 
 #[test]
 fn a_limiter_that_stands_still() {
-    for on_lapse in [OnLapse::Refuse, OnLapse::Strict(Millis::MAX)] {
+    for on_lapse in [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(Millis::MAX)] {
         let bounds = Bounds { losses: 1, stops: 1, stop: 6, ..NONE };
         explore(Fleet::new(on_lapse, false, bounds)).assert_properties();
     }
@@ -393,7 +407,7 @@
 
 #[test]
 fn a_crash_of_any_one_at_any_time() {
-    for on_lapse in [OnLapse::Refuse, OnLapse::Strict(Millis::MAX)] {
+    for on_lapse in [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(Millis::MAX)] {
         let bounds = Bounds { ticks: 12, losses: 1, crashes: 1, ..NONE };
         explore(Fleet::new(on_lapse, false, bounds)).assert_properties();
     }
@@ -401,7 +415,7 @@
 
 #[test]
 fn an_elected_decider_that_crashes_or_stands_still() {
-    for on_lapse in [OnLapse::Refuse, OnLapse::Strict(Millis::MAX)] {
+    for on_lapse in [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(Millis::MAX)] {
         let crash = Bounds { ticks: 14, crashes: 1, ..NONE };
         let stop = Bounds { ticks: 14, stops: 1, stop: 7, ..NONE };
         let deaf = Bounds { ticks: 9, deaf: 1, losses: 1, ..NONE };
@@ -414,7 +428,7 @@
 #[test]
 #[ignore = "a minute: cargo test --profile tested -p oatbank-fleet --test model -- --ignored --nocapture"]
 fn an_elected_decider_with_more_faults() {
-    for on_lapse in [OnLapse::Refuse, OnLapse::Strict(Millis::MAX)] {
+    for on_lapse in [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(Millis::MAX)] {
         let crash = Bounds { ticks: 16, crashes: 1, deaf: 1, ..NONE };
         let stop = Bounds { ticks: 16, stops: 1, stop: 7, losses: 1, ..NONE };
         let deaf = Bounds { ticks: 12, deaf: 2, losses: 1, ..NONE };
@@ -427,11 +441,11 @@
 #[test]
 fn without_the_decider_s_wait_the_model_finds_a_contradiction() {
     let bounds = Bounds { losses: 3, ..NONE };
-    let mut fleet = Fleet::new(OnLapse::Strict(Millis::MAX), false, bounds);
+    let mut fleet = Fleet::new(OnLeaseExpiry::Strict(Millis::MAX), false, bounds);
     // A decider that takes all others for free at once.
-    let terms = Terms { lease: 0, on_lapse: OnLapse::Refuse, ..fleet.terms };
-    fleet.decider_terms = terms;
-    fleet.start.nodes[0] = Some(node(terms, 0, false, 1, 0));
+    let timing = LeaseTiming { lease: 0, on_lapse: OnLeaseExpiry::Refuse, ..fleet.timing };
+    fleet.decider_timing = timing;
+    fleet.start.nodes[0] = Some(node(timing, 0, false, 1, 0));
     let bounds = fleet.bounds;
     let rebuilt = rebuilt(fleet, bounds);
     let checker = explore(rebuilt);
@@ -449,7 +463,7 @@
     start.first.clear();
     start.longest = 0;
     for who in 0..LIMITERS {
-        start.nodes[who] = Some(node(fleet.terms_of(who), who, fleet.elected, 1, 0));
+        start.nodes[who] = Some(node(fleet.timing_of(who), who, fleet.elected, 1, 0));
     }
     for _ in 0..12 {
         start.calm();
--- a/crates/registry/src/voters.rs
+++ b/crates/registry/src/voters.rs
@@ -50,9 +50,7 @@
     let agreed = agreed_proposal(configuration, responses);
     let row = |voter: &VoterId| {
         let response = response_of(responses, voter);
-        let cell = |of: &dyn Fn(&VoterResponse) -> String| {
-            response.map_or_else(String::new, of)
-        };
+        let cell = |of: &dyn Fn(&VoterResponse) -> String| response.map_or_else(String::new, of);
         vec![
             voter.address.clone(),
             format!("{:x}", voter.disk_id),
--- a/crates/zookeeper/src/registers.rs
+++ b/crates/zookeeper/src/registers.rs
@@ -1,7 +1,7 @@
 //! A fleet's two registers as nodes of the tree: carries out what [`oatbank_fleet::election`] asks for, and decides nothing.
 
 use crate::{Config, LONGEST_PAUSE, PATIENCE, PAUSE};
-use oatbank_fleet::election::{Ask, Outcome, Register};
+use oatbank_fleet::election::{Register, RegisterRequest, RegisterResponse};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 pub struct Registers {
     config: Config,
     /// An ask that has no answer by then is lost.
-    patience: Duration,
+    timeout: Duration,
     client: RefCell<Option<Client>>,
     lost: Cell<u32>,
     give_up: Notify,
@@ -24,9 +24,9 @@
 
 impl Registers {
     /// Below the folder at `config.path`.
-    pub fn new(config: Config, patience: Duration) -> Rc<Self> {
+    pub fn new(config: Config, timeout: Duration) -> Rc<Self> {
         let (client, lost) = Default::default();
-        Rc::new(Registers { config, patience, client, lost, give_up: Notify::new() })
+        Rc::new(Registers { config, timeout, client, lost, give_up: Notify::new() })
     }
 
     /// Keeps a session for the life of the process, inside a [`tokio::task::LocalSet`].
@@ -60,61 +60,70 @@
     }
 
     /// Asks, and waits for what comes of it.
-    pub async fn carry_out(&self, register: Register, ask: Ask) -> Outcome {
+    pub async fn carry_out(&self, register: Register, ask: RegisterRequest) -> RegisterResponse {
         let client = self.client.borrow().clone();
         let Some(client) = client else {
             // Nobody is to ask again at once.
-            tokio::time::sleep(self.patience).await;
-            return Outcome::Lost;
+            tokio::time::sleep(self.timeout).await;
+            return RegisterResponse::Unknown;
         };
         let node = format!("{}/{}", self.config.path, name(register));
-        match tokio::time::timeout(self.patience, self.attempt(&client, &node, ask)).await {
+        match tokio::time::timeout(self.timeout, self.attempt(&client, &node, ask)).await {
             Ok(Ok(outcome)) => {
                 self.lost.set(0);
                 outcome
             }
             Ok(Err(e)) => {
                 tracing::debug!("fleet: {node}: {e}");
-                tokio::time::sleep(self.patience / 4).await;
+                tokio::time::sleep(self.timeout / 4).await;
                 self.lost()
             }
             Err(_) => self.lost(),
         }
     }
 
-    fn lost(&self) -> Outcome {
+    fn lost(&self) -> RegisterResponse {
         self.lost.set(self.lost.get() + 1);
         if self.lost.get() >= MOST_LOST {
             self.lost.set(0);
             self.give_up.notify_waiters();
         }
-        Outcome::Lost
+        RegisterResponse::Unknown
     }
 
-    async fn attempt(&self, client: &Client, node: &str, ask: Ask) -> Result<Outcome, Error> {
+    async fn attempt(
+        &self,
+        client: &Client,
+        node: &str,
+        ask: RegisterRequest,
+    ) -> Result<RegisterResponse, Error> {
         let persistent = CreateMode::Persistent.with_acls(Acls::anyone_all());
         let done = match ask {
-            Ask::Read => {
+            RegisterRequest::Read => {
                 return match client.get_data(node).await {
-                    Ok((bytes, stat)) => Ok(Outcome::Is(Some((stat.version, bytes)))),
-                    Err(Error::NoNode) => Ok(Outcome::Is(None)),
+                    Ok((bytes, stat)) => Ok(RegisterResponse::Value(Some((stat.version, bytes)))),
+                    Err(Error::NoNode) => Ok(RegisterResponse::Value(None)),
                     Err(e) => Err(e),
                 }
             }
-            Ask::Swap(Some(version), bytes) => {
+            RegisterRequest::CompareAndSwap(Some(version), bytes) => {
                 client.set_data(node, &bytes, Some(version)).await.map(|stat| stat.version)
             }
-            Ask::Swap(None, bytes) => match client.create(node, &bytes, &persistent).await {
-                Err(Error::NoNode) => {
-                    client.mkdir(&self.config.path, &persistent).await?;
-                    client.create(node, &bytes, &persistent).await.map(|(stat, _)| stat.version)
+            RegisterRequest::CompareAndSwap(None, bytes) => {
+                match client.create(node, &bytes, &persistent).await {
+                    Err(Error::NoNode) => {
+                        client.mkdir(&self.config.path, &persistent).await?;
+                        client.create(node, &bytes, &persistent).await.map(|(stat, _)| stat.version)
+                    }
+                    done => done.map(|(stat, _)| stat.version),
                 }
-                done => done.map(|(stat, _)| stat.version),
-            },
+            }
         };
         match done {
-            Ok(version) => Ok(Outcome::Swapped(version)),
-            Err(Error::BadVersion | Error::NodeExists | Error::NoNode) => Ok(Outcome::Stale),
+            Ok(version) => Ok(RegisterResponse::Swapped(version)),
+            Err(Error::BadVersion | Error::NodeExists | Error::NoNode) => {
+                Ok(RegisterResponse::VersionMismatch)
+            }
             Err(e) => Err(e),
         }
     }
