--- a/crates/cluster-state/src/admin_query/tests.rs
+++ b/crates/cluster-state/src/admin_query/tests.rs
@@ -53,19 +53,23 @@
         for row in &rows {
             view.change(|table, now| table.merge_member(now, row));
         }
-        let told = ask(&commands, &["outcome", "t-1"]).await;
-        assert_eq!(told.title, "t-1: done (2 of 2 answer)");
-        assert_eq!(told.rows[0].cells[..4], ["e2", "done", "answered", "i-9"]);
-        let told = ask(&commands, &["outcome", "t-2"]).await;
-        assert!(told.title.starts_with("t-2: not known") && told.rows.is_empty(), "{}", told.title);
+        let response = ask(&commands, &["outcome", "t-1"]).await;
+        assert_eq!(response.title, "t-1: done (2 of 2 answer)");
+        assert_eq!(response.rows[0].cells[..4], ["e2", "done", "answered", "i-9"]);
+        let response = ask(&commands, &["outcome", "t-2"]).await;
+        assert!(
+            response.title.starts_with("t-2: not known") && response.rows.is_empty(),
+            "{}",
+            response.title
+        );
         let more = proxy("e3", ExecutionOutcome::Succeeded).await;
         view.change(|table, now| table.merge_member(now, &more));
         assert!(ask(&commands, &["outcome", "t-1"]).await.title.contains("ALARM"));
         // One that cannot be asked is named: what it knows is not taken for nothing.
         let gone = MemberRow { inner: "127.0.0.1:9".into(), name: "e4".into(), ..rows[0].clone() };
         view.change(|table, now| table.merge_member(now, &gone));
-        let told = ask(&commands, &["outcome", "t-2"]).await;
-        assert!(told.title.starts_with("t-2: unknown") && told.title.ends_with("(3 of 4 answer)"));
+        let response = ask(&commands, &["outcome", "t-2"]).await;
+        assert!(response.title.starts_with("t-2: unknown") && response.title.ends_with("(3 of 4 answer)"));
     });
 }
 
@@ -88,8 +92,8 @@
             let error = ask(&commands, &words).await.error;
             assert!(error.contains(named) && error.contains(allowed), "{words:?}: {error}");
         }
-        let told = ask(&commands, &["servers", "halls"]).await;
-        assert_eq!((told.rows.len(), told.columns.len()), (1, told.rows[0].cells.len()));
-        assert_eq!(told.rows[0].cells[4], "ready");
+        let response = ask(&commands, &["servers", "halls"]).await;
+        assert_eq!((response.rows.len(), response.columns.len()), (1, response.rows[0].cells.len()));
+        assert_eq!(response.rows[0].cells[4], "ready");
     });
 }
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -70,7 +70,7 @@
     Unchanged,
 }
 
-/// A server, and how long ago it was heard.
+/// A server, and how long ago it was received.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerStatus<'a> {
     /// Its row.
@@ -201,7 +201,7 @@
     /// Names of limiters with a session that are not known to have applied this edition.
     pub fn limiters_behind(&self, now: Millis, edition: u64) -> impl Iterator<Item = &str> + '_ {
         let has_session =
-            move |entry: &&Entry<MemberRow>| !entry.row.expired && now - entry.heard_at < SESSION;
+            move |entry: &&Entry<MemberRow>| !entry.row.expired && now - entry.received_at < SESSION;
         let is_behind = move |entry: &&Entry<MemberRow>| entry.row.edition < edition;
         self.members.values().filter(has_session).filter(is_behind).map(|entry| &*entry.row.name)
     }
@@ -211,7 +211,7 @@
         if f64::from(row.ago) >= OBSERVATION_LIFETIME {
             return MergeResult::Unchanged;
         }
-        self.observations.retain(|_, entry| now - entry.heard_at < 2.0 * OBSERVATION_LIFETIME);
+        self.observations.retain(|_, entry| now - entry.received_at < 2.0 * OBSERVATION_LIFETIME);
         let name = format!("{}/{}/{:x}", row.server, row.observer, row.incarnation);
         if self.observations.len() >= MAX_OBSERVATIONS && !self.observations.contains_key(&name) {
             return MergeResult::Unchanged;
@@ -232,7 +232,7 @@
     pub fn observations(&self, now: Millis) -> impl Iterator<Item = (&ObservationRow, Millis)> + '_ {
         self.observations
             .values()
-            .map(move |entry| (&*entry.row, now - entry.heard_at))
+            .map(move |entry| (&*entry.row, now - entry.received_at))
             .filter(|(_, age)| *age < OBSERVATION_LIFETIME)
     }
 
@@ -287,7 +287,7 @@
         let before = self.change_sequence;
         if let Some(in_touch_at) = in_touch_at {
             let deadline = in_touch_at - self.server_timeout();
-            self.time_out_servers(now, |entry| entry.heard_at < deadline && !entry.row.has_ended());
+            self.time_out_servers(now, |entry| entry.received_at < deadline && !entry.row.has_ended());
             self.expire_sessions(now, in_touch_at - SESSION);
         }
         self.servers.retain(|_, claims| {
@@ -302,7 +302,7 @@
         let rows: Vec<MemberRow> = self
             .members
             .values()
-            .filter(|entry| entry.heard_at < deadline && !entry.row.expired)
+            .filter(|entry| entry.received_at < deadline && !entry.row.expired)
             .map(|entry| MemberRow { expired: true, ..(*entry.row).clone() })
             .collect();
         for row in &rows {
@@ -317,14 +317,16 @@
         let from = if is_snapshot { 0 } else { seen };
         let age_ms = |at: Millis| (now - at).clamp(0.0, 1e9) as u32;
         let server = |entry: &Entry<ServerRow>| ServerRow {
-            age_ms: age_ms(entry.heard_at),
+            age_ms: age_ms(entry.received_at),
             warmup_ms: warmup_left(entry, now) as u32,
             ..(*entry.row).clone()
         };
-        let member =
-            |entry: &Entry<MemberRow>| MemberRow { age_ms: age_ms(entry.heard_at), ..(*entry.row).clone() };
+        let member = |entry: &Entry<MemberRow>| MemberRow {
+            age_ms: age_ms(entry.received_at),
+            ..(*entry.row).clone()
+        };
         let observation = |entry: &Entry<ObservationRow>| ObservationRow {
-            ago: age_ms(entry.heard_at),
+            ago: age_ms(entry.received_at),
             ..(*entry.row).clone()
         };
         let servers = self.claims().filter(|entry| entry.sequence(every_change) > from);
@@ -332,7 +334,7 @@
         let observations = self
             .observations
             .values()
-            .filter(|entry| entry.changed > from && now - entry.heard_at < OBSERVATION_LIFETIME);
+            .filter(|entry| entry.changed > from && now - entry.received_at < OBSERVATION_LIFETIME);
         StateUpdate {
             epoch: self.epoch,
             seen: self.sequence,
@@ -366,7 +368,7 @@
     }
 
     /// A digest of the servers that have not ended: the same in each process that knows the same, in whichever order it
-    /// was heard.
+    /// was received.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -376,18 +378,18 @@
         self.claims().map(move |entry| (&*entry.row, warmup_left(entry, now)))
     }
 
-    /// The same, with how long ago each was heard.
+    /// The same, with how long ago each was received.
     pub fn server_statuses(&self, now: Millis) -> impl Iterator<Item = ServerStatus<'_>> + '_ {
         self.claims().map(move |entry| ServerStatus {
             row: &entry.row,
-            age: now - entry.heard_at,
+            age: now - entry.received_at,
             warmup_left: warmup_left(entry, now),
         })
     }
 
     /// Limiters, with how long ago each was heard, ms.
     pub fn members(&self, now: Millis) -> impl Iterator<Item = (&MemberRow, Millis)> + '_ {
-        self.members.values().map(move |entry| (&*entry.row, now - entry.heard_at))
+        self.members.values().map(move |entry| (&*entry.row, now - entry.received_at))
     }
 
     /// The sequence number at which a server last changed in what it is used for; 0 if it is not known.
@@ -398,7 +400,7 @@
     /// Limiters that may be active: those with a session, and those whose session ended a short while ago.
     pub fn active_limiters(&self, now: Millis) -> impl Iterator<Item = &MemberRow> + '_ {
         let is_active = move |entry: &&Entry<MemberRow>| {
-            !entry.row.expired || now - entry.heard_at < ACTIVE_AFTER_SESSION
+            !entry.row.expired || now - entry.received_at < ACTIVE_AFTER_SESSION
         };
         self.members.values().filter(is_active).map(|entry| &*entry.row)
     }
--- a/crates/cluster-state/src/state/row.rs
+++ b/crates/cluster-state/src/state/row.rs
@@ -149,7 +149,7 @@
     /// [`Row::digest`] of it.
     pub(super) digest: u64,
     /// When its subject was last heard.
-    pub(super) heard_at: Millis,
+    pub(super) received_at: Millis,
     /// When the row was merged as it is, for what counts down.
     pub(super) merged_at: Millis,
     /// The table's sequence number when it last changed in what it is used for.
@@ -165,7 +165,7 @@
         Entry {
             row: Arc::new(row.clone()),
             digest: row.digest(),
-            heard_at: now - f64::from(row.age_ms()),
+            received_at: now - f64::from(row.age_ms()),
             merged_at: now,
             changed: sequence,
             touched: sequence,
@@ -174,11 +174,11 @@
 
     /// Merges a row of the same subject; whether that changes what it is used for, `None` if it is not newer.
     pub(super) fn merge(&mut self, row: &R, now: Millis, sequence: u64) -> Option<bool> {
-        let heard_at = now - f64::from(row.age_ms());
+        let received_at = now - f64::from(row.age_ms());
         let since_merge = now - self.merged_at;
-        let more_recent = heard_at > self.heard_at;
+        let more_recent = received_at > self.received_at;
         let has_changed = R::merge(Arc::make_mut(&mut self.row), row, more_recent, since_merge)?;
-        self.heard_at = self.heard_at.max(heard_at);
+        self.received_at = self.received_at.max(received_at);
         self.merged_at = now;
         self.touched = sequence;
         if has_changed {
--- a/crates/cluster-state/tests/applied_editions.rs
+++ b/crates/cluster-state/tests/applied_editions.rs
@@ -70,7 +70,7 @@
 }
 
 /// Three core machines that follow each other, and limiters with their sessions spread over them, all long at work.
-async fn stage(way: Duration, limiters: usize) -> Stage {
+async fn cluster(way: Duration, limiters: usize) -> Stage {
     let clock = MonotonicClock::start();
     let new = || ClusterView::new(clock, 1500.0);
     let core: Vec<_> = (0..3).map(|_| new()).collect();
@@ -88,11 +88,11 @@
 fn an_order_is_known_to_act_everywhere_after_four_ways_and_no_sooner_than_it_does() {
     for way in [0, 1, 5, 20, 40, 60] {
         run(async move {
-            let stage = stage(way * MS, 30).await;
-            assert!(stage.core[0].wait_until_applied(WITHIN, 1).await.is_empty());
+            let cluster = cluster(way * MS, 30).await;
+            assert!(cluster.core[0].wait_until_applied(WITHIN, 1).await.is_empty());
             let begun = Instant::now();
-            stage.core[0].take_agreed(2, AgreedState::default());
-            let limiters_behind = stage.core[0].wait_until_applied(WITHIN, 2).await;
+            cluster.core[0].take_agreed(2, AgreedState::default());
+            let limiters_behind = cluster.core[0].wait_until_applied(WITHIN, 2).await;
             let took = begun.elapsed();
             assert!(limiters_behind.is_empty(), "{way} ms: {limiters_behind:?} after {took:?}");
             assert!(took <= (7 * way + 25) * MS, "{way} ms: {took:?}");
@@ -105,16 +105,16 @@
 #[test]
 fn a_limiter_that_does_not_act_is_named_and_one_without_a_session_is_not_waited_for() {
     run(async {
-        let stage = stage(5 * MS, 6).await;
-        stage.sessions[4].abort();
+        let cluster = cluster(5 * MS, 6).await;
+        cluster.sessions[4].abort();
         let begun = Instant::now();
-        stage.core[0].take_agreed(2, AgreedState::default());
-        assert_eq!(stage.core[0].wait_until_applied(WITHIN, 2).await, ["edge-4"]);
+        cluster.core[0].take_agreed(2, AgreedState::default());
+        assert_eq!(cluster.core[0].wait_until_applied(WITHIN, 2).await, ["edge-4"]);
         assert_eq!(begun.elapsed(), WITHIN);
         sleep(2000 * MS).await;
         let begun = Instant::now();
-        stage.core[0].take_agreed(3, AgreedState::default());
-        assert!(stage.core[0].wait_until_applied(WITHIN, 3).await.is_empty());
+        cluster.core[0].take_agreed(3, AgreedState::default());
+        assert!(cluster.core[0].wait_until_applied(WITHIN, 3).await.is_empty());
         assert!(begun.elapsed() < 60 * MS);
     });
 }
@@ -122,8 +122,8 @@
 #[test]
 fn words_that_change_nothing_are_gathered_as_ever_while_no_order_waits_and_while_one_does() {
     run(async {
-        let stage = stage(MS, 6).await;
-        let [here, there, _] = &stage.core[..] else { panic!("three") };
+        let cluster = cluster(MS, 6).await;
+        let [here, there, _] = &cluster.core[..] else { panic!("three") };
         for wants_prompt_acks in [false, true] {
             let all = there.with(|table, _| (table.epoch(), table.sequence()));
             let follow = FollowRequest {
--- a/crates/node-runtime/src/rpc/connection.rs
+++ b/crates/node-runtime/src/rpc/connection.rs
@@ -105,7 +105,7 @@
 }
 
 async fn connect_and_carry(shared: &Shared) -> Ended {
-    let heard = if let Some(network) = network::current() {
+    let received = if let Some(network) = network::current() {
         match timeout(CONNECT_TIMEOUT, network.connect(shared.address)).await {
             Ok(Ok((reader, writer))) => carry(shared, reader, writer).await,
             _ => return Ended::NotConnected,
@@ -115,7 +115,7 @@
         let (reader, writer) = stream.split();
         carry(shared, reader, writer).await
     };
-    if heard {
+    if received {
         Ended::Heard
     } else {
         Ended::Unheard
@@ -136,12 +136,12 @@
 ) -> bool {
     let mut incoming = BytesMut::new();
     let mut outgoing = BytesMut::new();
-    let mut heard = false;
+    let mut received = false;
     // Since when nothing has been received though a response is due; calls that were given up since then still count.
     let mut quiet_since: Option<Instant> = None;
     loop {
         if shared.is_closed.get() {
-            return heard;
+            return received;
         }
         {
             let pending = &mut shared.state.borrow_mut().pending;
@@ -154,14 +154,14 @@
         tokio::select! {
             biased;
             read = reader.read_buf(&mut incoming) => {
-                if !matches!(read, Ok(1..)) { return heard }
-                heard = true;
+                if !matches!(read, Ok(1..)) { return received }
+                received = true;
                 let pending = &mut shared.state.borrow_mut().pending;
-                if !take_responses(&mut incoming, pending) { return heard }
+                if !take_responses(&mut incoming, pending) { return received }
                 quiet_since = pending.is_response_due().then(Instant::now);
             }
             written = writer.write_buf(&mut outgoing), if !outgoing.is_empty() => {
-                let Ok(length @ 1..) = written else { return heard };
+                let Ok(length @ 1..) = written else { return received };
                 // Long bodies take their time to be sent: the response is due from then on.
                 if quiet_since.is_some() && length + outgoing.len() > WRITE_BATCH {
                     quiet_since = Some(Instant::now());
@@ -169,7 +169,7 @@
                 if outgoing.is_empty() && outgoing.capacity() > 2 * WRITE_BATCH { outgoing = BytesMut::new() }
             }
             () = shared.wake.notified(), if outgoing.is_empty() => {}
-            () = sleep_until(dead_at), if quiet_since.is_some() => return heard,
+            () = sleep_until(dead_at), if quiet_since.is_some() => return received,
         }
     }
 }
--- a/crates/node-runtime/tests/rpc.rs
+++ b/crates/node-runtime/tests/rpc.rs
@@ -102,13 +102,13 @@
         let peer = Peer::new().await;
         let calls: Vec<_> = (0..100u8).map(|n| peer.call(1 + n % 3, &[n], LONG)).collect();
         let mut stream = peer.connection().await;
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         for _ in 0..100 {
-            heard.push(hear(&mut stream).await);
+            received.push(hear(&mut stream).await);
         }
-        heard.reverse();
-        heard.rotate_left(37);
-        let answers: Vec<Frame> = heard.iter().map(|f| f.with(&[f.body[0], 7])).collect();
+        received.reverse();
+        received.rotate_left(37);
+        let answers: Vec<Frame> = received.iter().map(|f| f.with(&[f.body[0], 7])).collect();
         say(&mut stream, &answers).await;
         for (n, call) in (0..100u8).zip(calls) {
             assert_eq!(end(call).await.unwrap(), [n, 7][..]);
@@ -125,15 +125,15 @@
         let first = hear(&mut stream).await;
         assert_eq!(given_up.await.unwrap(), Err(RpcError::Lost));
         let second = peer.call(1, b"b", LONG);
-        let heard = hear(&mut stream).await;
+        let received = hear(&mut stream).await;
         // The place of the call that was given up is used again; its id is not.
-        assert_ne!(heard.id, first.id);
-        let never = Frame { id: heard.id + (1 << 40), ..heard.clone() };
-        say(&mut stream, &[first.with(b"late"), never.with(b"never"), heard.with(b"right")]).await;
+        assert_ne!(received.id, first.id);
+        let never = Frame { id: received.id + (1 << 40), ..received.clone() };
+        say(&mut stream, &[first.with(b"late"), never.with(b"never"), received.with(b"right")]).await;
         assert_eq!(end(second).await, ok(b"right"));
         let third = peer.call(1, b"c", LONG);
         let next = hear(&mut stream).await;
-        say(&mut stream, &[heard.with(b"again"), first.with(b"later"), next.with(b"its own")]).await;
+        say(&mut stream, &[received.with(b"again"), first.with(b"later"), next.with(b"its own")]).await;
         assert_eq!(end(third).await, ok(b"its own"));
     });
 }
@@ -153,9 +153,9 @@
         has_ended(&mut stream).await;
         let again = peer.call(1, b"c", LONG);
         let mut stream = peer.connection().await;
-        let heard = hear(&mut stream).await;
-        assert_eq!(heard.body, b"c", "what was sent before is not sent again");
-        say(&mut stream, &[heard.with(b"well")]).await;
+        let received = hear(&mut stream).await;
+        assert_eq!(received.body, b"c", "what was sent before is not sent again");
+        say(&mut stream, &[received.with(b"well")]).await;
         assert_eq!(end(again).await, ok(b"well"));
     });
 }
@@ -171,9 +171,9 @@
         assert_eq!(end(lost).await, Err(RpcError::Lost));
         let call = peer.call(1, b"b", LONG);
         let mut stream = peer.connection().await;
-        let heard = hear(&mut stream).await;
-        assert_eq!(heard.body, b"b");
-        say(&mut stream, &[first.with(b"of the one before"), heard.with(b"right")]).await;
+        let received = hear(&mut stream).await;
+        assert_eq!(received.body, b"b");
+        say(&mut stream, &[first.with(b"of the one before"), received.with(b"right")]).await;
         assert_eq!(end(call).await, ok(b"right"));
     });
 }
@@ -192,13 +192,13 @@
         drop(stream);
         assert_eq!(end(half).await, Err(RpcError::Lost));
         let mut stream = peer.connection().await;
-        let heard = hear(&mut stream).await;
+        let received = hear(&mut stream).await;
         assert_eq!(
-            (heard.kind, &heard.body[..]),
+            (received.kind, &received.body[..]),
             (2, &b"behind"[..]),
             "a frame begins with its own first byte"
         );
-        say(&mut stream, &[heard.with(b"well")]).await;
+        say(&mut stream, &[received.with(b"well")]).await;
         assert_eq!(end(behind).await, ok(b"well"));
     });
 }
@@ -230,7 +230,7 @@
 fn a_frame_that_is_cut_short_or_has_an_impossible_length_is_no_answer() {
     run(async {
         let peer = Peer::new().await;
-        let whole = |heard: &Frame| heard.with(b"answer").bytes();
+        let whole = |received: &Frame| received.with(b"answer").bytes();
         let spoil: [(bool, Spoil); 4] = [
             (true, |frame| frame[..frame.len() - 1].to_vec()),
             (true, |frame| frame[..HEAD - 1].to_vec()),
@@ -240,8 +240,8 @@
         for (cut, spoil) in spoil {
             let call = peer.call(1, b"a", LONG);
             let mut stream = peer.connection().await;
-            let heard = hear(&mut stream).await;
-            stream.write_all(&spoil(whole(&heard))).await.unwrap();
+            let received = hear(&mut stream).await;
+            stream.write_all(&spoil(whole(&received))).await.unwrap();
             // What is cut short ends with its connection; what is impossible ends it.
             if cut {
                 stream.shutdown().await.unwrap();
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -1,6 +1,7 @@
 //! The verdict, from all that proxies have told. Each proxy judges for itself by the same rules; their rows
 //! merge, so they come to the same within the way between them.
 
+use crate::observer::MAX_GOODS;
 use crate::{
     Evidence, Millis, Weight, CLEAR_THRESHOLD, EJECT_THRESHOLD, EVIDENCE_LIFETIME, RELAPSE_THRESHOLD,
     SUSPECT_THRESHOLD,
@@ -131,7 +132,7 @@
         let mut deaf = BTreeSet::new();
         for n in &reported {
             let (belief, span) = (belief(&n.observer), now - n.at);
-            let overcome = SUCCESS_DISCOUNT.powi(goods(n).min(20) as i32);
+            let overcome = SUCCESS_DISCOUNT.powi(goods(n).min(MAX_GOODS) as i32);
             let part =
                 |w: f64| belief * (if w > 0.0 { w * overcome } else { w }).clamp(-MAX_FOR, MAX_AGAINST);
             for (sum, of) in [(&mut failing, n.failing), (&mut slow, n.slow)] {
--- a/crates/outlier-detection/src/observer.rs
+++ b/crates/outlier-detection/src/observer.rs
@@ -26,6 +26,12 @@
 const MAX_OWN_PACE: f64 = 2.0;
 /// A slow server gives so much larger a share of slow answers than is usual for the class.
 const SLOW_SHARE_EXCESS: f64 = 0.6;
+/// The usual share of slow answers of a class: as it begins, and the least and most that it counts as.
+const INITIAL_SLOW_SHARE: f64 = 0.08;
+const MIN_SLOW_SHARE: f64 = 0.03;
+const MAX_SLOW_SHARE: f64 = 0.3;
+/// So many good answers in a row count at most.
+pub(crate) const MAX_GOODS: u32 = 20;
 /// Steps by which the median, the usual share of slow answers and a server's own pace follow.
 const MEDIAN_STEP: f64 = 0.05;
 const SHARE_STEP: f64 = 0.02;
@@ -147,49 +153,33 @@
     pub warm: bool,
 }
 
-impl Observer {
-    /// Takes in the end of an attempt.
-    pub fn record(&mut self, now: Millis, seen: &AttemptResult<'_>) {
-        // One that is cold is slow for that, and may fall over for that; who is full has work.
-        if !seen.warm || seen.end == EndKind::Ignored {
-            return;
-        }
-        if !self.records.contains_key(seen.server) {
-            let records =
-                ServerRecord { service: seen.service.to_owned(), at: now, ..ServerRecord::default() };
-            self.records.insert(seen.server.to_owned(), records);
-        }
-        let Some(records) = self.records.get_mut(seen.server) else { return };
-        records.bring_to(now);
-        records.last_seen = now;
-        let ends_well = seen.end == EndKind::Success;
-        let of_all = self.shares.entry(seen.service.to_owned()).or_default();
-        let others = of_all.without(now, &records.share).min(MAX_OTHERS_RATE);
-        if ends_well || seen.end == EndKind::Failure {
-            records.share.add(now, !ends_well);
-            of_all.add(now, !ends_well);
-        }
-        let baseline = HEALTHY_FAILURE_RATE.max(others);
+/// The natural logarithm of a duration, ms; what is shorter than 1 ms counts as 1 ms.
+fn log_duration(took: Millis) -> f64 {
+    took.max(1.0).ln()
+}
+
+impl ServerRecord {
+    /// Adds the end of an attempt to the evidence of failure. `baseline` is the failure rate of the other servers.
+    fn add_end(&mut self, end: EndKind, baseline: f64) {
         let unhealthy = UNHEALTHY_FAILURE_RATE.max(UNHEALTHY_FAILURE_FACTOR * baseline);
-        match seen.end {
-            EndKind::NotConnected => (records.unreached, records.goods) = (records.unreached + 1.0, 0),
+        match end {
+            EndKind::NotConnected => (self.unreached, self.goods) = (self.unreached + 1.0, 0),
             EndKind::Failure => {
-                records.failing.add((unhealthy / baseline).ln());
-                records.goods = 0;
+                self.failing.add((unhealthy / baseline).ln());
+                self.goods = 0;
             }
             EndKind::Success => {
-                records.failing.add(((1.0 - unhealthy) / (1.0 - baseline)).ln());
-                records.unreached = 0.0;
+                self.failing.add(((1.0 - unhealthy) / (1.0 - baseline)).ln());
+                self.unreached = 0.0;
             }
             EndKind::Cancelled | EndKind::Ignored => {}
         }
-        if !matches!(seen.end, EndKind::Success | EndKind::Cancelled) {
-            return;
-        }
-        let took = seen.took.max(1.0).ln();
-        let key = (seen.service.to_owned(), seen.class.to_owned());
-        let baseline = self.baseline.entry(key).or_insert(Baseline { median: took, slow: 0.08 });
-        let pace = records.pace.clamp(0.0, MAX_OWN_PACE.ln());
+    }
+
+    /// Adds an attempt's duration to the evidence of slowness, and to the baseline of its service and class.
+    fn add_duration(&mut self, now: Millis, seen: &AttemptResult<'_>, baseline: &mut Baseline) {
+        let took = log_duration(seen.took);
+        let pace = self.pace.clamp(0.0, MAX_OWN_PACE.ln());
         let line = (baseline.median + pace).exp();
         let slow = seen.took > SLOW_FACTOR * line && seen.took > line + MIN_SLOW_EXCESS;
         if !slow && seen.end == EndKind::Cancelled {
@@ -197,23 +187,55 @@
         }
         // What is usual is learnt from servers that nothing speaks against, as far as there are such: under
         // load all are slow, and that is usual then.
-        let suspect = records.slow.most() >= CLEAR_THRESHOLD;
-        let before = baseline.slow.clamp(0.03, 0.3);
+        let suspect = self.slow.most() >= CLEAR_THRESHOLD;
+        let before = baseline.slow.clamp(MIN_SLOW_SHARE, MAX_SLOW_SHARE);
         baseline.median += MEDIAN_STEP * (took - baseline.median).signum();
         if !suspect {
             baseline.slow += SHARE_STEP * (f64::from(u8::from(slow)) - baseline.slow);
-            records.pace += if slow { 0.0 } else { PACE_STEP * (took - baseline.median - records.pace) };
+            self.pace += if slow { 0.0 } else { PACE_STEP * (took - baseline.median - self.pace) };
         }
         let unhealthy = before + SLOW_SHARE_EXCESS;
-        records.slow.add(if slow {
+        self.slow.add(if slow {
             (unhealthy / before).ln()
         } else {
             ((1.0 - unhealthy) / (1.0 - before)).ln()
         });
         if slow {
-            records.goods = 0;
-        } else if records.unhealthy_since.is_some_and(|since| now - seen.took > since) {
-            records.goods = (records.goods + 1).min(20);
+            self.goods = 0;
+        } else if self.unhealthy_since.is_some_and(|since| now - seen.took > since) {
+            self.goods = (self.goods + 1).min(MAX_GOODS);
+        }
+    }
+}
+
+impl Observer {
+    /// Takes in the end of an attempt.
+    pub fn record(&mut self, now: Millis, seen: &AttemptResult<'_>) {
+        // One that is cold is slow for that, and may fall over for that; who is full has work.
+        if !seen.warm || seen.end == EndKind::Ignored {
+            return;
+        }
+        if !self.records.contains_key(seen.server) {
+            let record =
+                ServerRecord { service: seen.service.to_owned(), at: now, ..ServerRecord::default() };
+            self.records.insert(seen.server.to_owned(), record);
+        }
+        let Some(record) = self.records.get_mut(seen.server) else { return };
+        record.bring_to(now);
+        record.last_seen = now;
+        let ends_well = seen.end == EndKind::Success;
+        let of_all = self.shares.entry(seen.service.to_owned()).or_default();
+        let others = of_all.without(now, &record.share).min(MAX_OTHERS_RATE);
+        if ends_well || seen.end == EndKind::Failure {
+            record.share.add(now, !ends_well);
+            of_all.add(now, !ends_well);
+        }
+        record.add_end(seen.end, HEALTHY_FAILURE_RATE.max(others));
+        if matches!(seen.end, EndKind::Success | EndKind::Cancelled) {
+            let key = (seen.service.to_owned(), seen.class.to_owned());
+            let first = Baseline { median: log_duration(seen.took), slow: INITIAL_SLOW_SHARE };
+            let baseline = self.baseline.entry(key).or_insert(first);
+            record.add_duration(now, seen, baseline);
         }
     }
 
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -62,8 +62,8 @@
     weight.0.iter().map(|w| (w * 100.0).round() as i32).collect()
 }
 
-fn weight(told: &[i32]) -> Weight {
-    Weight([0, 1].map(|at| f64::from(told.get(at).copied().unwrap_or(0).clamp(-3000, 3000)) / 100.0))
+fn weight(hundredths: &[i32]) -> Weight {
+    Weight([0, 1].map(|at| f64::from(hundredths.get(at).copied().unwrap_or(0).clamp(-3000, 3000)) / 100.0))
 }
 
 fn observation(row: &ObservationRow, at: Millis) -> Evidence {
@@ -124,8 +124,9 @@
         let mut seqs = self.seqs.borrow_mut();
         if seqs.len() > 1024 {
             // Servers come and go. Those told of lately are kept, as their words count on.
-            let told: BTreeSet<&str> = table.observations(now).map(|(row, _)| row.server.as_str()).collect();
-            seqs.retain(|id, _| told.contains(id.as_str()));
+            let observed: BTreeSet<&str> =
+                table.observations(now).map(|(row, _)| row.server.as_str()).collect();
+            seqs.retain(|id, _| observed.contains(id.as_str()));
         }
         let row = |n: Evidence| {
             let seq = seqs.entry(n.server.clone()).or_default();
--- a/crates/proxy/src/outlier_ejection/tests.rs
+++ b/crates/proxy/src/outlier_ejection/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn what_is_told_is_read_back_alike() {
-    let told = Evidence {
+    let evidence = Evidence {
         server: "i-1".into(),
         observer: "edge-1".into(),
         failing: Weight([9.0, -3.25]),
@@ -16,12 +16,12 @@
     let row = ObservationRow {
         server: "i-1".into(),
         observer: "edge-1".into(),
-        failing: hundredths(told.failing),
-        slow: hundredths(told.slow),
+        failing: hundredths(evidence.failing),
+        slow: hundredths(evidence.slow),
         unreached: 150,
         goods: 3,
         ..ObservationRow::default()
     };
-    assert_eq!(observation(&row, 70.0), told);
+    assert_eq!(observation(&row, 70.0), evidence);
     assert_eq!(weight(&[i32::MAX]), Weight([30.0, 0.0]), "nonsense is bounded");
 }
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -24,6 +24,7 @@
 use oatbank_service_catalog::{Catalog, PermittedUse};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// A server closes a connection that was idle for this long, ms, if it says nothing else.
@@ -309,26 +310,50 @@
                 }
                 let started = warmup_start(&mut warmups, row, *warmup_left, now, warmup.duration);
                 let Ok(address) = row.address.parse() else { continue };
-                let is_contested = permitted_use(row) == PermittedUse::ReadsOnly;
                 members.push(Member {
-                    id: row.id.clone(),
-                    address: Some(address),
-                    zone: if is_contested { contested_zone(&row.zone) } else { row.zone.clone() },
-                    cell: 0,
-                    weight: 1.0,
+                    zone: zone_of(row, permitted_use(row)),
                     started,
-                    state: ServerState::Ready,
                     standing: standing(row),
+                    ..ready_member(row, address)
                 });
             }
             Selection { members, candidates: candidates.len() }
         });
-        let is_member = |id: &str| selection.members.iter().any(|member| member.id == id);
-        pool.warmups.borrow_mut().retain(|id, _| is_member(id));
-        let before = pool.members.borrow();
+        pool.forget_all_but(&selection.members, &mut removed, now);
+        selection
+    }
+}
+
+impl ServicePool {
+    /// Drops what is known of servers that are no longer members, and notes when each was removed.
+    fn forget_all_but(&self, members: &[Member], removed: &mut HashMap<String, Millis>, now: Millis) {
+        let is_member = |id: &str| members.iter().any(|member| member.id == id);
+        self.warmups.borrow_mut().retain(|id, _| is_member(id));
+        let before = self.members.borrow();
         let gone = before.iter().filter(|member| !is_member(&member.id));
         removed.extend(gone.map(|member| (member.id.clone(), now)));
-        selection
+    }
+}
+
+/// A member for a server that is ready, in its own zone and of full weight.
+fn ready_member(row: &ServerRow, address: SocketAddr) -> Member {
+    Member {
+        id: row.id.clone(),
+        address: Some(address),
+        zone: row.zone.clone(),
+        cell: 0,
+        weight: 1.0,
+        started: 0.0,
+        state: ServerState::Ready,
+        standing: Standing::default(),
+    }
+}
+
+/// The zone under which the limiter module knows a server: a contested one only takes what may run twice.
+fn zone_of(row: &ServerRow, permitted_use: PermittedUse) -> String {
+    match permitted_use {
+        PermittedUse::ReadsOnly => contested_zone(&row.zone),
+        _ => row.zone.clone(),
     }
 }
 
--- a/crates/proxy/tests/cold.rs
+++ b/crates/proxy/tests/cold.rs
@@ -104,7 +104,7 @@
     /// So long after its beginning the servers tell of their spell, ms; before, they are held to be warm.
     unheard: f64,
     /// The servers' spell is told anew so often, ms, a little off each time.
-    told_anew: f64,
+    repeat_interval: f64,
 }
 
 impl Default for Day {
@@ -118,7 +118,7 @@
             seed: 1,
             is_alone: false,
             unheard: 0.0,
-            told_anew: 1e9,
+            repeat_interval: 1e9,
         }
     }
 }
@@ -176,7 +176,7 @@
         }
     };
     let mut due: BTreeMap<(u64, u64), (usize, Event)> = BTreeMap::new();
-    let (mut serial, mut next, mut next_told) = (0u64, 0u32, f64::INFINITY);
+    let (mut serial, mut next, mut next_repeat) = (0u64, 0u32, f64::INFINITY);
     let mut sends: Vec<Vec<f64>> = vec![Vec::new(); day.servers];
     let mut tries: BTreeMap<(usize, u32), u8> = BTreeMap::new();
     let from = 1e6;
@@ -185,11 +185,11 @@
         let now = from + ms as f64;
         if ms as f64 == ONSET + day.unheard {
             tell(&mut all, now, from + ONSET);
-            next_told = now + day.told_anew;
+            next_repeat = now + day.repeat_interval;
         }
-        if now >= next_told {
+        if now >= next_repeat {
             tell(&mut all, now, from + ONSET + 30.0 * roll());
-            next_told = now + day.told_anew;
+            next_repeat = now + day.repeat_interval;
         }
         let mut events: Vec<(usize, Event)> = Vec::new();
         while let Some(entry) = due.first_entry().filter(|e| e.key().0 <= ms) {
@@ -264,7 +264,7 @@
 #[test]
 fn a_spell_that_is_told_again_and_again_gives_no_further_requests() {
     for seed in 1..=2 {
-        let worst = play(&Day { seed, told_anew: 50.0, ..Day::default() }).0;
+        let worst = play(&Day { seed, repeat_interval: 50.0, ..Day::default() }).0;
         assert!(worst <= 0.5, "seed {seed}: {worst}");
     }
 }
--- a/crates/proxy/tests/steering.rs
+++ b/crates/proxy/tests/steering.rs
@@ -86,7 +86,7 @@
     /// Looks at which a proxy left more than an eighth of the servers.
     beyond: u32,
     /// Sends of what runs once to a server that this proxy knew not to be well, while others were.
-    once_to_ill: u32,
+    once_to_unhealthy: u32,
     /// Sends to each server after the onset, by second.
     sends: HashMap<(usize, u64), u32>,
     /// Requests after the onset: all, and those that earned nothing.
@@ -226,31 +226,31 @@
             What::Row { to, row, at } if to >= day.proxies => {
                 // A board: what is new goes to all others.
                 let board = to - day.proxies;
-                let told = ObservationRow { ago: (now - at) as u32, ..row };
+                let observation_row = ObservationRow { ago: (now - at) as u32, ..row };
                 let before = boards[board].sequence();
-                let wakes = boards[board].merge_observation(now, &told) != MergeResult::Unchanged;
+                let wakes = boards[board].merge_observation(now, &observation_row) != MergeResult::Unchanged;
                 if boards[board].sequence() == before {
                     continue;
                 }
                 let ways =
                     (0..day.proxies).chain((0..BOARDS).filter(|b| *b != board).map(|b| day.proxies + b));
                 for to in ways {
-                    report.bytes += prost_len(&told);
+                    report.bytes += prost_len(&observation_row);
                     // What wakes nobody waits for the next call.
                     let delay =
                         if wakes { 0.0 } else { [200.0, 600.0][usize::from(to < day.proxies)] * chance() };
                     let distance = delay + 2.0 + 35.0 * chance() + if chance() < 0.05 { 300.0 } else { 0.0 };
-                    post(&mut due, now + distance, What::Row { to, row: told.clone(), at });
+                    post(&mut due, now + distance, What::Row { to, row: observation_row.clone(), at });
                     if day.repeats > 0.0 && board == 0 {
-                        post(&mut due, now + day.repeats, What::Row { to, row: told.clone(), at });
+                        post(&mut due, now + day.repeats, What::Row { to, row: observation_row.clone(), at });
                     }
                 }
                 continue;
             }
             What::Row { to, row, at } => {
                 if !frozen(to, now) {
-                    let told = ObservationRow { ago: (now - at) as u32, ..row };
-                    proxies[to].table.merge_observation(now, &told);
+                    let observation_row = ObservationRow { ago: (now - at) as u32, ..row };
+                    proxies[to].table.merge_observation(now, &observation_row);
                 }
                 continue;
             }
@@ -351,7 +351,8 @@
                     let Some(asked) = p.open.get_mut(&id) else { continue };
                     let attempt = asked.attempts.len() as u8;
                     asked.attempts.push((server, now, true));
-                    report.once_to_ill += u32::from(asked.once && day.shared && standing != Standing::Well);
+                    report.once_to_unhealthy +=
+                        u32::from(asked.once && day.shared && standing != Standing::Well);
                     if now > ONSET {
                         *report.sends.entry((server, ((now - ONSET) / 1000.0) as u64)).or_default() += 1;
                     }
@@ -394,7 +395,7 @@
 }
 
 /// What an ill server does from the onset on, others do as ever.
-fn ill<'a>(
+fn unhealthy<'a>(
     server: usize,
     does: impl Fn(&Try) -> (Outcome, f64) + 'a,
 ) -> impl Fn(&Try) -> (Outcome, f64) + 'a {
@@ -407,22 +408,22 @@
 
 #[test]
 fn a_server_that_fails_is_left_by_all_soon_and_what_runs_once_goes_elsewhere() {
-    let mut blind_to_ill = 0;
+    let mut blind_to_unhealthy = 0;
     for seed in 1..4 {
-        let does = ill(0, failing(1.0));
+        let does = unhealthy(0, failing(1.0));
         let day = Day { seed, does: &does, ..Day::default() };
         let (shared, alone) = (play(&day), play(&Day { shared: false, ..day }));
         let span = shared.span(0, 1.0, 9);
         assert!(span < 4000.0, "seed {seed}: at all after {span} ms");
-        assert_eq!((shared.beyond, shared.once_to_ill, shared.unsent), (0, 0, 0), "seed {seed}");
+        assert_eq!((shared.beyond, shared.once_to_unhealthy, shared.unsent), (0, 0, 0), "seed {seed}");
         assert_eq!((shared.ran_twice, alone.ran_twice), (0, 0), "seed {seed}");
         let sent = |r: &Report| r.sent(0, 0, 12);
         assert!(sent(&shared) <= sent(&alone), "seed {seed}: {} and {}", sent(&shared), sent(&alone));
         // The checker finds proxies that judge and do not act by it.
         let blind = play(&Day { heeded: false, ..day });
-        blind_to_ill += blind.once_to_ill;
+        blind_to_unhealthy += blind.once_to_unhealthy;
     }
-    assert!(blind_to_ill > 0, "the checker sees it");
+    assert!(blind_to_unhealthy > 0, "the checker sees it");
 }
 
 #[test]
@@ -463,7 +464,7 @@
         let (repeats, frozen) = (1500.0, Some(4));
         let report = play(&Day { seed, does: &does, repeats, frozen, ..Day::default() });
         left += u32::from(report.doubted.contains_key(&0));
-        assert_eq!((report.left_at_end, report.once_to_ill), (0, 0), "seed {seed}");
+        assert_eq!((report.left_at_end, report.once_to_unhealthy), (0, 0), "seed {seed}");
     }
     assert!(left >= 3, "it was left on {left} days of 4");
 }
@@ -474,11 +475,11 @@
     let slow = |t: &Try| (Outcome::Ok, 4.0 * t.usual);
     let silent = |_: &Try| (Outcome::TimedOut, 9000.0);
     let kinds: [(&str, Does); 5] = [
-        ("fails all", &ill(0, failing(1.0))),
-        ("fails 40%", &ill(0, failing(0.4))),
-        ("fails 25%", &ill(0, failing(0.25))),
-        ("four times as slow", &ill(0, slow)),
-        ("silent", &ill(0, silent)),
+        ("fails all", &unhealthy(0, failing(1.0))),
+        ("fails 40%", &unhealthy(0, failing(0.4))),
+        ("fails 25%", &unhealthy(0, failing(0.25))),
+        ("four times as slow", &unhealthy(0, slow)),
+        ("silent", &unhealthy(0, silent)),
     ];
     println!("kind | proxies | to effect at half, at all, ms: median, worst | sends to it: alone, shared | lost, late");
     for (name, does) in kinds {
--- a/crates/registry/tests/one_number.rs
+++ b/crates/registry/tests/one_number.rs
@@ -14,7 +14,7 @@
 
 /// What the operator hears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum CommandResult {
     AcceptedVersion,
     ProposalError(ErrorKind),
     Unclear,
@@ -28,7 +28,7 @@
 
 /// A core machine's proposer.
 struct Machine {
-    life: u64,
+    proposer_id: u64,
     known: KnownRecord,
     highest: u64,
 }
@@ -47,7 +47,7 @@
     founders: VoterConfiguration,
     voters: BTreeMap<String, Acceptor>,
     machines: Vec<Machine>,
-    lives: u64,
+    restarts: u64,
     /// One of so many messages is lost; 0: none.
     lost: u64,
 }
@@ -61,7 +61,7 @@
             founders: VoterConfiguration::founders(&names),
             voters: names.iter().map(voter).collect(),
             machines: Vec::new(),
-            lives: 0,
+            restarts: 0,
             lost: 0,
         };
         system.begin_again();
@@ -81,14 +81,19 @@
             *voter = restored.expect("whole");
         }
         self.machines = (0..3u64)
-            .map(|n| Machine { life: 100 * self.lives + n + 1, known: KnownRecord::default(), highest: 0 })
+            .map(|n| Machine {
+                proposer_id: 100 * self.restarts + n + 1,
+                known: KnownRecord::default(),
+                highest: 0,
+            })
             .collect();
-        self.lives += 1;
+        self.restarts += 1;
     }
 
     fn begin(&mut self, order: usize, machine: usize, task: Task<Change>) -> ApiCall {
         let at = &self.machines[machine];
-        let mut work = Operation::new(task, at.life, self.founders.clone(), at.highest, at.known.clone());
+        let mut work =
+            Operation::new(task, at.proposer_id, self.founders.clone(), at.highest, at.known.clone());
         let first = work.begin_round();
         let mut call = ApiCall { order, machine, work, under_way: Vec::new(), rounds: 1 };
         send(&mut call, first);
@@ -158,16 +163,16 @@
     }
 
     /// Alone and without losses.
-    fn calm(&mut self, order: &OperatorCommand, machine: usize) -> Told {
+    fn calm(&mut self, order: &OperatorCommand, machine: usize) -> CommandResult {
         let mut call = self.begin(0, machine, Task::Change(ask(order)));
         let lost = std::mem::take(&mut self.lost);
-        let told = loop {
+        let command_result = loop {
             if let Some(ended) = self.step(&mut call) {
-                break told(ended);
+                break command_result(ended);
             }
         };
         self.lost = lost;
-        told
+        command_result
     }
 
     /// A voter votes with an empty disk from now on, or a new one does.
@@ -178,8 +183,11 @@
         let lost = std::mem::take(&mut self.lost);
         while self.step(&mut call).is_none() {}
         self.lost = lost;
-        let cast = self.machines[0].known.configuration(&self.founders);
-        assert!(cast.voters.contains(&member) && !cast.is_changing(), "{cast:?}");
+        let current_voters = self.machines[0].known.configuration(&self.founders);
+        assert!(
+            current_voters.voters.contains(&member) && !current_voters.is_changing(),
+            "{current_voters:?}"
+        );
     }
 
     fn in_force(&mut self) -> String {
@@ -214,15 +222,17 @@
     Box::new(move |bytes, edition| apply_to_register(&order, bytes, edition))
 }
 
-fn told(ended: Result<Outcome<NoNewEdition>, ()>) -> Told {
+fn command_result(ended: Result<Outcome<NoNewEdition>, ()>) -> CommandResult {
     match ended {
-        Ok(Outcome::Chosen(..) | Outcome::Rejected(NoNewEdition::AlreadyInForce(_))) => Told::AcceptedVersion,
+        Ok(Outcome::Chosen(..) | Outcome::Rejected(NoNewEdition::AlreadyInForce(_))) => {
+            CommandResult::AcceptedVersion
+        }
         Ok(Outcome::Rejected(NoNewEdition::Rejected(refusal)))
             if refusal.kind != ErrorKind::OutcomeUnknown =>
         {
-            Told::ProposalError(refusal.kind)
+            CommandResult::ProposalError(refusal.kind)
         }
-        _ => Told::Unclear,
+        _ => CommandResult::Unclear,
     }
 }
 
@@ -240,7 +250,7 @@
     let number = |n: u64| built_on + if n < 5 { 4 } else { n };
     let operator_command: Vec<OperatorCommand> =
         (0..8).map(|n| put(number(n), built_on, &format!("/{built_on}-{n}/"))).collect();
-    let mut heard: Vec<Option<Told>> = vec![None; operator_command.len()];
+    let mut results: Vec<Option<CommandResult>> = vec![None; operator_command.len()];
     let mut waiting: Vec<usize> = (0..operator_command.len()).collect();
     let mut call_count: Vec<ApiCall> = Vec::new();
     system.lost = 6;
@@ -259,31 +269,32 @@
             None => call_count.push(call),
             Some(ended) => {
                 // Every third answer is lost on its way to the operator.
-                let answer = if system.draw(3) == 0 { Told::Unclear } else { told(ended) };
+                let answer = if system.draw(3) == 0 { CommandResult::Unclear } else { command_result(ended) };
                 match answer {
-                    Told::Unclear => waiting.push(call.order),
-                    clear => heard[call.order] = Some(clear),
+                    CommandResult::Unclear => waiting.push(call.order),
+                    clear => results[call.order] = Some(clear),
                 }
             }
         }
     }
-    let winners: Vec<usize> = (0..8).filter(|n| heard[*n] == Some(Told::AcceptedVersion)).collect();
-    assert_eq!(winners.len(), 1, "{heard:?}");
+    let winners: Vec<usize> =
+        (0..8).filter(|n| results[*n] == Some(CommandResult::AcceptedVersion)).collect();
+    assert_eq!(winners.len(), 1, "{results:?}");
     assert!(
-        heard.iter().all(|told| matches!(
-            told,
-            Some(Told::AcceptedVersion | Told::ProposalError(ErrorKind::StaleVersion))
+        results.iter().all(|command_result| matches!(
+            command_result,
+            Some(CommandResult::AcceptedVersion | CommandResult::ProposalError(ErrorKind::StaleVersion))
         )),
-        "{heard:?}"
+        "{results:?}"
     );
     let path = format!("\"/{built_on}-{}/\"", winners[0]);
     assert!(system.in_force().contains(&path), "{path} in force");
     // Whoever asks again hears the same, at each machine.
     for (n, order) in operator_command.iter().enumerate() {
         let again = if n == winners[0] {
-            Told::AcceptedVersion
+            CommandResult::AcceptedVersion
         } else {
-            Told::ProposalError(ErrorKind::StaleVersion)
+            CommandResult::ProposalError(ErrorKind::StaleVersion)
         };
         for machine in 0..3 {
             assert_eq!(system.calm(order, machine), again, "order {n} at machine {machine}");
@@ -297,17 +308,17 @@
     for seed in 0..150 {
         let mut system = System::new(seed);
         let first = put(3, 0, "/first/");
-        assert_eq!(system.calm(&first, 0), Told::AcceptedVersion);
+        assert_eq!(system.calm(&first, 0), CommandResult::AcceptedVersion);
         let mut built_on = race(&mut system, 3);
         system.begin_again();
-        assert_eq!(system.calm(&first, 1), Told::AcceptedVersion, "after the end of all processes");
+        assert_eq!(system.calm(&first, 1), CommandResult::AcceptedVersion, "after the end of all processes");
         built_on = race(&mut system, built_on);
         system.take_in("v1", 77);
-        assert_eq!(system.calm(&first, 2), Told::AcceptedVersion, "after the wipe of a minority");
+        assert_eq!(system.calm(&first, 2), CommandResult::AcceptedVersion, "after the wipe of a minority");
         built_on = race(&mut system, built_on);
         system.take_in("v3", 78);
         system.take_in("v4", 79);
-        assert_eq!(system.calm(&first, 1), Told::AcceptedVersion, "among other voters");
+        assert_eq!(system.calm(&first, 1), CommandResult::AcceptedVersion, "among other voters");
         built_on = race(&mut system, built_on);
         assert_eq!(Configuration::read(&system.in_force()).expect("readable").version, built_on);
     }
@@ -317,7 +328,7 @@
 fn an_order_that_is_under_way_when_all_ends_is_taken_once_by_its_repeat() {
     for seed in 0..150 {
         let mut system = System::new(seed);
-        assert_eq!(system.calm(&put(3, 0, "/first/"), 0), Told::AcceptedVersion);
+        assert_eq!(system.calm(&put(3, 0, "/first/"), 0), CommandResult::AcceptedVersion);
         let (order, rival) = (put(7, 3, "/order/"), put(7, 3, "/rival/"));
         // It gets so far, and then all processes end, a disk with them or not.
         let mut call = system.begin(0, 0, Task::Change(ask(&order)));
@@ -332,12 +343,15 @@
         }
         let first = system.calm(&rival, 1);
         let second = system.calm(&order, 2);
-        let one = [first, second].iter().filter(|told| **told == Told::AcceptedVersion).count();
+        let one = [first, second]
+            .iter()
+            .filter(|command_result| **command_result == CommandResult::AcceptedVersion)
+            .count();
         assert_eq!(one, 1, "seed {seed}: {first:?} {second:?}");
         for machine in 0..3 {
             assert_eq!((system.calm(&rival, machine), system.calm(&order, machine)), (first, second));
         }
-        let path = if first == Told::AcceptedVersion { "\"/rival/\"" } else { "\"/order/\"" };
+        let path = if first == CommandResult::AcceptedVersion { "\"/rival/\"" } else { "\"/order/\"" };
         assert!(system.in_force().contains(path), "seed {seed}");
     }
 }
@@ -346,14 +360,14 @@
 fn a_repeat_makes_no_edition() {
     let mut system = System::new(1);
     let order = put(3, 0, "/first/");
-    assert_eq!(system.calm(&order, 0), Told::AcceptedVersion);
+    assert_eq!(system.calm(&order, 0), CommandResult::AcceptedVersion);
     let edition = |system: &System| {
         let held = system.voters.values().filter_map(Acceptor::record).map(|record| record.edition);
         held.max()
     };
     let before = edition(&system);
     for machine in 0..3 {
-        assert_eq!(system.calm(&order, machine), Told::AcceptedVersion);
+        assert_eq!(system.calm(&order, machine), CommandResult::AcceptedVersion);
     }
     assert_eq!((before, edition(&system)), (Some(1), Some(1)));
 }
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -97,7 +97,7 @@
     read: Floor,
     processes: BTreeMap<(usize, u64), u64>,
     /// By follower: whether it acts, as it was seen last.
-    acting: BTreeMap<usize, bool>,
+    active: BTreeMap<usize, bool>,
     servers: BTreeMap<String, Server>,
     troubles: usize,
     troubled: f64,
@@ -220,11 +220,11 @@
         }
     }
 
-    fn acts(&mut self, who: usize, process: u64, acting: &AppliedState) {
-        let number = acting.content.number;
-        self.acting.insert(who, acting.acts);
-        if acting.acts {
-            self.sees(&acting.content);
+    fn acts(&mut self, who: usize, process: u64, active: &AppliedState) {
+        let number = active.content.number;
+        self.active.insert(who, active.acts);
+        if active.acts {
+            self.sees(&active.content);
             let last = self.processes.entry((who, process)).or_default();
             let before = std::mem::replace(last, number.max(*last));
             if number < before {
@@ -242,24 +242,24 @@
             return;
         }
         let floor = self.acked.at(self.now - APPLY);
-        if floor > 0 && !acting.acts {
+        if floor > 0 && !active.acts {
             self.breaks("ready", format!("follower {who} does not act in calm times"));
         }
-        if acting.acts && number < floor {
+        if active.acts && number < floor {
             self.breaks("applies", format!("follower {who} acts by r{number}; r{floor} is acknowledged"));
         }
         let mut wrong = Vec::new();
         for (name, zone) in &self.zones {
             let due = zone.is_clear() && self.now - zone.since > EMPTY;
-            if due && acting.acts && acting.empty.contains(name) != zone.empty {
+            if due && active.acts && active.empty.contains(name) != zone.empty {
                 wrong.push(format!("follower {who}: zone {name} should be empty: {}", zone.empty));
             }
         }
-        if !acting.servers.windows(2).all(|pair| pair[0] < pair[1]) {
-            wrong.push(format!("follower {who} has a server twice: {:?}", acting.servers));
+        if !active.servers.windows(2).all(|pair| pair[0] < pair[1]) {
+            wrong.push(format!("follower {who} has a server twice: {:?}", active.servers));
         }
         for (id, server) in &self.servers {
-            let there = acting.servers.binary_search(id).is_ok();
+            let there = active.servers.binary_search(id).is_ok();
             let old = |since: Option<f64>, bound| since.is_some_and(|since| self.now - since > bound);
             if there && old(server.drains, DRAIN) {
                 wrong.push(format!("follower {who} still sends to {id}, which leaves"));
@@ -280,10 +280,10 @@
         if !matches!(status, 200 | 500..) {
             self.breaks("answers", format!("a client got {status} of {machine}"));
         }
-        if !self.is_calm() || self.acting.values().all(|acts| !acts) {
+        if !self.is_calm() || self.active.values().all(|acts| !acts) {
             return;
         }
-        let all = self.acting.iter().filter(|(_, acts)| **acts);
+        let all = self.active.iter().filter(|(_, acts)| **acts);
         let all: BTreeSet<String> = all.map(|(who, _)| front(*who)).collect();
         let settings: BTreeSet<String> = fronts.iter().cloned().collect();
         if status != 200 || settings != all || fronts.len() != settings.len() {
@@ -325,7 +325,7 @@
                 }
             }
             Event::Sent(machine, status, fronts) => self.sent(*machine, *status, fronts),
-            Event::Acts(who, process, acting) => self.acts(*who, *process, acting),
+            Event::Acts(who, process, active) => self.acts(*who, *process, active),
             Event::Begins(id) => _ = self.servers.insert(id.clone(), Server::default()),
             Event::Leaves(id) => {
                 if let Some(server) = self.servers.get_mut(id) {
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -82,12 +82,12 @@
     call_count: &Calls,
     order: &OperatorCommand,
     at: usize,
-    tries: usize,
+    attempts: usize,
 ) -> Option<u16> {
     let (head, body) = text(order);
     let plain = order.number == 0;
     let mut pause = 60.0;
-    for _ in 0..tries {
+    for _ in 0..attempts {
         let to = *world.random.borrow_mut().of(&world.controls());
         world.history.record(Event::Asked(at, to));
         let answer = call_count.call(to, plain, &head, &body, ORDER_WITHIN).await.map(|(status, _)| status);
@@ -120,9 +120,9 @@
         call_count: &Calls,
         at: usize,
         made: &OperatorCommand,
-        tries: usize,
+        attempts: usize,
     ) -> Option<u16> {
-        let status = order(world, call_count, made, at, tries).await;
+        let status = order(world, call_count, made, at, attempts).await;
         if status == Some(200) && made.number > 0 {
             self.newest.set(self.newest.get().max(made.number));
             self.acked.borrow_mut().push((at, made.clone()));
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -67,12 +67,12 @@
     }
 
     /// A write; `Err` where it is refused, and then it may be there or not.
-    fn put(&self, kept: &PersistentState, record: Option<&Record>) -> Result<(), DiskError> {
+    fn put(&self, state: &PersistentState, record: Option<&Record>) -> Result<(), DiskError> {
         let full = self.full.get();
         let goes = self.dooms.replace(false);
         let stays = if goes { 0.5 } else { 0.2 };
         if !(full || goes) || self.random.borrow_mut().chance(stays) {
-            *self.file.borrow_mut() = File::Whole(Box::new((kept.clone(), record.cloned())));
+            *self.file.borrow_mut() = File::Whole(Box::new((state.clone(), record.cloned())));
         }
         let process = self.process.borrow().upgrade();
         if goes {
@@ -111,19 +111,19 @@
             File::None => Ok(None),
             File::Damaged => Err(DiskError::Damaged("it was torn".into())),
             File::Whole(held) => {
-                let (kept, record) = &**held;
+                let (state, record) = &**held;
                 let open = Open { disk: self.0.clone(), record: record.clone(), anew: false };
-                Ok(Some(OpenedState { writer: Box::new(open), state: kept.clone(), record: record.clone() }))
+                Ok(Some(OpenedState { writer: Box::new(open), state: state.clone(), record: record.clone() }))
             }
         }
     }
 
     fn create(
         &self,
-        kept: &PersistentState,
+        state: &PersistentState,
         record: Option<&Record>,
     ) -> Result<Box<dyn StateWriter>, DiskError> {
-        self.0.put(kept, record)?;
+        self.0.put(state, record)?;
         Ok(Box::new(Open { disk: self.0.clone(), record: record.cloned(), anew: false }))
     }
 
@@ -149,12 +149,12 @@
 impl StateWriter for Open {
     fn write(
         &mut self,
-        kept: &PersistentState,
+        state: &PersistentState,
         record: Option<&Record>,
         fresh: bool,
     ) -> Result<(), DiskError> {
         let record = if fresh || self.anew { record.cloned() } else { self.record.clone() };
-        let done = self.disk.put(kept, record.as_ref());
+        let done = self.disk.put(state, record.as_ref());
         self.anew = done.is_err();
         if done.is_ok() {
             self.record = record;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,6 +1,6 @@
 //! Plays schedules by command, and says what broke.
 
-use oatbank_simulation::mutants::{copy, try_out, Fate, MUTANTS};
+use oatbank_simulation::mutants::{copy, try_out, TrialResult, MUTANTS};
 use oatbank_simulation::schedule::{play, Played, Point, POINTS};
 use std::path::Path;
 use std::process::ExitCode;
@@ -99,10 +99,12 @@
     let chosen = MUTANTS.iter().filter(|mutant| mutant.name.contains(&asked.only));
     for mutant in chosen {
         match try_out(tree, mutant, asked.schedules, asked.jobs) {
-            Ok(Fate::Caught(how)) => println!("caught: {}: {how}", mutant.name),
-            Ok(Fate::CaughtElsewhere(how)) => println!("caught by another family: {}: {how}", mutant.name),
-            Ok(Fate::CaughtByTest(how)) => println!("caught by a test: {}: {how}", mutant.name),
-            Ok(Fate::Missed) => {
+            Ok(TrialResult::Caught(how)) => println!("caught: {}: {how}", mutant.name),
+            Ok(TrialResult::CaughtElsewhere(how)) => {
+                println!("caught by another family: {}: {how}", mutant.name)
+            }
+            Ok(TrialResult::CaughtByTest(how)) => println!("caught by a test: {}: {how}", mutant.name),
+            Ok(TrialResult::Missed) => {
                 println!("MISSED: {}", mutant.name);
                 missed.push(mutant.name);
             }
--- a/crates/simulation/src/mutants.rs
+++ b/crates/simulation/src/mutants.rs
@@ -264,7 +264,7 @@
 
 /// What came of a mutant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum TrialResult {
     /// Its family broke a rule: the first line on it.
     Caught(String),
     /// Only another family did.
@@ -279,7 +279,7 @@
 ///
 /// # Errors
 /// Where the sources do not hold what is to be replaced exactly once, or the copy does not build.
-pub fn try_out(tree: &Path, mutant: &Mutant, schedules: u64, jobs: u64) -> Result<Fate, String> {
+pub fn try_out(tree: &Path, mutant: &Mutant, schedules: u64, jobs: u64) -> Result<TrialResult, String> {
     let path = tree.join(mutant.file);
     let text = fs::read_to_string(&path).map_err(|e| format!("{}: {e}", mutant.file))?;
     let found = text.matches(mutant.from).count();
@@ -287,12 +287,12 @@
         return Err(format!("{}: {:?} is there {found} times, not once", mutant.file, mutant.from));
     }
     fs::write(&path, text.replace(mutant.from, mutant.to)).map_err(|e| format!("{}: {e}", mutant.file))?;
-    let fate = play_it(tree, mutant, schedules, jobs);
+    let result = play_it(tree, mutant, schedules, jobs);
     fs::write(&path, text).map_err(|e| format!("{}: {e}", mutant.file))?;
-    fate
+    result
 }
 
-fn play_it(tree: &Path, mutant: &Mutant, schedules: u64, jobs: u64) -> Result<Fate, String> {
+fn play_it(tree: &Path, mutant: &Mutant, schedules: u64, jobs: u64) -> Result<TrialResult, String> {
     build(tree)?;
     let own = POINTS.iter().filter(|(point, _)| *point == mutant.point);
     let others = POINTS.iter().filter(|(point, _)| *point != mutant.point);
@@ -306,10 +306,14 @@
             let settings = String::from_utf8_lossy(&played.stdout).into_owned();
             let first: Vec<&str> = settings.lines().take(2).map(str::trim).collect();
             let first = if first.is_empty() { "it panics".to_owned() } else { first.join("; ") };
-            return Ok(if nth == 0 { Fate::Caught(first) } else { Fate::CaughtElsewhere(first) });
+            return Ok(if nth == 0 {
+                TrialResult::Caught(first)
+            } else {
+                TrialResult::CaughtElsewhere(first)
+            });
         }
     }
-    Ok(failing_test(tree, mutant)?.map_or(Fate::Missed, Fate::CaughtByTest))
+    Ok(failing_test(tree, mutant)?.map_or(TrialResult::Missed, TrialResult::CaughtByTest))
 }
 
 /// A test of the changed package, or of the registry above it, that fails in the copy.
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -416,7 +416,7 @@
 impl AsyncWrite for Says {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        if this.process.is_silent() {
+        if this.process.is_unreachable() {
             return Poll::Ready(Ok(bytes.len()));
         }
         if this.conn.borrow().gone[this.side].is_some_and(|gone| gone <= Instant::now()) {
@@ -450,14 +450,15 @@
             (conn.ips[self.side], conn.ips[1 - self.side])
         };
         let now = Instant::now();
-        let silent = self.process.is_silent() || self.network.state.borrow().cuts.contains(&(here, there));
-        let at = if silent {
+        let unreachable =
+            self.process.is_unreachable() || self.network.state.borrow().cuts.contains(&(here, there));
+        let at = if unreachable {
             now + ms(self.network.state.borrow_mut().random.within(GIVEN_UP))
         } else {
             now + self.network.way(here, there)
         };
         let mut conn = self.conn.borrow_mut();
-        if silent {
+        if unreachable {
             conn.end(1 - self.side, at);
             return;
         }
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -18,7 +18,7 @@
     frozen: Cell<Option<Instant>>,
     ended: Cell<bool>,
     /// Nothing of it gets out any more, not even that it has ended.
-    silent: Cell<bool>,
+    unreachable: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
@@ -33,7 +33,7 @@
             ip,
             frozen: Cell::new(None),
             ended: Cell::new(false),
-            silent: Cell::new(false),
+            unreachable: Cell::new(false),
             waker: RefCell::default(),
         });
         let seat = Rc::new(Seat::new(network.clone(), process.clone()));
@@ -68,7 +68,7 @@
 
     /// Ends at once with its machine: nobody hears of it.
     pub fn lose_power(&self) {
-        self.silent.set(true);
+        self.unreachable.set(true);
         self.kill();
     }
 
@@ -78,8 +78,8 @@
     }
 
     /// Whether nothing of it gets out any more.
-    pub fn is_silent(&self) -> bool {
-        self.silent.get()
+    pub fn is_unreachable(&self) -> bool {
+        self.unreachable.get()
     }
 
     /// When what it says now gets out: after the work that holds it.
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -371,25 +371,25 @@
         if known.edition() != read.0 {
             read = (known.edition(), Rc::new(Content::read(&agreed_state.config)));
         }
-        let knows = || known.with(|book, now| book.servers(now).next().is_some());
+        let knows = || known.with(|table, now| table.servers(now).next().is_some());
         let has = !agreed_state.config.is_empty();
-        let acting = has && acts.is_active(known.now(), known.confirmed_ago(), knows);
-        session.set_state(if acting { member_state::READY } else { member_state::STARTING });
-        let servers = known.with(|book, now| -> Vec<String> {
+        let active = has && acts.is_active(known.now(), known.confirmed_ago(), knows);
+        session.set_state(if active { member_state::READY } else { member_state::STARTING });
+        let servers = known.with(|table, now| -> Vec<String> {
             let ready =
-                book.servers(now).filter(|(row, _)| row.state == server_state::READY && !row.timed_out);
+                table.servers(now).filter(|(row, _)| row.state == server_state::READY && !row.timed_out);
             ready.map(|(row, _)| row.id.clone()).collect()
         });
-        let acting = AppliedState {
-            acts: acting,
+        let active = AppliedState {
+            acts: active,
             content: read.1.clone(),
             empty: agreed_state.empty.clone(),
             servers: Rc::new(servers),
         };
         let now = world.history.now();
-        if last.as_ref().is_none_or(|(at, before)| now - at >= RECORD_INTERVAL || *before != acting) {
-            world.history.record(Event::Acts(which, process, acting.clone()));
-            last = Some((now, acting));
+        if last.as_ref().is_none_or(|(at, before)| now - at >= RECORD_INTERVAL || *before != active) {
+            world.history.record(Event::Acts(which, process, active.clone()));
+            last = Some((now, active));
         }
         sleep(CHECK_INTERVAL).await;
     }
