--- a/benches/src/scale/decisions.rs
+++ b/benches/src/scale/decisions.rs
@@ -7,7 +7,7 @@
 use oatbank_config_model::{Configuration, Proposal, RouteTable};
 use oatbank_config_store::acceptor::Acceptor;
 use oatbank_config_store::messages::{Accept, PersistentState, Record, VoterConfiguration};
-use oatbank_config_store::proposer::{Action as Step, KnownRecord, Operation, Outcome as Ballots, Task};
+use oatbank_config_store::proposer::{Action as Step, KnownRecord, Operation, Outcome as PaxosOutcome, Task};
 use oatbank_config_store::storage::{StateFile, StateWriter};
 use oatbank_limiter_core::interface::*;
 use oatbank_limiter_core::logic::{Gateway, Quotas};
@@ -41,7 +41,7 @@
     ("table-tenants", "the same, by tenants", TENANTS, |n| laid_out(tenants(n))),
     ("route", "a route's look-up, by routes", ROUTES, look_up_route),
     ("tenant", "a tenant's look-up, by tenants", TENANTS, look_up_tenant),
-    ("ballots", "a round of ballots among three in memory, by bytes", BYTES, ballots),
+    ("ballots", "a round of ballots among three in memory, by bytes", BYTES, paxos_change),
     ("disk", "one voter's disk in such a round by the clock, by bytes", BYTES, disk),
     ("merge", "merging one word of each server, by servers", SERVERS, merge),
     ("digest", "one server's change with its digest, by servers", SERVERS, digest),
@@ -126,12 +126,12 @@
 
 fn look_up_route(many: usize) -> f64 {
     let table = route_table(routes(many));
-    let command_line: Vec<(String, String)> = (0..4096)
+    let requests: Vec<(String, String)> = (0..4096)
         .map(|n: usize| n * 7919 % many)
         .map(|nth| (format!("host-{:04}.example", nth / 33), format!("/p-{nth}/some/page?x=1")))
         .collect();
     took(|n| {
-        let (host, path) = &command_line[n % command_line.len()];
+        let (host, path) = &requests[n % requests.len()];
         assert!(table.route(host, path).is_some());
     })
 }
@@ -143,7 +143,7 @@
 }
 
 /// One change through three voters, each message written and read as it travels.
-fn ballots(bytes: usize) -> f64 {
+fn paxos_change(bytes: usize) -> f64 {
     let names: Vec<String> = (1..=3).map(|n| format!("10.0.0.{n}:1")).collect();
     let mut voters: Vec<Acceptor> = names.iter().map(|_| Acceptor::founded(names.clone())).collect();
     let (mut view, mut highest) = (KnownRecord::default(), 0);
@@ -161,16 +161,16 @@
             let phase_id = operation.phase_id();
             let mut answers = Vec::new();
             match &step {
-                Step::Prepare(command_line) => {
-                    answers.extend(voters.iter_mut().map(|voter| voter.prepare(command_line).0));
+                Step::Prepare(request) => {
+                    answers.extend(voters.iter_mut().map(|voter| voter.prepare(request).0));
                 }
-                Step::Accept(command_line) => {
+                Step::Accept(request) => {
                     for voter in &mut voters {
-                        let travels = Accept::decode(&command_line.encode_to_vec()[..]).expect("readable");
+                        let travels = Accept::decode(&request.encode_to_vec()[..]).expect("readable");
                         answers.push(voter.accept(&travels).0);
                     }
                 }
-                Step::Done(Ballots::Chosen(..)) => break,
+                Step::Done(PaxosOutcome::Chosen(..)) => break,
                 other => panic!("{other:?}"),
             }
             for (name, answer) in names.iter().zip(answers) {
--- a/crates/local-cluster/src/changes.rs
+++ b/crates/local-cluster/src/changes.rs
@@ -62,7 +62,7 @@
         operator.must_put(&configuration)?;
         let took = sent.elapsed();
         let ask = Ask::get(HOST, &format!("{path}1"));
-        let command_line: Vec<_> = cluster
+        let asked: Vec<_> = cluster
             .fronts()
             .into_iter()
             .map(|front| {
@@ -70,7 +70,7 @@
                 std::thread::spawn(move || try_at(front, &ask).status() == 404)
             })
             .collect();
-        let behind = command_line.into_iter().filter_map(|a| a.join().ok()).filter(|behind| *behind).count();
+        let behind = asked.into_iter().filter_map(|a| a.join().ok()).filter(|behind| *behind).count();
         let change = Change { took, behind };
         hears(nth, change);
         changes.push(change);
--- a/crates/local-cluster/src/chart.rs
+++ b/crates/local-cluster/src/chart.rs
@@ -10,7 +10,7 @@
 const COLOURS: [&str; 6] = ["#c0392b", "#2471a3", "#1e8449", "#b9770e", "#7d3c98", "#566573"];
 type Series = (&'static str, &'static str, fn(&Moment) -> u64);
 const SERIES: [Series; 5] = [
-    ("asked", "#566573", |m| m.command_line),
+    ("asked", "#566573", |m| m.asked),
     ("run", "#2471a3", |m| m.run),
     ("answered", "#1e8449", |m| m.answered),
     ("refused", "#b9770e", |m| m.refused),
@@ -60,7 +60,7 @@
         path(&mut svg, colour, shares);
         text(&mut svg, LEFT + 120.0 * nth as f64, SHARES.1 + 20.0, colour, server);
     }
-    let most = played.moments.iter().map(|m| m.command_line.max(m.run)).max().unwrap_or(1).max(1) as f64;
+    let most = played.moments.iter().map(|m| m.asked.max(m.run)).max().unwrap_or(1).max(1) as f64;
     text(&mut svg, 4.0, ENDS.0 - 20.0, "black", &format!("bookings a row of the table (up to {most:.0})"));
     for (nth, (name, colour, of)) in SERIES.iter().enumerate() {
         path(&mut svg, colour, played.moments.iter().map(|m| (x(m.at), y(ENDS, of(m) as f64 / most))));
--- a/crates/local-cluster/src/checker.rs
+++ b/crates/local-cluster/src/checker.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Found {
     /// Requests.
-    pub command_line: usize,
+    pub asked: usize,
     /// Requests that a server ran.
     pub run: usize,
     /// Requests whose client was told what a server said.
@@ -74,15 +74,15 @@
 
 /// Holds one against the other.
 pub fn check(seen: &ReceivedRequest) -> Found {
-    let mut found = Found { command_line: seen.requests.len(), ..Found::default() };
+    let mut found = Found { asked: seen.requests.len(), ..Found::default() };
     let mut runs: HashMap<&str, Vec<&str>> = HashMap::new();
     for run in &seen.runs {
         runs.entry(run.id.as_str()).or_default().push(&run.server);
     }
     let mut sent: HashSet<&str> = HashSet::new();
-    for max_attempts in &seen.requests {
+    for attempts in &seen.requests {
         let mut all = 0;
-        for acknowledged in max_attempts {
+        for acknowledged in attempts {
             sent.insert(&acknowledged.id);
             let ran = runs.get(acknowledged.id.as_str()).map_or(&[][..], Vec::as_slice);
             all += ran.len();
@@ -112,12 +112,12 @@
             }
             found.settled += usize::from(said.is_some());
         }
-        if all > 1 && max_attempts.len() > 1 {
-            let ids: Vec<&str> = max_attempts.iter().map(|t| t.id.as_str()).collect();
+        if all > 1 && attempts.len() > 1 {
+            let ids: Vec<&str> = attempts.iter().map(|t| t.id.as_str()).collect();
             found.wrongs.push(format!("{ids:?}: one request ran {all} times"));
         }
         found.run += usize::from(all > 0);
-        match max_attempts.last() {
+        match attempts.last() {
             Some(last) if is_answer(last) => found.answered += 1,
             Some(last) if is_promise(last.status) => found.refused += 1,
             _ => found.unknown += 1,
--- a/crates/local-cluster/src/checker/tests.rs
+++ b/crates/local-cluster/src/checker/tests.rs
@@ -28,7 +28,7 @@
     };
     let found = check(&sound);
     assert!(found.wrongs.is_empty(), "{:?}", found.wrongs);
-    let counts = (found.command_line, found.run, found.answered, found.refused, found.unknown, found.settled);
+    let counts = (found.asked, found.run, found.answered, found.refused, found.unknown, found.settled);
     assert_eq!(counts, (4, 3, 2, 1, 1, 1));
 
     let two =
--- a/crates/local-cluster/src/client.rs
+++ b/crates/local-cluster/src/client.rs
@@ -207,8 +207,8 @@
     /// Sends a request, again where that is allowed and helps; all tries, the last one last.
     pub fn ask(&mut self, ask: &Ask) -> (End, Vec<Try>) {
         let until = Instant::now() + ask.within;
-        let mut max_attempts: Vec<Try> = Vec::new();
-        while max_attempts.len() < TRIES && Instant::now() < until {
+        let mut attempts: Vec<Try> = Vec::new();
+        while attempts.len() < TRIES && Instant::now() < until {
             self.look_up(&ask.host);
             let able: Vec<SocketAddr> = {
                 let failed = |a: &&SocketAddr| self.failed.get(*a).is_none_or(|at| at.elapsed() > SECOND);
@@ -220,8 +220,7 @@
                 continue;
             };
             // After a failure connections are new ones.
-            let kept =
-                if max_attempts.is_empty() { self.kept.entry(to).or_default() } else { &mut Vec::new() };
+            let kept = if attempts.is_empty() { self.kept.entry(to).or_default() } else { &mut Vec::new() };
             let quiet = std::iter::from_fn(|| kept.pop()).find(HttpConnection::is_quiet);
             let (id, sent) = (try_id(), Instant::now());
             let connection = quiet.or_else(|| HttpConnection::connect(to, SECOND).ok());
@@ -236,10 +235,10 @@
                 None => Err(HttpError::Unreachable),
             };
             let wait = got.as_ref().ok().and_then(|a| a.field("retry-after")?.parse::<f64>().ok());
-            max_attempts.push(Try { id, to, sent, ended: Instant::now(), got });
-            let Some(last) = max_attempts.last() else { break };
+            attempts.push(Try { id, to, sent, ended: Instant::now(), got });
+            let Some(last) = attempts.last() else { break };
             match last.status() {
-                200..=299 => return (End::Served, max_attempts),
+                200..=299 => return (End::Served, attempts),
                 400 | 401 | 404 | 413 | 431 => break,
                 0 => _ = self.failed.insert(to, Instant::now()),
                 _ => {}
@@ -253,7 +252,7 @@
             let wait = Duration::from_secs_f64(wait.unwrap_or(0.02).clamp(0.0, 10.0));
             std::thread::sleep(wait.min(left / 3));
         }
-        let refused = max_attempts.last().is_some_and(Try::is_promise);
-        (if refused { End::Refused } else { End::Failed }, max_attempts)
+        let refused = attempts.last().is_some_and(Try::is_promise);
+        (if refused { End::Refused } else { End::Failed }, attempts)
     }
 }
--- a/crates/local-cluster/src/failing.rs
+++ b/crates/local-cluster/src/failing.rs
@@ -63,7 +63,7 @@
     pub shares: Vec<f64>,
     /// Bookings that ended in this time, those told what a server said, those promised that nothing ran, and
     /// the others.
-    pub command_line: u64,
+    pub asked: u64,
     /// Bookings that servers began.
     pub run: u64,
     /// Told what a server said.
@@ -126,7 +126,7 @@
         m.at,
         m.phase,
         shares.join(" "),
-        m.command_line,
+        m.asked,
         m.run,
         m.answered,
         m.refused,
@@ -178,11 +178,8 @@
         let run: Vec<u64> = now.iter().zip(&counted).map(|(now, before)| (now - before) as u64).collect();
         counted = now;
         let all: u64 = run.iter().sum();
-        let requests: Vec<Vec<AcknowledgedCall>> = count
-            .max_attempts
-            .iter()
-            .map(|(_, max_attempts)| max_attempts.iter().map(acknowledged).collect())
-            .collect();
+        let requests: Vec<Vec<AcknowledgedCall>> =
+            count.attempts.iter().map(|(_, attempts)| attempts.iter().map(acknowledged).collect()).collect();
         let part =
             checker::check(&checker::ReceivedRequest { requests: requests.clone(), ..Default::default() });
         let mut verdicts = Vec::new();
@@ -194,7 +191,7 @@
             at: begun.elapsed().as_secs_f64(),
             phase: name.to_owned(),
             shares: run.iter().map(|n| *n as f64 / all.max(1) as f64).collect(),
-            command_line: part.command_line as u64,
+            asked: part.asked as u64,
             run: all,
             answered: part.answered as u64,
             refused: part.refused as u64,
@@ -213,9 +210,8 @@
         }
     }
     let more = bookings.stop();
-    seen.requests.extend(
-        more.max_attempts.iter().map(|(_, max_attempts)| max_attempts.iter().map(acknowledged).collect()),
-    );
+    seen.requests
+        .extend(more.attempts.iter().map(|(_, attempts)| attempts.iter().map(acknowledged).collect()));
     let reads = reads.stop();
     std::thread::sleep(CALM);
 
@@ -245,7 +241,7 @@
     }
     tell(&closing(&found));
     cluster.end();
-    let totals = [found.command_line, found.run, found.answered, found.refused, found.unknown, found.settled];
+    let totals = [found.asked, found.run, found.answered, found.refused, found.unknown, found.settled];
     Ok(Played {
         servers: names,
         moments,
@@ -268,7 +264,7 @@
 fn closing(found: &Found) -> String {
     let mut text = format!(
         "{} bookings: {} run, {} answered, {} refused, {} unknown to clients, {} settled afterwards",
-        found.command_line, found.run, found.answered, found.refused, found.unknown, found.settled
+        found.asked, found.run, found.answered, found.refused, found.unknown, found.settled
     );
     for wrong in &found.wrongs {
         text += &format!("\nWRONG {wrong}");
--- a/crates/local-cluster/src/server.rs
+++ b/crates/local-cluster/src/server.rs
@@ -360,10 +360,7 @@
 ) -> bool {
     let at = Instant::now();
     if request.method == "GET" && request.path == "/health" {
-        let status =
-            if shared.draining.load(Ordering::SeqCst) { "503 Service Unavailable" } else { "200 OK" };
-        let text = format!("HTTP/1.1 {status}\r\nServer-Id: {}\r\nContent-Length: 0\r\n\r\n", shared.id);
-        return connection.send(text.as_bytes()).is_ok();
+        return send_health(shared, connection);
     }
     let try_id = request.field("try-id").unwrap_or_default().to_owned();
     let behaviour = *lock(&shared.behaviour);
@@ -393,13 +390,33 @@
     }
     std::thread::sleep(if behaviour == Behaviour::Slow { shared.work * SLOWER } else { shared.work });
     drop(held);
+    send_success(shared, connection, &request, &try_id, before, behaviour)
+}
+
+/// Answers a health check.
+fn send_health(shared: &Shared, connection: &mut HttpConnection) -> bool {
+    let status = if shared.draining.load(Ordering::SeqCst) { "503 Service Unavailable" } else { "200 OK" };
+    let text = format!("HTTP/1.1 {status}\r\nServer-Id: {}\r\nContent-Length: 0\r\n\r\n", shared.id);
+    connection.send(text.as_bytes()).is_ok()
+}
+
+/// Answers a request that has run, in the way that the server's behaviour asks for. `before` is the last answer that
+/// was sent whole on this connection.
+fn send_success(
+    shared: &Shared,
+    connection: &mut HttpConnection,
+    request: &Message,
+    try_id: &str,
+    before: &mut Option<Vec<u8>>,
+    behaviour: Behaviour,
+) -> bool {
     let body = if request.path.ends_with("/large") {
         try_id.bytes().cycle().take(LARGE).collect()
     } else {
         format!("{} {} {try_id} by {}", request.method, request.path, shared.id).into_bytes()
     };
-    let stamp = format!("Server-Seal: {}\r\n", seal(&shared.id, &try_id, &body));
-    let whole = text("200 OK", &try_id, &stamp, &body);
+    let stamp = format!("Server-Seal: {}\r\n", seal(&shared.id, try_id, &body));
+    let whole = text("200 OK", try_id, &stamp, &body);
     let sent = match behaviour {
         Behaviour::RunThenReset => {
             connection.linger_none();
@@ -410,16 +427,16 @@
             connection.linger_none();
             return false;
         }
-        Behaviour::Fails => text("500 Internal Server Error", &try_id, "", b"failed"),
+        Behaviour::Fails => text("500 Internal Server Error", try_id, "", b"failed"),
         Behaviour::Cut => {
             let _ = connection.send(&whole[..whole.len() - body.len() / 2]);
             return false;
         }
-        Behaviour::Unsealed => text("200 OK", &try_id, "", &body),
+        Behaviour::Unsealed => text("200 OK", try_id, "", &body),
         Behaviour::WrongTry => text("200 OK", &format!("{try_id}x"), &stamp, &body),
         Behaviour::Surplus => [whole.clone(), whole.clone()].concat(),
         Behaviour::Late => [before.take().unwrap_or_default(), whole.clone()].concat(),
-        Behaviour::Coded => text("200 OK", &try_id, &format!("{stamp}Content-Encoding: gzip\r\n"), &body),
+        Behaviour::Coded => text("200 OK", try_id, &format!("{stamp}Content-Encoding: gzip\r\n"), &body),
         Behaviour::Garbled => {
             let _ = connection.send(b"\x00\x01what is this\r\n\r\n");
             return false;
--- a/crates/local-cluster/src/traffic.rs
+++ b/crates/local-cluster/src/traffic.rs
@@ -21,7 +21,7 @@
     /// Time of those served, ms.
     pub took: Vec<f64>,
     /// The tries, where they are kept.
-    pub max_attempts: Vec<(End, Vec<Try>)>,
+    pub attempts: Vec<(End, Vec<Try>)>,
 }
 
 impl Count {
@@ -35,7 +35,7 @@
         self.ends.iter_mut().zip(other.ends).for_each(|(own, more)| *own += more);
         self.mixed += other.mixed;
         self.took.extend(other.took);
-        self.max_attempts.extend(other.max_attempts);
+        self.attempts.extend(other.attempts);
     }
 
     /// One line.
@@ -77,24 +77,22 @@
             std::thread::spawn(move || {
                 let mut client = Client::new(directories, ZONES[nth % ZONES.len()]);
                 let mut next = Instant::now() + every.mul_f64(crate::random_u64() as f64 / u64::MAX as f64);
-                let mut set_behaviour = nth;
+                let mut turn = nth;
                 while !stop.load(Ordering::SeqCst) {
                     crate::wait::moment(next);
                     next = (next + every).max(Instant::now() - every);
-                    set_behaviour += 1;
-                    let (end, max_attempts) = client.ask(&asks[set_behaviour % asks.len()]);
+                    turn += 1;
+                    let (end, attempts) = client.ask(&asks[turn % asks.len()]);
                     let mut one = Count {
-                        mixed: max_attempts.iter().filter(|t| t.is_mixed()).count() as u64,
+                        mixed: attempts.iter().filter(|t| t.is_mixed()).count() as u64,
                         ..Count::default()
                     };
                     one.ends[end as usize] = 1;
-                    if let (End::Served, Some(first), Some(last)) =
-                        (end, max_attempts.first(), max_attempts.last())
-                    {
+                    if let (End::Served, Some(first), Some(last)) = (end, attempts.first(), attempts.last()) {
                         one.took.push((last.ended - first.sent).as_secs_f64() * 1000.0);
                     }
                     if keep {
-                        one.max_attempts.push((end, max_attempts));
+                        one.attempts.push((end, attempts));
                     }
                     count.lock().unwrap_or_else(PoisonError::into_inner).add(one);
                 }
--- a/crates/local-cluster/tests/answers.rs
+++ b/crates/local-cluster/tests/answers.rs
@@ -40,15 +40,15 @@
 
     // Each has another server near.
     let fronts = system.cluster.fronts();
-    let max_attempts = |service: &str| -> Vec<Try> {
+    let attempts = |service: &str| -> Vec<Try> {
         let ask = Ask::post(HOST, &format!("/{service}/1"), "words");
         (0..24).map(|nth| try_at(fronts[nth % fronts.len()], &ask)).collect()
     };
     for service in ["reset", "close", "cut", "garbled"] {
-        let max_attempts = max_attempts(service);
-        let ran = max_attempts.iter().filter(|t| system.runs(t) == 1).count();
+        let attempts = attempts(service);
+        let ran = attempts.iter().filter(|t| system.runs(t) == 1).count();
         assert!(ran > 2, "{service}: {ran} have run");
-        for one in &max_attempts {
+        for one in &attempts {
             match system.runs(one) {
                 // Refused before it was sent: the servers had failed too often.
                 0 => assert!(one.is_promise(), "{service}: {one:?}"),
@@ -58,14 +58,14 @@
         }
     }
     for service in ["full", "moved", "gone"] {
-        for one in max_attempts(service) {
+        for one in attempts(service) {
             assert!(one.served_by().is_some() && system.runs(&one) == 1, "{service}: {one:?}");
         }
         let bad = system.of(service)[0];
         let turned_away = bad.seen().iter().filter(|s| !s.ran).count();
         assert!(service == "gone" || turned_away > 0, "{service}: the bad one was tried");
     }
-    for one in max_attempts("shut") {
+    for one in attempts("shut") {
         assert!(one.is_promise() && system.runs(&one) == 0, "{one:?}");
     }
     let seen = system.seen();
@@ -105,37 +105,37 @@
                 let directories = directories.clone();
                 std::thread::spawn(move || {
                     let mut client = Client::new(directories, ZONES[nth]);
-                    let mut max_attempts = Vec::new();
-                    for set_behaviour in 0..if all_bad { 8 } else { 24 } {
-                        let ask = match set_behaviour % 4 {
-                            0 | 1 => Ask::get(HOST, &format!("/{service}/{set_behaviour}")),
-                            2 => Ask::post(HOST, &format!("/post/{service}/{set_behaviour}"), "words"),
+                    let mut attempts = Vec::new();
+                    for turn in 0..if all_bad { 8 } else { 24 } {
+                        let ask = match turn % 4 {
+                            0 | 1 => Ask::get(HOST, &format!("/{service}/{turn}")),
+                            2 => Ask::post(HOST, &format!("/post/{service}/{turn}"), "words"),
                             _ => Ask::get(HOST, &format!("/down/{service}/large")),
                         };
                         let within = if all_bad { 300 * MS } else { Duration::from_secs(3) };
-                        max_attempts.extend(client.ask(&Ask { within, ..ask }).1);
+                        attempts.extend(client.ask(&Ask { within, ..ask }).1);
                     }
-                    (service, max_attempts)
+                    (service, attempts)
                 })
             })
             .collect();
         for client in clients {
-            let (service, max_attempts) = client.join().unwrap();
+            let (service, attempts) = client.join().unwrap();
             let mixed: Vec<_> =
-                max_attempts.iter().filter(|t| t.is_mixed()).map(|t| (&t.id, t.status())).collect();
+                attempts.iter().filter(|t| t.is_mixed()).map(|t| (&t.id, t.status())).collect();
             assert!(mixed.is_empty(), "{service}: {mixed:?}");
-            let served = max_attempts.iter().filter(|t| t.served_by().is_some()).count();
+            let served = attempts.iter().filter(|t| t.served_by().is_some()).count();
             let sound = matches!(service, "surplus" | "late");
-            assert!(served > 0 || all_bad, "{service}: {} tries, none is served", max_attempts.len());
+            assert!(served > 0 || all_bad, "{service}: {} tries, none is served", attempts.len());
             assert!(served == 0 || !all_bad || sound, "{service}: there is nothing that could be served");
             let seen = system.seen();
             let ran = |t: &&Try| seen.iter().any(|s| s.ran && s.try_id == t.id && s.what.0 == "POST");
-            let refused = max_attempts.iter().filter(|t| t.is_promise()).find(ran);
+            let refused = attempts.iter().filter(|t| t.is_promise()).find(ran);
             assert!(refused.is_none(), "{service}: it has run: {refused:?}");
             let twice = |t: &&Try| {
                 seen.iter().filter(|s| s.ran && s.try_id == t.id && s.what.0 == "POST").count() > 1
             };
-            assert!(!max_attempts.iter().any(|t| twice(&t)), "{service}: has run twice");
+            assert!(!attempts.iter().any(|t| twice(&t)), "{service}: has run twice");
         }
         let bad = |s: &str| system.of(s)[0].seen().iter().filter(|s| s.ran).count();
         assert!(manners.iter().all(|(s, _)| bad(s) > 0), "each bad one was used");
@@ -242,20 +242,16 @@
         servers[round % 4].set_behaviour(Behaviour::Serve);
     }
     shaken.until_after(Instant::now());
-    let max_attempts: Vec<Try> = [steady.stop(), shaken.stop()].concat().into_iter().flatten().collect();
+    let attempts: Vec<Try> = [steady.stop(), shaken.stop()].concat().into_iter().flatten().collect();
     let seen = system.seen();
     let runs = |t: &Try| seen.iter().filter(|s| s.ran && s.try_id == t.id).count();
-    assert!(
-        max_attempts.iter().filter(|t| t.served_by().is_some()).count() > 50,
-        "{} tries",
-        max_attempts.len()
-    );
-    for one in &max_attempts {
+    assert!(attempts.iter().filter(|t| t.served_by().is_some()).count() > 50, "{} tries", attempts.len());
+    for one in &attempts {
         assert!(runs(one) <= 1, "has run {} times: {one:?}", runs(one));
         assert!(runs(one) == 0 || !one.is_promise(), "promised, and has run: {one:?}");
         assert!(runs(one) == 1 || one.served_by().is_none(), "served, and has not run: {one:?}");
         assert!(!one.is_mixed(), "another's answer: {one:?}");
     }
-    let known = |id: &String| max_attempts.iter().any(|t| t.id == *id);
+    let known = |id: &String| attempts.iter().any(|t| t.id == *id);
     assert!(seen.iter().all(|s| known(&s.try_id)), "what ran was asked for");
 }
--- a/crates/local-cluster/tests/common/mod.rs
+++ b/crates/local-cluster/tests/common/mod.rs
@@ -102,21 +102,21 @@
 /// Tries sent at proxies one after the other, by one thread a proxy and request, until it is stopped.
 pub struct Hammer {
     stop: Arc<AtomicBool>,
-    max_attempts: Vec<Arc<Mutex<Vec<Try>>>>,
+    attempts: Vec<Arc<Mutex<Vec<Try>>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Hammer {
     pub fn start(fronts: &[SocketAddr], asks: &[Ask]) -> Hammer {
         let stop = Arc::new(AtomicBool::new(false));
-        let mut hammer = Hammer { stop, max_attempts: Vec::new(), threads: Vec::new() };
+        let mut hammer = Hammer { stop, attempts: Vec::new(), threads: Vec::new() };
         for (front, ask) in fronts.iter().flat_map(|f| asks.iter().map(move |a| (*f, a.clone()))) {
-            let (stop, max_attempts) = (hammer.stop.clone(), Arc::<Mutex<Vec<Try>>>::default());
-            hammer.max_attempts.push(max_attempts.clone());
+            let (stop, attempts) = (hammer.stop.clone(), Arc::<Mutex<Vec<Try>>>::default());
+            hammer.attempts.push(attempts.clone());
             hammer.threads.push(std::thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     let one = try_at(front, &ask);
-                    max_attempts.lock().unwrap().push(one);
+                    attempts.lock().unwrap().push(one);
                     std::thread::sleep(5 * MS);
                 }
             }));
@@ -126,17 +126,16 @@
 
     /// Waits until each thread has had some tries that were sent after this.
     pub fn until_after(&self, at: Instant) {
-        let enough = |max_attempts: &Mutex<Vec<Try>>| {
-            max_attempts.lock().unwrap().iter().filter(|t| t.sent > at).count() > 3
-        };
+        let enough =
+            |attempts: &Mutex<Vec<Try>>| attempts.lock().unwrap().iter().filter(|t| t.sent > at).count() > 3;
         let left = at.saturating_duration_since(Instant::now()) + LONG;
-        holds(left, "tries are sent by each thread", || self.max_attempts.iter().all(|t| enough(t))).unwrap();
+        holds(left, "tries are sent by each thread", || self.attempts.iter().all(|t| enough(t))).unwrap();
     }
 
     /// All tries, by thread: proxies in their order, and for each the requests in theirs.
     pub fn stop(self) -> Vec<Vec<Try>> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|t| t.join().unwrap());
-        self.max_attempts.iter().map(|t| std::mem::take(&mut *t.lock().unwrap())).collect()
+        self.attempts.iter().map(|t| std::mem::take(&mut *t.lock().unwrap())).collect()
     }
 }
--- a/crates/local-cluster/tests/config.rs
+++ b/crates/local-cluster/tests/config.rs
@@ -34,16 +34,13 @@
     let second = moved(&system.configuration, "two");
     let acked = system.operator.must_put(&second).unwrap().at;
     hammer.until_after(acked + APPLY);
-    for (proxy, max_attempts) in hammer.stop().iter().enumerate() {
+    for (proxy, attempts) in hammer.stop().iter().enumerate() {
         let late: Vec<_> =
-            max_attempts.iter().filter(|t| t.sent > acked + APPLY).map(|t| system.served(t)).collect();
+            attempts.iter().filter(|t| t.sent > acked + APPLY).map(|t| system.served(t)).collect();
         assert!(late.iter().all(|s| *s == Some("two")), "proxy {proxy}: {late:?}");
-        let new = max_attempts
-            .iter()
-            .find(|t| system.served(t) == Some("two"))
-            .expect("served by the new one")
-            .ended;
-        let back = max_attempts.iter().find(|t| t.sent > new + GO_BACK && system.served(t) == Some("one"));
+        let new =
+            attempts.iter().find(|t| system.served(t) == Some("two")).expect("served by the new one").ended;
+        let back = attempts.iter().find(|t| t.sent > new + GO_BACK && system.served(t) == Some("one"));
         assert!(back.is_none(), "proxy {proxy} went back: {back:?}");
     }
 
--- a/crates/local-cluster/tests/cut_off.rs
+++ b/crates/local-cluster/tests/cut_off.rs
@@ -84,8 +84,8 @@
     let read = get(cluster.control(0), "/settings/read", SECOND).unwrap();
     assert!(read.status == 200 && String::from_utf8_lossy(&read.body).contains("\"/y/\""));
     assert_eq!(call(cluster.control(0), "POST", &begin, "", 2 * SECOND).unwrap().status, 200);
-    let max_attempts = hammer.stop();
-    assert!(max_attempts.iter().flatten().all(|t| t.is_success()), "all are served");
+    let attempts = hammer.stop();
+    assert!(attempts.iter().flatten().all(|t| t.is_success()), "all are served");
     assert!(cluster.lost().is_empty());
 }
 
@@ -106,27 +106,26 @@
     while cut.elapsed() < LONG_CUT {
         calls += 1;
         let since = cut.elapsed();
-        let mut timed =
-            |nth: usize, command_line: Instant| worst[nth] = worst[nth].max(command_line.elapsed());
-        let command_line = Instant::now();
+        let mut timed = |nth: usize, asked: Instant| worst[nth] = worst[nth].max(asked.elapsed());
+        let asked = Instant::now();
         let said = call(alone, "POST", path, &heartbeat(cluster, calls), SECOND).unwrap().status;
         // 1.5 s from its last question, and 0.3 s that an answer may have been held.
         assert!(said == 503 || said == 200 && since < 1900 * MS, "beat: {said} at {since:?}");
-        timed(0, command_line);
-        let command_line = Instant::now();
+        timed(0, asked);
+        let asked = Instant::now();
         let said = call(alone, "POST", "/servers/i-other/leave", "", SECOND).unwrap().status;
         assert_eq!(said, 503, "leave at {since:?}");
-        timed(1, command_line);
-        let command_line = Instant::now();
+        timed(1, asked);
+        let asked = Instant::now();
         let said = get(alone, "/settings/read", SECOND).unwrap().status;
         assert_eq!(said, 504, "read at {since:?}");
-        timed(2, command_line);
+        timed(2, asked);
         for (method, path, body) in [("POST", &*begin, ""), ("POST", "/settings/replace", &*next.text())] {
-            let command_line = Instant::now();
+            let asked = Instant::now();
             let said = call(alone, method, path, body, 2 * SECOND).unwrap().status;
             assert!(matches!(said, 503 | 504), "{path}: {said} at {since:?}");
             if since > 3500 * MS {
-                timed(3, command_line);
+                timed(3, asked);
             }
         }
         let named = lookup(cluster.directory(0), HOST, ZONES[0]);
@@ -137,7 +136,7 @@
     cluster.signal("CONT", &rest).unwrap();
     system.operator.must_put(&next).unwrap();
     assert_eq!(system.operator.read().unwrap().0, next.version);
-    let max_attempts = hammer.stop();
-    assert!(max_attempts.iter().flatten().all(|t| t.is_success()), "all are served by what is known");
+    let attempts = hammer.stop();
+    assert!(attempts.iter().flatten().all(|t| t.is_success()), "all are served by what is known");
     assert!(cluster.lost().is_empty());
 }
--- a/crates/local-cluster/tests/failing.rs
+++ b/crates/local-cluster/tests/failing.rs
@@ -59,15 +59,15 @@
     let server = system.of("slow")[0].id().to_owned();
 
     // Told that it may have run, while it runs.
-    let command_line = Ask { within: 300 * MS, ..Ask::post(HOST, "/slow/1", "a job") };
-    let late = try_at(front, &command_line);
+    let asked = Ask { within: 300 * MS, ..Ask::post(HOST, "/slow/1", "a job") };
+    let late = try_at(front, &asked);
     assert!(matches!(late.status(), 502 | 504), "{late:?}");
     assert!(text(&late).contains(&format!("may have run; server {server}; try {}", late.id)), "{late:?}");
     assert!(says(&outcome(&system, core, INNER_REGISTRY, &late.id), "running"));
     holds(LONG, "it is done", || says(&outcome(&system, core, INNER_REGISTRY, &late.id), "done")).unwrap();
 
     // The same once more, by whoever doubles it on the way: it has run.
-    let again = oatbank_local_cluster::client::again_at(front, &command_line, &late.id);
+    let again = oatbank_local_cluster::client::again_at(front, &asked, &late.id);
     assert!(again.status() == 409 && text(&again).contains(&server), "{again:?}");
     assert_eq!(system.seen().iter().filter(|s| s.try_id == late.id).count(), 1);
 
@@ -89,11 +89,11 @@
     assert_eq!(system.seen().iter().filter(|s| s.ran && s.try_id == id).count(), 1);
 
     // A promise.
-    let command_line = Ask { within: 600 * MS, ..Ask::post(HOST, "/full/1", "a job") };
-    let refused = try_at(front, &command_line);
+    let asked = Ask { within: 600 * MS, ..Ask::post(HOST, "/full/1", "a job") };
+    let refused = try_at(front, &asked);
     assert!(refused.is_promise() && text(&refused).contains("has not run and never will"), "{refused:?}");
     assert!(says(&outcome(&system, proxy, INNER_PROXY, &refused.id), "did not run"));
-    let again = oatbank_local_cluster::client::again_at(front, &command_line, &refused.id);
+    let again = oatbank_local_cluster::client::again_at(front, &asked, &refused.id);
     assert!(again.is_promise(), "what has not run may come again: {again:?}");
 
     // The shell's other words.
--- a/crates/local-cluster/tests/keys.rs
+++ b/crates/local-cluster/tests/keys.rs
@@ -36,10 +36,10 @@
     let hammer = Hammer::start(&[front], &[ask("lost"), ask("kept")]);
     cluster.signal("CONT", &[(cut_off, Role::Proxy)]).unwrap();
     hammer.until_after(acked + REVOKE);
-    let max_attempts = hammer.stop();
-    let served = max_attempts.iter().flatten().filter(|t| t.served_by().is_some()).count();
+    let attempts = hammer.stop();
+    let served = attempts.iter().flatten().filter(|t| t.served_by().is_some()).count();
     assert!(served > 0, "it went on for a while, by what it knew");
-    for one in max_attempts.iter().flatten().filter(|t| t.sent > acked + REVOKE) {
+    for one in attempts.iter().flatten().filter(|t| t.sent > acked + REVOKE) {
         assert!(one.is_promise() && system.runs(one) == 0, "{:?} after {:?}", one, one.sent - acked);
     }
 
--- a/crates/local-cluster/tests/leaving.rs
+++ b/crates/local-cluster/tests/leaving.rs
@@ -37,15 +37,15 @@
     cluster.kill(0, Role::Registry);
     assert!(acked.iter().all(|(_, a)| a.by == by), "by the one that died");
     hammer.until_after(acked[1].1.at + DRAIN);
-    let max_attempts = hammer.stop();
+    let attempts = hammer.stop();
     for (server, acked) in &acked {
         let late = server.seen().into_iter().filter(|s| s.at > acked.at + DRAIN).count();
         let last = server.seen().last().map(|s| s.at.saturating_duration_since(acked.at));
         assert_eq!(late, 0, "the last one came {last:?} after the word");
     }
     let since = acked[1].1.at;
-    for (nth, max_attempts) in max_attempts.iter().enumerate() {
-        assert!(max_attempts.iter().all(|t| t.is_success() && !t.is_mixed()), "thread {nth}: all are served");
+    for (nth, attempts) in attempts.iter().enumerate() {
+        assert!(attempts.iter().all(|t| t.is_success() && !t.is_mixed()), "thread {nth}: all are served");
     }
     let others = all[2..].iter().map(|s| s.seen().iter().filter(|s| s.at > since + DRAIN).count());
     assert!(others.sum::<usize>() > 3, "the others serve");
@@ -79,16 +79,13 @@
     wait::moment(ended + 300 * MS);
     let count = traffic.stop();
     let ran: HashSet<String> = system.seen().into_iter().map(|s| s.try_id).collect();
-    let max_attempts: Vec<_> = count.max_attempts.iter().flat_map(|(_, max_attempts)| max_attempts).collect();
+    let attempts: Vec<_> = count.attempts.iter().flat_map(|(_, attempts)| attempts).collect();
     assert!(
-        max_attempts
-            .iter()
-            .filter(|t| t.to == front && t.sent < acknowledged && t.ended > acknowledged)
-            .count()
+        attempts.iter().filter(|t| t.to == front && t.sent < acknowledged && t.ended > acknowledged).count()
             > 0,
         "some were under way"
     );
-    for one in &max_attempts {
+    for one in &attempts {
         let error = one.got.as_ref().err();
         assert!(!matches!(one.status(), 500 | 502 | 504), "{one:?}");
         assert!(error.is_none() || !ran.contains(&one.id), "a server had it, and no answer came: {one:?}");
@@ -96,9 +93,9 @@
         let unread = error.is_none_or(|e| *e == HttpError::Unreachable || one.ended - one.sent < 200 * MS);
         assert!(unread, "it was held and then dropped: {one:?}");
     }
-    let bad = |(end, max_attempts): &&(End, Vec<oatbank_local_cluster::client::Try>)| {
-        *end != End::Served && max_attempts.iter().all(|t| t.got.is_ok() || t.ended - t.sent >= 200 * MS)
+    let bad = |(end, attempts): &&(End, Vec<oatbank_local_cluster::client::Try>)| {
+        *end != End::Served && attempts.iter().all(|t| t.got.is_ok() || t.ended - t.sent >= 200 * MS)
     };
-    assert_eq!(count.max_attempts.iter().filter(bad).count(), 0, "{}", count.line());
+    assert_eq!(count.attempts.iter().filter(bad).count(), 0, "{}", count.line());
     assert!(count.ends[0] > 100 && count.mixed == 0, "{}", count.line());
 }
--- a/crates/local-cluster/tests/names.rs
+++ b/crates/local-cluster/tests/names.rs
@@ -63,11 +63,9 @@
     assert!(until.elapsed() < Duration::from_secs(8), "{:?}", until.elapsed());
 
     // By proxy, and for each the north's and the south's.
-    let max_attempts = hammer.stop();
-    for (nth, one) in max_attempts
-        .iter()
-        .enumerate()
-        .flat_map(|(nth, max_attempts)| max_attempts.iter().map(move |t| (nth, t)))
+    let attempts = hammer.stop();
+    for (nth, one) in
+        attempts.iter().enumerate().flat_map(|(nth, attempts)| attempts.iter().map(move |t| (nth, t)))
     {
         match system.served(one) {
             Some(service) => assert_eq!(service, ["north/hall", "south/hall"][nth % 2], "{one:?}"),
@@ -75,7 +73,7 @@
         }
         assert!(nth % 2 == 0 || system.served(one).is_some(), "the south is not touched: {one:?}");
     }
-    for north in max_attempts.iter().step_by(2) {
+    for north in attempts.iter().step_by(2) {
         let between: Vec<&Try> = north.iter().filter(|t| t.sent > since && t.sent < until).collect();
         assert!(between.len() > 3 && between.iter().all(|t| refused(t)), "{between:?}");
     }
