--- a/crates/config-model/src/configuration.rs
+++ b/crates/config-model/src/configuration.rs
@@ -38,6 +38,9 @@
 
 impl Configuration {
     /// Reads a configuration that [`Configuration::text`] wrote, or the body of a call that replaces one.
+    ///
+    /// # Errors
+    /// The row and field that cannot be read or are not allowed, and what is allowed.
     pub fn read(text: &str) -> Result<Configuration, ValidationError> {
         match Raw::read(text.as_bytes())? {
             Raw::Object(fields) => Configuration::from_fields(fields),
--- a/crates/config-model/src/proposal.rs
+++ b/crates/config-model/src/proposal.rs
@@ -41,6 +41,9 @@
 
 impl Proposal {
     /// Reads the body of a call that replaces the configuration.
+    ///
+    /// # Errors
+    /// The row and field that cannot be read or are not allowed, and what is allowed.
     pub fn replace(body: &[u8]) -> Result<Proposal, ValidationError> {
         let (fields, digest) = read(body, "replace")?;
         let built_on = configuration::built_on(&fields)?;
@@ -52,6 +55,9 @@
     }
 
     /// Reads the body of a call that changes named items.
+    ///
+    /// # Errors
+    /// The row and field that cannot be read or are not allowed, and what is allowed.
     pub fn change(body: &[u8]) -> Result<Proposal, ValidationError> {
         let (mut fields, digest) = read(body, "change")?;
         let built_on = configuration::built_on(&fields)?;
@@ -127,6 +133,9 @@
     }
 
     /// The configuration that follows `current`.
+    ///
+    /// # Errors
+    /// `current` is not the version that this was built on, or what it comes to is not allowed.
     pub fn onto(&self, current: Option<&Configuration>) -> Result<Configuration, ProposalError> {
         let now = current.map_or(0, |configuration| configuration.version);
         if self.built_on() != now {
--- a/crates/daemon/src/demo.rs
+++ b/crates/daemon/src/demo.rs
@@ -55,7 +55,7 @@
     config.members = engines.iter().map(|e| Member::ready(e.name.clone(), e.address)).collect();
     let running = Running::start(&config, Base::default())?;
     let address = running.address();
-    println!("A limiter on {} in front of three engines, for four seconds of requests.", address);
+    println!("A limiter on {address} in front of three engines, for four seconds of requests.");
     let team = Customer::start("team, 60 a second, within its quota", address, "team", 1, 60);
     let free = Customer::start("free, 25 a second, quota of 5 a second", address, "free", 2, 25);
 
--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -207,7 +207,7 @@
         };
         match (active_rules, &held) {
             (ActiveRules::Current(id), Some(held)) => {
-                tracing::info!("fleet: acts by {id} ({})", held.head.digest)
+                tracing::info!("fleet: acts by {id} ({})", held.head.digest);
             }
             (ActiveRules::Strict(id, None), _) => tracing::warn!("fleet: cut off; goes on by {id}"),
             (ActiveRules::Strict(id, Some(other)), _) => {
--- a/crates/fleet/src/decider/decision.rs
+++ b/crates/fleet/src/decider/decision.rs
@@ -52,8 +52,8 @@
         }
         let expected = ask.expect.is_none_or(|number| number == current.id().number);
         // The same change once more, its answer lost: it stands already.
-        let redecide = ask.expect.is_some_and(|number| number == current.head.parent.number);
-        if current.text == ask.text && (expected || redecide) {
+        let repeated = ask.expect.is_some_and(|number| number == current.head.parent.number);
+        if current.text == ask.text && (expected || repeated) {
             return Some(ProposalOutcome::Decided(current.id(), 0));
         }
         (!expected).then(|| ProposalOutcome::Conflict(current.id()))
--- a/crates/fleet/src/decider/recovery.rs
+++ b/crates/fleet/src/decider/recovery.rs
@@ -66,8 +66,8 @@
                 None => self.put_in_force(first, out),
             };
         };
-        let locally_known = self.locally_known().find(|r| r.id() == id).cloned();
-        if let Some(revision) = locally_known {
+        let known_here = self.locally_known().find(|r| r.id() == id).cloned();
+        if let Some(revision) = known_here {
             return self.redecide(now, revision, out);
         }
         // Each in turn: one may have died since it was heard.
@@ -126,7 +126,6 @@
     /// has confirmed it, or has surely stopped.
     pub(super) fn redecide(&mut self, now: Millis, revision: Arc<Revision>, out: &mut VecDeque<Output>) {
         match &self.term {
-            // The tree counts the terms.
             // The tree counts the terms, unless it was set back.
             Some(_) => self.advance_epoch(revision.id()),
             None => self.epoch = self.epoch.max(revision.id().epoch + 1),
--- a/crates/fleet/src/message/tests.rs
+++ b/crates/fleet/src/message/tests.rs
@@ -27,8 +27,8 @@
         staged: Some((most, reason)),
     };
     let digest = Digest([255; 32]);
-    let on_chunk = Message::Chunk { digest, from: u32::MAX, bytes: vec![255; CHUNK_BYTES] };
-    for message in [pong(), Message::Ping(ping), on_chunk, Message::ChunkRequest { digest, from: 0 }] {
+    let chunk = Message::Chunk { digest, from: u32::MAX, bytes: vec![255; CHUNK_BYTES] };
+    for message in [pong(), Message::Ping(ping), chunk, Message::ChunkRequest { digest, from: 0 }] {
         let frame = codec.frame(Peer(u16::MAX), Peer(2), &message);
         assert!(frame.len() <= MAX_FRAME_BYTES, "{} bytes: {message:?}", frame.len());
         assert_eq!(codec.read(Peer(2), &frame), Ok((Peer(u16::MAX), message)));
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -221,8 +221,8 @@
         match (&mut self.role, message) {
             (Role::Decider(decider), Message::Ping(ping)) => decider.ping(now, from, ping, out),
             (Role::Decider(decider), Message::HeadResponse(head)) => decider.on_head(now, from, head, out),
-            (Role::Decider(decider), on_chunk @ Message::Chunk { .. }) => {
-                decider.on_chunk(now, from, &on_chunk, out)
+            (Role::Decider(decider), chunk @ Message::Chunk { .. }) => {
+                decider.on_chunk(now, from, &chunk, out);
             }
             (Role::Decider(decider), Message::ChunkRequest { digest, from: byte }) => {
                 if let Some(revision) = decider.text(&digest) {
@@ -241,16 +241,16 @@
                 member.pong(now, pong, out);
                 member.tick(now, out);
             }
-            (Role::Member(member), on_chunk @ Message::Chunk { .. }) => member.on_chunk(now, &on_chunk, out),
+            (Role::Member(member), chunk @ Message::Chunk { .. }) => member.on_chunk(now, &chunk, out),
             (Role::Member(member), Message::ChunkRequest { digest, from: byte }) => {
                 if let Some(revision) = member.known_revision(|r| r.head.digest == digest) {
                     out.extend(parts(revision, byte).map(|part| Output::Send(from, part)));
                 }
             }
             (Role::Member(member), Message::HeadRequest(id)) => {
-                let on_head =
+                let head =
                     member.known_revision(|r| r.id() == id).map(|r| Message::HeadResponse(r.head.clone()));
-                out.extend(on_head.map(|on_head| Output::Send(from, on_head)));
+                out.extend(head.map(|head| Output::Send(from, head)));
             }
             _ => {}
         }
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -68,7 +68,7 @@
             Event::Timer(_) => self.tick(now),
             Event::Probed { server, load, .. } => self.note_load(now, server, &load),
             Event::Counted { name, outcome, took, total } => {
-                self.quotas.counted(now, name, outcome, took, total)
+                self.quotas.counted(now, name, outcome, took, total);
             }
         }
         self.serve_held(now);
--- a/crates/limiter-core/tests/quota.rs
+++ b/crates/limiter-core/tests/quota.rs
@@ -122,7 +122,7 @@
                     post(&mut due, now + took, n, What::Tell(counted));
                 }
                 Action::Timer { after, name } => {
-                    post(&mut due, now + after, n, What::Tell(Event::Timer(name)))
+                    post(&mut due, now + after, n, What::Tell(Event::Timer(name)));
                 }
                 _ => {}
             }
--- a/crates/limiter-core/tests/wire.rs
+++ b/crates/limiter-core/tests/wire.rs
@@ -101,7 +101,7 @@
     let after = |second: Vec<u8>| {
         let mut input = start(1, SETTINGS);
         input.extend(frame(1001.0, &[second], &[]));
-        run(&input).0.expect_err("accepted").to_string()
+        run(&input).0.expect_err("accepted").clone()
     };
     assert!(after(record(7, 1, &[])).contains("unknown event code 7"));
     assert!(after(record(1030, 1, &[(26, &[99])])).contains("unknown outcome"));
--- a/crates/local-cluster/src/checker.rs
+++ b/crates/local-cluster/src/checker.rs
@@ -102,7 +102,7 @@
                 Some(by) if ran != [by.as_str()] => wrong("a success of another run"),
                 None if (200..300).contains(&acknowledged.status) => wrong("a success that is no server's"),
                 None if acknowledged.status == 500 && ran.is_empty() => {
-                    wrong("a failure of a run that was not")
+                    wrong("a failure of a run that was not");
                 }
                 _ => {}
             }
--- a/crates/proxy/tests/apart.rs
+++ b/crates/proxy/tests/apart.rs
@@ -95,7 +95,7 @@
 /// The worst window as a part of what the rule allows, and what was let through in the cut as a part of the rate.
 fn play(seed: u64, limiters: usize, sight: Sight) -> (f64, f64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut roll = move || rng.next_u32() as f64 / f64::from(u32::MAX);
+    let mut roll = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
     let settings = |reach: QuotaPartition| {
         let share = if reach.is_alone { 1.0 } else { limiters as f64 };
         let allowed =
--- a/crates/proxy/tests/ninety.rs
+++ b/crates/proxy/tests/ninety.rs
@@ -28,7 +28,7 @@
 /// So many limiters, a tenant that asks at 0.62 of its quota and then at `hot` times that, by chance at any limiter.
 fn play(seed: u64, limiters: usize, hot: f64, set: QuotaSettings) -> Day {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut roll = move || rng.next_u32() as f64 / f64::from(u32::MAX);
+    let mut roll = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
     let mut all: Vec<Quotas> = (0..limiters).map(|n| Quotas::new(set.clone(), seed ^ n as u64)).collect();
     let mut totals: BTreeMap<CountName, f64> = BTreeMap::new();
     let mut calls: Vec<(f64, usize, CountName, f64)> = Vec::new();
--- a/crates/proxy/tests/steering.rs
+++ b/crates/proxy/tests/steering.rs
@@ -342,7 +342,7 @@
         for action in actions {
             match action {
                 Action::Timer { after, name } => {
-                    post(&mut due, now + after, What::Module(n, Event::Timer(name)))
+                    post(&mut due, now + after, What::Module(n, Event::Timer(name)));
                 }
                 Action::Send { id, server, timeout } => {
                     let p = &mut proxies[n];
--- a/crates/service-catalog/tests/schedules.rs
+++ b/crates/service-catalog/tests/schedules.rs
@@ -161,7 +161,7 @@
     }
 
     fn span(&mut self, from: f64, to: f64) -> f64 {
-        from + (to - from) * (self.rng.next_u32() as f64 / u32::MAX as f64)
+        from + (to - from) * (f64::from(self.rng.next_u32()) / f64::from(u32::MAX))
     }
 
     /// Writes the schedule.
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -101,7 +101,7 @@
         match try_out(tree, mutant, asked.schedules, asked.jobs) {
             Ok(TrialResult::Caught(how)) => println!("caught: {}: {how}", mutant.name),
             Ok(TrialResult::CaughtElsewhere(how)) => {
-                println!("caught by another family: {}: {how}", mutant.name)
+                println!("caught by another family: {}: {how}", mutant.name);
             }
             Ok(TrialResult::CaughtByTest(how)) => println!("caught by a test: {}: {how}", mutant.name),
             Ok(TrialResult::Missed) => {
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -41,7 +41,7 @@
         let main = program(seat.clone());
         tasks.spawn_local(async move {
             main.await;
-            std::future::pending::<()>().await
+            std::future::pending::<()>().await;
         });
         let wakes = Box::pin(sleep_until(Instant::now()));
         tokio::task::spawn_local(Gate { process: process.clone(), seat, tasks, wakes });
