--- /dev/null
+++ b/crates/simulation/src/mutants/trial.rs
@@ -0,0 +1,177 @@
+//! Tries a mutant on a copy of the sources: builds it, plays schedules, and says what noticed the missing guard.
+
+use super::Mutant;
+use crate::schedule::POINTS;
+use quick_error::quick_error;
+use std::fs;
+use std::io;
+use std::path::Path;
+use std::process::{Command, Output};
+
+quick_error! {
+    /// Why a mutant could not be tried.
+    #[derive(Debug)]
+    pub enum TrialError {
+        /// A file cannot be read or written, or a program not be started.
+        Io(subject: String, error: io::Error) {
+            display("{}: {}", subject, error)
+        }
+        /// The sources do not hold what is to be replaced exactly once.
+        NotOnce(file: &'static str, text: &'static str, found: usize) {
+            display("{}: {:?} is there {} times, not once", file, text, found)
+        }
+        /// The copy does not build.
+        DoesNotBuild(output: String) {
+            display("the copy does not build: {}", output)
+        }
+        /// The tests of a package cannot be built or run.
+        TestsDoNotRun(package: String, output: String) {
+            display("the tests of {}: {}", package, output)
+        }
+    }
+}
+
+impl TrialError {
+    /// Turns an I/O error into one that names its file or program.
+    fn at(subject: impl ToString) -> impl FnOnce(io::Error) -> TrialError {
+        let subject = subject.to_string();
+        move |error| TrialError::Io(subject, error)
+    }
+}
+
+/// What came of a mutant.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum TrialResult {
+    /// Its family broke a rule: the first line on it.
+    Caught(String),
+    /// Only another family did.
+    CaughtElsewhere(String),
+    /// No schedule did, but a scripted test or the store's own model fails: its name.
+    CaughtByTest(String),
+    /// Nothing did.
+    Missed,
+}
+
+/// Takes one guard out of the copy at `tree`, builds it, and plays so many schedules of its family, then of the others.
+///
+/// # Errors
+/// Where the sources do not hold what is to be replaced exactly once, or the copy does not build.
+pub fn try_out(tree: &Path, mutant: &Mutant, schedules: u64, jobs: u64) -> Result<TrialResult, TrialError> {
+    let path = tree.join(mutant.file);
+    let text = fs::read_to_string(&path).map_err(TrialError::at(mutant.file))?;
+    let found = text.matches(mutant.from).count();
+    if found != 1 {
+        return Err(TrialError::NotOnce(mutant.file, mutant.from, found));
+    }
+    fs::write(&path, text.replace(mutant.from, mutant.to)).map_err(TrialError::at(mutant.file))?;
+    let result = play_it(tree, mutant, schedules, jobs);
+    fs::write(&path, text).map_err(TrialError::at(mutant.file))?;
+    result
+}
+
+fn play_it(tree: &Path, mutant: &Mutant, schedules: u64, jobs: u64) -> Result<TrialResult, TrialError> {
+    build(tree)?;
+    let own = POINTS.iter().filter(|(point, _)| *point == mutant.point);
+    let others = POINTS.iter().filter(|(point, _)| *point != mutant.point);
+    for (nth, (_, name)) in own.chain(others).enumerate() {
+        let many = if nth == 0 { schedules } else { schedules / 8 };
+        let played = Command::new(tree.join("target/tested/oatbank-simulation"))
+            .args(["--point", name, "--schedules", &many.to_string(), "--jobs", &jobs.to_string()])
+            .output()
+            .map_err(TrialError::at("oatbank-simulation"))?;
+        if !played.status.success() {
+            let output = String::from_utf8_lossy(&played.stdout).into_owned();
+            let first: Vec<&str> = output.lines().take(2).map(str::trim).collect();
+            let first = if first.is_empty() { "it panics".to_owned() } else { first.join("; ") };
+            return Ok(if nth == 0 {
+                TrialResult::Caught(first)
+            } else {
+                TrialResult::CaughtElsewhere(first)
+            });
+        }
+    }
+    Ok(failing_test(tree, mutant)?.map_or(TrialResult::Missed, TrialResult::CaughtByTest))
+}
+
+/// A test of the changed package, or of the registry above it, that fails in the copy.
+fn failing_test(tree: &Path, mutant: &Mutant) -> Result<Option<String>, TrialError> {
+    const REGISTRY: &str = "oatbank-registry";
+    let own = format!("oatbank-{}", mutant.file.split('/').nth(1).unwrap_or_default());
+    for krate in std::iter::once(own.as_str()).chain(Some(REGISTRY).filter(|krate| *krate != own)) {
+        let tested = cargo(tree, "test", krate)?;
+        let output = String::from_utf8_lossy(&tested.stdout).into_owned();
+        if let Some(line) = output.lines().find(|line| line.starts_with("test ") && line.ends_with("FAILED"))
+        {
+            return Ok(Some(format!("{krate}, {line}")));
+        }
+        if !tested.status.success() {
+            let output = String::from_utf8_lossy(&tested.stderr).into_owned();
+            return Err(TrialError::TestsDoNotRun(krate.to_owned(), output));
+        }
+    }
+    Ok(None)
+}
+
+/// What is built anew for a mutant.
+const QUICK: [&str; 6] = [
+    "oatbank-node-runtime",
+    "oatbank-cluster-state",
+    "oatbank-config-store",
+    "oatbank-registry",
+    "oatbank-proxy",
+    "oatbank-simulation",
+];
+
+/// Runs a command on one package of the copy.
+fn cargo(tree: &Path, command: &str, krate: &str) -> Result<Output, TrialError> {
+    Command::new("cargo")
+        .args([command, "--locked", "-j", "2", "--profile", "tested", "-p", krate])
+        // Built often and run briefly.
+        .args(QUICK.iter().flat_map(|krate| {
+            let of = format!("profile.tested.package.{krate}");
+            ["--config".into(), format!("{of}.opt-level=1"), "--config".into(), format!("{of}.debug=0")]
+        }))
+        .env("CARGO_INCREMENTAL", "1")
+        .current_dir(tree)
+        .env_remove("CARGO_TARGET_DIR")
+        .output()
+        .map_err(TrialError::at("cargo"))
+}
+
+/// Builds the copy.
+fn build(tree: &Path) -> Result<(), TrialError> {
+    let built = cargo(tree, "build", "oatbank-simulation")?;
+    if built.status.success() {
+        return Ok(());
+    }
+    Err(TrialError::DoesNotBuild(String::from_utf8_lossy(&built.stderr).into_owned()))
+}
+
+/// Copies the sources of the workspace at `from` to `to`, whatever was there before.
+///
+/// # Errors
+/// When something cannot be read or written; the error names it.
+pub fn copy(from: &Path, to: &Path) -> Result<(), TrialError> {
+    fs::create_dir_all(to).map_err(TrialError::at(to.display()))?;
+    for part in ["Cargo.toml", "Cargo.lock", "crates", "benches"] {
+        copy_all(&from.join(part), &to.join(part))?;
+    }
+    Ok(())
+}
+
+fn copy_all(from: &Path, to: &Path) -> Result<(), TrialError> {
+    if from.is_dir() {
+        fs::create_dir_all(to).map_err(TrialError::at(to.display()))?;
+        for entry in fs::read_dir(from).map_err(TrialError::at(from.display()))? {
+            let entry = entry.map_err(TrialError::at(from.display()))?;
+            copy_all(&entry.path(), &to.join(entry.file_name()))?;
+        }
+        return Ok(());
+    }
+    let new = fs::read(from).map_err(TrialError::at(from.display()))?;
+    // What is the same keeps its time, and is not built again.
+    if fs::read(to).is_ok_and(|old| old == new) {
+        return Ok(());
+    }
+    fs::write(to, new).map_err(TrialError::at(to.display()))
+}
