--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -8,7 +8,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One observer's word counts so much at most: alone it makes a server doubtful and never shunned.
+/// One observer's word counts so much at most: alone it makes a server suspect and never ejected.
 const MAX_AGAINST: f64 = 8.0;
 /// And so much in a server's favour.
 const MAX_FOR: f64 = 6.0;
@@ -39,7 +39,7 @@
     /// Well.
     #[default]
     Healthy,
-    /// It was ill, and is used again a little.
+    /// It was unhealthy, and is used again a little.
     Returning,
     /// Reads leave it.
     Suspect,
@@ -102,7 +102,7 @@
     pub score: f64,
 }
 
-/// The states of servers that are not simply well.
+/// The states of servers that are not simply healthy.
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
     cases: BTreeMap<String, ServerCase>,
@@ -193,7 +193,7 @@
         self.cases.retain(|_, case| {
             case.state != HealthState::Healthy || now - case.ejected_at < FORGET_EJECTIONS_AFTER
         });
-        // No more are left than the rest bears, the worst first. Where most are ill, leaving some helps
+        // No more are left than the rest bears, the worst first. Where most are unhealthy, leaving some helps
         // nobody.
         self.cases.values_mut().for_each(|case| case.may_eject = false);
         for ids in services.values() {
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,33 +1,32 @@
-//! Which servers are ill, by what all proxies have seen together. Pure: what has happened goes in with its
-//! time.
+//! Which servers are unhealthy, by what all proxies have observed together. Pure: events go in with their time.
 //!
-//! An [`observer::Observer`] is one proxy's own evidence: how attempts at a server ended, as the logarithm of how much
-//! likelier that is of an ill server than of a well one. Such numbers of several proxies add up, so a
+//! An [`observer::Observer`] holds one proxy's own evidence: how attempts at a server ended, as the logarithm of how much
+//! likelier that end is of an unhealthy server than of a healthy one. Such numbers of several proxies add up, so an
 //! [`Evidence`] carries nothing else, and a [`detector::Detector`] adds those that it knows. All proxies run the same
-//! judge, over rows that merge.
+//! detector, over rows that merge.
 
 pub mod detector;
 pub mod observer;
 
-/// A point in time or a span on the caller's steady clock, ms.
+/// A point in time or a span on the caller's monotonic clock, ms.
 pub type Millis = f64;
 
-/// Evidence fades by these, ms. The quick one sees a server that was well until now, the long one a server
+/// Evidence fades by these, ms. The quick one sees a server that was healthy until now, the long one a server
 /// that is met rarely.
 pub const DECAY: [Millis; 2] = [2000.0, 8000.0];
 /// What is told at all: two failures next to each other. One is an accident, and to tell each costs more bytes between
 /// regions than it earns.
 pub const REPORT_THRESHOLD: f64 = 4.0;
-/// From here on a server is doubtful: three failures next to each other. A server that is well gets here by
+/// From here on a server is suspect: three failures next to each other. A server that is healthy gets here by
 /// less than one attempt in e^7, 1,100, by Wald's bound.
 pub const SUSPECT_THRESHOLD: f64 = 7.0;
-/// From here on it is shunned: less than one in 160,000.
+/// From here on it is ejected: less than one in 160,000.
 pub const EJECT_THRESHOLD: f64 = 12.0;
-/// One that returns and gets here is shunned again.
+/// One that returns and gets here is ejected again.
 pub const RELAPSE_THRESHOLD: f64 = 5.0;
 /// Below this there is nothing against it.
 pub const CLEAR_THRESHOLD: f64 = 3.0;
-/// A notice older than this, ms, says nothing: its evidence is a hundredth.
+/// An observation older than this, ms, says nothing: its evidence is a hundredth.
 pub const EVIDENCE_LIFETIME: Millis = 40_000.0;
 /// So many servers one proxy tells of at most, the worst first.
 pub const MAX_REPORTED: usize = 16;
--- a/crates/outlier-detection/src/observer.rs
+++ b/crates/outlier-detection/src/observer.rs
@@ -92,7 +92,7 @@
     last_seen: Millis,
     /// Logarithm of how much slower than others it is when it is well.
     pace: f64,
-    /// It is not well since then, as the judge says.
+    /// It is not well since then, as the detector says.
     unhealthy_since: Option<Millis>,
     goods: u32,
     reported: Option<Evidence>,
@@ -239,7 +239,7 @@
         }
     }
 
-    /// What the judge says now: these are not well, since then.
+    /// What the detector says now: these are not well, since then.
     pub fn set_unhealthy(&mut self, unhealthy: &BTreeMap<String, Millis>) {
         for (id, records) in &mut self.records {
             let since = unhealthy.get(id).copied();
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -1,6 +1,5 @@
-//! Steering away from ill servers, with all other proxies: what this one sees goes to `oatbank-outlier-detection`'s eye, what is
-//! worth telling into the book and to the control limiter, and what the judge makes of all rows into the
-//! servers' list.
+//! Outlier ejection, together with all other proxies. How attempts end goes to an [`Observer`]; what it concludes is sent to the
+//! other proxies as observation rows; a [`Detector`] over the rows of all proxies says which servers get traffic.
 
 use crate::counter_owner::owner_of;
 use oatbank_cluster_state::admin_query::table;
@@ -16,7 +15,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One limiter tries an ill server for so long, ms; then the lot falls anew, so that one that stands still
+/// One limiter tries an unhealthy server for so long, ms; then the lot falls anew, so that one that stands still
 /// holds nobody up.
 const PROBE_TURN: Millis = 2000.0;
 
@@ -26,7 +25,7 @@
 const NO_ROOM: Millis = 5000.0;
 /// Of the lots.
 const PRIME: u64 = 0x0100_0000_01b3;
-/// Without news, servers are thought about this often, ms.
+/// Without updates, servers are looked at this often, ms.
 const IDLE: Millis = 250.0;
 
 /// What this proxy sees, and what all say.
@@ -34,9 +33,9 @@
 pub struct OutlierEjection {
     observer: RefCell<Observer>,
     detector: RefCell<Detector>,
-    /// Words told of each server.
+    /// Sequence number of the latest observation reported about each server.
     seqs: RefCell<BTreeMap<String, u32>>,
-    /// Servers that are not simply well, as last asked for.
+    /// Servers that are not simply healthy, as last asked for.
     standings: RefCell<BTreeMap<String, Standing>>,
     /// When it was last thought about, and by which count of the book; ends came in since.
     last: Cell<(Millis, u64)>,
@@ -201,7 +200,7 @@
         changed
     }
 
-    /// For the shell: what is made of each server that is not simply well.
+    /// For the shell: what is made of each server that is not simply healthy.
     pub fn verdicts_table(&self, now: Millis) -> Table {
         let (detector, standings) = (self.detector.borrow(), self.standings.borrow());
         let row = |(id, since): (String, Millis)| {
--- a/crates/proxy/tests/steering.rs
+++ b/crates/proxy/tests/steering.rs
@@ -1,4 +1,4 @@
-//! Proxies that steer away from ill servers together, in virtual time and from fixed seeds: the decision
+//! Proxies that steer away from unhealthy servers together, in virtual time and from fixed seeds: the decision
 //! modules, eyes, judges and books that run in service, before servers and links that are played here. What
 //! the checker counts it sees at the servers and in the proxies' standings alone.
 
@@ -394,7 +394,7 @@
     prost::Message::encoded_len(row)
 }
 
-/// What an ill server does from the onset on, others do as ever.
+/// What an unhealthy server does from the onset on, others do as ever.
 fn unhealthy<'a>(
     server: usize,
     does: impl Fn(&Try) -> (Outcome, f64) + 'a,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! Machines, and the programs that they run: the real ones, on seats of this network and on disks of this rehearsal.
+//! Machines, and the programs that they run: the real ones, on seats of this network and on disks of this simulation.
 
 use crate::clients::OUTSIDE;
 use crate::disk::{Mounted, StateFile};
