--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -51,7 +51,7 @@
 /// A server that a complete snapshot lacks has ended if it was not heard for so many intervals and [`TIMEOUT_SLACK`].
 const MISSING_INTERVALS: f64 = 4.0;
 /// A session ends after this long without a heartbeat, ms.
-pub const SESSION: Millis = 1700.0;
+pub const SESSION_TIMEOUT: Millis = 1700.0;
 /// What a limiter has observed of a server counts for this long, ms, and is remembered for as long again, so that its late
 /// updates find something newer.
 const OBSERVATION_LIFETIME: Millis = 40_000.0;
@@ -201,7 +201,7 @@
     /// Names of limiters with a session that are not known to have applied this edition.
     pub fn limiters_behind(&self, now: Millis, edition: u64) -> impl Iterator<Item = &str> + '_ {
         let has_session =
-            move |entry: &&Entry<MemberRow>| !entry.row.expired && now - entry.received_at < SESSION;
+            move |entry: &&Entry<MemberRow>| !entry.row.expired && now - entry.received_at < SESSION_TIMEOUT;
         let is_behind = move |entry: &&Entry<MemberRow>| entry.row.edition < edition;
         self.members.values().filter(has_session).filter(is_behind).map(|entry| &*entry.row.name)
     }
@@ -288,7 +288,7 @@
         if let Some(in_touch_at) = in_touch_at {
             let deadline = in_touch_at - self.server_timeout();
             self.time_out_servers(now, |entry| entry.received_at < deadline && !entry.row.has_ended());
-            self.expire_sessions(now, in_touch_at - SESSION);
+            self.expire_sessions(now, in_touch_at - SESSION_TIMEOUT);
         }
         self.servers.retain(|_, claims| {
             claims.retain(|entry| !entry.row.has_ended() || now - entry.merged_at < TOMBSTONE_LIFETIME);
--- a/crates/proxy/tests/common/quota_fleet.rs
+++ b/crates/proxy/tests/common/quota_fleet.rs
@@ -5,7 +5,7 @@
 use oatbank_cluster_state::clock::MonotonicClock;
 use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_cluster_state::messages::{AgreedState, MemberRow, StateUpdate};
-use oatbank_cluster_state::state::{member_state, Millis, SESSION};
+use oatbank_cluster_state::state::{member_state, Millis, SESSION_TIMEOUT};
 use oatbank_config_model::Customer;
 use oatbank_node_runtime::rpc::RpcError;
 use oatbank_node_runtime::settings::Settings;
@@ -271,7 +271,7 @@
         limiter.view.change(|table, now| {
             for (other, member) in conduct.iter().enumerate().filter(|(_, member)| member.incarnation > 0) {
                 let silent = when - member.heard_at;
-                let expired = silent > SESSION;
+                let expired = silent > SESSION_TIMEOUT;
                 let row = MemberRow {
                     name: name(other),
                     incarnation: member.incarnation,
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -1,7 +1,7 @@
 //! Which limiters a client is told of (`GET /lookup`).
 
 use oatbank_cluster_state::messages::MemberRow;
-use oatbank_cluster_state::state::{member_state, Millis, SESSION};
+use oatbank_cluster_state::state::{member_state, Millis, SESSION_TIMEOUT};
 
 /// The most limiters that are named.
 const MAX_NAMED: usize = 64;
@@ -16,7 +16,7 @@
     region: &str,
 ) -> Vec<String> {
     let is_usable = |(row, age): &(&MemberRow, Millis)| {
-        row.state == member_state::READY && !row.expired && *age < SESSION && !row.front.is_empty()
+        row.state == member_state::READY && !row.expired && *age < SESSION_TIMEOUT && !row.front.is_empty()
     };
     let usable: Vec<&MemberRow> = members.filter(is_usable).map(|(row, _)| row).collect();
     let in_zone: Vec<&MemberRow> = usable.iter().copied().filter(|row| row.zone == zone).collect();
--- a/crates/registry/src/directory/tests.rs
+++ b/crates/registry/src/directory/tests.rs
@@ -25,7 +25,7 @@
         (MemberRow { state: member_state::STARTING, ..good.clone() }, 10.0),
         (MemberRow { state: member_state::LEAVING, ..good.clone() }, 10.0),
         (MemberRow { expired: true, ..good.clone() }, 10.0),
-        (good.clone(), SESSION),
+        (good.clone(), SESSION_TIMEOUT),
     ];
     assert!(fronts(bad.iter().map(|(r, ago)| (r, *ago)), "a", "a").is_empty());
 }
--- a/crates/registry/tests/cut_off.rs
+++ b/crates/registry/tests/cut_off.rs
@@ -5,7 +5,7 @@
 use oatbank_cluster_state::clock::MonotonicClock;
 use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_cluster_state::messages::{AgreedState, FollowRequest, MemberRow, StateUpdate};
-use oatbank_cluster_state::state::{server_state, StateTable, SESSION};
+use oatbank_cluster_state::state::{server_state, StateTable, SESSION_TIMEOUT};
 use oatbank_config_model::ApiCall;
 use oatbank_config_store::client::RegisterClient;
 use oatbank_config_store::messages::LocalState;
@@ -258,7 +258,7 @@
             fronts.len()
         };
         assert_eq!(named(), 2);
-        sleep(ms(SESSION as u64 - 900)).await;
+        sleep(ms(SESSION_TIMEOUT as u64 - 900)).await;
         assert_eq!(named(), 1, "what was heard through others grows old with the cut");
         sleep(ms(900)).await;
         assert_eq!(named(), 0);
