--- a/crates/cluster-state/src/admin_tables.rs
+++ b/crates/cluster-state/src/admin_tables.rs
@@ -1,7 +1,7 @@
 //! The tables that every program can show: servers, limiters and the core.
 
 use crate::admin_query::{error_table, table};
-use crate::cluster_view::{ClusterView, IN_TOUCH};
+use crate::cluster_view::{ClusterView, CONTACT_TIMEOUT};
 use crate::messages::{MemberRow, ServerRow, Table};
 use crate::state::{member_state, server_state, Millis, ServerStatus};
 
@@ -82,7 +82,7 @@
     let mut rows = vec![vec![own_name.to_owned(), touch.to_owned(), view.edition().to_string(), confirmed]];
     for (name, progress) in view.followers().into_iter().filter(|(_, progress)| progress.every_change) {
         let age = view.now() - progress.at;
-        let touch = if age <= IN_TOUCH { "follows" } else { "silent" };
+        let touch = if age <= CONTACT_TIMEOUT { "follows" } else { "silent" };
         rows.push(vec![name, touch.to_owned(), progress.edition.to_string(), seconds(age)]);
     }
     table("the core as known here", &["name", "state", "edition", "as of"], rows)
--- a/crates/cluster-state/src/cluster_view.rs
+++ b/crates/cluster-state/src/cluster_view.rs
@@ -24,7 +24,7 @@
 /// That limiters have applied a newer edition is gathered for this long, ms, where a command waits for it.
 const GATHER_ACKS: Millis = 20.0;
 /// A process that last asked a majority longer ago than this, ms, is not in touch with it.
-pub const IN_TOUCH: Millis = 1500.0;
+pub const CONTACT_TIMEOUT: Millis = 1500.0;
 
 /// How far a follower says it has come.
 #[derive(Clone, Copy, Debug, Default)]
@@ -207,7 +207,7 @@
 
     /// Whether a majority was asked a short while ago.
     pub fn in_touch(&self) -> bool {
-        self.confirmed_ago().is_some_and(|ago| ago <= IN_TOUCH)
+        self.confirmed_ago().is_some_and(|ago| ago <= CONTACT_TIMEOUT)
     }
 
     /// Whether the core machine that this process follows was found to know the same servers a short while ago.
--- a/crates/cluster-state/src/replication.rs
+++ b/crates/cluster-state/src/replication.rs
@@ -1,6 +1,6 @@
 //! Following another process: one call asks for what is new there, and what comes is merged.
 
-use crate::cluster_view::{ClusterView, IN_TOUCH};
+use crate::cluster_view::{ClusterView, CONTACT_TIMEOUT};
 use crate::messages::{call, FollowRequest, MemberRow, ObservationRow, StateUpdate};
 use oatbank_node_runtime::log;
 use oatbank_node_runtime::rpc::RpcClient;
@@ -73,7 +73,7 @@
     let is_comparable = is_session
         && update.digest != 0
         && update.source_is_warm
-        && confirmed_ago.is_some_and(|ago| f64::from(ago) <= IN_TOUCH);
+        && confirmed_ago.is_some_and(|ago| f64::from(ago) <= CONTACT_TIMEOUT);
     let (edition, digest) = (update.edition, update.digest);
     view.apply_update(requested, update);
     if is_comparable && view.compare(edition, digest) {
--- a/crates/proxy/src/quota_partition.rs
+++ b/crates/proxy/src/quota_partition.rs
@@ -12,7 +12,7 @@
 //! The limiters of one side are in touch with one majority, so there is at most one such side, and each limiter that is not
 //! on it has one part there.
 
-use oatbank_cluster_state::cluster_view::IN_TOUCH;
+use oatbank_cluster_state::cluster_view::CONTACT_TIMEOUT;
 use oatbank_cluster_state::messages::MemberRow;
 use oatbank_cluster_state::state::{member_state, Millis};
 
@@ -48,7 +48,7 @@
                 separated += 1;
             }
         }
-        if confirmed_ago.is_none_or(|ago| ago > IN_TOUCH) {
+        if confirmed_ago.is_none_or(|ago| ago > CONTACT_TIMEOUT) {
             return QuotaPartition { connected: 1, separated: separated + connected - 1, is_alone: true };
         }
         QuotaPartition { connected, separated, is_alone: false }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -2,7 +2,7 @@
 
 use crate::counter_owner::owner_of;
 use crate::quota_counter::{CountFuture, QuotaPeers};
-use oatbank_cluster_state::cluster_view::{ClusterView, IN_TOUCH};
+use oatbank_cluster_state::cluster_view::{ClusterView, CONTACT_TIMEOUT};
 use oatbank_cluster_state::messages::{call, MemberRow, ObservationRow};
 use oatbank_cluster_state::replication::{follow_once, FollowOptions, FollowResult, ReplicationPosition};
 use oatbank_cluster_state::state::member_state;
@@ -212,7 +212,7 @@
             // The first response is not held: it says whether this machine is worth staying with.
             let result = self.call(ip, position, if is_first { 0 } else { HOLD_MS }).await;
             let FollowResult::Updated { confirmed_ago, .. } = result else { return };
-            let is_behind = confirmed_ago.is_none_or(|ago| f64::from(ago) > IN_TOUCH);
+            let is_behind = confirmed_ago.is_none_or(|ago| f64::from(ago) > CONTACT_TIMEOUT);
             if is_first && !is_behind {
                 log::info!("session: with {}, edition {}", ip, self.view.edition());
             }
--- a/crates/registry/src/quorum_client.rs
+++ b/crates/registry/src/quorum_client.rs
@@ -2,7 +2,7 @@
 //! often enough that this process knows how old its state is.
 
 use crate::operator_command::{apply_to_register, decode_state, NoNewEdition, OperatorCommand, Rejection};
-use oatbank_cluster_state::cluster_view::{ClusterView, FollowerProgress, IN_TOUCH};
+use oatbank_cluster_state::cluster_view::{ClusterView, FollowerProgress, CONTACT_TIMEOUT};
 use oatbank_cluster_state::messages::AgreedState;
 use oatbank_config_store::client::{ChangeError, ChosenValue, RegisterClient};
 use oatbank_node_runtime::error_kind::ErrorKind;
@@ -57,7 +57,7 @@
 
     /// Whether no majority was reached for so long that none is waited for.
     fn is_cut_off(&self) -> bool {
-        let longest = IN_TOUCH + AGREE_TIMEOUT.as_secs_f64() * 1000.0;
+        let longest = CONTACT_TIMEOUT + AGREE_TIMEOUT.as_secs_f64() * 1000.0;
         self.view.confirmed_ago().is_some_and(|ago| ago > longest)
     }
 
--- a/crates/simulation/src/mutants.rs
+++ b/crates/simulation/src/mutants.rs
@@ -146,7 +146,7 @@
         "everybody is always in touch",
         Point::Cutoff,
         CLUSTER_VIEW,
-        "self.confirmed_ago().is_some_and(|ago| ago <= IN_TOUCH)",
+        "self.confirmed_ago().is_some_and(|ago| ago <= CONTACT_TIMEOUT)",
         "self.confirmed_ago().is_none_or(|ago| ago >= 0.0)",
     ),
     mutant(
