--- a/crates/cli/src/query.rs
+++ b/crates/cli/src/query.rs
@@ -31,7 +31,7 @@
 /// # Errors
 /// Why there is no answer.
 pub async fn ask(client: &Rc<RpcClient>, words: Vec<String>, local_only: bool) -> Result<Table, QueryError> {
-    let body = AdminQuery { words, near: local_only }.encode_to_vec();
+    let body = AdminQuery { words, local_only }.encode_to_vec();
     let no_answer = |why: String| QueryError::NoAnswer(format!("{}: {why}", client.address()));
     let response =
         client.call(call::QUERY, body, ANSWER_TIMEOUT).await.map_err(|error| no_answer(error.to_string()))?;
--- a/crates/cluster-state/src/admin_query.rs
+++ b/crates/cluster-state/src/admin_query.rs
@@ -109,7 +109,7 @@
         if let Some(excess) = words.get(command.max_arguments) {
             return error_table(format!("{excess:?} is too much; allowed: {}", command.usage));
         }
-        (command.handler)(words, query.near).await
+        (command.handler)(words, query.local_only).await
     }
 
     /// Answers an encoded [`AdminQuery`] with an encoded [`Table`].
--- a/crates/cluster-state/src/admin_query/tests.rs
+++ b/crates/cluster-state/src/admin_query/tests.rs
@@ -22,7 +22,7 @@
 
 async fn ask(commands: &Commands, words: &[&str]) -> Table {
     let words = words.iter().map(|w| (*w).to_owned()).collect();
-    commands.answer(AdminQuery { words, near: false }).await
+    commands.answer(AdminQuery { words, local_only: false }).await
 }
 
 /// A proxy that knows of one try.
--- a/crates/cluster-state/src/messages.rs
+++ b/crates/cluster-state/src/messages.rs
@@ -329,7 +329,7 @@
     pub words: Vec<String>,
     /// Answer by what this process knows alone: ask no other.
     #[prost(bool, tag = "2")]
-    pub near: bool,
+    pub local_only: bool,
 }
 
 /// The answer to a command.
--- a/crates/cluster-state/tests/compatibility.rs
+++ b/crates/cluster-state/tests/compatibility.rs
@@ -129,7 +129,7 @@
                 .encode_to_vec(),
         ),
         ("totals", QuotaTotals { totals: vec![0.5, 17.0], ..QuotaTotals::default() }.encode_to_vec()),
-        ("query", AdminQuery { words: vec!["servers".into(), "x".into()], near: true }.encode_to_vec()),
+        ("query", AdminQuery { words: vec!["servers".into(), "x".into()], local_only: true }.encode_to_vec()),
         ("table", table.encode_to_vec()),
         ("outcome asked", OutcomeRequest { try_id: "k-1".into() }.encode_to_vec()),
         ("outcome", outcome.encode_to_vec()),
--- a/crates/service-catalog/src/commands/tests.rs
+++ b/crates/service-catalog/src/commands/tests.rs
@@ -6,7 +6,7 @@
 fn ask(commands: &Commands, words: &[&str]) -> messages::Table {
     let words = words.iter().map(|w| (*w).to_owned()).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-    runtime.block_on(commands.answer(AdminQuery { words, near: true }))
+    runtime.block_on(commands.answer(AdminQuery { words, local_only: true }))
 }
 
 #[test]
