--- a/crates/cluster-state/src/messages.rs
+++ b/crates/cluster-state/src/messages.rs
@@ -155,7 +155,7 @@
     pub accepted: Vec<AcceptedVersion>,
     /// Zones that are evacuated.
     #[prost(string, repeated, tag = "3")]
-    pub empty: Vec<String>,
+    pub evacuated_zones: Vec<String>,
     /// Accepted versions, the newest last: each as its difference from the one before it, the first one from 0.
     #[prost(uint64, repeated, tag = "4")]
     pub steps: Vec<u64>,
--- a/crates/cluster-state/tests/compatibility.rs
+++ b/crates/cluster-state/tests/compatibility.rs
@@ -62,7 +62,7 @@
     AgreedState {
         config: "{}".into(),
         accepted: vec![AcceptedVersion { version: 2, digest: 9 }],
-        empty: vec!["chc-hornby".into()],
+        evacuated_zones: vec!["chc-hornby".into()],
         steps: vec![3, 1],
         digests: vec![0xabcd, 0xef01],
     }
--- a/crates/proxy/src/config_snapshot.rs
+++ b/crates/proxy/src/config_snapshot.rs
@@ -65,7 +65,7 @@
         let customers = configuration.customers.as_deref().unwrap_or_default();
         Ok(ConfigSnapshot {
             edition,
-            evacuated: agreed.empty.iter().cloned().collect(),
+            evacuated: agreed.evacuated_zones.iter().cloned().collect(),
             route_zones: configuration.routes.iter().map(|route| zone_mask(settings, &route.homes)).collect(),
             customer_zones: customers.iter().map(|customer| zone_mask(settings, &customer.homes)).collect(),
             zone_count: settings.zones.len(),
--- a/crates/proxy/src/config_snapshot/tests.rs
+++ b/crates/proxy/src/config_snapshot/tests.rs
@@ -8,7 +8,11 @@
 
 fn agreed_state() -> AgreedState {
     let config = r#"{"version":"r7","routes":{"columns":["name","hostName","pathStart","routeKind","giveUpMs","targetMs","rank","shares","tries","homeRegions","service"],"rows":[["a","h","/a/","safe",1000,400,2,[{"service":"s","weight":90},{"service":"t","weight":10}],2,[],null],["b","h","/b/","unsafe",1200,500,1,null,2,["akl"],"s"]]},"services":{"columns":["name","healthPath"],"rows":[["s","/health"],["t","/health"]]},"limits":{},"customers":{"columns":["name","keys","rank","ratePerS","burst","homeRegions"],"rows":[["x",["k"],0,83,83,[]],["y",["l"],0,0,0,["chc"]]]}}"#;
-    AgreedState { config: config.into(), empty: vec!["chc-hornby".into()], ..AgreedState::default() }
+    AgreedState {
+        config: config.into(),
+        evacuated_zones: vec!["chc-hornby".into()],
+        ..AgreedState::default()
+    }
 }
 
 #[test]
--- a/crates/registry/src/operator_command.rs
+++ b/crates/registry/src/operator_command.rs
@@ -163,12 +163,12 @@
 
 fn evacuate(state: &AgreedState, zone: &str, begin: bool) -> Applied {
     let mut next = state.clone();
-    next.empty.retain(|evacuated| evacuated != zone);
+    next.evacuated_zones.retain(|evacuated| evacuated != zone);
     if begin {
-        next.empty.push(zone.to_owned());
-        next.empty.sort();
+        next.evacuated_zones.push(zone.to_owned());
+        next.evacuated_zones.sort();
     }
-    if next.empty == state.empty {
+    if next.evacuated_zones == state.evacuated_zones {
         return Applied::AlreadyInForce;
     }
     Applied::Next(Box::new(next))
--- a/crates/registry/src/quorum_client.rs
+++ b/crates/registry/src/quorum_client.rs
@@ -65,8 +65,11 @@
         match decode_state(Some(bytes)) {
             Ok(state) => {
                 // Accepted versions are needed only where commands are agreed on; nobody needs to be told of them.
-                let state =
-                    AgreedState { config: state.config, empty: state.empty, ..AgreedState::default() };
+                let state = AgreedState {
+                    config: state.config,
+                    evacuated_zones: state.evacuated_zones,
+                    ..AgreedState::default()
+                };
                 self.view.take_agreed(edition, state);
             }
             Err(rejection) => log::error!("quorum: edition {}: {}", edition, rejection.problem),
--- a/crates/registry/tests/control_api.rs
+++ b/crates/registry/tests/control_api.rs
@@ -175,7 +175,7 @@
 fn a_copy_of_an_order_whose_caller_has_gone_does_not_empty_the_zone_again() {
     run_here("gone", async |core| {
         assert_eq!(core.call("POST /empty/east-1/begin", b"").await.0, 200);
-        assert_eq!(core.view.agreed_state().empty, ["east-1"]);
+        assert_eq!(core.view.agreed_state().evacuated_zones, ["east-1"]);
         // As it lay in the socket of a machine that stood still: the order, and the end of its connection.
         for _ in 0..8 {
             drop(core.open("POST /empty/east-1/begin", b"").await);
@@ -191,7 +191,7 @@
         // Each is begun, if it is, before this one, which waits as long.
         assert_eq!(core.call("POST /empty/east-1/end", b"").await.0, 200);
         assert_eq!(core.call("GET /settings/read", b"").await.0, 404);
-        assert_eq!((core.view.edition(), core.view.agreed_state().empty.len()), (edition, 0));
+        assert_eq!((core.view.edition(), core.view.agreed_state().evacuated_zones.len()), (edition, 0));
     });
 }
 
--- a/crates/registry/tests/operator_commands.rs
+++ b/crates/registry/tests/operator_commands.rs
@@ -185,8 +185,8 @@
     let agreed_state = next(&AgreedState::default(), &order("z", true));
     assert_eq!(apply(&agreed_state, &order("z", true)), Ok(Applied::AlreadyInForce), "again");
     let agreed_state = next(&agreed_state, &put(3, 0, "/p/"));
-    assert_eq!(agreed_state.empty, ["z"]);
+    assert_eq!(agreed_state.evacuated_zones, ["z"]);
     let back = next(&agreed_state, &order("z", false));
-    assert!(back.empty.is_empty());
+    assert!(back.evacuated_zones.is_empty());
     assert_eq!(apply(&back, &order("z", false)), Ok(Applied::AlreadyInForce));
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -383,7 +383,7 @@
         let active = AppliedState {
             acts: active,
             content: read.1.clone(),
-            empty: agreed_state.empty.clone(),
+            empty: agreed_state.evacuated_zones.clone(),
             servers: Rc::new(servers),
         };
         let now = world.history.now();
