--- a/crates/cluster-state/src/cluster_view.rs
+++ b/crates/cluster-state/src/cluster_view.rs
@@ -150,7 +150,7 @@
     }
 
     /// Takes an edition, unless it is known already.
-    pub fn take_agreed(&self, edition: u64, state: AgreedState) {
+    pub fn adopt_agreed(&self, edition: u64, state: AgreedState) {
         if edition > self.edition() {
             *self.agreed.borrow_mut() = Agreed { edition, state: Rc::new(state) };
             self.notify(true);
@@ -381,7 +381,7 @@
         }
         self.time_offset.set(self.time_offset.get().max(update.time - self.now()));
         if let Some(agreed) = &update.agreed {
-            self.take_agreed(update.edition, agreed.clone());
+            self.adopt_agreed(update.edition, agreed.clone());
         }
         if let Some(core) = &update.core {
             self.set_core_members(core.version, core.ips.iter().map(|ip| Ipv4Addr::from(*ip)));
--- a/crates/cluster-state/tests/applied_editions.rs
+++ b/crates/cluster-state/tests/applied_editions.rs
@@ -79,7 +79,7 @@
     }
     let session = |n: usize| follows(&new(), &core[n % 3], way, Some(&format!("edge-{n}")));
     let sessions = (0..limiters).map(session).collect();
-    core[0].take_agreed(1, AgreedState::default());
+    core[0].adopt_agreed(1, AgreedState::default());
     sleep(3000 * MS).await;
     Stage { core, sessions }
 }
@@ -91,7 +91,7 @@
             let cluster = cluster(way * MS, 30).await;
             assert!(cluster.core[0].wait_until_applied(WITHIN, 1).await.is_empty());
             let begun = Instant::now();
-            cluster.core[0].take_agreed(2, AgreedState::default());
+            cluster.core[0].adopt_agreed(2, AgreedState::default());
             let limiters_behind = cluster.core[0].wait_until_applied(WITHIN, 2).await;
             let took = begun.elapsed();
             assert!(limiters_behind.is_empty(), "{way} ms: {limiters_behind:?} after {took:?}");
@@ -108,12 +108,12 @@
         let cluster = cluster(5 * MS, 6).await;
         cluster.sessions[4].abort();
         let begun = Instant::now();
-        cluster.core[0].take_agreed(2, AgreedState::default());
+        cluster.core[0].adopt_agreed(2, AgreedState::default());
         assert_eq!(cluster.core[0].wait_until_applied(WITHIN, 2).await, ["edge-4"]);
         assert_eq!(begun.elapsed(), WITHIN);
         sleep(2000 * MS).await;
         let begun = Instant::now();
-        cluster.core[0].take_agreed(3, AgreedState::default());
+        cluster.core[0].adopt_agreed(3, AgreedState::default());
         assert!(cluster.core[0].wait_until_applied(WITHIN, 3).await.is_empty());
         assert!(begun.elapsed() < 60 * MS);
     });
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -103,7 +103,7 @@
         let settings = self.settings.settings();
         self.find_voters(&settings).await;
         let quorum = QuorumClient::new(self.view.clone(), self.register.clone(), settings.ip);
-        tokio::task::spawn_local(quorum.clone().keep_up());
+        tokio::task::spawn_local(quorum.clone().refresh_forever());
         tokio::task::spawn_local(self.clone().follow_voters());
         let zones = settings.zones.iter().map(|(zone, _)| zone.clone()).collect();
         ControlApi::new(self.view.clone(), quorum, zones, settings.bounds.ttl_max_s)
--- a/crates/registry/src/quorum_client.rs
+++ b/crates/registry/src/quorum_client.rs
@@ -70,7 +70,7 @@
                     evacuated_zones: state.evacuated_zones,
                     ..AgreedState::default()
                 };
-                self.view.take_agreed(edition, state);
+                self.view.adopt_agreed(edition, state);
             }
             Err(rejection) => log::error!("quorum: edition {}: {}", edition, rejection.problem),
         }
@@ -149,7 +149,7 @@
     }
 
     /// Refreshes again and again, for the life of the process.
-    pub async fn keep_up(self: Rc<Self>) {
+    pub async fn refresh_forever(self: Rc<Self>) {
         let mut is_in_touch = true;
         loop {
             let was_in_touch = std::mem::replace(&mut is_in_touch, self.refresh().await);
--- a/crates/registry/tests/cut_off.rs
+++ b/crates/registry/tests/cut_off.rs
@@ -221,7 +221,7 @@
         assert_matches!(one.quorum.execute(&order).await, Err(Rejection { kind: ErrorKind::NotReady, .. }));
         assert_eq!(asked.elapsed(), ms(0));
         // Reading is refused as well, inside the caller's second; what is known here may be old.
-        one.view.take_agreed(3, AgreedState { config: "{}".into(), ..AgreedState::default() });
+        one.view.adopt_agreed(3, AgreedState { config: "{}".into(), ..AgreedState::default() });
         let asked = Instant::now();
         assert_matches!(one.quorum.newest().await, Err(Rejection { kind: ErrorKind::OutcomeUnknown, .. }));
         assert!(asked.elapsed() < ms(1000), "{:?}", asked.elapsed());
