--- a/crates/cluster-state/src/admin_query.rs
+++ b/crates/cluster-state/src/admin_query.rs
@@ -1,5 +1,5 @@
-//! The commands of `oatbankctl`. Every program that answers [`call::QUERY`] holds one list of commands; its modules add
-//! their own.
+//! The commands of `oatbankctl`. Every program that answers [`call::QUERY`] holds one list of commands, to which its modules
+//! add theirs.
 //!
 //! [`call::QUERY`]: crate::messages::call::QUERY
 
@@ -12,14 +12,14 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// The most words of a command.
+/// Maximum number of words in a command.
 const MAX_WORDS: usize = 16;
-/// The most bytes of a word.
+/// Maximum length of a word, in bytes.
 const MAX_WORD_BYTES: usize = 256;
 
-/// The table that answers a command, ready at once or later.
+/// The future that resolves to a command's table.
 pub type TableFuture = Pin<Box<dyn Future<Output = Table>>>;
-/// Answers a command: takes its arguments, and whether no other process may be asked.
+/// Answers a command, given its arguments and whether the answer must come from this process alone.
 pub type CommandHandler = Rc<dyn Fn(Vec<String>, bool) -> TableFuture>;
 
 struct Command {
@@ -29,16 +29,16 @@
     handler: CommandHandler,
 }
 
-/// The commands of one program.
+/// The commands that one program answers.
 #[derive(Default)]
 pub struct Commands(Vec<Command>);
 
-/// A table that only says what is wrong.
+/// Creates a table that holds only an error message.
 pub fn error_table(error: String) -> Table {
     Table { error, ..Table::default() }
 }
 
-/// A table of texts.
+/// Creates a table without an error.
 pub fn table(title: impl Into<String>, columns: &[&str], rows: Vec<Vec<String>>) -> Table {
     Table {
         title: title.into(),
@@ -49,7 +49,7 @@
 }
 
 impl Commands {
-    /// The commands that every program answers: servers, limiters, the core, and the program's version.
+    /// Creates the list with the commands that every program answers: servers, limiters, core and version.
     pub fn of(view: &Rc<ClusterView>, program: &'static str, node_name: &str) -> Self {
         let mut commands = Commands::default();
         let of = view.clone();
@@ -67,7 +67,7 @@
         commands
     }
 
-    /// Adds a command that is answered at once.
+    /// Adds a command with a synchronous handler.
     pub fn add(
         &mut self,
         name: &'static str,
@@ -79,7 +79,7 @@
         self.add_async(name, usage, max_arguments, handler);
     }
 
-    /// Adds a command that may have to ask other processes.
+    /// Adds a command with an asynchronous handler, which may ask other processes.
     pub fn add_async(
         &mut self,
         name: &'static str,
@@ -90,13 +90,13 @@
         self.0.push(Command { name, usage, max_arguments, handler });
     }
 
-    /// Answers a command.
+    /// Answers a command. An unknown, malformed or too long one yields an error table that lists what is allowed.
     pub async fn answer(&self, query: AdminQuery) -> Table {
         let allowed = || self.0.iter().map(|command| command.usage).collect::<Vec<_>>().join(", ");
         let mut words = query.words;
         if words.len() > MAX_WORDS || words.iter().any(|word| word.len() > MAX_WORD_BYTES) {
             return error_table(format!(
-                "the question is too long; allowed: {MAX_WORDS} words of {MAX_WORD_BYTES} bytes"
+                "the command is too long; allowed: {MAX_WORDS} words of {MAX_WORD_BYTES} bytes"
             ));
         }
         if words.is_empty() {
@@ -104,10 +104,10 @@
         }
         let name = words.remove(0);
         let Some(command) = self.0.iter().find(|command| command.name == name) else {
-            return error_table(format!("{name:?} is no command; allowed: {}", allowed()));
+            return error_table(format!("unknown command {name:?}; allowed: {}", allowed()));
         };
         if let Some(excess) = words.get(command.max_arguments) {
-            return error_table(format!("{excess:?} is too much; allowed: {}", command.usage));
+            return error_table(format!("unexpected argument {excess:?}; allowed: {}", command.usage));
         }
         (command.handler)(words, query.local_only).await
     }
@@ -116,7 +116,7 @@
     pub async fn answer_bytes(&self, body: Bytes) -> Vec<u8> {
         match AdminQuery::decode(body) {
             Ok(query) => self.answer(query).await.encode_to_vec(),
-            Err(_) => error_table("the question cannot be read by this version".into()).encode_to_vec(),
+            Err(_) => error_table("this version cannot decode the command".into()).encode_to_vec(),
         }
     }
 }
--- a/crates/cluster-state/src/admin_query/tests.rs
+++ b/crates/cluster-state/src/admin_query/tests.rs
@@ -84,7 +84,7 @@
         view.merge_server(&row);
         for (words, named, allowed) in [
             (vec!["outcom"], "\"outcom\"", "outcome TRY-ID"),
-            (vec!["outcome"], "no try", "outcome TRY-ID"),
+            (vec!["outcome"], "missing argument", "outcome TRY-ID"),
             (vec!["limiters", "x"], "\"x\"", "limiters"),
             (vec!["servers", "hall"], "\"hall\"", "halls"),
             (vec![], "no command", "servers [SERVICE]"),
--- a/crates/cluster-state/src/admin_tables.rs
+++ b/crates/cluster-state/src/admin_tables.rs
@@ -1,11 +1,11 @@
-//! The tables that every program can show: servers, limiters and the core.
+//! The `oatbankctl` tables that every program can show: servers, limiters and the core.
 
 use crate::admin_query::{error_table, table};
 use crate::cluster_view::{ClusterView, CONTACT_TIMEOUT};
 use crate::messages::{MemberRow, ServerRow, Table};
 use crate::state::{member_state, server_state, Millis, ServerStatus};
 
-/// A duration for a cell, in seconds.
+/// Formats a duration in seconds for a table cell.
 pub(crate) fn seconds(ms: Millis) -> String {
     format!("{:.1} s", ms.max(0.0) / 1000.0)
 }
@@ -33,7 +33,8 @@
     ]
 }
 
-/// All servers, or those of one service.
+/// Builds the table of all servers, or of one service's servers. An unknown service yields an error table that lists the
+/// services.
 pub(crate) fn servers(view: &ClusterView, service: Option<&String>) -> Table {
     let rows: Vec<Vec<String>> = view.with(|state, now| {
         let is_shown = |status: &ServerStatus<'_>| service.is_none_or(|name| status.row.service == *name);
@@ -60,7 +61,7 @@
     }
 }
 
-/// All limiters.
+/// Builds the table of all limiters.
 pub(crate) fn limiters(view: &ClusterView) -> Table {
     let cells = |(row, age): (&MemberRow, Millis)| {
         vec![
@@ -75,7 +76,7 @@
     table(format!("{} limiters", rows.len()), &["name", "zone", "state", "edition", "last word"], rows)
 }
 
-/// The core as this process knows it: itself, and the core machines that follow it.
+/// Builds the table of the core as known here: this process, and the core machines that follow it.
 pub(crate) fn core(view: &ClusterView, own_name: &str) -> Table {
     let confirmed = view.confirmed_ago().map_or("never".to_owned(), seconds);
     let touch = if view.in_touch() { "in touch" } else { "not in touch" };
--- a/crates/cluster-state/src/anti_entropy.rs
+++ b/crates/cluster-state/src/anti_entropy.rs
@@ -1,20 +1,23 @@
-//! Anti-entropy: whether a follower and its source hold the same, and when to take a full snapshot. The time is handed in.
+//! Anti-entropy: detects that a follower and its source hold different servers, and decides when to take a full snapshot.
+//! Callers pass in the time.
 //!
-//! An update can be lost in ways that no sequence number shows: a source's table was wiped, or the end of a server was
-//! inferred from a snapshot that lacked it. Both sides compute the digest of what they hold. If the digests differ at one
-//! edition, with all updates merged, for longer than updates travel, the follower takes a snapshot.
+//! Sequence numbers do not reveal every lost update: a source's table may have been wiped, or the end of a server may have
+//! been inferred from a snapshot that lacked it. Both sides therefore compute a digest of their servers. If the digests
+//! differ at the same edition, with all updates merged, for longer than updates take to propagate, the follower takes a
+//! snapshot.
 
 use crate::state::Millis;
 
-/// Updates travel for no longer than this, ms: a follower that differs for longer takes a snapshot.
+/// Upper bound of the propagation time of updates, ms. A follower that differs for longer takes a snapshot.
 pub const SNAPSHOT_AFTER: Millis = 3000.0;
-/// Two processes in touch name different owners for no longer than this, ms. A process that has not been found to agree
-/// with its source for longer confirms nothing for contested names.
+/// Longest time for which two connected processes may name different owners, ms. A process that has not agreed with its
+/// source for longer confirms no contested names.
 pub const MAX_DIVERGENCE: Millis = 5000.0;
-/// The wait doubles after a snapshot that did not help, up to this, ms: the source may lack something that others know.
+/// Upper bound of the wait before the next snapshot, ms. The wait doubles after a snapshot that did not remove the
+/// difference, since the source may lack rows that other processes have.
 const LONGEST_WAIT: Millis = 48_000.0;
 
-/// How one follower compares with its source.
+/// Tracks whether one follower holds the same servers as its source.
 #[derive(Clone, Copy, Debug)]
 pub struct SourceAgreement {
     agreed_at: Millis,
@@ -23,12 +26,13 @@
 }
 
 impl SourceAgreement {
-    /// A process that starts now differs from nobody yet.
+    /// Creates the state of a follower that agrees with its source at `now`.
     pub fn new(now: Millis) -> Self {
         SourceAgreement { agreed_at: now, differs_since: None, wait: SNAPSHOT_AFTER }
     }
 
-    /// All of the source's updates were merged, and the digests are the same or not. Returns whether to take a snapshot.
+    /// Records whether the digests are the same after all of the source's updates were merged. Returns whether to take a
+    /// snapshot.
     pub fn on_update(&mut self, now: Millis, is_same: bool) -> bool {
         if is_same {
             *self = SourceAgreement::new(now);
@@ -43,7 +47,8 @@
         takes_snapshot
     }
 
-    /// Whether it was not found to agree for too long, because it differs or because it hears nothing.
+    /// Returns whether the last agreement is more than [`MAX_DIVERGENCE`] ago, because of a difference or because no updates
+    /// arrive.
     pub fn has_diverged(&self, now: Millis) -> bool {
         now - self.agreed_at > MAX_DIVERGENCE
     }
--- a/crates/cluster-state/src/clock.rs
+++ b/crates/cluster-state/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock by which a process measures durations.
+//! The monotonic clock of a process.
 
 use crate::state::Millis;
 use tokio::time::Instant;
@@ -11,17 +11,17 @@
 }
 
 impl MonotonicClock {
-    /// Starts now, a little above 0: no moment is 0.
+    /// Starts the clock at 1 ms, so that no reading is 0.
     pub fn start() -> Self {
         MonotonicClock::at_rate(1.0)
     }
 
-    /// The clock of a machine that runs at another rate than it should, for simulations.
+    /// Starts a clock that runs at `rate` times real time, to simulate clock drift.
     pub fn at_rate(rate: f64) -> Self {
         MonotonicClock { started: Instant::now(), rate }
     }
 
-    /// Now.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         1.0 + self.started.elapsed().as_secs_f64() * 1000.0 * self.rate
     }
--- a/crates/cluster-state/src/cluster_view.rs
+++ b/crates/cluster-state/src/cluster_view.rs
@@ -1,6 +1,6 @@
-//! What one process knows of the cluster, and how it answers those who follow it: servers and limiters, the agreed state,
-//! the core machines, and how fresh all of that is. The rules of merging are [`crate::state`]'s; here are the waiting and
-//! the clock.
+//! One process's view of the cluster: servers and limiters, the agreed state, the core machines, and how recently a majority
+//! confirmed them. Also answers the long polls of followers. The merge rules are in [`crate::state`]; this module adds the
+//! clock and the waiting.
 
 use crate::anti_entropy::SourceAgreement;
 use crate::clock::MonotonicClock;
@@ -19,31 +19,31 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Changes that affect no use are gathered for this long before a follower is told, ms.
+/// How long changes that do not affect the use of servers and limiters are batched before a follower is answered, ms.
 const GATHER: Millis = 200.0;
-/// That limiters have applied a newer edition is gathered for this long, ms, where a command waits for it.
+/// How long acknowledgements of a newer edition are batched while a command waits for them, ms.
 const GATHER_ACKS: Millis = 20.0;
-/// A process that last asked a majority longer ago than this, ms, is not in touch with it.
+/// A process is out of touch with the majority if its last confirmation is older than this, ms.
 pub const CONTACT_TIMEOUT: Millis = 1500.0;
 
-/// How far a follower says it has come.
+/// The replication progress that a follower has reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FollowerProgress {
-    /// It has merged all changes of this process's epoch up to this sequence number.
+    /// The follower has merged all changes of this process's epoch up to this sequence number.
     pub seen: u64,
-    /// It has this edition.
+    /// The follower's edition.
     pub edition: u64,
-    /// When it said so.
+    /// Time of the report, on this process's clock.
     pub at: Millis,
-    /// It wants every change: it is a core machine.
+    /// Whether the follower requests every change, as core machines do.
     pub every_change: bool,
-    /// The digest of the servers that it knew.
+    /// Digest of the servers known to the follower.
     pub digest: u64,
-    /// Its address, if it is a core machine.
+    /// The follower's address, if it is a core machine.
     pub core_ip: Option<Ipv4Addr>,
 }
 
-/// Called when servers or limiters have changed in what they are used for, or an edition was taken.
+/// Called when a change affects the use of servers or limiters, or a newer edition was adopted.
 pub type ChangeListener = Rc<dyn Fn()>;
 
 /// The newest agreed state that this process knows.
@@ -53,29 +53,29 @@
     state: Rc<AgreedState>,
 }
 
-/// What this process knows of the cluster.
+/// This process's view of the cluster.
 pub struct ClusterView {
     clock: MonotonicClock,
     table: RefCell<StateTable>,
-    /// Invariant: the edition never goes back.
+    /// Invariant: the edition never decreases.
     agreed: RefCell<Agreed>,
     core: RefCell<CoreMembership>,
-    /// At this moment a majority was asked, and knew nothing newer than what is known here.
+    /// Last time at which a majority was asked and knew nothing newer than this process.
     confirmed_at: Cell<Option<Millis>>,
-    /// How far the cluster's time is ahead of this process's clock.
+    /// Offset of the cluster's time from this process's clock, ms.
     time_offset: Cell<Millis>,
     agreement: RefCell<SourceAgreement>,
-    /// `None`: this process does not watch for its own pauses.
+    /// `None` if this process does not detect its own pauses.
     pause_detector: Cell<Option<PauseDetector>>,
     followers: RefCell<HashMap<String, FollowerProgress>>,
-    /// How many commands wait for limiters to apply them.
+    /// Number of commands that wait for limiters to apply them.
     waiting_commands: Cell<usize>,
     changed: Notify,
     listeners: RefCell<Vec<ChangeListener>>,
 }
 
 impl ClusterView {
-    /// Knows nothing yet.
+    /// Creates an empty view.
     pub fn new(clock: MonotonicClock, heartbeat_interval: Millis) -> Rc<Self> {
         Rc::new(ClusterView {
             clock,
@@ -93,33 +93,34 @@
         })
     }
 
-    /// Now, on this process's clock.
+    /// Returns the current time on this process's clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// The cluster's time: what the process has counted that has run for longest, or has followed one that had. All processes
-    /// agree on it within the latency between them, whatever their times of day are.
+    /// Returns the cluster's time, which is the highest clock among the processes that have followed each other. Processes
+    /// agree on it within the latency between them, independent of their wall clocks.
     pub fn cluster_time(&self) -> Millis {
         self.now() + self.time_offset.get()
     }
 
-    /// This process's clock.
+    /// Returns this process's clock.
     pub fn clock(&self) -> MonotonicClock {
         self.clock
     }
 
-    /// Calls `listener` from now on when something has changed.
+    /// Registers a listener for changes that affect the use of servers or limiters, and for newer editions.
     pub fn on_change(&self, listener: ChangeListener) {
         self.listeners.borrow_mut().push(listener);
     }
 
-    /// Reads servers and limiters.
+    /// Calls `read` with the table and the current time, and returns its result.
     pub fn with<T>(&self, read: impl FnOnce(&StateTable, Millis) -> T) -> T {
         read(&self.table.borrow(), self.now())
     }
 
-    /// Changes servers and limiters, and wakes followers.
+    /// Calls `change` with the table and the current time, and wakes followers and listeners if it changed something. Returns
+    /// the result of `change`.
     pub fn change<T>(&self, change: impl FnOnce(&mut StateTable, Millis) -> T) -> T {
         let sequences = |table: &StateTable| (table.sequence(), table.change_sequence());
         let before = sequences(&self.table.borrow());
@@ -139,17 +140,17 @@
         }
     }
 
-    /// The newest edition known here; 0 before the first.
+    /// Returns the newest edition known here, or 0 before the first.
     pub fn edition(&self) -> u64 {
         self.agreed.borrow().edition
     }
 
-    /// The agreed state of that edition.
+    /// Returns the agreed state of the newest edition known here.
     pub fn agreed_state(&self) -> Rc<AgreedState> {
         self.agreed.borrow().state.clone()
     }
 
-    /// Takes an edition, unless it is known already.
+    /// Adopts an edition if it is newer than the known one.
     pub fn adopt_agreed(&self, edition: u64, state: AgreedState) {
         if edition > self.edition() {
             *self.agreed.borrow_mut() = Agreed { edition, state: Rc::new(state) };
@@ -157,42 +158,43 @@
         }
     }
 
-    /// The core machines that vote, as far as known here.
+    /// Returns the addresses of the voting core machines known here.
     pub fn core_addresses(&self) -> Vec<Ipv4Addr> {
         self.core.borrow().ips.iter().map(|ip| Ipv4Addr::from(*ip)).collect()
     }
 
-    /// The version of [`ClusterView::core_addresses`]; 0 if none are known.
+    /// Returns the version of [`ClusterView::core_addresses`], or 0 if none are known.
     pub fn core_version(&self) -> u64 {
         self.core.borrow().version
     }
 
-    /// Takes the core machines of this version, unless they are older than those known. Followers hear of them.
+    /// Sets the core machines if `version` is newer than the known one. They are sent to followers with the next update.
     pub fn set_core_members(&self, version: u64, ips: impl Iterator<Item = Ipv4Addr>) {
         if version > self.core.borrow().version {
             *self.core.borrow_mut() = CoreMembership { version, ips: ips.map(u32::from).collect() };
         }
     }
 
-    /// At the moment `at` a majority was asked and knew of nothing newer than `edition`.
+    /// Records that a majority was asked at `at` and knew nothing newer than `edition`. Ignored if this process lacks the
+    /// edition or has a later confirmation.
     pub fn confirm(&self, at: Millis, edition: u64) {
         if self.edition() >= edition && self.confirmed_at.get().is_none_or(|before| before < at) {
             self.confirmed_at.set(Some(at));
         }
     }
 
-    /// How long ago a majority was known to know of nothing newer.
+    /// Returns the time since the last confirmation by a majority, ms, or `None` if there was none.
     pub fn confirmed_ago(&self) -> Option<Millis> {
         self.confirmed_at.get().map(|at| (self.now() - at).max(0.0))
     }
 
-    /// The moment at which a majority was known to know of nothing newer.
+    /// Returns the time of the last confirmation by a majority.
     pub fn confirmed_at(&self) -> Option<Millis> {
         self.confirmed_at.get()
     }
 
-    /// This process runs: to be called every [`crate::pause_detector::TICK_INTERVAL`] from the first call on. The length of
-    /// the pause that has just ended, if there was one.
+    /// Feeds the pause detector. Must be called every [`crate::pause_detector::TICK_INTERVAL`] from the first call on. Returns
+    /// the length in ms of a pause that has just ended.
     pub fn tick(&self) -> Option<Millis> {
         let mut detector = self.pause_detector.get().unwrap_or_else(|| PauseDetector::new(self.now()));
         let paused = detector.tick(self.now());
@@ -200,33 +202,34 @@
         paused
     }
 
-    /// Whether what arrives now was sent now, and did not wait in a socket during a pause of this process.
+    /// Returns whether messages that arrive now are current, and did not wait in a socket during a pause of this process.
     pub fn has_caught_up(&self) -> bool {
         self.pause_detector.get().is_none_or(|detector| detector.has_caught_up(self.now()))
     }
 
-    /// Whether a majority was asked a short while ago.
+    /// Returns whether the last confirmation by a majority is at most [`CONTACT_TIMEOUT`] old.
     pub fn in_touch(&self) -> bool {
         self.confirmed_ago().is_some_and(|ago| ago <= CONTACT_TIMEOUT)
     }
 
-    /// Whether the core machine that this process follows was found to know the same servers a short while ago.
+    /// Returns whether this process recently held the same servers as the core machine that it follows.
     pub fn agrees_with_source(&self) -> bool {
         !self.agreement.borrow().has_diverged(self.now())
     }
 
-    /// Compares what is known here with a source whose updates were all merged; whether to take a snapshot.
+    /// Compares the servers known here with those of a source whose updates were all merged. Returns whether to take a
+    /// snapshot.
     pub(crate) fn compare(&self, edition: u64, digest: u64) -> bool {
         let is_same = digest == self.table.borrow().digest();
         edition == self.edition() && self.agreement.borrow_mut().on_update(self.now(), is_same)
     }
 
-    /// How far the follower of this name has come.
+    /// Returns the progress of the follower with this name, or the default if it has reported none.
     pub fn progress_of(&self, name: &str) -> FollowerProgress {
         self.followers.borrow().get(name).copied().unwrap_or_default()
     }
 
-    /// All followers by name, with how far each has come.
+    /// Returns all followers with their progress, sorted by name.
     pub fn followers(&self) -> Vec<(String, FollowerProgress)> {
         let mut followers: Vec<_> =
             self.followers.borrow().iter().map(|(name, progress)| (name.clone(), *progress)).collect();
@@ -234,7 +237,7 @@
         followers
     }
 
-    /// Waits until `holds` is true of the followers, at most `within`; whether it is.
+    /// Waits until the followers satisfy `holds`, at most `within`. Returns whether they do.
     pub async fn wait_for(
         &self,
         within: Duration,
@@ -252,8 +255,8 @@
         }
     }
 
-    /// Waits until all limiters with a session are known to have applied an edition, at most `within`. Returns the names of
-    /// those that are still behind. While this waits, other core machines report sooner which of their limiters have.
+    /// Waits at most `within` until all limiters with a session have reported an edition as applied. Returns the names of
+    /// those that have not. While this waits, other core machines report the progress of their limiters promptly.
     pub async fn wait_until_applied(&self, within: Duration, edition: u64) -> Vec<String> {
         let _waiting = WaitingCommand::new(&self.waiting_commands);
         let all_have = |_: &_| self.with(|table, now| table.limiters_behind(now, edition).next().is_none());
@@ -263,7 +266,7 @@
         self.with(|table, now| table.limiters_behind(now, edition).map(str::to_owned).collect())
     }
 
-    /// Whether a command waits here for limiters to apply it.
+    /// Returns whether a command waits here for limiters to apply it.
     pub fn has_waiting_commands(&self) -> bool {
         self.waiting_commands.get() > 0
     }
@@ -274,7 +277,7 @@
             || table.has_update_since(request.epoch, request.seen, every_change, observations)
     }
 
-    /// Answers a follower, at once or when there is an update (a long poll).
+    /// Answers a follower's long poll, at once if there is an update, otherwise when one comes or the hold time ends.
     pub async fn answer_follow(&self, request: FollowRequest) -> StateUpdate {
         let received = self.now();
         self.take_in(&request, received);
@@ -282,7 +285,7 @@
         self.update_for(&request, received)
     }
 
-    /// Takes in what a follower says of itself and of servers.
+    /// Merges the follower's row and observations, and records its progress.
     fn take_in(&self, request: &FollowRequest, received: Millis) {
         if let Some(member) = &request.member {
             let row = MemberRow { age_ms: 0, expired: false, ..member.clone() };
@@ -305,12 +308,12 @@
             self.followers.borrow_mut().insert(request.name.clone(), progress);
             self.changed.notify_waiters();
         } else if request.every_change {
-            // Another incarnation of it: what the one before had merged is gone.
+            // A core machine that has restarted has lost what its previous incarnation had merged.
             self.followers.borrow_mut().remove(&request.name);
         }
     }
 
-    /// Waits until there is an update worth sending, at most as long as the follower allows.
+    /// Waits until there is an update to send, at most for the hold time that the follower allows.
     async fn wait_for_update(&self, request: &FollowRequest, received: Millis) {
         let hold = f64::from(request.hold_ms);
         let gather = GATHER.min(hold);
@@ -334,7 +337,7 @@
                 hold
             };
             let left = Duration::from_secs_f64((until - waited).max(0.5) / 1000.0);
-            // Woken or not, it checks again.
+            // The loop checks the conditions again after a wake-up and after a timeout alike.
             let _ = tokio::time::timeout(left, changed).await;
         }
     }
@@ -358,22 +361,22 @@
         update
     }
 
-    /// Answers an encoded [`FollowRequest`]. A process that was paused merges nothing and answers nothing: the follower
-    /// asks another.
+    /// Answers an encoded [`FollowRequest`]. After a pause of this process nothing is merged and the answer is empty, so that
+    /// the follower asks another process.
     pub async fn answer_bytes(&self, body: Bytes) -> Vec<u8> {
         if !self.has_caught_up() {
             return Vec::new();
         }
         match FollowRequest::decode(body) {
             Ok(request) => self.answer_follow(request).await.encode_to_vec(),
-            // Of another version: it hears nothing, and says so in its log.
+            // An incompatible version: the empty answer counts as no response.
             Err(_) => Vec::new(),
         }
     }
 
-    /// Merges another process's update, which was asked for at `requested`.
+    /// Merges another process's update to a request sent at `requested`.
     pub fn apply_update(&self, requested: Millis, mut update: StateUpdate) {
-        // What waited here during a pause of this process is that much older than it says.
+        // A response that waited here during a pause of this process is older than its ages say.
         let allowed = f64::from(update.held_ms) + CALL_PATIENCE.as_secs_f64() * 1000.0;
         let late = self.now() - requested - allowed;
         if late > 0.0 {
@@ -387,19 +390,19 @@
             self.set_core_members(core.version, core.ips.iter().map(|ip| Ipv4Addr::from(*ip)));
         }
         if let Some(ago) = update.confirmed_ago {
-            // It was sent no sooner than it was held, and was no older then than it says.
+            // The response was sent no earlier than `held_ms` after the request, and `ago` is its age at that time.
             self.confirm(requested + f64::from(update.held_ms) - f64::from(ago), update.edition);
         }
         self.change(|table, now| table.merge_update(now, &update));
     }
 
-    /// Merges a server's heartbeat.
+    /// Merges a server's heartbeat and wakes followers.
     pub fn merge_server(&self, row: &ServerRow) -> MergeResult {
         self.change(|table, now| table.merge_server(now, row))
     }
 }
 
-/// Counts a command for as long as it waits, whichever way that ends.
+/// Guard that counts a waiting command, and stops counting it when dropped.
 struct WaitingCommand<'a>(&'a Cell<usize>);
 
 impl<'a> WaitingCommand<'a> {
--- a/crates/cluster-state/src/lib.rs
+++ b/crates/cluster-state/src/lib.rs
@@ -1,17 +1,17 @@
-//! The state that every process of the system holds a copy of, and how the copies are kept the same.
+//! The state that every process of the system holds a copy of, and its replication.
 //!
-//! [`state`], [`anti_entropy`] and [`pause_detector`] do no I/O and are handed the time; [`cluster_view`] adds the clock and
-//! the waiting, [`replication`] the calls between processes.
+//! [`state`], [`anti_entropy`] and [`pause_detector`] do no I/O and take the time as an argument. [`cluster_view`] adds the
+//! clock and the waiting, [`replication`] the calls between processes.
 //!
 //! | module | holds |
 //! | --- | --- |
 //! | [`messages`] | messages between the system's own processes |
-//! | [`state`] | rows of servers and limiters that merge, and what a follower lacks |
-//! | [`anti_entropy`] | whether a follower and its source hold the same, and when to take a snapshot |
-//! | [`pause_detector`] | whether this process has run without a pause |
+//! | [`state`] | the table of mergeable rows, and the updates for followers |
+//! | [`anti_entropy`] | detection of differences between a follower and its source |
+//! | [`pause_detector`] | detection of pauses of this process |
 //! | [`clock`] | the monotonic clock |
-//! | [`cluster_view`] | what one process knows, and how it answers its followers |
-//! | [`replication`] | following another process |
+//! | [`cluster_view`] | one process's view of the cluster, and the answers to its followers |
+//! | [`replication`] | replication from another process |
 //! | [`admin_query`], [`outcome_service`] | the commands of `oatbankctl`, and outcomes of attempts |
 
 pub mod admin_query;
--- a/crates/cluster-state/src/messages.rs
+++ b/crates/cluster-state/src/messages.rs
@@ -1,11 +1,11 @@
-//! Messages between the system's own processes (the store's own are in `oatbank-config-store`). Field tags and kinds of calls
-//! are fixed: a roll runs two versions side by side (`tests/compatibility.rs`).
+//! Messages between the system's own processes, except those of the store, which are in `oatbank-config-store`. Field tags
+//! and call kinds are fixed, because two versions run side by side during a rolling update (`tests/compatibility.rs`).
 
 use prost::Message;
 
-/// Kinds of calls, as they stand in a frame.
+/// Call kinds, as encoded in a frame.
 pub mod call {
-    /// [`super::FollowRequest`], answered with [`super::StateUpdate`], at once or when there is one.
+    /// [`super::FollowRequest`], answered with [`super::StateUpdate`], at once or as a long poll.
     pub const FOLLOW: u8 = 40;
     /// [`super::QuotaAdds`], answered with [`super::QuotaTotals`].
     pub const COUNT: u8 = 41;
@@ -15,177 +15,177 @@
     pub const OUTCOME: u8 = 43;
 }
 
-/// A server, by its last heartbeat.
+/// A server as of its last heartbeat.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ServerRow {
-    /// Its id: one incarnation of a server.
+    /// Id of this incarnation of the server.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Its service.
+    /// The service that it belongs to.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// Where it listens.
+    /// The address that it listens on.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Its zone.
+    /// The zone that it runs in.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// Version of its software.
+    /// Version of the server's software.
     #[prost(string, tag = "5")]
     pub version: String,
-    /// Requests that it processes at a time.
+    /// Number of requests that it processes concurrently.
     #[prost(uint32, tag = "6")]
     pub slots: u32,
     /// One of [`crate::state::server_state`].
     #[prost(uint32, tag = "7")]
     pub state: u32,
-    /// How much longer it warms up, ms, as of the sending of this row.
+    /// Remaining warm-up time when this row was sent, ms.
     #[prost(uint32, tag = "8")]
     pub warmup_ms: u32,
-    /// The number of its last heartbeat.
+    /// Number of its last heartbeat.
     #[prost(uint64, tag = "9")]
     pub call_count: u64,
-    /// No further heartbeat came in time.
+    /// Whether its next heartbeat did not arrive in time.
     #[prost(bool, tag = "10")]
     pub timed_out: bool,
-    /// How long ago it was heard, ms, as of the sending of this row.
+    /// Time since its last heartbeat when this row was sent, ms.
     #[prost(uint32, tag = "11")]
     pub age_ms: u32,
 }
 
-/// A limiter, by the last heartbeat of its session.
+/// A limiter as of the last heartbeat of its session.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct MemberRow {
-    /// Its name.
+    /// Name of the limiter.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Random; it differs between its starts.
+    /// Random number drawn at each start of the limiter.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Rises with each heartbeat of this incarnation.
+    /// Heartbeat number, increasing within an incarnation.
     #[prost(uint64, tag = "3")]
     pub heartbeat: u64,
-    /// Where clients reach it.
+    /// Address for clients.
     #[prost(string, tag = "4")]
     pub front: String,
-    /// Where other processes of the system reach it.
+    /// Address for other processes of the system.
     #[prost(string, tag = "5")]
     pub inner: String,
-    /// Its zone.
+    /// The zone that it runs in.
     #[prost(string, tag = "6")]
     pub zone: String,
-    /// Its region.
+    /// The region that it runs in.
     #[prost(string, tag = "7")]
     pub region: String,
     /// One of [`crate::state::member_state`].
     #[prost(uint32, tag = "8")]
     pub state: u32,
-    /// Its session has expired since that heartbeat.
+    /// Whether its session has expired since that heartbeat.
     #[prost(bool, tag = "9")]
     pub expired: bool,
-    /// How long ago it was heard, ms, as of the sending of this row.
+    /// Time since its last heartbeat when this row was sent, ms.
     #[prost(uint32, tag = "10")]
     pub age_ms: u32,
-    /// The edition that it has applied.
+    /// The edition that the limiter has applied.
     #[prost(uint64, tag = "11")]
     pub edition: u64,
 }
 
-/// What one limiter has observed of one server. Weights are hundredths of natural logarithms, as of `ago`.
+/// One limiter's observation of one server. Weights of evidence are hundredths of natural logarithms, as of `ago`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ObservationRow {
-    /// The server's id.
+    /// Id of the observed server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// The limiter's name.
+    /// Name of the observing limiter.
     #[prost(string, tag = "2")]
     pub observer: String,
-    /// The limiter's incarnation.
+    /// Incarnation of the observing limiter.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// Rises with each update of this incarnation on this server.
+    /// Update number, increasing within an incarnation of the limiter.
     #[prost(uint32, tag = "4")]
     pub seq: u32,
-    /// Evidence that it fails: with quick and with slow decay.
+    /// Weights of the evidence that the server fails, with fast and with slow decay.
     #[prost(sint32, repeated, tag = "5")]
     pub failing: Vec<i32>,
-    /// Evidence that it is slow: with quick and with slow decay.
+    /// Weights of the evidence that the server is slow, with fast and with slow decay.
     #[prost(sint32, repeated, tag = "6")]
     pub slow: Vec<i32>,
-    /// Attempts that got no connection, in hundredths.
+    /// Number of attempts that got no connection, in hundredths.
     #[prost(uint32, tag = "7")]
     pub unreached: u32,
-    /// Successes since it stopped being healthy.
+    /// Number of successes since the server stopped being healthy.
     #[prost(uint32, tag = "8")]
     pub goods: u32,
-    /// How long ago that was, ms, as of the sending of this row.
+    /// Age of the observation when this row was sent, ms.
     #[prost(uint32, tag = "9")]
     pub ago: u32,
 }
 
-/// Evidence of this weight makes a server suspect by itself.
+/// Weight from which a single limiter's evidence makes a server suspect, in hundredths of a natural logarithm.
 const STRONG_EVIDENCE: i32 = 700;
 
 impl ObservationRow {
-    /// Whether it makes a server suspect by itself: worth telling at once.
+    /// Returns whether the evidence alone makes the server suspect, and should be sent at once.
     pub fn is_strong(&self) -> bool {
         self.failing.iter().chain(&self.slow).any(|weight| *weight >= STRONG_EVIDENCE)
     }
 }
 
-/// A version that was accepted, and what was sent under its number.
+/// An accepted version, with the digest of its proposal.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct AcceptedVersion {
-    /// The version.
+    /// Number of the version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// The digest of the proposal.
+    /// Digest of the proposal.
     #[prost(uint64, tag = "2")]
     pub digest: u64,
 }
 
-/// What the core has agreed on: the value of the register.
+/// The state that the core has agreed on, stored as the value of the register.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct AgreedState {
-    /// The configuration as it is read back; empty before the first.
+    /// Text of the configuration; empty before the first one.
     #[prost(string, tag = "1")]
     pub config: String,
-    /// Accepted versions, the newest last, as earlier versions of the program wrote them; only read.
+    /// Accepted versions, the newest last, in the format of earlier releases. Read but no longer written.
     #[prost(message, repeated, tag = "2")]
     pub accepted: Vec<AcceptedVersion>,
-    /// Zones that are evacuated.
+    /// Zones under evacuation.
     #[prost(string, repeated, tag = "3")]
     pub evacuated_zones: Vec<String>,
-    /// Accepted versions, the newest last: each as its difference from the one before it, the first one from 0.
+    /// Accepted versions, the newest last, delta-encoded starting from 0.
     #[prost(uint64, repeated, tag = "4")]
     pub steps: Vec<u64>,
-    /// The digest of the proposal of each.
+    /// Digests of the proposals of the versions in `steps`.
     #[prost(fixed64, repeated, tag = "5")]
     pub digests: Vec<u64>,
 }
 
-/// The longest configuration, in bytes, as it is read back. A process that holds one sends it in one frame, together with all
-/// servers and limiters, to as many followers as ask at a time.
+/// Maximum length of the configuration's text, in bytes. A process sends it in one frame, together with all servers and
+/// limiters, to any number of followers at once.
 pub const MAX_CONFIG_BYTES: usize = 2 << 20;
 
-/// The core machines that vote.
+/// The voting core machines.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct CoreMembership {
-    /// Rises with each change of them; 0 if none are known.
+    /// Increases with each change of the voters; 0 if none are known.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Their IPv4 addresses.
+    /// IPv4 addresses of the voters.
     #[prost(fixed32, repeated, tag = "2")]
     pub ips: Vec<u32>,
 }
 
-/// Asks for what is new since a position: a long poll.
+/// Long poll for the changes since a position.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct FollowRequest {
     /// The follower's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The source's epoch that `seen` counts in.
+    /// The source's epoch to which `seen` belongs.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
     /// All changes up to this sequence number were merged.
@@ -194,54 +194,54 @@
     /// The edition that the follower has applied.
     #[prost(uint64, tag = "4")]
     pub edition: u64,
-    /// It wants every change of servers and members, not only what changes their use.
+    /// Whether to send every change of servers and limiters, not only those that affect their use.
     #[prost(bool, tag = "5")]
     pub every_change: bool,
-    /// The response may be held for this long, ms.
+    /// How long the source may hold the response, ms.
     #[prost(uint32, tag = "6")]
     pub hold_ms: u32,
-    /// The follower itself, if this is a session's heartbeat.
+    /// The follower's own row, if this is a session's heartbeat.
     #[prost(message, optional, tag = "7")]
     pub member: Option<MemberRow>,
     /// [`CoreMembership::version`] as known to the follower.
     #[prost(uint64, tag = "11")]
     pub core: u64,
-    /// What the follower has observed of servers, if that is to be told at once.
+    /// The follower's observations of servers that should be sent at once.
     #[prost(message, repeated, tag = "8")]
     pub observations: Vec<ObservationRow>,
-    /// The digest of the servers that the follower knows; it counts at equal editions.
+    /// Digest of the servers known to the follower; comparable at equal editions.
     #[prost(fixed64, tag = "10")]
     pub digest: u64,
-    /// Leave out what limiters have observed of servers: the follower hears it elsewhere.
+    /// Whether to omit observations, because the follower receives them from another source.
     #[prost(bool, tag = "12")]
     pub without_observations: bool,
     /// The follower's IPv4 address, if it is a core machine; 0 otherwise.
     #[prost(uint32, tag = "13")]
     pub core_ip: u32,
-    /// A command waits at the follower until limiters have applied its edition: tell soon that more of them have.
+    /// Whether to send acknowledgements of editions promptly, because a command waits for them at the follower.
     #[prost(bool, tag = "14")]
     pub wants_prompt_acks: bool,
 }
 
-/// What is new.
+/// The changes since the position in a [`FollowRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct StateUpdate {
     /// The source's epoch.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// With this, the follower has all changes of the epoch up to this sequence number.
+    /// After merging this update, the follower has all changes of the epoch up to this sequence number.
     #[prost(uint64, tag = "2")]
     pub seen: u64,
-    /// This is all there is, not only what has changed.
+    /// Whether the update holds all rows, not only the changed ones.
     #[prost(bool, tag = "3")]
     pub is_snapshot: bool,
-    /// The source has listened for long enough to know all servers and members.
+    /// Whether the source has run for long enough to have heard from all servers and limiters.
     #[prost(bool, tag = "4")]
     pub source_is_warm: bool,
-    /// Servers.
+    /// Rows of servers.
     #[prost(message, repeated, tag = "5")]
     pub servers: Vec<ServerRow>,
-    /// Limiters.
+    /// Rows of limiters.
     #[prost(message, repeated, tag = "6")]
     pub members: Vec<MemberRow>,
     /// The newest edition known to the source; 0 before the first.
@@ -250,25 +250,25 @@
     /// The agreed state of that edition, if the follower lacks it.
     #[prost(message, optional, tag = "8")]
     pub agreed: Option<AgreedState>,
-    /// How long ago, ms, a majority was asked and knew of nothing newer; none if never.
+    /// Time since a majority last confirmed that nothing newer is known, ms; absent if never.
     #[prost(uint32, optional, tag = "9")]
     pub confirmed_ago: Option<u32>,
-    /// The request was held for this long, ms.
+    /// How long the source held the request, ms.
     #[prost(uint32, tag = "10")]
     pub held_ms: u32,
-    /// How many limiters there have been of late, including all that may still be active.
+    /// Number of limiters that may be active, including those whose session ended recently.
     #[prost(uint32, tag = "11")]
     pub limiters: u32,
-    /// The cluster's time as known to the source, ms: it only runs forward, and is nobody's time of day.
+    /// The cluster's time as known to the source, ms. It is monotonic and unrelated to wall clocks.
     #[prost(double, tag = "12")]
     pub time: f64,
     /// The core machines, if the follower knows an older version of them.
     #[prost(message, optional, tag = "16")]
     pub core: Option<CoreMembership>,
-    /// What limiters have observed of servers.
+    /// Limiters' observations of servers.
     #[prost(message, repeated, tag = "13")]
     pub observations: Vec<ObservationRow>,
-    /// The digest of the servers that the source knows; it counts at equal editions.
+    /// Digest of the servers known to the source; comparable at equal editions.
     #[prost(fixed64, tag = "15")]
     pub digest: u64,
 }
@@ -276,25 +276,25 @@
 /// One addition to a quota counter.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaAdd {
-    /// The counter's name.
+    /// Hashed name of the counter.
     #[prost(fixed64, tag = "1")]
     pub name: u64,
-    /// The amount; 0 only reads.
+    /// Amount to add; 0 only reads the total.
     #[prost(double, tag = "2")]
     pub add: f64,
-    /// A new counter is forgotten after this, ms.
+    /// Lifetime of a counter that this addition creates, ms.
     #[prost(double, tag = "3")]
     pub ttl: f64,
-    /// The tenant of whose admissions this is a report too; 0 if it is none.
+    /// Tenant whose admissions are reported with this addition; 0 if none are.
     #[prost(fixed64, tag = "4")]
     pub tenant: u64,
-    /// The backlog of that tenant's quota that the sender knows of, ms; 0 if it knows of none.
+    /// Backlog of the tenant's quota as known to the sender, ms; 0 if it knows of none.
     #[prost(uint32, tag = "5")]
     pub backlog: u32,
-    /// So many of its requests were admitted since the last report.
+    /// Number of the tenant's requests admitted since the last report.
     #[prost(uint32, tag = "6")]
     pub admitted: u32,
-    /// So many of its requests wait for the owner's grant.
+    /// Number of the tenant's requests that wait for a grant of the counter's owner.
     #[prost(uint32, tag = "7")]
     pub wanted: u32,
 }
@@ -307,16 +307,16 @@
     pub counts: Vec<QuotaAdd>,
 }
 
-/// The totals after [`QuotaAdds`], in its order.
+/// The response to [`QuotaAdds`].
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaTotals {
-    /// The totals.
+    /// Totals after the additions, in their order.
     #[prost(double, repeated, tag = "1")]
     pub totals: Vec<f64>,
-    /// For each addition that names a tenant, in their order, the backlog of its quota, ms, and 1; 0 if the tenant is not known.
+    /// For each addition that names a tenant, in order: the backlog of its quota in ms plus 1, or 0 if the tenant is unknown.
     #[prost(uint32, repeated, tag = "2")]
     pub backlogs: Vec<u32>,
-    /// For each of these, how many requests are granted of those that wait.
+    /// For each addition that names a tenant, in order: the number of waiting requests that are granted.
     #[prost(uint32, repeated, tag = "3")]
     pub granted: Vec<u32>,
 }
@@ -327,7 +327,7 @@
     /// The command and its arguments.
     #[prost(string, repeated, tag = "1")]
     pub words: Vec<String>,
-    /// Answer by what this process knows alone: ask no other.
+    /// Whether to answer from this process's state alone, without asking other processes.
     #[prost(bool, tag = "2")]
     pub local_only: bool,
 }
@@ -335,16 +335,16 @@
 /// The answer to a command.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Table {
-    /// What it shows.
+    /// Title of the table.
     #[prost(string, tag = "1")]
     pub title: String,
     /// Names of the columns.
     #[prost(string, repeated, tag = "2")]
     pub columns: Vec<String>,
-    /// The rows.
+    /// Rows of cells.
     #[prost(message, repeated, tag = "3")]
     pub rows: Vec<Row>,
-    /// What is wrong with the command, and what is allowed; empty if nothing is.
+    /// Error in the command, with what is allowed; empty if the command is valid.
     #[prost(string, tag = "4")]
     pub error: String,
 }
@@ -352,7 +352,7 @@
 /// A row of a table.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Row {
-    /// A cell for each column.
+    /// One cell for each column.
     #[prost(string, repeated, tag = "1")]
     pub cells: Vec<String>,
 }
@@ -360,27 +360,27 @@
 /// Asks a proxy for the outcome of an attempt.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct OutcomeRequest {
-    /// The attempt's id.
+    /// Id of the attempt.
     #[prost(string, tag = "1")]
     pub try_id: String,
 }
 
-/// What a proxy knows of an attempt.
+/// The outcome of an attempt as known to one proxy.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct OutcomeResponse {
-    /// The proxy.
+    /// Name of the answering proxy.
     #[prost(string, tag = "1")]
     pub proxy: String,
-    /// The outcome by its number; 0: it knows nothing of the attempt.
+    /// Number of the outcome; 0 if the proxy knows nothing of the attempt.
     #[prost(uint32, tag = "2")]
     pub outcome: u32,
-    /// Why.
+    /// Reason for the outcome.
     #[prost(string, tag = "3")]
     pub why: String,
-    /// The server's id.
+    /// Id of the server that got the attempt.
     #[prost(string, tag = "4")]
     pub server: String,
-    /// For how long that has been known, ms.
+    /// Time since the outcome was recorded, ms.
     #[prost(uint32, tag = "5")]
     pub age: u32,
 }
--- a/crates/cluster-state/src/outcome_service.rs
+++ b/crates/cluster-state/src/outcome_service.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts that run at most once: what this process knows, and the way to all limiters that may know more.
+//! Outcomes of attempts that run at most once, from this process's log and from all other limiters.
 
 use crate::admin_query::{error_table, table, CommandHandler, Commands};
 use crate::admin_tables::seconds;
@@ -15,40 +15,40 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// How long another limiter may take to answer. `oatbankctl` waits longer.
+/// How long another limiter may take to answer. Shorter than the timeout of `oatbankctl`.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Answers what became of an attempt.
+/// Looks up the outcomes of attempts.
 pub struct OutcomeService {
     view: Rc<ClusterView>,
     node_name: String,
-    /// What this process knows itself; a core machine knows nothing.
+    /// The outcomes recorded by this process; `None` on a core machine, which records none.
     log: Option<Rc<RefCell<OutcomeLog>>>,
     clients: RefCell<HashMap<SocketAddr, Rc<RpcClient>>>,
 }
 
-/// A limiter to ask.
+/// Another limiter that may know an outcome.
 struct Peer {
     name: String,
     address: SocketAddr,
 }
 
-/// What the limiters that were asked have answered.
+/// The answers of the limiters that were asked.
 #[derive(Default)]
 struct Answers {
     reports: Vec<OutcomeResponse>,
     asked: usize,
-    /// Names of those that did not answer.
+    /// Names of the limiters that did not answer.
     missing: Vec<String>,
 }
 
 impl OutcomeService {
-    /// The service of the process with this name.
+    /// Creates the service of the process with this name.
     pub fn new(view: Rc<ClusterView>, node_name: String, log: Option<Rc<RefCell<OutcomeLog>>>) -> Rc<Self> {
         Rc::new(OutcomeService { view, node_name, log, clients: RefCell::default() })
     }
 
-    /// What is known here of an attempt.
+    /// Returns the outcome of an attempt recorded here; outcome 0 if there is none.
     fn local_outcome(&self, try_id: &str) -> OutcomeResponse {
         let now = self.view.now();
         let proxy = self.node_name.clone();
@@ -65,13 +65,14 @@
         }
     }
 
-    /// Answers an encoded [`OutcomeRequest`].
+    /// Answers an encoded [`OutcomeRequest`]. The answer is empty if the request cannot be decoded.
     pub fn answer_bytes(&self, body: Bytes) -> Vec<u8> {
         let request = OutcomeRequest::decode(body);
         request.map(|request| self.local_outcome(&request.try_id).encode_to_vec()).unwrap_or_default()
     }
 
-    /// All other limiters, also those whose session has ended: they may still run what they took.
+    /// Returns all other limiters, including those whose session has ended, since they may still run attempts that they
+    /// accepted.
     fn peers(&self) -> Vec<Peer> {
         self.view.with(|state, now| {
             let others = state.members(now).filter(|(row, _)| row.name != self.node_name);
@@ -86,7 +87,7 @@
         self.clients.borrow_mut().entry(address).or_insert_with(|| RpcClient::new(address)).clone()
     }
 
-    /// Asks all limiters that may know, at once; with `local_only`, none but this process.
+    /// Asks all limiters concurrently, or only this process with `local_only`.
     async fn ask(&self, try_id: &str, local_only: bool) -> Answers {
         let mut answers = Answers::default();
         if self.log.is_some() {
@@ -130,8 +131,8 @@
     let mut title = format!("{try_id}: ");
     title += match merged.outcome {
         Some(outcome) => outcome.text(),
-        None if missing.is_empty() => "not known: never taken, or longer ago than outcomes are kept",
-        None => "unknown: not all that may know it answer",
+        None if missing.is_empty() => "not known: never accepted, or its outcome is no longer kept",
+        None => "unknown: not all limiters that may know it answered",
     };
     if merged.ran_twice {
         title += "; ALARM: it ran at more than one proxy";
@@ -157,7 +158,7 @@
     vec![name.to_owned(), unknown, "does not answer".to_owned(), String::new(), String::new()]
 }
 
-/// Adds the command `outcome`.
+/// Adds the command `outcome`, which shows the known outcomes of an attempt.
 pub fn add_outcome_command(commands: &mut Commands, service: &Rc<OutcomeService>) {
     let service = service.clone();
     let handler: CommandHandler = Rc::new(move |words, local_only| {
@@ -168,7 +169,7 @@
                     let answers = service.ask(&try_id, local_only).await;
                     outcome_table(&try_id, answers)
                 }
-                None => error_table("no try is named; allowed: outcome TRY-ID".into()),
+                None => error_table("missing argument; allowed: outcome TRY-ID".into()),
             }
         })
     });
--- a/crates/cluster-state/src/replication.rs
+++ b/crates/cluster-state/src/replication.rs
@@ -1,4 +1,4 @@
-//! Following another process: one call asks for what is new there, and what comes is merged.
+//! Replication from another process: each call requests the changes since a position, and the response is merged.
 
 use crate::cluster_view::{ClusterView, CONTACT_TIMEOUT};
 use crate::messages::{call, FollowRequest, MemberRow, ObservationRow, StateUpdate};
@@ -8,10 +8,10 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// A call is given up this long after it should have been answered at the latest.
+/// How long after the end of its hold time a call is given up.
 pub(crate) const CALL_PATIENCE: Duration = Duration::from_millis(700);
 
-/// How far a follower has come with one source.
+/// A follower's position in the changes of one source.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplicationPosition {
     /// The source's epoch.
@@ -20,38 +20,39 @@
     pub seen: u64,
 }
 
-/// What one call of a follower brought.
+/// Result of one call of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowResult {
     /// An update, which may be empty.
     Updated {
-        /// How long ago, ms, a majority last confirmed the source's state; `None` if never.
+        /// Time since a majority last confirmed the source's state, ms; `None` if never.
         confirmed_ago: Option<u32>,
-        /// How many limiters the source counts.
+        /// Number of limiters that may be active, as counted by the source.
         limiters: u32,
     },
-    /// No response, or one that cannot be read.
+    /// No response, an empty one, or one that cannot be decoded.
     NoResponse,
 }
 
-/// What a follower says with a call.
+/// The parameters of a follower's call.
 #[derive(Clone, Debug, Default)]
 pub struct FollowOptions {
     /// The follower's name.
     pub name: String,
-    /// It wants every change: it is a core machine.
+    /// Whether every change is requested, as core machines do.
     pub every_change: bool,
-    /// Its address, if it is a core machine.
+    /// The follower's address, if it is a core machine.
     pub core_ip: Option<Ipv4Addr>,
-    /// The response may be held for this long, ms.
+    /// How long the source may hold the response, ms.
     pub hold_ms: u32,
-    /// Itself, if this call is a session's heartbeat.
+    /// The follower's own row, if this call is a session's heartbeat.
     pub member: Option<MemberRow>,
-    /// What it has observed of servers.
+    /// The follower's observations of servers.
     pub observations: Vec<ObservationRow>,
 }
 
-/// Asks a source once for what is new, and merges what comes.
+/// Requests the changes since `position` from a source, merges the response and advances `position`. If the servers have
+/// differed from the source's for too long, `position` is reset so that the next call takes a snapshot.
 pub async fn follow_once(
     view: &ClusterView,
     source: &RpcClient,
@@ -69,7 +70,7 @@
     };
     *position = ReplicationPosition { epoch: update.epoch, seen: update.seen };
     let (confirmed_ago, limiters) = (update.confirmed_ago, update.limiters);
-    // A source of another version, or one that is behind itself, is nothing to compare with.
+    // The digests are not compared with a source that sends none or is itself behind.
     let is_comparable = is_session
         && update.digest != 0
         && update.source_is_warm
@@ -88,7 +89,7 @@
     position: &ReplicationPosition,
     options: FollowOptions,
 ) -> FollowRequest {
-    // A process in touch with the core hears there what limiters have observed of servers.
+    // A process in touch with the majority receives observations through its session with the core.
     let without_observations = !options.every_change && options.member.is_none() && view.in_touch();
     FollowRequest {
         name: options.name,
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -1,8 +1,9 @@
-//! What is known of servers and limiters: rows that merge, in whichever order and however often they come, and a sequence
-//! number by which followers ask for what they lack.
+//! The replicated table of servers and limiters. Merging rows is commutative and idempotent; followers request the changes
+//! after a sequence number.
 //!
 //! Every process of the system holds one [`StateTable`]. Core machines write the heartbeats of servers and limiters into it;
-//! all others only merge. A row says how long ago its subject was heard, never when: machines need not agree on the time.
+//! all other processes only merge updates. A row carries the age of the last heartbeat instead of a timestamp, so machines
+//! need no synchronized clocks.
 
 mod row;
 #[cfg(test)]
@@ -19,93 +20,94 @@
 
 /// States of a server, in the order in which it passes through them.
 pub mod server_state {
-    /// Takes requests.
+    /// Accepts requests.
     pub const READY: u32 = 0;
-    /// Drains: finishes the requests it has.
+    /// Finishes its requests in progress and accepts no new ones.
     pub const DRAINING: u32 = 1;
-    /// Has said that it ends.
+    /// Has announced that it stops.
     pub const LEFT: u32 = 2;
 }
 
 /// States of a limiter.
 pub mod member_state {
-    /// Does not know enough yet.
+    /// Has not yet learned enough state to accept clients.
     pub const STARTING: u32 = 0;
-    /// Takes clients.
+    /// Accepts clients.
     pub const READY: u32 = 1;
-    /// Is about to end.
+    /// Is about to stop.
     pub const LEAVING: u32 = 2;
 }
 
-/// How long a subject that has ended is remembered, ms: its late heartbeats must find that.
+/// How long the row of a server or limiter that has ended is kept, ms, so that a late heartbeat does not revive it.
 const TOMBSTONE_LIFETIME: Millis = 120_000.0;
-/// A limiter whose session has ended may still be active for this long, ms.
+/// How long after its last heartbeat a limiter whose session has ended may still be active, ms.
 const ACTIVE_AFTER_SESSION: Millis = 12_000.0;
-/// A process knows all servers once it has listened for so many heartbeat intervals.
+/// Number of heartbeat intervals after which a new process has heard from all servers.
 const WARM_INTERVALS: f64 = 2.5;
-/// A server has timed out after so many heartbeat intervals and [`TIMEOUT_SLACK`]: three heartbeats were lost, and a fourth
-/// had the time to arrive.
+/// A server times out after this many heartbeat intervals plus [`TIMEOUT_SLACK`]: it tolerates three lost heartbeats and
+/// leaves the fourth time to arrive.
 const TIMEOUT_INTERVALS: f64 = 3.0;
-/// See [`TIMEOUT_INTERVALS`], ms.
+/// Time for a heartbeat to arrive, added to the server timeout, ms.
 const TIMEOUT_SLACK: Millis = 1000.0;
-/// A server that a complete snapshot lacks has ended if it was not heard for so many intervals and [`TIMEOUT_SLACK`].
+/// A server missing from a complete snapshot has ended if its row was not merged for this many heartbeat intervals plus
+/// [`TIMEOUT_SLACK`].
 const MISSING_INTERVALS: f64 = 4.0;
 /// A session ends after this long without a heartbeat, ms.
 pub const SESSION_TIMEOUT: Millis = 1700.0;
-/// What a limiter has observed of a server counts for this long, ms, and is remembered for as long again, so that its late
-/// updates find something newer.
+/// How long a limiter's observation of a server is used, ms. It is kept for twice as long, so that late updates of the same
+/// observer are recognized as outdated.
 const OBSERVATION_LIFETIME: Millis = 40_000.0;
-/// The most observations that are held.
+/// Maximum number of observations kept.
 const MAX_OBSERVATIONS: usize = 4096;
-/// Servers that use one id and name different services or addresses are told apart up to this number. More of them
-/// change nothing: the id is contested with two.
+/// Maximum number of rows kept for servers that share an id but differ in service or address. Two are enough to make the
+/// id contested.
 const MAX_CLAIMS: usize = 8;
 
-/// What merging a row has changed.
+/// Result of merging a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeResult {
-    /// What the subject is used for, as of this sequence number.
+    /// The change affects how the server, limiter or observation is used. Holds the sequence number of the change.
     Changed(u64),
-    /// Nothing that anything hangs on.
+    /// Nothing changed, or only details such as the age or the heartbeat number.
     Unchanged,
 }
 
-/// A server, and how long ago it was received.
+/// A server's row with the age of its last heartbeat.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerStatus<'a> {
-    /// Its row.
+    /// The server's row.
     pub row: &'a ServerRow,
-    /// How long ago it was heard, ms.
+    /// Time since its last heartbeat, ms.
     pub age: Millis,
-    /// How much longer it warms up, ms.
+    /// Remaining warm-up time, ms.
     pub warmup_left: Millis,
 }
 
-/// Servers and limiters as known to this process.
+/// The servers, limiters and observations known to this process.
 #[derive(Debug)]
 pub struct StateTable {
     epoch: u64,
     started_at: Millis,
     heartbeat_interval: Millis,
-    /// Rises with each change.
+    /// Increases with each change.
     sequence: u64,
-    /// The sequence number of the last change of what servers or limiters are used for.
+    /// Sequence number of the last change that affects the use of servers or limiters.
     change_sequence: u64,
-    /// The sequence number of the last strong observation.
+    /// Sequence number of the last strong observation.
     observation_sequence: u64,
-    /// The sequence number at which a limiter last reported a newer edition.
+    /// Sequence number at which a limiter last reported a newer edition.
     last_applied: u64,
-    /// By id, in the order of service and address where servers that differ use one id.
+    /// Rows by id. Servers that share an id have one row each, sorted by service and address.
     servers: BTreeMap<String, Vec<Entry<ServerRow>>>,
-    /// Invariant: the digest of all servers that have not ended.
+    /// Invariant: XOR of the digests of all servers that have not ended.
     digest: u64,
     members: Rows<MemberRow>,
-    /// By server, limiter and the limiter's incarnation.
+    /// Keyed by server, limiter and the limiter's incarnation.
     observations: Rows<ObservationRow>,
 }
 
 impl StateTable {
-    /// An empty table of a process that starts now; `epoch` is random.
+    /// Creates an empty table for a process that starts at `now`. `epoch` is a random number.
     pub fn new(epoch: u64, heartbeat_interval: Millis, now: Millis) -> Self {
         StateTable {
             epoch: epoch.max(1),
@@ -122,32 +124,33 @@
         }
     }
 
-    /// This incarnation of the table, never 0: sequence numbers count within it.
+    /// Returns the random id of this table instance, never 0. Sequence numbers are valid within one epoch.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Rises with each change.
+    /// Returns the sequence number of the last change.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Rises with each change of what servers or limiters are used for.
+    /// Returns the sequence number of the last change that affects the use of servers or limiters.
     pub fn change_sequence(&self) -> u64 {
         self.change_sequence
     }
 
-    /// Rises with strong observations: these alone change no list.
+    /// Returns the sequence number of the last strong observation. Observations do not change the lists of servers and
+    /// limiters.
     pub fn observation_sequence(&self) -> u64 {
         self.observation_sequence
     }
 
-    /// The sequence number at which a limiter last reported a newer edition.
+    /// Returns the sequence number at which a limiter last reported a newer edition.
     pub fn last_applied(&self) -> u64 {
         self.last_applied
     }
 
-    /// Whether this process has listened for long enough to know all servers and limiters.
+    /// Returns whether this process has run for long enough to have heard from all servers and limiters.
     pub fn is_warm(&self, now: Millis) -> bool {
         now - self.started_at >= WARM_INTERVALS * self.heartbeat_interval
     }
@@ -162,7 +165,7 @@
         MergeResult::Changed(sequence)
     }
 
-    /// Merges one row of a server.
+    /// Merges a server's row.
     pub fn merge_server(&mut self, now: Millis, row: &ServerRow) -> MergeResult {
         let sequence = self.sequence + 1;
         if !self.servers.contains_key(&row.id) {
@@ -175,18 +178,18 @@
         self.record(sequence, merged)
     }
 
-    /// A server has said that it ends.
+    /// Marks a server as left, under every service and address known for its id.
     pub fn mark_server_left(&mut self, now: Millis, id: &str) -> MergeResult {
-        // One of its claims stands for all of them.
+        // `merge_claim` applies the state to the other claims of the id.
         let row = match self.servers.get(id).and_then(|claims| claims.first()) {
             Some(entry) => ServerRow { state: server_state::LEFT, ..(*entry.row).clone() },
-            // Never heard of here: its late heartbeats must find that it has left.
+            // Unknown here: the row keeps a late heartbeat from adding the server.
             None => ServerRow { id: id.to_owned(), state: server_state::LEFT, ..ServerRow::default() },
         };
         self.merge_server(now, &row)
     }
 
-    /// Merges one row of a limiter.
+    /// Merges a limiter's row.
     pub fn merge_member(&mut self, now: Millis, row: &MemberRow) -> MergeResult {
         let sequence = self.sequence + 1;
         let edition = |members: &Rows<MemberRow>| members.get(&row.name).map_or(0, |entry| entry.row.edition);
@@ -198,7 +201,7 @@
         self.record(sequence, merged)
     }
 
-    /// Names of limiters with a session that are not known to have applied this edition.
+    /// Returns the names of limiters with a session that have not reported this edition or a later one as applied.
     pub fn limiters_behind(&self, now: Millis, edition: u64) -> impl Iterator<Item = &str> + '_ {
         let has_session =
             move |entry: &&Entry<MemberRow>| !entry.row.expired && now - entry.received_at < SESSION_TIMEOUT;
@@ -206,7 +209,8 @@
         self.members.values().filter(has_session).filter(is_behind).map(|entry| &*entry.row.name)
     }
 
-    /// Merges what a limiter has observed of a server, unless it is too old to count.
+    /// Merges a limiter's observation of a server. Ignores observations that are too old, and new ones when the table is
+    /// full.
     pub fn merge_observation(&mut self, now: Millis, row: &ObservationRow) -> MergeResult {
         if f64::from(row.ago) >= OBSERVATION_LIFETIME {
             return MergeResult::Unchanged;
@@ -222,13 +226,13 @@
         }
         self.sequence = sequence;
         if row.is_strong() {
-            // A weak one goes along with the next call: to wake all followers for it costs more than it is worth.
+            // Weak observations are sent with the next response: waking all followers for each would cost too much.
             self.observation_sequence = sequence;
         }
         MergeResult::Changed(sequence)
     }
 
-    /// What limiters have observed of servers, with how long ago, ms.
+    /// Returns the observations in use, each with its age, ms.
     pub fn observations(&self, now: Millis) -> impl Iterator<Item = (&ObservationRow, Millis)> + '_ {
         self.observations
             .values()
@@ -236,7 +240,7 @@
             .filter(|(_, age)| *age < OBSERVATION_LIFETIME)
     }
 
-    /// Merges the update of another process; whether it changes what servers or limiters are used for.
+    /// Merges another process's update. Returns whether this affects the use of servers or limiters.
     pub fn merge_update(&mut self, now: Millis, update: &StateUpdate) -> bool {
         let before = self.change_sequence;
         for row in &update.servers {
@@ -254,7 +258,7 @@
         self.change_sequence != before
     }
 
-    /// A server that a source which knows all of them lacks, and that was not heard here of late either, has ended.
+    /// Times out the servers that a warm source's snapshot lacks and that were not merged here recently either.
     fn end_servers_missing_from(&mut self, now: Millis, snapshot: &StateUpdate) {
         let old = now - MISSING_INTERVALS * self.heartbeat_interval - TIMEOUT_SLACK;
         let claim = |row: &ServerRow| {
@@ -275,14 +279,17 @@
         }
     }
 
-    /// A server has timed out after this long without a heartbeat, ms.
+    /// Returns the time without a heartbeat after which a server has timed out, ms.
     pub fn server_timeout(&self) -> Millis {
         TIMEOUT_INTERVALS * self.heartbeat_interval + TIMEOUT_SLACK
     }
 
-    /// Times out servers and sessions, and forgets what has ended long ago; whether anything has changed. Only a core machine
-    /// that has run without a pause and is warm may time out others, and as of a moment `in_touch_at` at which it was in
-    /// touch with a majority: what it could not have heard since does not count as missing.
+    /// Times out servers and sessions, and removes rows that ended long ago. Returns whether this affects the use of servers
+    /// or limiters.
+    ///
+    /// Only a warm core machine that has run without a pause may time out others. Timeouts count back from `in_touch_at`,
+    /// when it was last in touch with a majority, because it may have missed heartbeats since; with `None` nothing is timed
+    /// out.
     pub fn expire(&mut self, now: Millis, in_touch_at: Option<Millis>) -> bool {
         let before = self.change_sequence;
         if let Some(in_touch_at) = in_touch_at {
@@ -310,8 +317,8 @@
         }
     }
 
-    /// What a follower lacks that has merged all changes of `epoch` up to `seen`; a snapshot if that is not this epoch.
-    /// `every_change`: not only what changes the use of servers and limiters.
+    /// Returns the update for a follower that has merged all changes of `epoch` up to `seen`, or a snapshot if `epoch` is not
+    /// the current one. With `every_change`, rows are included even if the change does not affect their use.
     pub fn update_since(&self, now: Millis, epoch: u64, seen: u64, every_change: bool) -> StateUpdate {
         let is_snapshot = epoch != self.epoch || seen > self.sequence;
         let from = if is_snapshot { 0 } else { seen };
@@ -348,7 +355,8 @@
         }
     }
 
-    /// Whether [`StateTable::update_since`] would not be empty; with `observations`, strong ones count as well.
+    /// Returns whether [`StateTable::update_since`] has changes to send. Without `every_change`, strong observations count
+    /// only if `observations` is set, and weak ones never.
     pub fn has_update_since(&self, epoch: u64, seen: u64, every_change: bool, observations: bool) -> bool {
         let last = match (every_change, observations) {
             (true, _) => self.sequence,
@@ -362,23 +370,23 @@
         self.servers.values().flatten()
     }
 
-    /// All rows of servers, in the order of id, service and address, for a snapshot to share.
+    /// Returns all server rows sorted by id, service and address, shared with the caller.
     pub fn server_rows(&self) -> impl Iterator<Item = &Arc<ServerRow>> + '_ {
         self.claims().map(|entry| &entry.row)
     }
 
-    /// A digest of the servers that have not ended: the same in each process that knows the same, in whichever order it
-    /// was received.
+    /// Returns a digest of the servers that have not ended. It does not depend on the order in which they were received.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// All servers that are remembered, each claim of an id by itself, with how much longer they warm up, ms.
+    /// Returns all servers in the table, including ended ones, with the remaining warm-up time in ms. Servers that share an id
+    /// are separate items.
     pub fn servers(&self, now: Millis) -> impl Iterator<Item = (&ServerRow, Millis)> + '_ {
         self.claims().map(move |entry| (&*entry.row, warmup_left(entry, now)))
     }
 
-    /// The same, with how long ago each was received.
+    /// Returns all servers in the table with the age of their last heartbeat and the remaining warm-up time.
     pub fn server_statuses(&self, now: Millis) -> impl Iterator<Item = ServerStatus<'_>> + '_ {
         self.claims().map(move |entry| ServerStatus {
             row: &entry.row,
@@ -387,22 +395,23 @@
         })
     }
 
-    /// Limiters, with how long ago each was heard, ms.
+    /// Returns all limiters in the table, including those whose session has ended, with the time since their last heartbeat
+    /// in ms.
     pub fn members(&self, now: Millis) -> impl Iterator<Item = (&MemberRow, Millis)> + '_ {
         self.members.values().map(move |entry| (&*entry.row, now - entry.received_at))
     }
 
-    /// The limiter of this name.
+    /// Returns the row of the limiter with this name.
     pub fn member(&self, name: &str) -> Option<&MemberRow> {
         self.members.get(name).map(|entry| &*entry.row)
     }
 
-    /// The sequence number at which a server last changed in what it is used for; 0 if it is not known.
+    /// Returns the sequence number of the last change that affects the use of this server, or 0 if it is unknown.
     pub fn changed_at(&self, id: &str) -> u64 {
         self.servers.get(id).into_iter().flatten().map(|entry| entry.changed).max().unwrap_or(0)
     }
 
-    /// Limiters that may be active: those with a session, and those whose session ended a short while ago.
+    /// Returns the limiters that may be active: those with a session, and those whose last heartbeat is recent enough.
     pub fn active_limiters(&self, now: Millis) -> impl Iterator<Item = &MemberRow> + '_ {
         let is_active = move |entry: &&Entry<MemberRow>| {
             !entry.row.expired || now - entry.received_at < ACTIVE_AFTER_SESSION
@@ -410,14 +419,15 @@
         self.members.values().filter(is_active).map(|entry| &*entry.row)
     }
 
-    /// How many limiters may be active.
+    /// Returns the number of limiters that may be active.
     pub fn active_limiter_count(&self, now: Millis) -> u32 {
         self.active_limiters(now).count() as u32
     }
 }
 
 impl StateUpdate {
-    /// Adds `by` ms to the age of everything in it, and makes it no snapshot: what it lacks may have come since.
+    /// Adds `by` ms to the age of all rows. The update no longer counts as a snapshot, since rows it lacks may have been added
+    /// in the meantime.
     pub fn add_age(&mut self, by: u32) {
         self.is_snapshot = false;
         for row in &mut self.servers {
--- a/crates/cluster-state/src/state/row.rs
+++ b/crates/cluster-state/src/state/row.rs
@@ -1,4 +1,4 @@
-//! Rows that merge: the result does not depend on the order in which rows arrive, nor on how often.
+//! Mergeable rows: merging is commutative and idempotent.
 
 use super::{server_state, Millis, MAX_CLAIMS};
 use crate::messages::{MemberRow, ObservationRow, ServerRow};
@@ -6,29 +6,30 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A server's warm-up is told again if it ends this much later than was known, ms.
+/// A warm-up that ends later than known by more than this counts as a new one and is sent to followers, ms.
 const WARMUP_EXTENDED: u32 = 300;
 
-/// A row that merges.
+/// A row that can be merged with another one about the same subject.
 pub(super) trait Row: Clone {
-    /// Merges a row of the same subject; whether that changes what the subject is used for, `None` if `other` is not
-    /// newer. `more_recent`: the subject of `other` was heard later. `since_merge`: how long ago this row was merged, ms,
-    /// for what counts down.
+    /// Merges a row of the same subject. Returns whether that affects the subject's use, or `None` if `other` adds nothing.
+    /// `more_recent` tells whether the heartbeat behind `other` arrived later, and `since_merge` is the time since this row
+    /// was last merged, ms, by which countdowns are reduced.
     fn merge(&mut self, other: &Self, more_recent: bool, since_merge: Millis) -> Option<bool>;
 
-    /// How long ago the subject was heard, ms, as of the sending of the row.
+    /// Returns the time since the subject's last heartbeat at the moment the row was sent, ms.
     fn age_ms(&self) -> u32;
 
-    /// Whether the subject has left or timed out.
+    /// Returns whether the subject has left or timed out.
     fn has_ended(&self) -> bool;
 
-    /// Its contribution to the digest of the table; 0 once it has ended, since each process forgets that at another moment.
+    /// Returns the row's contribution to the table's digest. It is 0 for a subject that has ended, because processes remove
+    /// such rows at different times.
     fn digest(&self) -> u64;
 }
 
 impl ServerRow {
-    /// Whether both rows name the same service and address. Neither changes within one incarnation of a server, so two rows
-    /// of one id that differ are of two servers.
+    /// Returns whether both rows name the same service and address. Neither changes within one incarnation of a server, so
+    /// rows with the same id that differ in them belong to different servers.
     pub fn same_claim(&self, other: &ServerRow) -> bool {
         self.service == other.service && self.address == other.address
     }
@@ -54,7 +55,7 @@
             self.warmup_ms = warmup_left;
         }
         (self.state, self.timed_out) = (state, timed_out);
-        // A warm-up that goes on as told is no change; one that begins is, also within another or after it.
+        // A warm-up that counts down as known is no change. One that begins is, even during or after an earlier one.
         let warmup_begins = other.warmup_ms > warmup_left + WARMUP_EXTENDED;
         let same = (self.state, self.timed_out, self.slots) == (before.state, before.timed_out, before.slots)
             && self.zone == before.zone;
@@ -82,7 +83,7 @@
 impl Row for MemberRow {
     fn merge(&mut self, other: &Self, more_recent: bool, _: Millis) -> Option<bool> {
         if other.incarnation != self.incarnation {
-            // Of two incarnations, the one that was heard last is the present one.
+            // Of two incarnations, the one with the most recent heartbeat is the current one.
             return more_recent.then(|| {
                 *self = other.clone();
                 true
@@ -121,7 +122,7 @@
 
 impl Row for ObservationRow {
     fn merge(&mut self, other: &Self, _: bool, _: Millis) -> Option<bool> {
-        // Each has one writer, which numbers its updates.
+        // Each observation has a single writer, which numbers its updates.
         (other.seq > self.seq).then(|| {
             *self = other.clone();
             true
@@ -141,20 +142,20 @@
     }
 }
 
-/// A row, and when it came.
+/// A row with the times and sequence numbers of its changes.
 #[derive(Clone, Debug)]
 pub(super) struct Entry<R> {
-    /// Shared with snapshots of the table; a change replaces it.
+    /// Shared with snapshots of the table, and copied on write.
     pub(super) row: Arc<R>,
-    /// [`Row::digest`] of it.
+    /// [`Row::digest`] of the row.
     pub(super) digest: u64,
-    /// When its subject was last heard.
+    /// Time of the subject's last heartbeat or observation.
     pub(super) received_at: Millis,
-    /// When the row was merged as it is, for what counts down.
+    /// Time of the last merge, from which the warm-up counts down.
     pub(super) merged_at: Millis,
-    /// The table's sequence number when it last changed in what it is used for.
+    /// The table's sequence number at the last change that affects the subject's use.
     pub(super) changed: u64,
-    /// The table's sequence number when it last changed at all.
+    /// The table's sequence number at the last change of any kind.
     pub(super) touched: u64,
 }
 
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Merges a row of the same subject; whether that changes what it is used for, `None` if it is not newer.
+    /// Merges a row of the same subject. Returns whether that affects the subject's use, or `None` if the row adds nothing.
     pub(super) fn merge(&mut self, row: &R, now: Millis, sequence: u64) -> Option<bool> {
         let received_at = now - f64::from(row.age_ms());
         let since_merge = now - self.merged_at;
@@ -188,7 +189,7 @@
         Some(has_changed)
     }
 
-    /// [`Entry::touched`] or, unless `every_change`, [`Entry::changed`].
+    /// Returns [`Entry::touched`] with `every_change`, otherwise [`Entry::changed`].
     pub(super) fn sequence(&self, every_change: bool) -> u64 {
         if every_change {
             self.touched
@@ -198,7 +199,7 @@
     }
 }
 
-/// Merges the row of a subject that has one row.
+/// Merges a row into the table entry with its name, and adds the entry if there is none. Returns as [`Entry::merge`] does.
 pub(super) fn merge_row<R: Row>(
     rows: &mut Rows<R>,
     name: &str,
@@ -215,13 +216,14 @@
     }
 }
 
-/// The digest of some rows, in any order.
+/// Returns the combined digest of rows, independent of their order.
 pub(super) fn digest<R>(entries: &[Entry<R>]) -> u64 {
     entries.iter().fold(0, |digest, entry| digest ^ entry.digest)
 }
 
-/// Merges a row into the claims of its id: servers that differ are kept apart, none replaces another, whichever came
-/// first. An id that has left has left under each of its claims.
+/// Merges a row into the claims of its id. Servers with the same id that differ in service or address are kept as separate
+/// claims, and none replaces another. Once one claim has left, all claims of the id have left. Returns as [`Entry::merge`]
+/// does.
 pub(super) fn merge_claim(
     claims: &mut Vec<Entry<ServerRow>>,
     row: &ServerRow,
