--- a/crates/registry/src/api_answer.rs
+++ b/crates/registry/src/api_answer.rs
@@ -1,34 +1,34 @@
-//! What a call to the API is answered with.
+//! Answers of the API.
 
 use miniserde::json::{Object, Value};
 use oatbank_node_runtime::error_kind::ErrorKind;
 
-/// An answer: a status and a JSON body.
+/// An HTTP status with a JSON body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The body, JSON.
+    /// The JSON body.
     pub body: String,
 }
 
 impl ApiAnswer {
-    /// 200 with an empty object.
+    /// Creates an answer with status 200 and an empty object.
     pub fn ok() -> ApiAnswer {
         ApiAnswer::with_text("{}".into())
     }
 
-    /// 200 with this text, which is JSON already.
+    /// Creates an answer with status 200 and this body, which must be JSON.
     pub fn with_text(body: String) -> ApiAnswer {
         ApiAnswer { status: 200, body }
     }
 
-    /// 200 with this value.
+    /// Creates an answer with status 200 and this value.
     pub fn with_value(value: &Value) -> ApiAnswer {
         ApiAnswer::with_text(miniserde::json::to_string(value))
     }
 
-    /// The status of the kind, with the kind and what is wrong.
+    /// Creates an answer with the status of `kind`, whose body holds the kind and the problem.
     pub fn error(kind: ErrorKind, problem: impl Into<String>) -> ApiAnswer {
         let body = object(vec![
             ("problem", Value::String(problem.into())),
@@ -38,7 +38,7 @@
     }
 }
 
-/// A JSON object with these fields.
+/// Creates a JSON object with these fields.
 pub(crate) fn object(fields: Vec<(&str, Value)>) -> Value {
     let mut object = Object::new();
     for (name, value) in fields {
--- a/crates/registry/src/catalog_view.rs
+++ b/crates/registry/src/catalog_view.rs
@@ -1,4 +1,4 @@
-//! The service catalog of this core machine: made again when what it is made from has changed.
+//! The service catalog of this core machine, rebuilt when its inputs change.
 
 use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_config_model::{Configuration, RouteTable};
@@ -7,12 +7,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The catalog, and the routes of its configuration.
+/// The catalog, with the routes of its configuration.
 #[derive(Clone, Default)]
 pub struct CatalogAndRoutes {
-    /// Who owns what.
+    /// The current catalog of services and their owners.
     pub current: CurrentCatalog,
-    /// `None` before the first configuration.
+    /// The routes; `None` before the first configuration.
     pub routes: Option<Rc<RouteTable>>,
 }
 
@@ -23,22 +23,22 @@
 }
 
 impl CatalogView {
-    /// Nothing is known yet.
+    /// Creates an empty catalog on top of `view`.
     pub fn new(view: Rc<ClusterView>) -> Rc<Self> {
         Rc::new(CatalogView { view, latest: RefCell::default() })
     }
 
-    /// The catalog of this moment.
+    /// Refreshes the catalog and returns it.
     pub fn latest(&self) -> CatalogAndRoutes {
         self.refresh();
         self.latest.borrow().clone()
     }
 
-    /// Makes the catalog again if anything has changed, and logs changes of what is contested.
+    /// Rebuilds the catalog if its inputs have changed, and logs changes of the contested servers.
     pub fn refresh(&self) {
         let edition = self.view.edition();
         let CatalogAndRoutes { current, routes } = &mut *self.latest.borrow_mut();
-        // A configuration that this version cannot read is reported by whoever takes it.
+        // A configuration that this version cannot read is reported where it is adopted.
         let owners = || {
             let configuration = Configuration::read(&self.view.agreed_state().config).ok()?;
             *routes = Some(Rc::new(RouteTable::new(&configuration)));
--- a/crates/registry/src/control_api.rs
+++ b/crates/registry/src/control_api.rs
@@ -1,5 +1,5 @@
-//! The calls of servers, operators and clients that look up limiters. `docs/api/control.yaml` comes first; this follows it.
-//! Sockets and HTTP are in [`crate::control_server`].
+//! The API for servers, operators, and clients that look up limiters, as specified in `docs/api/control.yaml`. Sockets and
+//! HTTP are in [`crate::control_server`].
 
 use crate::api_answer::{object, ApiAnswer};
 use crate::directory;
@@ -15,18 +15,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A server that leaves is acknowledged once a majority of the core knows of it: waited for so long, of the second that a
-/// server waits for us.
+/// How long the acknowledgement of a leaving server waits for a majority of the core to know of it. Servers time out their
+/// call after one second.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(650);
-/// A command without a version is begun once its caller has stayed connected for this long: what waited in a socket while this
-/// machine was paused or cut off arrives together with the end of its connection, and may have been taken back since.
+/// A command without a version is executed only if its caller stays connected for this long. A command that waited in a
+/// socket while this machine was paused or cut off arrives together with the end of its connection, and may have been
+/// reversed since.
 const CALLER_MUST_STAY: Duration = Duration::from_millis(100);
-/// How long limiters are waited for before a command is acknowledged: mostly all have applied it sooner.
+/// Longest wait for limiters to apply a command before it is acknowledged. Usually all have applied it sooner.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long clients keep an answer of the directory, s.
+/// How long clients may use the answer to a lookup, s.
 const LOOKUP_VALID_S: f64 = 2.0;
 
-/// Carries out calls from outside.
+/// Executes the calls of the API.
 pub struct ControlApi {
     view: Rc<ClusterView>,
     quorum: Rc<QuorumClient>,
@@ -35,7 +36,7 @@
 }
 
 impl ControlApi {
-    /// Answers by this view, and agrees by this quorum.
+    /// Creates the API on top of `view` and `quorum`. A positive `ttl_max_s` limits how long lookups are valid, in seconds.
     pub fn new(
         view: Rc<ClusterView>,
         quorum: Rc<QuorumClient>,
@@ -46,7 +47,7 @@
         Rc::new(ControlApi { view, quorum, zones, lookup_valid_s })
     }
 
-    /// Carries out a call, whose body has been read completely.
+    /// Executes a call with its complete body.
     pub async fn carry_out(&self, call: ApiCall, body: &[u8]) -> ApiAnswer {
         match call {
             ApiCall::Heartbeat(id) => self.heartbeat(&id, body).await,
@@ -70,14 +71,17 @@
         };
         let is_leaving = row.state != server_state::READY;
         if !self.view.has_caught_up() && !is_leaving {
-            // Nothing says when it was sent: a server that has ended since would be taken for one that lives.
-            return ApiAnswer::error(ErrorKind::NotReady, "this core machine stood still");
+            // The heartbeat may be old, and would keep a server that has ended since in use.
+            return ApiAnswer::error(ErrorKind::NotReady, "this core machine was paused");
         }
-        // Also out of touch: limiters that reach no other core machine act by it.
+        // Merged even without a majority, for limiters that reach no other core machine.
         self.view.merge_server(&row);
         if !self.quorum.is_alone() && !self.view.in_touch() {
-            // What is heard here reaches no other core machine, which would time the server out.
-            return ApiAnswer::error(ErrorKind::NotReady, "this core machine is in touch with no majority");
+            // Other core machines do not receive this heartbeat and would time the server out.
+            return ApiAnswer::error(
+                ErrorKind::NotReady,
+                "this core machine is not in touch with a majority",
+            );
         }
         if is_leaving {
             return self.acknowledge_leaving(id).await;
@@ -90,15 +94,16 @@
         self.acknowledge_leaving(id).await
     }
 
-    /// Waits until a majority of the core knows what this server said last: what is acknowledged must not be lost with this
-    /// machine, nor stay on the smaller side of a partition. Such states are never taken back, so no clock is needed.
+    /// Waits until a majority of the core has merged this server's last change. An acknowledged change must not be lost with
+    /// this machine, nor stay on the minority side of a partition. Draining and left are final states, so the age of the
+    /// acknowledgement does not matter.
     async fn acknowledge_leaving(&self, id: &str) -> ApiAnswer {
         let sequence = self.view.with(|table, _| table.changed_at(id));
         let is_replicated = |followers: &_| self.quorum.is_replicated(followers, sequence);
         if self.view.wait_for(REPLICATION_TIMEOUT, is_replicated).await {
             return ApiAnswer::ok();
         }
-        ApiAnswer::error(ErrorKind::Overloaded, "no majority of the core has taken it in")
+        ApiAnswer::error(ErrorKind::Overloaded, "no majority of the core has confirmed the change in time")
     }
 
     // ---- Operators ----------------------------------------------------------------------------
@@ -118,7 +123,7 @@
             let problem = format!("no such zone: {zone}; there are {}", self.zones.join(", "));
             return ApiAnswer::error(ErrorKind::NotFound, problem);
         }
-        // If the connection ends meanwhile, this future is dropped.
+        // If the connection ends during the sleep, this future is dropped.
         tokio::time::sleep(CALLER_MUST_STAY).await;
         self.execute(OperatorCommand::Evacuate { zone, begin }).await
     }
@@ -153,7 +158,7 @@
     fn lookup(&self, zone: &str, region: &str) -> ApiAnswer {
         let fronts = self.view.with(|table, now| directory::fronts(table.members(now), zone, region));
         if fronts.is_empty() {
-            return ApiAnswer::error(ErrorKind::NotReady, "no limiter is ready, as far as is known here");
+            return ApiAnswer::error(ErrorKind::NotReady, "no ready limiter is known here");
         }
         let mut addresses = Array::new();
         fronts.into_iter().for_each(|front| addresses.push(Value::String(front)));
@@ -162,12 +167,12 @@
     }
 }
 
-/// A command's name for log lines.
+/// Returns the command's name for log lines.
 fn describe(command: &OperatorCommand) -> String {
     match command {
         OperatorCommand::Configure(proposal) => format!("r{}", proposal.version()),
         OperatorCommand::Evacuate { zone, begin } => {
-            format!("zone {zone} {}", if *begin { "empty" } else { "taken back" })
+            format!("zone {zone} {}", if *begin { "evacuation" } else { "end of evacuation" })
         }
     }
 }
--- a/crates/registry/src/control_server.rs
+++ b/crates/registry/src/control_server.rs
@@ -1,4 +1,4 @@
-//! Serves [`ControlApi`] over HTTP/1: connections, bodies and the shutdown.
+//! Serves [`ControlApi`] over HTTP/1: connections, request bodies and the shutdown.
 
 use crate::api_answer::ApiAnswer;
 use crate::control_api::ControlApi;
@@ -21,26 +21,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// The longest body of a heartbeat, in bytes.
+/// Maximum length of a heartbeat's body, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
-/// The longest body of a command, in bytes.
+/// Maximum length of a command's body, in bytes.
 const MAX_COMMAND_BYTES: usize = MAX_CONFIG_BYTES;
-/// A longer body is read up to this before it is rejected: a caller that is still sending would not see the answer.
+/// A body that is too long is read and discarded up to this many bytes, because a caller that is still sending would not
+/// see the error.
 const MAX_DISCARDED_BYTES: usize = 64 * 1024 * 1024;
-/// Size of the read buffer of a connection, in bytes.
+/// Size of a connection's read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// A body must be complete within this.
+/// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_millis(4000);
-/// A connection without a request for this long is closed.
+/// A connection is closed after this time without a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long an idle connection may take to close.
+/// Timeout for closing an idle connection.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The most connections at a time.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 1500;
-/// Wait after a failed accept, and interval of checks during a shutdown.
+/// Delay after a failed accept, and interval between checks during a shutdown.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves the API.
+/// The HTTP server of the API.
 pub struct ControlServer {
     api: Rc<ControlApi>,
     open_connections: Cell<usize>,
@@ -49,7 +50,7 @@
     log_limit: RateLimitedLog,
 }
 
-/// Counts a connection for as long as it is open, whichever way that ends.
+/// Guard that counts an open connection, and stops counting it when dropped.
 struct OpenConnection<'a>(&'a Cell<usize>);
 
 impl<'a> OpenConnection<'a> {
@@ -66,7 +67,7 @@
 }
 
 impl ControlServer {
-    /// Serves this API.
+    /// Creates a server of `api` without connections.
     pub fn new(api: Rc<ControlApi>) -> Rc<Self> {
         Rc::new(ControlServer {
             api,
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Serves connections that come in here, for the life of the process.
+    /// Accepts and serves connections for the life of the process. Connections above the limit are closed at once.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -87,7 +88,7 @@
                 Ok(_) => {
                     if let Some(suppressed) = self.log_limit.allow() {
                         log::warn!(
-                            "api: {} connections are open, one more closed ({} lines suppressed)",
+                            "api: limit of {} open connections reached, closed a new one ({} lines suppressed)",
                             MAX_CONNECTIONS,
                             suppressed
                         );
@@ -101,7 +102,7 @@
         }
     }
 
-    /// From now on, calls are answered and their connections closed; returns once none is open, or the time is up.
+    /// Closes each connection after its current call. Returns once none is open, at the latest after `within`.
     pub async fn shut_down(&self, within: Duration) {
         self.is_shutting_down.set(true);
         self.shutdown.notify_waiters();
@@ -170,13 +171,13 @@
     response
 }
 
-/// Reads a complete body. One that is too long is read to its end all the same, up to a bound: a caller that is still sending
-/// when the connection ends never sees why.
+/// Reads a complete body. One longer than `max_bytes` is read to its end and discarded, up to [`MAX_DISCARDED_BYTES`], because
+/// a caller that is still sending when the connection closes does not see the error.
 async fn read_body(mut body: Incoming, max_bytes: usize) -> Result<Bytes, ApiAnswer> {
     let reading = async {
         let (mut bytes, mut length) = (Vec::new(), 0);
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| ApiAnswer::error(ErrorKind::Invalid, "the body is not whole"))?;
+            let frame = frame.map_err(|_| ApiAnswer::error(ErrorKind::Invalid, "the body is incomplete"))?;
             let Some(data) = frame.data_ref() else { continue };
             length += data.len();
             if length <= max_bytes {
@@ -193,6 +194,6 @@
         }
         Ok(bytes.into())
     };
-    let too_slow = |_| ApiAnswer::error(ErrorKind::TooSlow, "the body does not get on");
+    let too_slow = |_| ApiAnswer::error(ErrorKind::TooSlow, "the body was not received in time");
     tokio::time::timeout(BODY_TIMEOUT, reading).await.map_err(too_slow)?
 }
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -1,15 +1,16 @@
-//! Which limiters a client is told of (`GET /lookup`).
+//! Selects the limiters that a client lookup returns (`GET /lookup`).
 
 use oatbank_cluster_state::messages::MemberRow;
 use oatbank_cluster_state::state::{member_state, Millis, SESSION_TIMEOUT};
 
-/// The most limiters that are named.
+/// Maximum number of limiters in an answer.
 const MAX_NAMED: usize = 64;
-/// A client that one limiter has failed needs another: so many are named where there are as many.
+/// Minimum number of limiters in an answer, if there are as many, so that a client can fail over.
 const MIN_NAMED: usize = 2;
 
-/// The addresses for a client of this zone and region: limiters of its zone, of its region if these are too few, and all
-/// if its region has none. `members` are limiters with how long ago each was heard, ms.
+/// Returns the addresses of the ready limiters for a client in this zone and region: those of the zone, those of the region
+/// if the zone has too few, and all of them if the region has none. `members` pairs each limiter with the time since its last
+/// heartbeat, ms.
 pub fn fronts<'a>(
     members: impl Iterator<Item = (&'a MemberRow, Millis)>,
     zone: &str,
--- a/crates/registry/src/heartbeat.rs
+++ b/crates/registry/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Reads a server's heartbeat (`POST /servers/{id}/beat`).
+//! Parses a server's heartbeat (`POST /servers/{id}/beat`).
 
 use miniserde::{json, Deserialize};
 use oatbank_cluster_state::messages::ServerRow;
@@ -7,52 +7,52 @@
 use quick_error::quick_error;
 use std::net::SocketAddr;
 
-/// The longest id or name, in bytes.
+/// Maximum length of an id or name, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// The longest warm-up that is believed, ms.
+/// Longest accepted warm-up time, ms; longer ones are cut to it.
 const MAX_WARMUP_MS: f64 = 600_000.0;
-/// The largest number that is believed.
+/// Largest accepted heartbeat number.
 const MAX_CALL_COUNT: f64 = 9e15;
-/// The most slots that are believed.
+/// Largest accepted number of slots; larger ones are cut to it.
 const MAX_SLOTS: f64 = 1e6;
 
 quick_error! {
-    /// What is wrong with a heartbeat.
+    /// Reasons to reject a heartbeat.
     #[derive(Clone, Debug, PartialEq)]
     pub enum HeartbeatError {
         /// The body is not UTF-8.
         Encoding {
-            display("the body is no UTF-8")
+            display("the body is not UTF-8")
         }
-        /// The body lacks a field, or is no JSON.
+        /// The body is not JSON, or lacks a field or has one of the wrong type.
         Shape {
-            display("the body is no beat: service, address, zone, serverState (texts) and callCount (a number) are needed")
+            display("the body is not a heartbeat: service, address, zone, serverState (strings) and callCount (a number) are required")
         }
-        /// There is no such state.
+        /// The state is unknown.
         State(state: String) {
             display("serverState is {:?}; allowed: ready, draining", state)
         }
-        /// The address cannot be read.
+        /// The address is not an IP address with a port.
         Address(address: String) {
-            display("address is {:?}; allowed: an address with a port", address)
+            display("address is {:?}; allowed: an IP address with a port", address)
         }
-        /// A name is empty or too long.
+        /// The id is empty, or a name is too long.
         Name {
-            display("id, service and zone have 1 to {} bytes", MAX_NAME_BYTES)
+            display("the id is empty, or the id, service or zone is longer than {} bytes", MAX_NAME_BYTES)
         }
-        /// The mesh is no mesh's name, or not the one of the service.
+        /// The mesh is not a valid name, or differs from the mesh in the service's name.
         Mesh(mesh: String, service: String) {
             display("mesh is {:?} for the service {:?}; allowed: up to {} bytes without a slash, and the \
-                     mesh that the service's name says, if it says one", mesh, service, MAX_NAME_BYTES)
+                     same mesh as in the service's name, if it has one", mesh, service, MAX_NAME_BYTES)
         }
-        /// The number of the heartbeat is out of range.
+        /// The heartbeat number is out of range.
         CallCount(count: f64) {
             display("callCount is {}; allowed: a number from 0 on", count)
         }
     }
 }
 
-/// The body, as the API names its fields.
+/// The JSON body of a heartbeat.
 #[derive(Deserialize)]
 struct Body {
     mesh: Option<String>,
@@ -69,10 +69,10 @@
     call_count: f64,
 }
 
-/// Reads a heartbeat of the server `id`.
+/// Parses a heartbeat of the server `id`.
 ///
 /// # Errors
-/// What is wrong in it, and what is allowed.
+/// Returns which field is invalid, and which values are allowed.
 pub fn parse(id: &str, body: &[u8]) -> Result<ServerRow, HeartbeatError> {
     let text = std::str::from_utf8(body).map_err(|_| HeartbeatError::Encoding)?;
     let body: Body = json::from_str(text).map_err(|_| HeartbeatError::Shape)?;
@@ -96,7 +96,7 @@
     }
     Ok(ServerRow {
         id: id.to_owned(),
-        // One name holds both, so that a process that knows no meshes takes no two servers for each other.
+        // The name includes the mesh, so that processes without support for meshes keep services of different meshes apart.
         service: mesh::whole(&mesh, &body.service),
         address: body.address,
         zone: body.zone,
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,12 +1,12 @@
-//! The registry: which servers and limiters there are, and the calls of servers, operators and clients to the core.
+//! The registry: tracks servers and limiters, and answers the calls of servers, operators and clients to the core.
 //!
 //! | module | holds |
 //! | --- | --- |
 //! | [`node`] | one core machine's registry, without its sockets |
-//! | [`quorum_client`] | the way to the configuration store |
-//! | [`operator_command`] | what a command makes of the agreed state; pure |
-//! | [`control_server`], [`control_api`], [`api_answer`] | calls from outside: HTTP, what each call does, answers |
-//! | [`heartbeat`], [`directory`] | reading a heartbeat; which limiters a client is told of; pure |
+//! | [`quorum_client`] | the client of the configuration store |
+//! | [`operator_command`] | application of commands to the agreed state, without I/O |
+//! | [`control_server`], [`control_api`], [`api_answer`] | the external API: HTTP server, calls, answers |
+//! | [`heartbeat`], [`directory`] | parsing of heartbeats, and selection of limiters for clients, without I/O |
 //! | [`catalog_view`] | the service catalog, kept up to date |
 //! | [`voters`] | the table of the store's voters |
 
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `oatbank-registry`: runs on every core machine, and answers servers, operators and clients that look up
+//! The program `oatbank-registry`, which runs on every core machine and answers servers, operators, and clients that look up
 //! limiters.
 
 use oatbank_cluster_state::admin_query::{Commands, TableFuture};
@@ -16,11 +16,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long open connections may delay a shutdown.
+/// Longest time that open connections may delay a shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(600);
 
 fn main() -> ExitCode {
-    let about = "the registry of servers and limiters, and the outside calls of the core";
+    let about = "the registry of servers and limiters, and the external API of the core";
     process::main(&Program { name: "oatbank-registry", about }, serve)
 }
 
@@ -36,7 +36,7 @@
     tokio::task::spawn_local(rpc::serve(inner, node.handler(commands)));
     node.start_following();
 
-    // Callers from outside are served once the voters are known.
+    // External callers are served once the voters are known.
     let server = ControlServer::new(node.open_control_api().await);
     tokio::task::spawn_local(server.clone().serve(listen(control)?));
     if let Some(directory) = initial.listen_address("directory") {
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// The commands of `oatbankctl` that this program answers.
+/// Returns the `oatbankctl` commands that this program answers.
 fn admin_commands(node: &Rc<RegistryNode>, node_name: &str) -> Commands {
     let view = node.view();
     let mut commands = Commands::of(view, "oatbank-registry", node_name);
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -1,5 +1,5 @@
-//! The registry of one core machine, without its sockets: follows the other core machines, finds the voters of the store, and
-//! times out servers and sessions.
+//! The registry of one core machine, without its sockets: follows the other core machines, discovers the voters of the
+//! store, and times out servers and sessions.
 
 use crate::catalog_view::CatalogView;
 use crate::control_api::ControlApi;
@@ -24,17 +24,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval of checks for timeouts.
+/// Interval between checks for timeouts.
 const EXPIRE_INTERVAL: Duration = Duration::from_millis(TICK_INTERVAL as u64);
-/// A process may time out others once it has listened for this much longer than a server's timeout, ms.
+/// A process may time out others once it has listened without interruption for a server's timeout plus this, ms.
 const LISTEN_SLACK: f64 = 1000.0;
-/// Wait before a peer is called again after a failure.
+/// Delay before a failed call is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long the stores may take to name their voters.
+/// Timeout for asking the stores for the voters.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(800);
-/// Interval of checks for changes of the voters.
+/// Interval between checks for changes of the voters.
 const VOTERS_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a peer may hold a response, ms.
+/// How long a peer may hold the response to a long poll, ms.
 const HOLD_MS: u32 = 300;
 
 /// The registry of one core machine.
@@ -43,12 +43,12 @@
     view: Rc<ClusterView>,
     catalog: Rc<CatalogView>,
     register: Rc<RegisterClient>,
-    /// Core machines that are followed.
+    /// Core machines that this one follows.
     peers: RefCell<BTreeSet<Ipv4Addr>>,
 }
 
 impl RegistryNode {
-    /// Knows nothing yet.
+    /// Creates a registry that follows no peers and knows no voters.
     pub fn new(settings: Rc<ReloadableSettings>, clock: MonotonicClock) -> Rc<Self> {
         let now = settings.settings();
         let view = ClusterView::new(clock, now.heartbeat_interval);
@@ -57,26 +57,26 @@
         Rc::new(RegistryNode { settings, view, catalog, register, peers: RefCell::default() })
     }
 
-    /// What it knows of the cluster.
+    /// Returns this machine's view of the cluster.
     pub fn view(&self) -> &Rc<ClusterView> {
         &self.view
     }
 
-    /// Its service catalog.
+    /// Returns this machine's service catalog.
     pub fn catalog(&self) -> &Rc<CatalogView> {
         &self.catalog
     }
 
-    /// The table of the store's voters, for `oatbankctl voters`.
+    /// Polls the store's voters and returns their table for `oatbankctl voters`.
     pub async fn voters_table(self: Rc<Self>) -> Table {
         if self.register.voters().is_empty() {
-            return error_table("no store names its voters yet".into());
+            return error_table("no store has named its voters yet".into());
         }
         let (configuration, responses) = self.register.poll_voters().await;
         voters::show(&configuration, &responses)
     }
 
-    /// Answers other processes of the system.
+    /// Returns the handler of calls from other processes of the system.
     pub fn handler(&self, commands: Commands) -> Handler {
         let (view, commands) = (self.view.clone(), Rc::new(commands));
         Rc::new(move |kind, body: Bytes| {
@@ -91,14 +91,15 @@
         })
     }
 
-    /// Begins to follow the core machines in the settings, and to time out servers and sessions.
+    /// Starts to follow the core machines in the settings, and to time out servers and sessions.
     pub fn start_following(self: &Rc<Self>) {
         let settings = self.settings.settings();
         self.follow_peers(&settings, settings.seeds.iter().map(|seed| *seed.ip()));
         tokio::task::spawn_local(self.clone().expire_forever());
     }
 
-    /// Waits until a store names the voters and keeps up with them from then on; the API for callers from outside.
+    /// Waits until a store has named the voters, starts the tasks that follow them and refresh the agreed state, and returns
+    /// the API for external callers.
     pub async fn open_control_api(self: &Rc<Self>) -> Rc<ControlApi> {
         let settings = self.settings.settings();
         self.find_voters(&settings).await;
@@ -117,15 +118,15 @@
                 return;
             }
             if !is_logged {
-                log::warn!("registry: no store names its voters yet");
+                log::warn!("registry: no store has named its voters yet");
                 is_logged = true;
             }
             tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Follows all core machines that are seeds or vote, as they come. The voters known here change with what is agreed; if
-    /// none of them answers any more, the seeds of the moment are asked.
+    /// Follows each core machine that is a seed or a voter. The known voters change with the agreed configuration. While no
+    /// majority answers, the seeds in the current settings are asked for the voters.
     async fn follow_voters(self: Rc<Self>) {
         loop {
             let settings = self.settings.settings();
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Follows these core machines, unless they are followed already.
+    /// Starts to follow these core machines, except this one and those already followed.
     fn follow_peers(&self, settings: &Settings, ips: impl Iterator<Item = Ipv4Addr>) {
         for ip in ips.filter(|ip| *ip != settings.ip) {
             if self.peers.borrow_mut().insert(ip) {
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Times out servers and sessions. A process that was paused, has just started, or was not in touch with a majority has
-    /// heard nothing, and times out nobody until it has listened for longer than a timeout lasts.
+    /// Times out servers and sessions. A process that was paused, has just started, or was out of touch with a majority may
+    /// have missed heartbeats, so it times out nothing until it has listened for longer than a timeout.
     async fn expire_forever(self: Rc<Self>) {
         let view = &self.view;
         let mut listening_since = view.now();
@@ -186,7 +187,7 @@
     }
 }
 
-/// The stores to ask for the voters.
+/// Returns the addresses of the stores on this machine and on the seeds.
 fn store_addresses(settings: &Settings) -> Vec<SocketAddr> {
     let seeds = settings.seeds.iter().map(|seed| *seed.ip());
     std::iter::once(settings.ip).chain(seeds).map(|ip| settings.rpc_address_of(ip, STORE)).collect()
--- a/crates/registry/src/operator_command.rs
+++ b/crates/registry/src/operator_command.rs
@@ -1,24 +1,24 @@
-//! What an operator's command makes of the agreed state. Pure.
+//! Applies operator commands to the agreed state, without I/O.
 
 use oatbank_cluster_state::messages::{AcceptedVersion, AgreedState, MAX_CONFIG_BYTES};
 use oatbank_config_model::{Configuration, Proposal, ProposalError};
 use oatbank_node_runtime::error_kind::ErrorKind;
 use prost::Message;
 
-/// How many accepted versions are remembered: each costs some 10 bytes in every proposal. A repeat of an older one gets no
-/// clear answer, so that it is never rejected though it was accepted.
+/// Number of accepted versions that are remembered; each adds about 10 bytes to every proposal. The outcome of a repeated
+/// older version is reported as unknown, so that an accepted version is never reported as rejected.
 pub const REMEMBERED_VERSIONS: usize = 4096;
 
 /// An operator's command.
 #[derive(Clone, Debug)]
 pub enum OperatorCommand {
-    /// A configuration, or changes of one.
+    /// Replaces or changes the configuration.
     Configure(Proposal),
     /// Begins or ends the evacuation of a zone.
     Evacuate {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Whether the evacuation begins.
+        /// `true` begins the evacuation, `false` ends it.
         begin: bool,
     },
 }
@@ -28,37 +28,38 @@
 pub struct Rejection {
     /// The kind of error.
     pub kind: ErrorKind,
-    /// What is wrong, for the operator.
+    /// Description of the problem for the operator.
     pub problem: String,
 }
 
-/// What a command that is not rejected comes to.
+/// Result of a command that is not rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// This is agreed on next.
+    /// The next state to agree on.
     Next(Box<AgreedState>),
-    /// It was accepted before, or there is nothing to change: the agreed state stays as it is.
+    /// The command was accepted before or changes nothing; the agreed state stays as it is.
     AlreadyInForce,
 }
 
-/// What is known of a version's number.
+/// Whether a proposal was accepted under its version number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum VersionStatus {
-    /// This very proposal was accepted.
+    /// The same proposal was accepted.
     Accepted,
-    /// It was not.
+    /// The proposal was not accepted.
     NotAccepted,
-    /// It is older than what is remembered.
+    /// The version is older than those remembered.
     Forgotten,
 }
 
-/// Accepted versions, the newest last. Invariant: they rise, and none is missing from the first of them on.
+/// Accepted versions, the newest last. Invariant: they increase, and none is missing after the first.
 struct AcceptedVersions(Vec<AcceptedVersion>);
 
 impl AcceptedVersions {
     fn of(state: &AgreedState) -> AcceptedVersions {
         if !state.accepted.is_empty() {
-            // An earlier version of this program knew nothing of the packed list, left it out, and went on in its own.
+            // An earlier release wrote this state. It dropped the packed list, which it does not know, and continued the
+            // unpacked one.
             return AcceptedVersions(state.accepted.clone());
         }
         let versions = state.steps.iter().scan(0u64, |version, step| {
@@ -69,7 +70,7 @@
         AcceptedVersions(versions.zip(&state.digests).map(accepted).collect())
     }
 
-    /// Writes them into the agreed state, packed.
+    /// Writes the versions into the agreed state in the packed format.
     fn pack_into(&self, state: &mut AgreedState) {
         let before = std::iter::once(0).chain(self.0.iter().map(|accepted| accepted.version));
         state.steps = self.0.iter().zip(before).map(|(accepted, before)| accepted.version - before).collect();
@@ -83,10 +84,10 @@
         self.0.drain(..excess);
     }
 
-    /// What became of this proposal, where the version `current` is in force.
+    /// Returns whether this proposal was accepted, given that the version `current` is in force.
     fn status(&self, proposal: &Proposal, current: u64) -> VersionStatus {
         let version = proposal.version();
-        // Versions rise: nothing is accepted that is not above what it builds on.
+        // Versions increase, so an accepted version is higher than the one that it builds on.
         if version > current || version <= proposal.built_on() {
             return VersionStatus::NotAccepted;
         }
@@ -102,8 +103,9 @@
 /// Applies a command to the agreed state.
 ///
 /// # Errors
-/// When it is invalid, builds on another version, or would make the configuration too long. With
-/// [`ErrorKind::OutcomeUnknown`] it may have been accepted long ago.
+/// Returns a rejection if the command is invalid, builds on another version, or would make the configuration too long. With
+/// [`ErrorKind::OutcomeUnknown`] the version is too old to tell whether it was accepted, or the configuration in force
+/// cannot be read.
 pub fn apply(state: &AgreedState, command: &OperatorCommand) -> Result<Applied, Rejection> {
     match command {
         OperatorCommand::Configure(proposal) => configure(state, proposal),
@@ -121,7 +123,7 @@
         VersionStatus::Forgotten => {
             let first = accepted.0.first().map_or(current_version, |accepted| accepted.version);
             let problem = format!(
-                "r{} may have been taken: what was sent is remembered from r{first} on; r{current_version} is in place",
+                "r{} may have been accepted: versions are remembered from r{first} on; r{current_version} is in force",
                 proposal.version()
             );
             return Err(Rejection { kind: ErrorKind::OutcomeUnknown, problem });
@@ -147,7 +149,7 @@
     }
     let unreadable = |error| Rejection {
         kind: ErrorKind::OutcomeUnknown,
-        problem: format!("what is in force cannot be read: {error}"),
+        problem: format!("the configuration in force cannot be read: {error}"),
     };
     Configuration::read(&state.config).map(Some).map_err(unreadable)
 }
@@ -155,7 +157,7 @@
 fn reject_proposal(error: ProposalError) -> Rejection {
     match error {
         ProposalError::Stale { current } => {
-            Rejection { kind: ErrorKind::StaleVersion, problem: format!("r{current} is in place") }
+            Rejection { kind: ErrorKind::StaleVersion, problem: format!("r{current} is in force") }
         }
         ProposalError::Invalid(error) => Rejection { kind: ErrorKind::Invalid, problem: error.to_string() },
     }
@@ -177,28 +179,28 @@
 /// Why a command makes no new edition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NoNewEdition {
-    /// It was accepted before, or there is nothing to change, in this edition.
+    /// The command was accepted before or changes nothing. Holds the edition in which this was found.
     AlreadyInForce(u64),
-    /// It is rejected.
+    /// The command is rejected.
     Rejected(Rejection),
 }
 
-/// Decodes the value of the register.
+/// Decodes the value of the register. No value decodes to the default state.
 ///
 /// # Errors
-/// When a later version of this program has written it.
+/// Returns [`ErrorKind::OutcomeUnknown`] if the value cannot be decoded, as when a later version has written it.
 pub fn decode_state(bytes: Option<&[u8]>) -> Result<AgreedState, Rejection> {
     let unreadable = |error| Rejection {
         kind: ErrorKind::OutcomeUnknown,
-        problem: format!("what was agreed cannot be read by this version: {error}"),
+        problem: format!("this version cannot read the agreed state: {error}"),
     };
     AgreedState::decode(bytes.unwrap_or_default()).map_err(unreadable)
 }
 
-/// [`apply`] as the store calls it: on the newest value of the register and its edition.
+/// Applies a command to the register's newest value, and returns the encoded next value. Called by the store.
 ///
 /// # Errors
-/// When there is no new edition. That is reported only once the value it was found in is chosen.
+/// Returns the reason if there is no new edition. The store reports it only once the value on which it is based is chosen.
 pub fn apply_to_register(
     command: &OperatorCommand,
     bytes: Option<&[u8]>,
--- a/crates/registry/src/quorum_client.rs
+++ b/crates/registry/src/quorum_client.rs
@@ -1,5 +1,5 @@
-//! The way from the registry to the configuration store: operator commands are agreed on there, and a majority is asked
-//! often enough that this process knows how old its state is.
+//! The registry's client of the configuration store: executes operator commands by consensus, and asks a majority
+//! regularly, so that this process knows how old its state is.
 
 use crate::operator_command::{apply_to_register, decode_state, NoNewEdition, OperatorCommand, Rejection};
 use oatbank_cluster_state::cluster_view::{ClusterView, FollowerProgress, CONTACT_TIMEOUT};
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval of quorum reads.
+/// Interval between quorum reads.
 const READ_INTERVAL: Duration = Duration::from_millis(300);
-/// How long catching up may take.
+/// Timeout for reading a newer value from the store.
 const READ_TIMEOUT: Duration = Duration::from_millis(1200);
-/// A command is given up after this: the operator repeats it, perhaps elsewhere.
+/// Timeout of a command. The operator then repeats it, at this or another core machine.
 const AGREE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The way to what is agreed.
+/// Client of the configuration store.
 pub struct QuorumClient {
     view: Rc<ClusterView>,
     register: Rc<RegisterClient>,
@@ -28,18 +28,18 @@
 }
 
 impl QuorumClient {
-    /// Agrees by `register`, and records what is agreed in `view`.
+    /// Creates a client that changes and reads `register`, and records the agreed state in `view`.
     pub fn new(view: Rc<ClusterView>, register: Rc<RegisterClient>, ip: Ipv4Addr) -> Rc<Self> {
         Rc::new(QuorumClient { view, register, ip })
     }
 
-    /// Whether there is no other core machine.
+    /// Returns whether there is no other voter.
     pub fn is_alone(&self) -> bool {
         self.register.voters_count() < 2
     }
 
-    /// Whether a majority of the core, including this machine if it votes, has merged all changes up to `sequence`. Whoever
-    /// reaches a majority later then reaches one that knows them, and the losses that are tolerated do not take them away.
+    /// Returns whether a majority of the voters, including this machine if it votes, has merged all changes up to `sequence`.
+    /// Any later majority then includes a machine that has them, and the tolerated failures cannot lose them.
     pub fn is_replicated(&self, followers: &HashMap<String, FollowerProgress>, sequence: u64) -> bool {
         let has_merged = |ip: Ipv4Addr| {
             let merged = |progress: &FollowerProgress| {
@@ -55,7 +55,7 @@
         })
     }
 
-    /// Whether no majority was reached for so long that none is waited for.
+    /// Returns whether the last contact with a majority is so long ago that commands are rejected at once.
     fn is_cut_off(&self) -> bool {
         let longest = CONTACT_TIMEOUT + AGREE_TIMEOUT.as_secs_f64() * 1000.0;
         self.view.confirmed_ago().is_some_and(|ago| ago > longest)
@@ -64,7 +64,7 @@
     fn take(&self, edition: u64, bytes: &[u8]) {
         match decode_state(Some(bytes)) {
             Ok(state) => {
-                // Accepted versions are needed only where commands are agreed on; nobody needs to be told of them.
+                // Followers do not need the accepted versions; these are read only when a command is applied.
                 let state = AgreedState {
                     config: state.config,
                     evacuated_zones: state.evacuated_zones,
@@ -76,26 +76,26 @@
         }
     }
 
-    /// Carries out a command; the edition in which it is in force.
+    /// Executes a command and returns the edition in which it is in force.
     ///
     /// # Errors
-    /// Why it is rejected. With [`ErrorKind::OutcomeUnknown`] it may have been carried out, with [`ErrorKind::NotReady`] it
-    /// certainly was not.
+    /// Returns the reason for the rejection. With [`ErrorKind::OutcomeUnknown`] the command may have been executed, with
+    /// [`ErrorKind::NotReady`] it was not.
     pub async fn execute(&self, command: &OperatorCommand) -> Result<u64, Rejection> {
         let not_done = |problem: &str| Rejection { kind: ErrorKind::NotReady, problem: problem.into() };
         if !self.view.has_caught_up() {
-            // The command may have waited here since long before another was carried out elsewhere.
-            return Err(not_done("this core machine stood still; it takes orders again within a second"));
+            // The command may have waited in a socket while a later one was executed on another machine.
+            return Err(not_done("this core machine was paused; it accepts commands again within a second"));
         }
         if self.is_cut_off() {
-            return Err(not_done("this core machine is in touch with no majority; nothing was done"));
+            return Err(not_done("this core machine is not in touch with a majority; nothing was changed"));
         }
         let begun_at = self.view.now();
         let change = |bytes: Option<&[u8]>, edition: u64| apply_to_register(command, bytes, edition);
         match self.register.change(change, AGREE_TIMEOUT).await {
             Ok(ChosenValue { edition, value }) => {
                 self.take(edition, &value.unwrap_or_default());
-                // It follows all that was chosen before it was begun.
+                // The chosen value follows all values that were chosen before this command began.
                 self.view.confirm(begun_at, edition);
                 Ok(edition)
             }
@@ -108,7 +108,7 @@
             }
             Err(ChangeError::Rejected(NoNewEdition::Rejected(rejection))) => Err(rejection),
             Err(ChangeError::Unreachable) => {
-                Err(not_done("no majority of the store answered; nothing was done"))
+                Err(not_done("no majority of the store answered; nothing was changed"))
             }
             Err(ChangeError::Unknown) => Err(Rejection {
                 kind: ErrorKind::OutcomeUnknown,
@@ -117,19 +117,19 @@
         }
     }
 
-    /// The newest agreed state, as a majority knows it now.
+    /// Returns the newest agreed state, confirmed by a majority.
     ///
     /// # Errors
-    /// When no majority can be asked.
+    /// Returns [`ErrorKind::OutcomeUnknown`] if no majority answers.
     pub async fn newest(&self) -> Result<Rc<AgreedState>, Rejection> {
         if self.refresh().await {
             return Ok(self.view.agreed_state());
         }
-        let problem = "no majority of the store can be asked".into();
+        let problem = "no majority of the store answered".into();
         Err(Rejection { kind: ErrorKind::OutcomeUnknown, problem })
     }
 
-    /// Asks the majority once, and catches up if there is something newer; whether what is known here is now the newest.
+    /// Asks a majority once, and reads the newer value if there is one. Returns whether the state known here is now the newest.
     async fn refresh(&self) -> bool {
         let begun_at = self.view.now();
         let Some(peeked) = self.register.peek().await else { return false };
@@ -148,7 +148,7 @@
         true
     }
 
-    /// Refreshes again and again, for the life of the process.
+    /// Refreshes the state every [`READ_INTERVAL`] for the life of the process, and logs when contact is lost or regained.
     pub async fn refresh_forever(self: Rc<Self>) {
         let mut is_in_touch = true;
         loop {
--- a/crates/registry/src/voters.rs
+++ b/crates/registry/src/voters.rs
@@ -1,4 +1,4 @@
-//! The table of the store's voters and what each one holds, for `oatbankctl voters`.
+//! The table of the store's voters and their state, for `oatbankctl voters`.
 
 use oatbank_cluster_state::admin_query::table;
 use oatbank_cluster_state::messages::Table;
@@ -10,12 +10,12 @@
 
 const COLUMNS: [&str; 7] = ["voter", "disk", "place", "state", "edition", "accepted", "promised"];
 
-/// The response of this very voter: not that of another disk of its machine.
+/// Returns the response of this voter, ignoring one that comes from another disk at the same address.
 fn response_of<'a>(responses: &'a Responses, voter: &VoterId) -> Option<&'a VoterResponse> {
     responses.get(&voter.address).filter(|response| response.disk_id == voter.disk_id)
 }
 
-/// The newest proposal that a quorum holds, by which the others are judged.
+/// Returns the newest proposal that a quorum has accepted. Voters with an older one are behind.
 fn agreed_proposal(configuration: &VoterConfiguration, responses: &Responses) -> Option<ProposalNumber> {
     let mut proposals: Vec<ProposalNumber> = responses.values().map(|response| response.accepted).collect();
     proposals.sort_unstable();
@@ -27,7 +27,7 @@
     proposals.into_iter().rev().find(|proposal| is_held(*proposal))
 }
 
-/// Whether a voter joins, leaves or votes; only a change of the voters makes a difference.
+/// Returns whether a voter joins, leaves or votes. Voters join and leave only during a change of the configuration.
 fn place(configuration: &VoterConfiguration, voter: &VoterId) -> &'static str {
     match (configuration.voters.contains(voter), configuration.outgoing.contains(voter)) {
         (true, false) if configuration.is_changing() => "comes",
@@ -45,7 +45,7 @@
     }
 }
 
-/// The voters with what they answered; the title says how many more may be lost now.
+/// Builds the table of voters and their responses. The title tells how many more voters may fail without loss of the quorum.
 pub fn show(configuration: &VoterConfiguration, responses: &Responses) -> Table {
     let agreed = agreed_proposal(configuration, responses);
     let row = |voter: &VoterId| {
