--- a/crates/cluster-state/src/admin_query.rs
+++ b/crates/cluster-state/src/admin_query.rs
@@ -52,13 +52,14 @@
     /// Creates the list with the commands that every program answers: servers, limiters, core and version.
     pub fn of(view: &Rc<ClusterView>, program: &'static str, node_name: &str) -> Self {
         let mut commands = Commands::default();
-        let of = view.clone();
-        commands
-            .add("servers", "servers [SERVICE]", 1, move |words| admin_tables::servers(&of, words.first()));
-        let of = view.clone();
-        commands.add("limiters", "limiters", 0, move |_| admin_tables::limiters(&of));
-        let (of, own) = (view.clone(), node_name.to_owned());
-        commands.add("core", "core", 0, move |_| admin_tables::core(&of, &own));
+        let shown_view = view.clone();
+        commands.add("servers", "servers [SERVICE]", 1, move |words| {
+            admin_tables::servers(&shown_view, words.first())
+        });
+        let shown_view = view.clone();
+        commands.add("limiters", "limiters", 0, move |_| admin_tables::limiters(&shown_view));
+        let (shown_view, own) = (view.clone(), node_name.to_owned());
+        commands.add("core", "core", 0, move |_| admin_tables::core(&shown_view, &own));
         let own = node_name.to_owned();
         commands.add("version", "version", 0, move |_| {
             let row = vec![own.clone(), program.to_owned(), env!("CARGO_PKG_VERSION").to_owned()];
--- a/crates/cluster-state/src/admin_tables.rs
+++ b/crates/cluster-state/src/admin_tables.rs
@@ -79,12 +79,12 @@
 /// Builds the table of the core as known here: this process, and the core machines that follow it.
 pub(crate) fn core(view: &ClusterView, own_name: &str) -> Table {
     let confirmed = view.confirmed_ago().map_or("never".to_owned(), seconds);
-    let touch = if view.in_touch() { "in touch" } else { "not in touch" };
-    let mut rows = vec![vec![own_name.to_owned(), touch.to_owned(), view.edition().to_string(), confirmed]];
+    let contact = if view.in_touch() { "in touch" } else { "not in touch" };
+    let mut rows = vec![vec![own_name.to_owned(), contact.to_owned(), view.edition().to_string(), confirmed]];
     for (name, progress) in view.followers().into_iter().filter(|(_, progress)| progress.every_change) {
         let age = view.now() - progress.at;
-        let touch = if age <= CONTACT_TIMEOUT { "follows" } else { "silent" };
-        rows.push(vec![name, touch.to_owned(), progress.edition.to_string(), seconds(age)]);
+        let contact = if age <= CONTACT_TIMEOUT { "follows" } else { "silent" };
+        rows.push(vec![name, contact.to_owned(), progress.edition.to_string(), seconds(age)]);
     }
     table("the core as known here", &["name", "state", "edition", "as of"], rows)
 }
--- a/crates/cluster-state/src/anti_entropy.rs
+++ b/crates/cluster-state/src/anti_entropy.rs
@@ -15,7 +15,7 @@
 pub const MAX_DIVERGENCE: Millis = 5000.0;
 /// Upper bound of the wait before the next snapshot, ms. The wait doubles after a snapshot that did not remove the
 /// difference, since the source may lack rows that other processes have.
-const LONGEST_WAIT: Millis = 48_000.0;
+const MAX_SNAPSHOT_WAIT: Millis = 48_000.0;
 
 /// Tracks whether one follower holds the same servers as its source.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
         let takes_snapshot = now - since >= self.wait;
         if takes_snapshot {
             self.differs_since = Some(now);
-            self.wait = (2.0 * self.wait).min(LONGEST_WAIT);
+            self.wait = (2.0 * self.wait).min(MAX_SNAPSHOT_WAIT);
         }
         takes_snapshot
     }
--- a/crates/cluster-state/src/cluster_view.rs
+++ b/crates/cluster-state/src/cluster_view.rs
@@ -6,7 +6,7 @@
 use crate::clock::MonotonicClock;
 use crate::messages::{AgreedState, CoreMembership, FollowRequest, MemberRow, ServerRow, StateUpdate};
 use crate::pause_detector::PauseDetector;
-use crate::replication::CALL_PATIENCE;
+use crate::replication::CALL_GRACE;
 use crate::state::{MergeResult, Millis, StateTable};
 use bytes::Bytes;
 use oatbank_node_runtime::random::random_u64;
@@ -20,9 +20,9 @@
 use tokio::time::Instant;
 
 /// How long changes that do not affect the use of servers and limiters are batched before a follower is answered, ms.
-const GATHER: Millis = 200.0;
+const BATCH_DELAY: Millis = 200.0;
 /// How long acknowledgements of a newer edition are batched while a command waits for them, ms.
-const GATHER_ACKS: Millis = 20.0;
+const ACK_BATCH_DELAY: Millis = 20.0;
 /// A process is out of touch with the majority if its last confirmation is older than this, ms.
 pub const CONTACT_TIMEOUT: Millis = 1500.0;
 
@@ -280,13 +280,13 @@
     /// Answers a follower's long poll, at once if there is an update, otherwise when one comes or the hold time ends.
     pub async fn answer_follow(&self, request: FollowRequest) -> StateUpdate {
         let received = self.now();
-        self.take_in(&request, received);
+        self.record_request(&request, received);
         self.wait_for_update(&request, received).await;
         self.update_for(&request, received)
     }
 
     /// Merges the follower's row and observations, and records its progress.
-    fn take_in(&self, request: &FollowRequest, received: Millis) {
+    fn record_request(&self, request: &FollowRequest, received: Millis) {
         if let Some(member) = &request.member {
             let row = MemberRow { age_ms: 0, expired: false, ..member.clone() };
             self.change(|table, now| table.merge_member(now, &row));
@@ -316,23 +316,23 @@
     /// Waits until there is an update to send, at most for the hold time that the follower allows.
     async fn wait_for_update(&self, request: &FollowRequest, received: Millis) {
         let hold = f64::from(request.hold_ms);
-        let gather = GATHER.min(hold);
+        let batch_delay = BATCH_DELAY.min(hold);
         loop {
             let changed = self.changed.notified();
             let waited = self.now() - received;
             let has_acks = request.wants_prompt_acks && self.table.borrow().last_applied() > request.seen;
             let is_due = waited >= hold
                 || self.has_update_for(request, false, false)
-                || waited >= GATHER_ACKS && has_acks
-                || waited >= gather
+                || waited >= ACK_BATCH_DELAY && has_acks
+                || waited >= batch_delay
                     && self.has_update_for(request, request.every_change, !request.without_observations);
             if is_due {
                 return;
             }
-            let until = if waited < GATHER_ACKS && has_acks {
-                GATHER_ACKS
-            } else if waited < gather {
-                gather
+            let until = if waited < ACK_BATCH_DELAY && has_acks {
+                ACK_BATCH_DELAY
+            } else if waited < batch_delay {
+                batch_delay
             } else {
                 hold
             };
@@ -377,7 +377,7 @@
     /// Merges another process's update to a request sent at `requested`.
     pub fn apply_update(&self, requested: Millis, mut update: StateUpdate) {
         // A response that waited here during a pause of this process is older than its ages say.
-        let allowed = f64::from(update.held_ms) + CALL_PATIENCE.as_secs_f64() * 1000.0;
+        let allowed = f64::from(update.held_ms) + CALL_GRACE.as_secs_f64() * 1000.0;
         let late = self.now() - requested - allowed;
         if late > 0.0 {
             update.add_age(late.ceil() as u32);
--- a/crates/cluster-state/src/replication.rs
+++ b/crates/cluster-state/src/replication.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// How long after the end of its hold time a call is given up.
-pub(crate) const CALL_PATIENCE: Duration = Duration::from_millis(700);
+pub(crate) const CALL_GRACE: Duration = Duration::from_millis(700);
 
 /// A follower's position in the changes of one source.
 #[derive(Clone, Copy, Debug, Default)]
@@ -61,7 +61,7 @@
 ) -> FollowResult {
     let requested = view.now();
     let is_session = options.member.is_some();
-    let within = Duration::from_millis(u64::from(options.hold_ms)) + CALL_PATIENCE;
+    let within = Duration::from_millis(u64::from(options.hold_ms)) + CALL_GRACE;
     let request = follow_request(view, position, options);
     let response = source.call(call::FOLLOW, request.encode_to_vec(), within).await;
     let response = response.ok().filter(|bytes| !bytes.is_empty());
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -260,13 +260,13 @@
 
     /// Times out the servers that a warm source's snapshot lacks and that were not merged here recently either.
     fn end_servers_missing_from(&mut self, now: Millis, snapshot: &StateUpdate) {
-        let old = now - MISSING_INTERVALS * self.heartbeat_interval - TIMEOUT_SLACK;
+        let cutoff = now - MISSING_INTERVALS * self.heartbeat_interval - TIMEOUT_SLACK;
         let claim = |row: &ServerRow| {
             xxh3_64([&row.id, &row.service, &row.address].map(|field| &**field).join("\0").as_bytes())
         };
         let listed: BTreeSet<u64> = snapshot.servers.iter().map(claim).collect();
         let is_missing = |entry: &&Entry<ServerRow>| {
-            entry.merged_at < old && !entry.row.timed_out && !listed.contains(&claim(&entry.row))
+            entry.merged_at < cutoff && !entry.row.timed_out && !listed.contains(&claim(&entry.row))
         };
         self.time_out_servers(now, is_missing);
     }
--- a/crates/cluster-state/src/state/row.rs
+++ b/crates/cluster-state/src/state/row.rs
@@ -57,9 +57,10 @@
         (self.state, self.timed_out) = (state, timed_out);
         // A warm-up that counts down as known is no change. One that begins is, even during or after an earlier one.
         let warmup_begins = other.warmup_ms > warmup_left + WARMUP_EXTENDED;
-        let same = (self.state, self.timed_out, self.slots) == (before.state, before.timed_out, before.slots)
+        let same_use = (self.state, self.timed_out, self.slots)
+            == (before.state, before.timed_out, before.slots)
             && self.zone == before.zone;
-        Some(!same || is_newer && warmup_begins)
+        Some(!same_use || is_newer && warmup_begins)
     }
 
     fn age_ms(&self) -> u32 {
--- a/crates/registry/src/control_api.rs
+++ b/crates/registry/src/control_api.rs
@@ -21,7 +21,7 @@
 /// A command without a version is executed only if its caller stays connected for this long. A command that waited in a
 /// socket while this machine was paused or cut off arrives together with the end of its connection, and may have been
 /// reversed since.
-const CALLER_MUST_STAY: Duration = Duration::from_millis(100);
+const CALLER_CHECK_DELAY: Duration = Duration::from_millis(100);
 /// Longest wait for limiters to apply a command before it is acknowledged. Usually all have applied it sooner.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long clients may use the answer to a lookup, s.
@@ -124,7 +124,7 @@
             return ApiAnswer::error(ErrorKind::NotFound, problem);
         }
         // If the connection ends during the sleep, this future is dropped.
-        tokio::time::sleep(CALLER_MUST_STAY).await;
+        tokio::time::sleep(CALLER_CHECK_DELAY).await;
         self.execute(OperatorCommand::Evacuate { zone, begin }).await
     }
 
--- a/crates/registry/src/quorum_client.rs
+++ b/crates/registry/src/quorum_client.rs
@@ -57,11 +57,11 @@
 
     /// Returns whether the last contact with a majority is so long ago that commands are rejected at once.
     fn is_cut_off(&self) -> bool {
-        let longest = CONTACT_TIMEOUT + AGREE_TIMEOUT.as_secs_f64() * 1000.0;
-        self.view.confirmed_ago().is_some_and(|ago| ago > longest)
+        let max_age = CONTACT_TIMEOUT + AGREE_TIMEOUT.as_secs_f64() * 1000.0;
+        self.view.confirmed_ago().is_some_and(|ago| ago > max_age)
     }
 
-    fn take(&self, edition: u64, bytes: &[u8]) {
+    fn adopt(&self, edition: u64, bytes: &[u8]) {
         match decode_state(Some(bytes)) {
             Ok(state) => {
                 // Followers do not need the accepted versions; these are read only when a command is applied.
@@ -82,33 +82,37 @@
     /// Returns the reason for the rejection. With [`ErrorKind::OutcomeUnknown`] the command may have been executed, with
     /// [`ErrorKind::NotReady`] it was not.
     pub async fn execute(&self, command: &OperatorCommand) -> Result<u64, Rejection> {
-        let not_done = |problem: &str| Rejection { kind: ErrorKind::NotReady, problem: problem.into() };
+        let not_executed = |problem: &str| Rejection { kind: ErrorKind::NotReady, problem: problem.into() };
         if !self.view.has_caught_up() {
             // The command may have waited in a socket while a later one was executed on another machine.
-            return Err(not_done("this core machine was paused; it accepts commands again within a second"));
+            return Err(not_executed(
+                "this core machine was paused; it accepts commands again within a second",
+            ));
         }
         if self.is_cut_off() {
-            return Err(not_done("this core machine is not in touch with a majority; nothing was changed"));
+            return Err(not_executed(
+                "this core machine is not in touch with a majority; nothing was changed",
+            ));
         }
         let begun_at = self.view.now();
         let change = |bytes: Option<&[u8]>, edition: u64| apply_to_register(command, bytes, edition);
         match self.register.change(change, AGREE_TIMEOUT).await {
             Ok(ChosenValue { edition, value }) => {
-                self.take(edition, &value.unwrap_or_default());
+                self.adopt(edition, &value.unwrap_or_default());
                 // The chosen value follows all values that were chosen before this command began.
                 self.view.confirm(begun_at, edition);
                 Ok(edition)
             }
             Err(ChangeError::Rejected(NoNewEdition::AlreadyInForce(edition))) => {
                 if let ChosenValue { edition: confirmed, value: Some(value) } = self.register.confirmed() {
-                    self.take(confirmed, &value);
+                    self.adopt(confirmed, &value);
                 }
                 self.view.confirm(begun_at, edition);
                 Ok(edition)
             }
             Err(ChangeError::Rejected(NoNewEdition::Rejected(rejection))) => Err(rejection),
             Err(ChangeError::Unreachable) => {
-                Err(not_done("no majority of the store answered; nothing was changed"))
+                Err(not_executed("no majority of the store answered; nothing was changed"))
             }
             Err(ChangeError::Unknown) => Err(Rejection {
                 kind: ErrorKind::OutcomeUnknown,
@@ -142,7 +146,7 @@
             return false;
         };
         if let Some(value) = value {
-            self.take(edition, &value);
+            self.adopt(edition, &value);
         }
         self.view.confirm(begun_at, edition);
         true
--- a/crates/registry/src/voters.rs
+++ b/crates/registry/src/voters.rs
@@ -28,7 +28,7 @@
 }
 
 /// Returns whether a voter joins, leaves or votes. Voters join and leave only during a change of the configuration.
-fn place(configuration: &VoterConfiguration, voter: &VoterId) -> &'static str {
+fn role(configuration: &VoterConfiguration, voter: &VoterId) -> &'static str {
     match (configuration.voters.contains(voter), configuration.outgoing.contains(voter)) {
         (true, false) if configuration.is_changing() => "comes",
         (false, _) => "goes",
@@ -54,7 +54,7 @@
         vec![
             voter.address.clone(),
             format!("{:x}", voter.disk_id),
-            place(configuration, voter).to_owned(),
+            role(configuration, voter).to_owned(),
             state(responses, voter, agreed).to_owned(),
             cell(&|response| response.edition.to_string()),
             cell(&|response| response.accepted.to_string()),
