--- a/crates/cluster-state/src/messages.rs
+++ b/crates/cluster-state/src/messages.rs
@@ -276,7 +276,7 @@
 /// One addition to a quota counter.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaAdd {
-    /// Hashed name of the counter.
+    /// Name of the counter, a 64-bit number.
     #[prost(fixed64, tag = "1")]
     pub name: u64,
     /// Amount to add; 0 only reads the total.
