--- a/crates/cluster-state/src/admin_query/tests.rs
+++ b/crates/cluster-state/src/admin_query/tests.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-fn run_here(test: impl Future<Output = ()>) {
+fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
@@ -29,9 +29,9 @@
 async fn proxy(name: &str, outcome: ExecutionOutcome) -> MemberRow {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let inner = listener.local_addr().unwrap().to_string();
-    let mut own = OutcomeLog::new(OutcomeLogLimits::default());
-    own.record(1.0, "t-1", outcome, "answered", &"i-9".into());
-    let service = OutcomeService::new(view(), name.to_owned(), Some(Rc::new(RefCell::new(own))));
+    let mut log = OutcomeLog::new(OutcomeLogLimits::default());
+    log.record(1.0, "t-1", outcome, "answered", &"i-9".into());
+    let service = OutcomeService::new(view(), name.to_owned(), Some(Rc::new(RefCell::new(log))));
     let handler = Rc::new(move |_: u8, body: Bytes| -> rpc::ResponseFuture {
         let service = service.clone();
         Box::pin(async move { service.answer_bytes(body) })
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn all_limiters_are_asked_and_the_heaviest_word_counts() {
-    run_here(async {
+fn outcome_asks_all_limiters_and_shows_the_strongest_outcome() {
+    run_local(async {
         let view = view();
         let mut commands = Commands::of(&view, "oatbank-registry", "core-1");
         add_outcome_command(&mut commands, &OutcomeService::new(view.clone(), "core-1".into(), None));
@@ -62,20 +62,20 @@
             "{}",
             response.title
         );
-        let more = proxy("e3", ExecutionOutcome::Succeeded).await;
-        view.change(|table, now| table.merge_member(now, &more));
+        let other = proxy("e3", ExecutionOutcome::Succeeded).await;
+        view.change(|table, now| table.merge_member(now, &other));
         assert!(ask(&commands, &["outcome", "t-1"]).await.title.contains("ALARM"));
         // One that cannot be asked is named: what it knows is not taken for nothing.
-        let gone = MemberRow { inner: "127.0.0.1:9".into(), name: "e4".into(), ..rows[0].clone() };
-        view.change(|table, now| table.merge_member(now, &gone));
+        let unreachable = MemberRow { inner: "127.0.0.1:9".into(), name: "e4".into(), ..rows[0].clone() };
+        view.change(|table, now| table.merge_member(now, &unreachable));
         let response = ask(&commands, &["outcome", "t-2"]).await;
         assert!(response.title.starts_with("t-2: unknown") && response.title.ends_with("(3 of 4 answer)"));
     });
 }
 
 #[test]
-fn what_is_asked_wrongly_is_named_with_what_is_allowed() {
-    run_here(async {
+fn invalid_commands_are_rejected_with_what_is_allowed() {
+    run_local(async {
         let view = view();
         let mut commands = Commands::of(&view, "oatbank-registry", "core-1");
         add_outcome_command(&mut commands, &OutcomeService::new(view.clone(), "core-1".into(), None));
--- a/crates/cluster-state/src/state/tests.rs
+++ b/crates/cluster-state/src/state/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn rows_merge_alike_in_any_order_and_however_often() {
+fn merging_servers_is_commutative_and_idempotent() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut rows = Vec::new();
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn what_was_seen_of_servers_merges_alike_in_any_order_and_old_words_change_nothing() {
-    let seen = |table: &StateTable| -> Vec<(String, u64, u32)> {
+fn merging_observations_is_commutative_and_ignores_old_ones() {
+    let observations_of = |table: &StateTable| -> Vec<(String, u64, u32)> {
         table
             .observations(0.0)
             .map(|(r, _)| (format!("{}{}", r.server, r.observer), r.incarnation, r.seq))
@@ -66,16 +66,16 @@
                 ..ObservationRow::default()
             })
             .collect();
-        let mut again: Vec<usize> = (0..16).chain(0..16).collect();
-        for i in (1..again.len()).rev() {
-            again.swap(i, pick(1 + i as u32) as usize);
+        let mut repeated_order: Vec<usize> = (0..16).chain(0..16).collect();
+        for i in (1..repeated_order.len()).rev() {
+            repeated_order.swap(i, pick(1 + i as u32) as usize);
         }
-        let (mut once, mut mixed, mut passed) = (new_table(1), new_table(2), new_table(3));
+        let (mut once, mut reordered, mut replicated) = (new_table(1), new_table(2), new_table(3));
         rows.iter().for_each(|row| _ = once.merge_observation(1.0, row));
-        again.iter().for_each(|i| _ = mixed.merge_observation(1.0, &rows[*i]));
-        passed.merge_update(1.0, &mixed.update_since(1.0, 0, 0, false));
-        assert_eq!(seen(&once), seen(&mixed), "seed {seed}");
-        assert_eq!(seen(&once), seen(&passed), "seed {seed}");
+        repeated_order.iter().for_each(|i| _ = reordered.merge_observation(1.0, &rows[*i]));
+        replicated.merge_update(1.0, &reordered.update_since(1.0, 0, 0, false));
+        assert_eq!(observations_of(&once), observations_of(&reordered), "seed {seed}");
+        assert_eq!(observations_of(&once), observations_of(&replicated), "seed {seed}");
         let before = once.change_sequence();
         rows.iter().for_each(|row| _ = once.merge_observation(20_000.0, row));
         assert_eq!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_late_word_never_brings_back_what_drains_or_has_left() {
+fn late_heartbeat_does_not_revive_a_draining_or_left_server() {
     let mut table = new_table(1);
     table.merge_server(0.0, &server("a", 1, server_state::READY));
     table.merge_server(1.0, &server("a", 5, server_state::DRAINING));
@@ -113,17 +113,17 @@
 }
 
 #[test]
-fn two_servers_under_one_id_are_kept_apart_until_one_falls_silent() {
+fn servers_sharing_an_id_are_separate_rows_until_one_times_out() {
     let forged = |calls| ServerRow { service: "other".into(), ..server("a", calls, 0) };
     let mut table = new_table(1);
     table.merge_server(0.0, &server("a", 3, 0));
-    let honest = table.digest();
+    let digest_before = table.digest();
     assert!(matches!(table.merge_server(1.0, &forged(900)), MergeResult::Changed(_)));
     assert_eq!(states(&table).len(), 2, "a higher number takes nobody's place");
-    assert_ne!(table.digest(), honest);
+    assert_ne!(table.digest(), digest_before);
     table.merge_server(4000.0, &server("a", 4, 0));
     assert!(table.expire(5600.0, Some(5600.0)), "the forged one is silent");
-    assert_eq!(table.digest(), honest);
+    assert_eq!(table.digest(), digest_before);
     // It has left under each of its claims, also those that come late.
     table.mark_server_left(5700.0, "a");
     table.merge_server(5800.0, &ServerRow { address: "10.9.9.9:1".into(), ..forged(901) });
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn silence_is_told_once_and_ends_with_a_word() {
+fn server_timeout_is_reported_once_and_ends_with_a_heartbeat() {
     let mut table = new_table(1);
     table.merge_server(0.0, &server("a", 1, 0));
     assert!(!table.expire(5400.0, Some(5400.0)), "three words and a second");
@@ -144,27 +144,27 @@
 }
 
 #[test]
-fn a_follower_asks_for_what_it_lacks_and_starts_anew_with_a_new_life() {
-    let (mut teller, mut follower) = (new_table(7), new_table(8));
-    teller.merge_server(0.0, &server("a", 1, 0));
-    let all = teller.update_since(10.0, 0, 0, false);
+fn follower_gets_changes_since_its_position_and_a_snapshot_in_a_new_epoch() {
+    let (mut source, mut follower) = (new_table(7), new_table(8));
+    source.merge_server(0.0, &server("a", 1, 0));
+    let all = source.update_since(10.0, 0, 0, false);
     assert!(all.is_snapshot);
     follower.merge_update(10.0, &all);
-    assert!(!teller.has_update_since(all.epoch, all.seen, false, true));
-    teller.merge_server(20.0, &server("a", 2, 0));
-    assert!(!teller.has_update_since(all.epoch, all.seen, false, true), "a word that changes nothing");
-    assert!(teller.has_update_since(all.epoch, all.seen, true, true));
+    assert!(!source.has_update_since(all.epoch, all.seen, false, true));
+    source.merge_server(20.0, &server("a", 2, 0));
+    assert!(!source.has_update_since(all.epoch, all.seen, false, true), "a word that changes nothing");
+    assert!(source.has_update_since(all.epoch, all.seen, true, true));
     // What a limiter saw of a server changes no list: who hears of it elsewhere is not woken.
-    let before = teller.change_sequence();
+    let before = source.change_sequence();
     let observation =
         ObservationRow { server: "a".into(), observer: "edge-1".into(), seq: 1, ..ObservationRow::default() };
     assert!(
-        matches!(teller.merge_observation(25.0, &observation), MergeResult::Changed(_))
-            && teller.change_sequence() == before
+        matches!(source.merge_observation(25.0, &observation), MergeResult::Changed(_))
+            && source.change_sequence() == before
     );
-    assert!(!teller.has_update_since(all.epoch, all.seen, false, false));
-    teller.merge_server(30.0, &server("a", 3, server_state::DRAINING));
-    let update = teller.update_since(30.0, all.epoch, all.seen, false);
+    assert!(!source.has_update_since(all.epoch, all.seen, false, false));
+    source.merge_server(30.0, &server("a", 3, server_state::DRAINING));
+    let update = source.update_since(30.0, all.epoch, all.seen, false);
     assert!(!update.is_snapshot && update.servers.len() == 1);
     assert!(follower.merge_update(30.0, &update));
     assert_eq!(states(&follower)[0].1, server_state::DRAINING);
@@ -172,18 +172,18 @@
 }
 
 #[test]
-fn a_whole_list_of_a_teller_that_knows_all_ends_what_it_lacks() {
-    let (mut teller, mut follower) = (new_table(7), new_table(8));
+fn snapshot_of_a_warm_source_times_out_servers_missing_from_it() {
+    let (mut source, mut follower) = (new_table(7), new_table(8));
     follower.merge_server(0.0, &server("old", 1, 0));
-    teller.merge_server(0.0, &server("a", 1, 0));
-    follower.merge_update(1000.0, &teller.update_since(1000.0, 0, 0, false));
-    assert!(states(&follower).iter().all(|s| !s.2), "the teller began just now and knows little");
-    follower.merge_update(9000.0, &teller.update_since(9000.0, 0, 0, false));
+    source.merge_server(0.0, &server("a", 1, 0));
+    follower.merge_update(1000.0, &source.update_since(1000.0, 0, 0, false));
+    assert!(states(&follower).iter().all(|s| !s.2), "the source began just now and knows little");
+    follower.merge_update(9000.0, &source.update_since(9000.0, 0, 0, false));
     assert_eq!(states(&follower), [("a".into(), 0, false, 1), ("old".into(), 0, true, 1)]);
 }
 
 #[test]
-fn a_limiter_is_a_member_while_its_session_stands_and_counts_a_while_longer() {
+fn limiter_stays_active_for_a_while_after_its_session_ends() {
     let mut table = new_table(1);
     let row = MemberRow { name: "e1".into(), incarnation: 5, heartbeat: 1, state: 1, ..MemberRow::default() };
     assert!(matches!(table.merge_member(0.0, &row), MergeResult::Changed(_)));
--- a/crates/cluster-state/tests/applied_editions.rs
+++ b/crates/cluster-state/tests/applied_editions.rs
@@ -22,18 +22,18 @@
 
 /// Follows for ever over a way that takes so long. A limiter tells its row; a core machine wants each word, and says
 /// where an order waits.
-fn follows(
+fn spawn_follower(
     from: &Rc<ClusterView>,
-    teller: &Rc<ClusterView>,
-    way: Duration,
+    source: &Rc<ClusterView>,
+    latency: Duration,
     limiter: Option<&str>,
 ) -> JoinHandle<()> {
-    let (from, teller) = (from.clone(), teller.clone());
+    let (from, source) = (from.clone(), source.clone());
     let limiter = limiter.map(str::to_owned);
     spawn_local(async move {
-        let (mut place, mut heartbeat) = (ReplicationPosition::default(), 0);
+        let (mut position, mut heartbeat) = (ReplicationPosition::default(), 0);
         loop {
-            let asked = from.now();
+            let requested = from.now();
             heartbeat += 1;
             let member = limiter.clone().map(|name| MemberRow {
                 name,
@@ -44,10 +44,10 @@
                 ..MemberRow::default()
             });
             let core = member.is_none();
-            let follow = FollowRequest {
+            let request = FollowRequest {
                 name: limiter.clone().unwrap_or_else(|| "core".into()),
-                epoch: place.epoch,
-                seen: place.seen,
+                epoch: position.epoch,
+                seen: position.seen,
                 edition: from.edition(),
                 every_change: core,
                 hold_ms: if core { 300 } else { 600 },
@@ -55,55 +55,55 @@
                 wants_prompt_acks: core && from.has_waiting_commands(),
                 ..FollowRequest::default()
             };
-            sleep(way).await;
-            let update = teller.answer_follow(follow).await;
-            sleep(way).await;
-            place = ReplicationPosition { epoch: update.epoch, seen: update.seen };
-            from.apply_update(asked, update);
+            sleep(latency).await;
+            let update = source.answer_follow(request).await;
+            sleep(latency).await;
+            position = ReplicationPosition { epoch: update.epoch, seen: update.seen };
+            from.apply_update(requested, update);
         }
     })
 }
 
-struct Stage {
+struct Cluster {
     core: Vec<Rc<ClusterView>>,
     sessions: Vec<JoinHandle<()>>,
 }
 
 /// Three core machines that follow each other, and limiters with their sessions spread over them, all long at work.
-async fn cluster(way: Duration, limiters: usize) -> Stage {
+async fn cluster(latency: Duration, limiters: usize) -> Cluster {
     let clock = MonotonicClock::start();
-    let new = || ClusterView::new(clock, 1500.0);
-    let core: Vec<_> = (0..3).map(|_| new()).collect();
+    let new_view = || ClusterView::new(clock, 1500.0);
+    let core: Vec<_> = (0..3).map(|_| new_view()).collect();
     for (from, to) in (0..3).flat_map(|a| (0..3).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-        follows(&core[from], &core[to], way, None);
+        spawn_follower(&core[from], &core[to], latency, None);
     }
-    let session = |n: usize| follows(&new(), &core[n % 3], way, Some(&format!("edge-{n}")));
+    let session = |n: usize| spawn_follower(&new_view(), &core[n % 3], latency, Some(&format!("edge-{n}")));
     let sessions = (0..limiters).map(session).collect();
     core[0].adopt_agreed(1, AgreedState::default());
     sleep(3000 * MS).await;
-    Stage { core, sessions }
+    Cluster { core, sessions }
 }
 
 #[test]
-fn an_order_is_known_to_act_everywhere_after_four_ways_and_no_sooner_than_it_does() {
-    for way in [0, 1, 5, 20, 40, 60] {
+fn edition_is_confirmed_as_applied_after_at_least_four_one_way_latencies() {
+    for latency in [0, 1, 5, 20, 40, 60] {
         run(async move {
-            let cluster = cluster(way * MS, 30).await;
+            let cluster = cluster(latency * MS, 30).await;
             assert!(cluster.core[0].wait_until_applied(WITHIN, 1).await.is_empty());
             let begun = Instant::now();
             cluster.core[0].adopt_agreed(2, AgreedState::default());
             let limiters_behind = cluster.core[0].wait_until_applied(WITHIN, 2).await;
             let took = begun.elapsed();
-            assert!(limiters_behind.is_empty(), "{way} ms: {limiters_behind:?} after {took:?}");
-            assert!(took <= (7 * way + 25) * MS, "{way} ms: {took:?}");
+            assert!(limiters_behind.is_empty(), "{latency} ms: {limiters_behind:?} after {took:?}");
+            assert!(took <= (7 * latency + 25) * MS, "{latency} ms: {took:?}");
             // The edition has to get there and the word of it back.
-            assert!(took >= 4 * way * MS, "{way} ms: {took:?}");
+            assert!(took >= 4 * latency * MS, "{latency} ms: {took:?}");
         });
     }
 }
 
 #[test]
-fn a_limiter_that_does_not_act_is_named_and_one_without_a_session_is_not_waited_for() {
+fn limiter_behind_is_named_and_one_without_a_session_is_not_waited_for() {
     run(async {
         let cluster = cluster(5 * MS, 6).await;
         cluster.sessions[4].abort();
@@ -120,16 +120,16 @@
 }
 
 #[test]
-fn words_that_change_nothing_are_gathered_as_ever_while_no_order_waits_and_while_one_does() {
+fn changes_without_effect_are_batched_whether_or_not_a_command_waits() {
     run(async {
         let cluster = cluster(MS, 6).await;
         let [here, there, _] = &cluster.core[..] else { panic!("three") };
         for wants_prompt_acks in [false, true] {
-            let all = there.with(|table, _| (table.epoch(), table.sequence()));
-            let follow = FollowRequest {
+            let position_there = there.with(|table, _| (table.epoch(), table.sequence()));
+            let request = FollowRequest {
                 name: "asks".into(),
-                epoch: all.0,
-                seen: all.1,
+                epoch: position_there.0,
+                seen: position_there.1,
                 edition: 1,
                 every_change: true,
                 hold_ms: 300,
@@ -137,7 +137,7 @@
                 ..FollowRequest::default()
             };
             let begun = Instant::now();
-            there.answer_follow(follow).await;
+            there.answer_follow(request).await;
             assert!(begun.elapsed() >= 200 * MS, "{wants_prompt_acks}: {:?}", begun.elapsed());
         }
         assert!(!here.has_waiting_commands());
--- a/crates/registry/src/directory/tests.rs
+++ b/crates/registry/src/directory/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn near_ones_are_named_and_others_where_these_are_too_few() {
+fn limiters_of_the_zone_come_first_then_the_region_then_all() {
     let rows =
         [member("a1", "a", "1"), member("a1", "a", "2"), member("a2", "a", "3"), member("b1", "b", "4")];
     let ask = |zone: &str, region: &str| fronts(rows.iter().map(|r| (r, 10.0)), zone, region);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn who_is_not_ready_or_was_not_heard_is_not_named() {
+fn limiters_that_are_not_ready_or_silent_are_omitted() {
     let good = member("a", "a", "1");
     let bad = [
         (MemberRow { state: member_state::STARTING, ..good.clone() }, 10.0),
--- a/crates/registry/src/heartbeat/tests.rs
+++ b/crates/registry/src/heartbeat/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-const GOOD: &str = r#"{"service":"huvo11a","address":"10.128.0.9:8080","zone":"z","version":"v1","slots":3,"serverState":"draining","coldLeftMs":12.5,"callCount":4,"new":[1]}"#;
+const VALID: &str = r#"{"service":"huvo11a","address":"10.128.0.9:8080","zone":"z","version":"v1","slots":3,"serverState":"draining","coldLeftMs":12.5,"callCount":4,"new":[1]}"#;
 
 #[test]
-fn a_mesh_that_is_named_stands_before_the_service() {
+fn mesh_becomes_a_prefix_of_the_service_name() {
     let service = |mesh: &str, service: &str| {
         let heartbeat =
-            GOOD.replace("{\"service\":\"huvo11a\"", &format!("{{{mesh}\"service\":\"{service}\""));
+            VALID.replace("{\"service\":\"huvo11a\"", &format!("{{{mesh}\"service\":\"{service}\""));
         parse("i-1", heartbeat.as_bytes()).map(|row| row.service)
     };
     assert_eq!(service("\"mesh\":\"north\",", "hall").as_deref(), Ok("north/hall"));
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_heartbeat_is_read_and_a_bad_one_is_reported_by_field() {
-    let row = parse("i-1", GOOD.as_bytes()).expect("a heartbeat");
+fn valid_heartbeat_is_parsed_and_an_invalid_one_names_the_field() {
+    let row = parse("i-1", VALID.as_bytes()).expect("a heartbeat");
     assert_eq!((row.state, row.warmup_ms, row.call_count, row.slots), (server_state::DRAINING, 13, 4, 3));
     for (from, to, key) in [
         ("draining", "resting", "serverState"),
@@ -29,8 +29,8 @@
         ("\"callCount\":4", "\"callCount\":-4", "callCount"),
         ("\"service\":\"huvo11a\",", "", "service"),
     ] {
-        let bad = GOOD.replace(from, to);
-        assert!(parse("i-1", bad.as_bytes()).expect_err(key).to_string().contains(key), "{bad}");
+        let invalid = VALID.replace(from, to);
+        assert!(parse("i-1", invalid.as_bytes()).expect_err(key).to_string().contains(key), "{invalid}");
     }
-    assert!(parse("i-1", &GOOD.as_bytes()[..40]).is_err());
+    assert!(parse("i-1", &VALID.as_bytes()[..40]).is_err());
 }
--- a/crates/registry/tests/control_api.rs
+++ b/crates/registry/tests/control_api.rs
@@ -32,7 +32,7 @@
     }
 }
 
-fn run_here(name: &str, test: impl AsyncFnOnce(CoreMachine)) {
+fn run_with_core_machine(name: &str, test: impl AsyncFnOnce(CoreMachine)) {
     let folder =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("outside-{name}-{}", std::process::id()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -71,12 +71,12 @@
         let ((outer, control), (listener, inner)) = (bind().await, bind().await);
         let api = ControlApi::new(view.clone(), quorum, vec!["east-1".into()], 0.0);
         spawn_local(ControlServer::new(api).serve(outer));
-        let telling = view.clone();
+        let handler_view = view.clone();
         let handler: Rc<dyn Fn(u8, bytes::Bytes) -> rpc::ResponseFuture> = Rc::new(move |kind, body| {
-            let telling = telling.clone();
+            let handler_view = handler_view.clone();
             Box::pin(async move {
                 match kind {
-                    call::FOLLOW => telling.answer_bytes(body).await,
+                    call::FOLLOW => handler_view.answer_bytes(body).await,
                     _ => Vec::new(),
                 }
             })
@@ -106,58 +106,58 @@
 }
 
 /// A configuration whose text has this length when it is read back, or nearly.
-fn sized(version: u64, built_on: &str, length: usize) -> String {
+fn configuration_of_length(version: u64, built_on: &str, length: usize) -> String {
     let row = |n: usize| format!(r#"["r{n}","h","/{n}/{}/","safe",1000,400,2,2,"s"]"#, "x".repeat(200));
     let columns =
         r#"["name","hostName","pathStart","routeKind","giveUpMs","targetMs","rank","tries","service"]"#;
-    let whole = |rows: &str| {
+    let render = |rows: &str| {
         format!(
             r#"{{"version":"r{version}","routes":{{"columns":{columns},"rows":[{rows}]}},"services":{{"columns":["name","healthPath"],"rows":[["s","/health"]]}},"builtOn":{built_on}}}"#
         )
     };
     let (mut rows, mut n) = (row(0), 1);
-    let frame = whole("").len();
-    while frame + rows.len() + 300 < length {
+    let frame_length = render("").len();
+    while frame_length + rows.len() + 300 < length {
         rows = rows + "," + &row(n);
         n += 1;
     }
-    let short = length.saturating_sub(whole(&rows).len() + 1);
-    rows = rows.replacen("xxx/", &format!("{}xxx/", "y".repeat(short)), 1);
-    whole(&rows)
+    let padding = length.saturating_sub(render(&rows).len() + 1);
+    rows = rows.replacen("xxx/", &format!("{}xxx/", "y".repeat(padding)), 1);
+    render(&rows)
 }
 
-async fn timed<T>(what: impl Future<Output = T>) -> (T, Duration) {
-    let began = Instant::now();
-    (what.await, began.elapsed())
+async fn timed<T>(future: impl Future<Output = T>) -> (T, Duration) {
+    let started_at = Instant::now();
+    (future.await, started_at.elapsed())
 }
 
 #[test]
-fn the_longest_configuration_is_agreed_followed_and_read_back_and_a_longer_one_is_refused_with_the_bound() {
-    run_here("longest", async |core| {
+fn longest_configuration_is_replicated_and_a_longer_one_is_rejected_with_the_limit() {
+    run_with_core_machine("longest", async |core| {
         // So that what is read back comes to the bound, which counts without `builtOn`.
-        let text = sized(3, "0", MAX_CONFIG_BYTES);
+        let text = configuration_of_length(3, "0", MAX_CONFIG_BYTES);
         assert!(text.len() <= MAX_CONFIG_BYTES && text.len() + 40 > MAX_CONFIG_BYTES, "{}", text.len());
-        let ((status, told), took) = timed(core.call("POST /settings/replace", text.as_bytes())).await;
-        assert_eq!(status, 200, "{told}");
+        let ((status, problem), took) = timed(core.call("POST /settings/replace", text.as_bytes())).await;
+        assert_eq!(status, 200, "{problem}");
         let ((status, read), read_took) = timed(core.call("GET /settings/read", b"")).await;
         assert_eq!(status, 200, "{read}");
         assert!(read.len() > MAX_CONFIG_BYTES - 100 && read.len() <= MAX_CONFIG_BYTES, "{}", read.len());
 
-        let (follower, link) =
+        let (follower, client) =
             (ClusterView::new(MonotonicClock::start(), 1500.0), RpcClient::new(core.inner));
         let options = FollowOptions { name: "p".into(), hold_ms: 300, ..FollowOptions::default() };
         let (_, follow_took) =
-            timed(follow_once(&follower, &link, &mut ReplicationPosition::default(), options)).await;
+            timed(follow_once(&follower, &client, &mut ReplicationPosition::default(), options)).await;
         assert_eq!(follower.agreed_state().config, read, "the proxy has it in one call");
         println!("agreed in {took:?}, read in {read_took:?}, followed in {follow_took:?}");
 
         for length in [MAX_CONFIG_BYTES + 1000, 9 << 20, 20 << 20, 32 << 20] {
-            let mut text = sized(7, "\"r3\"", MAX_CONFIG_BYTES / 2);
+            let mut text = configuration_of_length(7, "\"r3\"", MAX_CONFIG_BYTES / 2);
             text.push_str(&" ".repeat(length - text.len()));
-            let (status, told) = core.call("POST /settings/replace", text.as_bytes()).await;
+            let (status, problem) = core.call("POST /settings/replace", text.as_bytes()).await;
             assert!(
-                status == 413 && told.contains(&MAX_CONFIG_BYTES.to_string()),
-                "{length}: {status} {told}"
+                status == 413 && problem.contains(&MAX_CONFIG_BYTES.to_string()),
+                "{length}: {status} {problem}"
             );
         }
         // A short change that would make it too long.
@@ -165,15 +165,15 @@
             r#"{{"version":"r7","builtOn":"r3","putItems":{{"services":{{"columns":["name"],"rows":[["{}"]]}}}}}}"#,
             "n".repeat(1000)
         );
-        let (status, told) = core.call("POST /settings/change", change.as_bytes()).await;
-        assert!(status == 413 && told.contains(&MAX_CONFIG_BYTES.to_string()), "{status} {told}");
+        let (status, problem) = core.call("POST /settings/change", change.as_bytes()).await;
+        assert!(status == 413 && problem.contains(&MAX_CONFIG_BYTES.to_string()), "{status} {problem}");
         assert_eq!(core.call("GET /settings/read", b"").await.1, read, "the old one stays");
     });
 }
 
 #[test]
-fn a_copy_of_an_order_whose_caller_has_gone_does_not_empty_the_zone_again() {
-    run_here("gone", async |core| {
+fn duplicate_evacuation_is_ignored_if_its_caller_has_disconnected() {
+    run_with_core_machine("gone", async |core| {
         assert_eq!(core.call("POST /empty/east-1/begin", b"").await.0, 200);
         assert_eq!(core.view.agreed_state().evacuated_zones, ["east-1"]);
         // As it lay in the socket of a machine that stood still: the order, and the end of its connection.
@@ -196,9 +196,9 @@
 }
 
 #[test]
-fn a_repeat_of_what_was_taken_makes_no_edition() {
-    run_here("repeat", async |core| {
-        let text = sized(3, "0", 10_000);
+fn repeated_configuration_creates_no_edition() {
+    run_with_core_machine("repeat", async |core| {
+        let text = configuration_of_length(3, "0", 10_000);
         assert_eq!(core.call("POST /settings/replace", text.as_bytes()).await.0, 200);
         let edition = core.view.edition();
         for _ in 0..3 {
--- a/crates/registry/tests/operator_commands.rs
+++ b/crates/registry/tests/operator_commands.rs
@@ -24,15 +24,15 @@
     OperatorCommand::Configure(Proposal::change(body.as_bytes()).expect("readable"))
 }
 
-fn next(agreed_state: &AgreedState, order: &OperatorCommand) -> AgreedState {
-    match apply(agreed_state, order) {
+fn next(agreed_state: &AgreedState, command: &OperatorCommand) -> AgreedState {
+    match apply(agreed_state, command) {
         Ok(Applied::Next(next)) => *next,
         other => panic!("not taken: {other:?}"),
     }
 }
 
-fn kind(agreed_state: &AgreedState, order: &OperatorCommand) -> Option<ErrorKind> {
-    apply(agreed_state, order).err().map(|refusal| refusal.kind)
+fn kind(agreed_state: &AgreedState, command: &OperatorCommand) -> Option<ErrorKind> {
+    apply(agreed_state, command).err().map(|rejection| rejection.kind)
 }
 
 fn version(agreed_state: &AgreedState) -> u64 {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_repeat_is_taken_and_changes_nothing_and_a_rival_is_stale() {
+fn repeated_version_is_already_in_force_and_a_conflicting_one_is_stale() {
     let first = next(&AgreedState::default(), &put(3, 0, "/p/"));
     let second = next(&first, &put(7, 3, "/p/"));
     assert_eq!(apply(&second, &put(7, 3, "/p/")), Ok(Applied::AlreadyInForce), "the same again");
@@ -66,11 +66,12 @@
 }
 
 #[test]
-fn what_was_sent_is_told_apart_by_its_content_and_its_call_and_not_by_its_white_space() {
+fn proposals_are_compared_by_content_and_call_but_not_by_white_space() {
     let first = next(&AgreedState::default(), &put(3, 0, "/p/"));
-    let spaced = body(3, 0, "/p/").replace(",\"", " ,\n \"");
-    let spaced = OperatorCommand::Configure(Proposal::replace(spaced.as_bytes()).expect("readable"));
-    assert_eq!(apply(&first, &spaced), Ok(Applied::AlreadyInForce), "it is the same change");
+    let reformatted = body(3, 0, "/p/").replace(",\"", " ,\n \"");
+    let reformatted =
+        OperatorCommand::Configure(Proposal::replace(reformatted.as_bytes()).expect("readable"));
+    assert_eq!(apply(&first, &reformatted), Ok(Applied::AlreadyInForce), "it is the same change");
     assert_eq!(
         kind(&first, &put(9, 0, "/p/")),
         Some(ErrorKind::StaleVersion),
@@ -97,49 +98,49 @@
 }
 
 #[test]
-fn whatever_is_forgotten_is_unclear_and_never_refused_or_taken_again() {
+fn outcome_of_a_forgotten_version_is_unknown() {
     let mut agreed_state = AgreedState::default();
     let mut before = 0;
-    let number = |nth: u64| 10 + 3 * nth;
-    let many = REMEMBERED_VERSIONS as u64 + 300;
-    for nth in 0..many {
-        agreed_state = next(&agreed_state, &put(number(nth), before, "/p/"));
-        before = number(nth);
+    let version_at = |i: u64| 10 + 3 * i;
+    let count = REMEMBERED_VERSIONS as u64 + 300;
+    for i in 0..count {
+        agreed_state = next(&agreed_state, &put(version_at(i), before, "/p/"));
+        before = version_at(i);
     }
-    let built_on = |nth: u64| if nth == 0 { 0 } else { number(nth - 1) };
-    for nth in (0..many).step_by(7) {
-        let told = apply(&agreed_state, &put(number(nth), built_on(nth), "/p/"));
-        match nth < 300 {
-            true => assert_matches!(told, Err(Rejection { kind: ErrorKind::OutcomeUnknown, .. }), "{nth}"),
-            false => assert_eq!(told, Ok(Applied::AlreadyInForce), "{nth}"),
+    let built_on = |i: u64| if i == 0 { 0 } else { version_at(i - 1) };
+    for i in (0..count).step_by(7) {
+        let result = apply(&agreed_state, &put(version_at(i), built_on(i), "/p/"));
+        match i < 300 {
+            true => assert_matches!(result, Err(Rejection { kind: ErrorKind::OutcomeUnknown, .. }), "{i}"),
+            false => assert_eq!(result, Ok(Applied::AlreadyInForce), "{i}"),
         }
     }
-    let last = many - 1;
+    let last = count - 1;
     assert_eq!(
-        kind(&agreed_state, &put(number(last), built_on(last), "/q/")),
+        kind(&agreed_state, &put(version_at(last), built_on(last), "/q/")),
         Some(ErrorKind::StaleVersion),
         "a rival"
     );
     assert_eq!(
-        kind(&agreed_state, &put(number(last) - 1, built_on(last), "/q/")),
+        kind(&agreed_state, &put(version_at(last) - 1, built_on(last), "/q/")),
         Some(ErrorKind::StaleVersion),
         "in a gap"
     );
     assert_eq!(
-        kind(&agreed_state, &put(number(last) + 9, built_on(last), "/q/")),
+        kind(&agreed_state, &put(version_at(last) + 9, built_on(last), "/q/")),
         Some(ErrorKind::StaleVersion),
         "too late"
     );
-    let impossible = put(number(0), number(last), "/q/");
+    let impossible = put(version_at(0), version_at(last), "/q/");
     assert_eq!(kind(&agreed_state, &impossible), Some(ErrorKind::Invalid), "it lies below what it builds on");
-    let bare = AgreedState { steps: Vec::new(), digests: Vec::new(), ..agreed_state.clone() };
-    let cost = agreed_state.encoded_len() - bare.encoded_len();
-    assert!(cost <= 10 * REMEMBERED_VERSIONS, "{cost} bytes for {REMEMBERED_VERSIONS} versions");
+    let without_versions = AgreedState { steps: Vec::new(), digests: Vec::new(), ..agreed_state.clone() };
+    let bytes = agreed_state.encoded_len() - without_versions.encoded_len();
+    assert!(bytes <= 10 * REMEMBERED_VERSIONS, "{bytes} bytes for {REMEMBERED_VERSIONS} versions");
     assert_eq!(agreed_state.digests.len(), REMEMBERED_VERSIONS);
 }
 
 #[test]
-fn the_list_of_programs_before_is_gone_on_from_and_a_lost_one_makes_everything_unclear() {
+fn unpacked_list_of_earlier_releases_is_continued_and_a_lost_list_makes_outcomes_unknown() {
     let first = next(&AgreedState::default(), &put(3, 0, "/p/"));
     let second = next(&first, &put(7, 3, "/p/"));
     // As one that knows nothing of the packed list has left it.
@@ -162,16 +163,16 @@
 }
 
 #[test]
-fn what_would_be_too_long_to_be_told_on_is_refused_with_the_bound() {
+fn too_long_configuration_is_rejected_with_the_limit() {
     let long =
         |version, built_on, length: usize| put(version, built_on, &format!("/{}/", "x".repeat(length)));
     let first = next(&AgreedState::default(), &put(3, 0, "/p/"));
-    let room = MAX_CONFIG_BYTES + 1 - next(&first, &long(7, 3, 1)).config.len();
-    let largest = next(&first, &long(7, 3, room));
+    let available_length = MAX_CONFIG_BYTES + 1 - next(&first, &long(7, 3, 1)).config.len();
+    let largest = next(&first, &long(7, 3, available_length));
     assert_eq!(largest.config.len(), MAX_CONFIG_BYTES);
-    let refusal = apply(&first, &long(7, 3, room + 1)).expect_err("a byte more");
-    assert_eq!(refusal.kind, ErrorKind::TooLong);
-    assert!(refusal.problem.contains(&MAX_CONFIG_BYTES.to_string()), "{}", refusal.problem);
+    let rejection = apply(&first, &long(7, 3, available_length + 1)).expect_err("a byte more");
+    assert_eq!(rejection.kind, ErrorKind::TooLong);
+    assert!(rejection.problem.contains(&MAX_CONFIG_BYTES.to_string()), "{}", rejection.problem);
     // A change may make it too long as well, however short it is itself.
     let add = r#"{"version":"r9","builtOn":"r7","putItems":{"services":{"columns":["name"],"rows":[["another"]]}}}"#;
     let add = OperatorCommand::Configure(Proposal::change(add.as_bytes()).expect("readable"));
@@ -180,13 +181,13 @@
 }
 
 #[test]
-fn zones_are_emptied_and_taken_back_and_outlive_configurations() {
-    let order = |zone: &str, begin| OperatorCommand::Evacuate { zone: zone.into(), begin };
-    let agreed_state = next(&AgreedState::default(), &order("z", true));
-    assert_eq!(apply(&agreed_state, &order("z", true)), Ok(Applied::AlreadyInForce), "again");
+fn evacuations_begin_and_end_independently_of_configurations() {
+    let command = |zone: &str, begin| OperatorCommand::Evacuate { zone: zone.into(), begin };
+    let agreed_state = next(&AgreedState::default(), &command("z", true));
+    assert_eq!(apply(&agreed_state, &command("z", true)), Ok(Applied::AlreadyInForce), "again");
     let agreed_state = next(&agreed_state, &put(3, 0, "/p/"));
     assert_eq!(agreed_state.evacuated_zones, ["z"]);
-    let back = next(&agreed_state, &order("z", false));
+    let back = next(&agreed_state, &command("z", false));
     assert!(back.evacuated_zones.is_empty());
-    assert_eq!(apply(&back, &order("z", false)), Ok(Applied::AlreadyInForce));
+    assert_eq!(apply(&back, &command("z", false)), Ok(Applied::AlreadyInForce));
 }
--- a/crates/registry/tests/program.rs
+++ b/crates/registry/tests/program.rs
@@ -16,9 +16,9 @@
 }
 
 #[test]
-fn settings_are_checked_and_told_by_line() {
-    let (good, said) = check("good", EXAMPLE);
-    assert!(good && said.contains("in order"), "{said}");
-    let (good, said) = check("bad", &EXAMPLE.replace("drainMs = 3000", "drainMs = -1"));
-    assert!(!good && said.contains("line 41: bounds.drainMs"), "{said}");
+fn check_accepts_valid_settings_and_reports_errors_by_line() {
+    let (is_valid, output) = check("good", EXAMPLE);
+    assert!(is_valid && output.contains("in order"), "{output}");
+    let (is_valid, output) = check("bad", &EXAMPLE.replace("drainMs = 3000", "drainMs = -1"));
+    assert!(!is_valid && output.contains("line 41: bounds.drainMs"), "{output}");
 }
