--- a/crates/cluster-state/src/admin_query/tests.rs
+++ b/crates/cluster-state/src/admin_query/tests.rs
@@ -25,7 +25,7 @@
     commands.answer(AdminQuery { words, local_only: false }).await
 }
 
-/// A proxy that knows of one try.
+/// Starts a proxy that knows the outcome of the attempt `t-1`, and returns its row.
 async fn proxy(name: &str, outcome: ExecutionOutcome) -> MemberRow {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let inner = listener.local_addr().unwrap().to_string();
@@ -65,7 +65,7 @@
         let other = proxy("e3", ExecutionOutcome::Succeeded).await;
         view.change(|table, now| table.merge_member(now, &other));
         assert!(ask(&commands, &["outcome", "t-1"]).await.title.contains("ALARM"));
-        // One that cannot be asked is named: what it knows is not taken for nothing.
+        // An unreachable limiter is listed, and the outcome is unknown because the limiter may know it.
         let unreachable = MemberRow { inner: "127.0.0.1:9".into(), name: "e4".into(), ..rows[0].clone() };
         view.change(|table, now| table.merge_member(now, &unreachable));
         let response = ask(&commands, &["outcome", "t-2"]).await;
--- a/crates/cluster-state/src/anti_entropy/tests.rs
+++ b/crates/cluster-state/src/anti_entropy/tests.rs
@@ -12,14 +12,14 @@
         let (mut source, mut follower) = (StateTable::new(1, 1500.0, 0.0), StateTable::new(2, 1500.0, 0.0));
         source.merge_server(0.0, &other);
         follower.merge_server(0.0, &row(7));
-        // Warm, and yet it has not heard of this one: the follower takes it for gone.
+        // The source is warm but has not heard of this server, so the follower ends it.
         follower.merge_update(9000.0, &source.update_since(9000.0, 0, 0, false));
         let (mut position, mut agreement) = ((1, source.sequence()), SourceAgreement::new(9000.0));
         let mut agreed_after = None;
         for tick in 0..100u32 {
             let now = 9000.0 + f64::from(tick) * 300.0;
             if tick % 5 == 0 {
-                // The first word is the one that the follower knows: it says nothing new there.
+                // The first heartbeat is the one that the follower already knows, so merging it changes nothing there.
                 source.merge_server(now, &row(u64::from(7 + tick / 5)));
             }
             let update = source.update_since(now, position.0, position.1, false);
--- a/crates/cluster-state/src/state/tests.rs
+++ b/crates/cluster-state/src/state/tests.rs
@@ -25,7 +25,7 @@
         for _ in 0..12 {
             let row =
                 server(["a", "bb"][rng.next_u32() as usize % 2], 1 + rng.next_u64() % 5, rng.next_u32() % 3);
-            // One life's words of one number are one word; only the silence is added by others.
+            // Within an incarnation, a heartbeat number identifies one heartbeat. Only the timeout is added by others.
             let state = if row.call_count < 4 { 0 } else { row.state };
             let service = ["s", "t"][rng.next_u32() as usize % 2].to_owned();
             let row = ServerRow { state, service, ..row };
@@ -78,17 +78,13 @@
         assert_eq!(observations_of(&once), observations_of(&replicated), "seed {seed}");
         let before = once.change_sequence();
         rows.iter().for_each(|row| _ = once.merge_observation(20_000.0, row));
-        assert_eq!(
-            once.change_sequence(),
-            before,
-            "seed {seed}: repeated later, they are as old as they were"
-        );
+        assert_eq!(once.change_sequence(), before, "seed {seed}: repeated observations change nothing");
     }
     let mut table = new_table(1);
     let row =
         ObservationRow { server: "a".into(), observer: "x".into(), seq: 1, ..ObservationRow::default() };
     table.merge_observation(0.0, &row);
-    assert!(table.observations(OBSERVATION_LIFETIME + 1.0).next().is_none(), "it has faded");
+    assert!(table.observations(OBSERVATION_LIFETIME + 1.0).next().is_none(), "the observation has expired");
     let late = ObservationRow { seq: 2, ago: OBSERVATION_LIFETIME as u32, ..row };
     assert_eq!(table.merge_observation(OBSERVATION_LIFETIME + 2.0, &late), MergeResult::Unchanged);
 }
@@ -102,7 +98,7 @@
     assert_eq!(
         table.merge_server(2.0, &server("a", 6, server_state::READY)),
         MergeResult::Unchanged,
-        "it drains for good"
+        "draining is final"
     );
     table.mark_server_left(3.0, "a");
     table.merge_server(4.0, &server("a", 9, server_state::DRAINING));
@@ -119,12 +115,12 @@
     table.merge_server(0.0, &server("a", 3, 0));
     let digest_before = table.digest();
     assert!(matches!(table.merge_server(1.0, &forged(900)), MergeResult::Changed(_)));
-    assert_eq!(states(&table).len(), 2, "a higher number takes nobody's place");
+    assert_eq!(states(&table).len(), 2, "a higher heartbeat number replaces no other claim");
     assert_ne!(table.digest(), digest_before);
     table.merge_server(4000.0, &server("a", 4, 0));
-    assert!(table.expire(5600.0, Some(5600.0)), "the forged one is silent");
+    assert!(table.expire(5600.0, Some(5600.0)), "the forged server times out");
     assert_eq!(table.digest(), digest_before);
-    // It has left under each of its claims, also those that come late.
+    // All claims of an id that has left have left, including later ones.
     table.mark_server_left(5700.0, "a");
     table.merge_server(5800.0, &ServerRow { address: "10.9.9.9:1".into(), ..forged(901) });
     assert!(states(&table).iter().all(|s| s.1 == server_state::LEFT) && table.digest() == 0);
@@ -134,8 +130,11 @@
 fn server_timeout_is_reported_once_and_ends_with_a_heartbeat() {
     let mut table = new_table(1);
     table.merge_server(0.0, &server("a", 1, 0));
-    assert!(!table.expire(5400.0, Some(5400.0)), "three words and a second");
-    assert!(!table.expire(5600.0, None), "who was not awake says nothing");
+    assert!(
+        !table.expire(5400.0, Some(5400.0)),
+        "three heartbeat intervals and the slack have not passed yet"
+    );
+    assert!(!table.expire(5600.0, None), "without contact to a majority nothing times out");
     assert!(table.expire(5600.0, Some(5600.0)));
     assert!(!table.expire(5700.0, Some(5700.0)));
     assert_eq!(states(&table), [("a".into(), 0, true, 1)]);
@@ -152,9 +151,9 @@
     follower.merge_update(10.0, &all);
     assert!(!source.has_update_since(all.epoch, all.seen, false, true));
     source.merge_server(20.0, &server("a", 2, 0));
-    assert!(!source.has_update_since(all.epoch, all.seen, false, true), "a word that changes nothing");
+    assert!(!source.has_update_since(all.epoch, all.seen, false, true), "a heartbeat that changes nothing");
     assert!(source.has_update_since(all.epoch, all.seen, true, true));
-    // What a limiter saw of a server changes no list: who hears of it elsewhere is not woken.
+    // An observation changes no list, so followers that omit observations are not woken.
     let before = source.change_sequence();
     let observation =
         ObservationRow { server: "a".into(), observer: "edge-1".into(), seq: 1, ..ObservationRow::default() };
@@ -168,7 +167,7 @@
     assert!(!update.is_snapshot && update.servers.len() == 1);
     assert!(follower.merge_update(30.0, &update));
     assert_eq!(states(&follower)[0].1, server_state::DRAINING);
-    assert!(new_table(9).has_update_since(all.epoch, all.seen, false, true), "another life");
+    assert!(new_table(9).has_update_since(all.epoch, all.seen, false, true), "another epoch");
 }
 
 #[test]
@@ -177,7 +176,7 @@
     follower.merge_server(0.0, &server("old", 1, 0));
     source.merge_server(0.0, &server("a", 1, 0));
     follower.merge_update(1000.0, &source.update_since(1000.0, 0, 0, false));
-    assert!(states(&follower).iter().all(|s| !s.2), "the source began just now and knows little");
+    assert!(states(&follower).iter().all(|s| !s.2), "a source that is not warm ends nothing");
     follower.merge_update(9000.0, &source.update_since(9000.0, 0, 0, false));
     assert_eq!(states(&follower), [("a".into(), 0, false, 1), ("old".into(), 0, true, 1)]);
 }
@@ -189,10 +188,10 @@
     assert!(matches!(table.merge_member(0.0, &row), MergeResult::Changed(_)));
     assert_eq!(table.merge_member(400.0, &MemberRow { heartbeat: 2, ..row.clone() }), MergeResult::Unchanged);
     assert!(!table.expire(2000.0, Some(2000.0)));
-    assert!(table.expire(2200.0, Some(2200.0)), "no word for longer than a session");
-    assert_eq!(table.active_limiter_count(2200.0), 1, "it may still act");
+    assert!(table.expire(2200.0, Some(2200.0)), "no heartbeat for longer than the session timeout");
+    assert_eq!(table.active_limiter_count(2200.0), 1, "it may still be active");
     assert_eq!(table.active_limiter_count(2200.0 + ACTIVE_AFTER_SESSION), 0);
-    // A new life that was heard later takes the place of the old one, and the old one's late word does not.
+    // A more recent incarnation replaces the old one, whose late heartbeat does not replace it again.
     assert!(matches!(
         table.merge_member(3000.0, &MemberRow { incarnation: 6, ..row.clone() }),
         MergeResult::Changed(_)
--- a/crates/cluster-state/tests/applied_editions.rs
+++ b/crates/cluster-state/tests/applied_editions.rs
@@ -1,5 +1,5 @@
-//! Who is known to act by an edition, and how soon: core machines and limiters in virtual time, with a way of some length
-//! between any two of them.
+//! Which limiters are known to have applied an edition, and how soon. Runs core machines and limiters in virtual time, with a
+//! fixed one-way latency between any two of them.
 
 use oatbank_cluster_state::clock::MonotonicClock;
 use oatbank_cluster_state::cluster_view::ClusterView;
@@ -20,8 +20,8 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Follows for ever over a way that takes so long. A limiter tells its row; a core machine wants each word, and says
-/// where an order waits.
+/// Spawns a follower of `source` with this one-way latency. A limiter sends its own row. A core machine requests every
+/// change, and prompt acknowledgements while a command waits there.
 fn spawn_follower(
     from: &Rc<ClusterView>,
     source: &Rc<ClusterView>,
@@ -69,7 +69,7 @@
     sessions: Vec<JoinHandle<()>>,
 }
 
-/// Three core machines that follow each other, and limiters with their sessions spread over them, all long at work.
+/// Starts three core machines that follow each other, and limiters whose sessions are spread over them, and runs them for 3 s.
 async fn cluster(latency: Duration, limiters: usize) -> Cluster {
     let clock = MonotonicClock::start();
     let new_view = || ClusterView::new(clock, 1500.0);
@@ -96,7 +96,7 @@
             let took = begun.elapsed();
             assert!(limiters_behind.is_empty(), "{latency} ms: {limiters_behind:?} after {took:?}");
             assert!(took <= (7 * latency + 25) * MS, "{latency} ms: {took:?}");
-            // The edition has to get there and the word of it back.
+            // The edition has to reach the limiters, and their acknowledgements have to come back.
             assert!(took >= 4 * latency * MS, "{latency} ms: {took:?}");
         });
     }
@@ -146,6 +146,9 @@
         tokio::task::yield_now().await;
         assert!(here.has_waiting_commands());
         has_waiting_commands.abort();
-        assert!(has_waiting_commands.await.is_err() && !here.has_waiting_commands(), "a caller that leaves");
+        assert!(
+            has_waiting_commands.await.is_err() && !here.has_waiting_commands(),
+            "a command whose caller leaves no longer waits"
+        );
     });
 }
--- a/crates/cluster-state/tests/warm_up.rs
+++ b/crates/cluster-state/tests/warm_up.rs
@@ -1,4 +1,4 @@
-//! Cold spells as they go from a core machine to a limiter: the incident `cold-sum-at-ninety`.
+//! Replication of warm-up times from a core machine to a limiter. Guards against the incident `cold-sum-at-ninety`.
 
 use oatbank_cluster_state::messages::ServerRow;
 use oatbank_cluster_state::state::{MergeResult, StateTable};
@@ -14,18 +14,18 @@
 
 #[test]
 fn new_warm_up_is_sent_to_followers_and_a_continuing_one_is_not() {
-    // A limiter hears only what changes use: it holds the first word of a spell until the next one begins.
+    // A limiter receives only changes that affect use, so it keeps the first heartbeat of a warm-up until the next one begins.
     let (mut core, mut limiter) = (StateTable::new(1, 1500.0, 0.0), StateTable::new(2, 1500.0, 0.0));
     let mut position = (0, 0);
     let mut calls = 0;
     for (now, warmup_ms, update) in [
         (0.0, 3000, true),
         (1500.0, 1500, false),
-        // It starts anew, 2.8 s after the first time.
+        // The warm-up restarts 2.8 s after it first began.
         (2800.0, 3000, true),
         (4300.0, 1500, false),
         (5800.0, 0, false),
-        // And becomes cold again later, twice, as long as before and for less.
+        // Two more warm-ups later, one as long as before and one shorter.
         (20_000.0, 3000, true),
         (23_000.0, 0, false),
         (26_000.0, 1200, true),
@@ -36,7 +36,7 @@
         if core.has_update_since(position.0, position.1, false, true) {
             let sent = core.update_since(now + 30.0, position.0, position.1, false);
             position = (sent.epoch, sent.seen);
-            assert!(limiter.merge_update(now + 50.0, &sent), "at {now}: the limiter's list changes");
+            assert!(limiter.merge_update(now + 50.0, &sent), "at {now}: the limiter's list must change");
         }
         assert!(
             warmup_left(&limiter, now + 50.0) >= f64::from(warmup_ms) - 50.0,
--- a/crates/registry/tests/control_api.rs
+++ b/crates/registry/tests/control_api.rs
@@ -1,4 +1,4 @@
-//! Outside calls of operators on sockets, before three voters with disks, and what a follower hears of them.
+//! Operators' API calls over sockets with three voters on disk, and replication of their result to a follower.
 
 use oatbank_cluster_state::clock::MonotonicClock;
 use oatbank_cluster_state::cluster_view::ClusterView;
@@ -95,7 +95,7 @@
         stream
     }
 
-    /// The status and the body.
+    /// Sends a request and returns the status and the body of the answer.
     async fn call(&self, head: &str, body: &[u8]) -> (u16, String) {
         let (mut stream, mut answer) = (self.open(head, body).await, Vec::new());
         stream.read_to_end(&mut answer).await.unwrap();
@@ -105,7 +105,7 @@
     }
 }
 
-/// A configuration whose text has this length when it is read back, or nearly.
+/// Returns a configuration whose text has approximately this length when it is read back.
 fn configuration_of_length(version: u64, built_on: &str, length: usize) -> String {
     let row = |n: usize| format!(r#"["r{n}","h","/{n}/{}/","safe",1000,400,2,2,"s"]"#, "x".repeat(200));
     let columns =
@@ -134,7 +134,7 @@
 #[test]
 fn longest_configuration_is_replicated_and_a_longer_one_is_rejected_with_the_limit() {
     run_with_core_machine("longest", async |core| {
-        // So that what is read back comes to the bound, which counts without `builtOn`.
+        // The text read back is close to the limit, which does not count `builtOn`.
         let text = configuration_of_length(3, "0", MAX_CONFIG_BYTES);
         assert!(text.len() <= MAX_CONFIG_BYTES && text.len() + 40 > MAX_CONFIG_BYTES, "{}", text.len());
         let ((status, problem), took) = timed(core.call("POST /settings/replace", text.as_bytes())).await;
@@ -148,7 +148,7 @@
         let options = FollowOptions { name: "p".into(), hold_ms: 300, ..FollowOptions::default() };
         let (_, follow_took) =
             timed(follow_once(&follower, &client, &mut ReplicationPosition::default(), options)).await;
-        assert_eq!(follower.agreed_state().config, read, "the proxy has it in one call");
+        assert_eq!(follower.agreed_state().config, read, "the follower receives it in one call");
         println!("agreed in {took:?}, read in {read_took:?}, followed in {follow_took:?}");
 
         for length in [MAX_CONFIG_BYTES + 1000, 9 << 20, 20 << 20, 32 << 20] {
@@ -160,14 +160,18 @@
                 "{length}: {status} {problem}"
             );
         }
-        // A short change that would make it too long.
+        // A short change that would make the configuration too long.
         let change = format!(
             r#"{{"version":"r7","builtOn":"r3","putItems":{{"services":{{"columns":["name"],"rows":[["{}"]]}}}}}}"#,
             "n".repeat(1000)
         );
         let (status, problem) = core.call("POST /settings/change", change.as_bytes()).await;
         assert!(status == 413 && problem.contains(&MAX_CONFIG_BYTES.to_string()), "{status} {problem}");
-        assert_eq!(core.call("GET /settings/read", b"").await.1, read, "the old one stays");
+        assert_eq!(
+            core.call("GET /settings/read", b"").await.1,
+            read,
+            "the previous configuration stays in force"
+        );
     });
 }
 
@@ -176,19 +180,19 @@
     run_with_core_machine("gone", async |core| {
         assert_eq!(core.call("POST /empty/east-1/begin", b"").await.0, 200);
         assert_eq!(core.view.agreed_state().evacuated_zones, ["east-1"]);
-        // As it lay in the socket of a machine that stood still: the order, and the end of its connection.
+        // As found in the socket of a machine that was paused: the command, followed by the end of its connection.
         for _ in 0..8 {
             drop(core.open("POST /empty/east-1/begin", b"").await);
         }
         assert_eq!(core.call("POST /empty/east-1/end", b"").await.0, 200);
         let edition = core.view.edition();
         for round_trip in [0, 0, 0, 5, 20, 40] {
-            // The end follows the order by a way there and back: a cut link sends both again in turn.
+            // The end of the connection follows the command by a round trip, since an interrupted link retransmits them in turn.
             let copy = core.open("POST /empty/east-1/begin", b"").await;
             tokio::time::sleep(Duration::from_millis(round_trip)).await;
             drop(copy);
         }
-        // Each is begun, if it is, before this one, which waits as long.
+        // Any duplicate that is executed precedes this command, because all wait equally long.
         assert_eq!(core.call("POST /empty/east-1/end", b"").await.0, 200);
         assert_eq!(core.call("GET /settings/read", b"").await.0, 404);
         assert_eq!((core.view.edition(), core.view.agreed_state().evacuated_zones.len()), (edition, 0));
--- a/crates/registry/tests/cut_off.rs
+++ b/crates/registry/tests/cut_off.rs
@@ -1,5 +1,5 @@
-//! What a core machine answers when it is cut off from the others, or wakes from a freeze: rows of the table in
-//! `docs/design/control.md`. Scripted peers, a fake clock.
+//! Answers of a core machine that is cut off from the others or resumes after a pause, as listed in the table of
+//! `docs/design/control.md`. Peers are scripted and the clock is paused.
 
 use assert_matches::assert_matches;
 use oatbank_cluster_state::clock::MonotonicClock;
@@ -31,7 +31,7 @@
     Duration::from_millis(ms)
 }
 
-/// Core machine 1 of so many. Nobody listens at the others' addresses: they are scripted.
+/// Core machine 1. The others are scripted; nothing listens at their addresses.
 struct CoreMachine {
     view: Rc<ClusterView>,
     quorum: Rc<QuorumClient>,
@@ -49,12 +49,12 @@
         CoreMachine { view, quorum, api }
     }
 
-    /// A majority was asked this moment.
+    /// Records a confirmation by a majority at the current time.
     fn confirm_majority(&self) {
         self.view.confirm(self.view.now(), self.view.edition());
     }
 
-    /// Core machine `n` says that it took in all that there is here.
+    /// Reports that core machine `n` has merged all changes known here.
     async fn acknowledge_all(&self, n: u8) {
         let (epoch, seen) = self.view.with(|table, _| (table.epoch(), table.sequence()));
         let core_ip = u32::from(ip(n));
@@ -101,9 +101,9 @@
 
 #[test]
 fn cut_off_machine_stops_acknowledging_heartbeats_before_others_time_the_server_out() {
-    // A server beats every 1.5 s; the last beat that others heard came `ahead` before the cut. Its later ones are
-    // acknowledged here while this machine believes to be in touch: until 1.5 s after what others confirmed last, which a
-    // held answer may bring 0.3 s after the cut.
+    // A server sends a heartbeat every 1.5 s, and the last one that other machines received came `lead_ms` before the
+    // partition. Later ones are acknowledged here while this machine counts as in touch: until 1.5 s after the last
+    // confirmation, which a held response may deliver 0.3 s after the partition.
     for lead_ms in (0..=1700).step_by(50) {
         run_with_paused_clock(async move {
             let machine = CoreMachine::of(3);
@@ -125,8 +125,8 @@
                 }
             }
             let timeout = StateTable::new(1, HEARTBEAT_INTERVAL, 0.0).server_timeout();
-            let acknowledged_for = refused.expect("refused at last") - heard_elsewhere;
-            // What is left is for a caller that met a second machine that says nothing: it is given a second.
+            let acknowledged_for = refused.expect("rejected in the end") - heard_elsewhere;
+            // One second is left for a caller that then tries a second machine and gets no answer.
             assert!(
                 acknowledged_for + ms(1000) <= Duration::from_secs_f64(timeout / 1000.0),
                 "{lead_ms}: {acknowledged_for:?}"
@@ -148,13 +148,13 @@
                     false => machine.heartbeat("i", 2, "draining").await,
                 }
             };
-            // Machine 2 is cut off with this one, and the only one that hears it.
+            // Machine 2 is on the same side of the partition, and the only one that receives the change.
             let (status, ()) = tokio::join!(announce(), async {
                 sleep(ms(20)).await;
                 machine.acknowledge_all(2).await;
             });
             assert_eq!(status, 503, "two of five");
-            // A limiter, or a core machine that has no vote, makes no majority.
+            // A machine without a vote does not count towards the majority.
             let (status, ()) = tokio::join!(announce(), async {
                 sleep(ms(20)).await;
                 machine.acknowledge_all(77).await;
@@ -166,9 +166,9 @@
                 machine.acknowledge_all(3).await;
             });
             assert_eq!(status, 200, "three of five");
-            // Sent again after its answer was lost.
+            // Repeated after a lost answer.
             assert_eq!(announce().await, 200);
-            // Machine 3 has started anew: what it had taken in is gone.
+            // Machine 3 has restarted and lost what it had merged.
             let restarted = FollowRequest {
                 name: "3".into(),
                 every_change: true,
@@ -189,10 +189,10 @@
         machine.heartbeat("i", 1, "ready").await;
         machine.leave("i").await;
         machine.acknowledge_all(2).await;
-        // Out of touch for long: it is no less true.
+        // The acknowledgement stays valid however long this machine is out of touch.
         sleep(ms(20_000)).await;
         assert_eq!(machine.leave("i").await, 200);
-        assert_eq!(machine.heartbeat("j", 1, "ready").await, 503, "others would take it for dead");
+        assert_eq!(machine.heartbeat("j", 1, "ready").await, 503, "other machines would time it out");
     });
 }
 
@@ -201,7 +201,7 @@
     run_with_paused_clock(async {
         let machine = CoreMachine::of(3);
         let command = OperatorCommand::Evacuate { zone: "z".into(), begin: true };
-        // Never in touch yet, or cut off a moment ago: a majority may answer in time.
+        // Never in touch yet, or cut off recently: a majority may still answer in time.
         for within in [0, 2900] {
             if within > 0 {
                 machine.confirm_majority();
@@ -212,7 +212,7 @@
             assert_matches!(
                 rejection,
                 Err(Rejection { kind: ErrorKind::NotReady, .. }),
-                "nothing was proposed"
+                "no proposal was sent"
             );
             assert!(
                 started_at.elapsed() >= ms(1000) && started_at.elapsed() <= ms(1500),
@@ -227,7 +227,7 @@
             Err(Rejection { kind: ErrorKind::NotReady, .. })
         );
         assert_eq!(started_at.elapsed(), ms(0));
-        // Reading is refused as well, inside the caller's second; what is known here may be old.
+        // Reads are rejected too, within the caller's timeout of one second, because the state known here may be old.
         machine.view.adopt_agreed(3, AgreedState { config: "{}".into(), ..AgreedState::default() });
         let started_at = Instant::now();
         assert_matches!(
@@ -256,7 +256,7 @@
     run_with_paused_clock(async {
         let machine = CoreMachine::of(3);
         machine.view.change(|table, now| table.merge_member(now, &proxy("own", 1, 1)));
-        // Heard by another machine 0.9 s before it told of it.
+        // Another machine received the heartbeat 0.9 s before it sent the update.
         let update = StateUpdate {
             members: vec![MemberRow { age_ms: 900, ..proxy("far", 2, 1) }],
             ..StateUpdate::default()
@@ -270,10 +270,10 @@
         };
         assert_eq!(named(), 2);
         sleep(ms(SESSION_TIMEOUT as u64 - 900)).await;
-        assert_eq!(named(), 1, "what was heard through others grows old with the cut");
+        assert_eq!(named(), 1, "heartbeats received through other machines age during the partition");
         sleep(ms(900)).await;
         assert_eq!(named(), 0);
-        assert_eq!(machine.lookup().await, 503, "the client asks another");
+        assert_eq!(machine.lookup().await, 503, "the client asks another machine");
     });
 }
 
@@ -287,7 +287,7 @@
         });
         sleep(ms(300)).await;
         machine.confirm_majority();
-        // In touch for another 1.5 s, as far as it knows; the session's end is 1.7 s after its last word.
+        // The machine counts as in touch for another 1.5 s, and the session ends 1.7 s after its last heartbeat.
         let expired = || machine.view.with(|table, now| table.members(now).any(|(row, _)| row.expired));
         for _ in 0..100 {
             sleep(ms(200)).await;
@@ -295,7 +295,7 @@
             machine.view.change(|table, now| table.expire(now, confirmed_at));
             assert!(!expired() && machine.server("i") == Some((server_state::READY, false, 1)));
         }
-        // In touch again, and still nothing of them.
+        // In touch again, and still no heartbeats of either.
         machine.confirm_majority();
         let confirmed_at = machine.view.confirmed_at();
         machine.view.change(|table, now| table.expire(now, confirmed_at));
@@ -318,18 +318,22 @@
             if tick_first {
                 assert!(machine.view.tick().is_some());
             }
-            // The question to a majority may have been answered first.
+            // A response of the majority may be processed first.
             machine.confirm_majority();
             assert_eq!(machine.heartbeat("i", 2, "ready").await, 503);
-            assert_eq!(machine.server("i"), Some((server_state::READY, false, 1)), "not heard now");
+            assert_eq!(
+                machine.server("i"),
+                Some((server_state::READY, false, 1)),
+                "the heartbeat is not merged"
+            );
             let command = OperatorCommand::Evacuate { zone: "z".into(), begin: true };
             let started_at = Instant::now();
             assert_matches!(
                 machine.quorum.execute(&command).await,
                 Err(Rejection { kind: ErrorKind::NotReady, .. })
             );
-            assert_eq!(started_at.elapsed(), ms(0), "in touch again, and yet no old order is tried");
-            // A session's word of an earlier life, and a core machine's call.
+            assert_eq!(started_at.elapsed(), ms(0), "in touch again, but no old command is tried");
+            // A session's heartbeat of an earlier incarnation gets an empty answer and is not merged.
             let old = FollowRequest {
                 name: "p".into(),
                 member: Some(proxy("p", 7, 9)),
@@ -337,10 +341,10 @@
             };
             assert!(machine.view.answer_bytes(old.encode_to_vec().into()).await.is_empty());
             assert!(machine.view.with(|table, now| table.members(now).all(|(row, _)| row.incarnation == 8)));
-            // That a server drains is no less true for being old.
+            // Draining is final, so an old announcement of it is merged.
             machine.heartbeat("i", 2, "draining").await;
             assert_eq!(machine.server("i"), Some((server_state::DRAINING, false, 2)));
-            // What lay in the sockets has been read.
+            // Messages that waited in the sockets have been read after this.
             machine.view.tick();
             for _ in 0..6 {
                 sleep(ms(200)).await;
@@ -358,11 +362,11 @@
         let machine = CoreMachine::of(3);
         let started_at = machine.view.now();
         sleep(ms(20_000)).await;
-        // Another machine's news were read first: this limiter has begun anew meanwhile.
+        // An update of another machine was merged first; limiter `p` has restarted in the meantime.
         machine
             .view
             .change(|table, now| table.merge_member(now, &MemberRow { age_ms: 5000, ..proxy("p", 8, 1) }));
-        // Heard of while this machine stood still; the answer was held for 0.3 s.
+        // Received while this machine was paused, with a response that was held for 0.3 s.
         let row = MemberRow { age_ms: 100, ..proxy("p", 7, 5) };
         let update = StateUpdate {
             held_ms: 300,
@@ -374,7 +378,7 @@
         assert!(!machine.view.in_touch());
         machine.view.with(|table, now| {
             for (row, ago) in table.members(now) {
-                assert!(row.incarnation != 7, "a life that was heard later stays");
+                assert!(row.incarnation != 7, "the more recent incarnation stays");
                 assert!(row.name == "p" || ago >= 18_900.0, "{}: {ago}", row.name);
             }
         });
--- a/crates/registry/tests/one_number.rs
+++ b/crates/registry/tests/one_number.rs
@@ -1,5 +1,6 @@
-//! One number, one change: rivals and repeats through several machines whose messages and answers are lost, over ends
-//! of all processes, wiped disks and changes of the voters. The real orders over the real rounds of the store.
+//! A version is accepted for at most one configuration. Conflicting and repeated commands go through several machines with
+//! lost messages and answers, restarts of all processes, wiped disks and changes of the voters. Runs the real commands over
+//! the store's real rounds of consensus.
 
 use oatbank_config_model::{Configuration, Proposal};
 use oatbank_config_store::acceptor::Acceptor;
@@ -12,7 +13,7 @@
 type Change = Box<dyn Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, NoNewEdition>>;
 type ChangeOperation = Operation<Change, NoNewEdition>;
 
-/// What the operator hears.
+/// The result that the operator receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CommandResult {
     Accepted,
@@ -33,7 +34,7 @@
     highest: u64,
 }
 
-/// An order under way.
+/// A command in progress.
 struct Call {
     command: usize,
     machine: usize,
@@ -48,7 +49,7 @@
     voters: BTreeMap<String, Acceptor>,
     machines: Vec<Machine>,
     restarts: u64,
-    /// One of so many messages is lost; 0: none.
+    /// One in this many messages is lost; 0 if none are.
     loss_one_in: u64,
 }
 
@@ -74,7 +75,7 @@
         (self.random_state >> 33) % below
     }
 
-    /// All processes end, and begin with what their disks hold.
+    /// Restarts all processes from the state on their disks.
     fn restart_all(&mut self) {
         for voter in self.voters.values_mut() {
             let restored = Acceptor::restored(voter.state().clone(), voter.record().cloned());
@@ -100,7 +101,7 @@
         call
     }
 
-    /// One message more arrives, or is lost. The end of it, if it has come.
+    /// Delivers or loses one message. Returns the result of the call if it has ended.
     fn step(&mut self, call: &mut Call) -> Option<Result<Outcome<NoNewEdition>, ()>> {
         let action = if call.in_flight.is_empty() {
             call.operation.on_timeout()
@@ -143,7 +144,7 @@
                 send(call, again);
                 None
             }
-            // Nothing is under way any more and it waits: its time is over.
+            // No message is in flight, so the phase can only time out.
             Action::Wait if call.in_flight.is_empty() && call.operation.on_timeout() == Action::BackOff => {
                 return self.handle_action(call, Action::BackOff);
             }
@@ -162,7 +163,7 @@
         result
     }
 
-    /// Alone and without losses.
+    /// Runs a command alone and without message loss.
     fn run_without_losses(&mut self, command: &OperatorCommand, machine: usize) -> CommandResult {
         let mut call = self.start_call(0, machine, Task::Change(change_function(command)));
         let loss_one_in = std::mem::take(&mut self.loss_one_in);
@@ -175,7 +176,7 @@
         command_result
     }
 
-    /// A voter votes with an empty disk from now on, or a new one does.
+    /// Adds a voter with an empty disk, which replaces one of the same name.
     fn add_voter(&mut self, name: &str, id: u64) {
         self.voters.insert(name.into(), Acceptor::fresh(id));
         let member = VoterId { address: name.into(), disk_id: id };
@@ -201,7 +202,7 @@
         self.loss_one_in = loss_one_in;
         match result {
             Ok(Outcome::Chosen(_, value)) => decode_state(value.as_deref()).expect("readable").config,
-            other => panic!("not read: {other:?}"),
+            other => panic!("the read failed: {other:?}"),
         }
     }
 }
@@ -245,8 +246,8 @@
     OperatorCommand::Configure(Proposal::replace(body.as_bytes()).expect("readable"))
 }
 
-/// Eight rivals on top of one version, five of them under one number; each is sent again, mostly to another machine,
-/// until it hears something clear. The number of the one that was taken.
+/// Runs eight conflicting commands built on one version, five of them with the same version. Each is repeated, mostly at
+/// another machine, until its result is known. Returns the accepted version.
 fn run_conflicting_commands(system: &mut System, built_on: u64) -> u64 {
     let number = |n: u64| built_on + if n < 5 { 4 } else { n };
     let commands: Vec<OperatorCommand> =
@@ -273,7 +274,7 @@
         match system.step(&mut call) {
             None => calls.push(call),
             Some(result) => {
-                // Every third answer is lost on its way to the operator.
+                // One in three answers to the operator is lost.
                 let answer =
                     if system.random_below(3) == 0 { CommandResult::Unknown } else { command_result(result) };
                 match answer {
@@ -294,7 +295,7 @@
     );
     let path = format!("\"/{built_on}-{}/\"", winners[0]);
     assert!(system.config_in_force().contains(&path), "{path} in force");
-    // Whoever asks again hears the same, at each machine.
+    // A repeated command gets the same result at each machine.
     for (n, command) in commands.iter().enumerate() {
         let again = if n == winners[0] {
             CommandResult::Accepted
@@ -302,7 +303,11 @@
             CommandResult::Rejected(ErrorKind::StaleVersion)
         };
         for machine in 0..3 {
-            assert_eq!(system.run_without_losses(command, machine), again, "order {n} at machine {machine}");
+            assert_eq!(
+                system.run_without_losses(command, machine),
+                again,
+                "command {n} at machine {machine}"
+            );
         }
     }
     number(winners[0] as u64)
@@ -319,19 +324,23 @@
         assert_eq!(
             system.run_without_losses(&first, 1),
             CommandResult::Accepted,
-            "after the end of all processes"
+            "after a restart of all processes"
         );
         built_on = run_conflicting_commands(&mut system, built_on);
         system.add_voter("v1", 77);
         assert_eq!(
             system.run_without_losses(&first, 2),
             CommandResult::Accepted,
-            "after the wipe of a minority"
+            "after a wiped disk of a minority"
         );
         built_on = run_conflicting_commands(&mut system, built_on);
         system.add_voter("v3", 78);
         system.add_voter("v4", 79);
-        assert_eq!(system.run_without_losses(&first, 1), CommandResult::Accepted, "among other voters");
+        assert_eq!(
+            system.run_without_losses(&first, 1),
+            CommandResult::Accepted,
+            "after a change of the voters"
+        );
         built_on = run_conflicting_commands(&mut system, built_on);
         assert_eq!(Configuration::read(&system.config_in_force()).expect("readable").version, built_on);
     }
@@ -343,7 +352,7 @@
         let mut system = System::new(seed);
         assert_eq!(system.run_without_losses(&put(3, 0, "/first/"), 0), CommandResult::Accepted);
         let (command, conflicting) = (put(7, 3, "/order/"), put(7, 3, "/rival/"));
-        // It gets so far, and then all processes end, a disk with them or not.
+        // The command is interrupted after some messages by a restart of all processes, in one of three cases with a lost disk.
         let mut call = system.start_call(0, 0, Task::Change(change_function(&command)));
         for _ in 0..seed % 12 {
             if system.step(&mut call).is_some() {
--- a/crates/registry/tests/operator_commands.rs
+++ b/crates/registry/tests/operator_commands.rs
@@ -1,4 +1,5 @@
-//! What an order makes of what is decided: one number, one change, and what is told of numbers long past.
+//! Applying commands to the agreed state: each version is accepted at most once, and the outcome of versions that are no
+//! longer remembered is unknown.
 
 use assert_matches::assert_matches;
 use oatbank_cluster_state::messages::{AcceptedVersion, AgreedState, MAX_CONFIG_BYTES};
@@ -27,7 +28,7 @@
 fn next(agreed_state: &AgreedState, command: &OperatorCommand) -> AgreedState {
     match apply(agreed_state, command) {
         Ok(Applied::Next(next)) => *next,
-        other => panic!("not taken: {other:?}"),
+        other => panic!("not accepted: {other:?}"),
     }
 }
 
@@ -43,25 +44,29 @@
 fn repeated_version_is_already_in_force_and_a_conflicting_one_is_stale() {
     let first = next(&AgreedState::default(), &put(3, 0, "/p/"));
     let second = next(&first, &put(7, 3, "/p/"));
-    assert_eq!(apply(&second, &put(7, 3, "/p/")), Ok(Applied::AlreadyInForce), "the same again");
-    assert_eq!(apply(&second, &put(3, 0, "/p/")), Ok(Applied::AlreadyInForce), "an older one again");
+    assert_eq!(apply(&second, &put(7, 3, "/p/")), Ok(Applied::AlreadyInForce), "the same version repeated");
+    assert_eq!(apply(&second, &put(3, 0, "/p/")), Ok(Applied::AlreadyInForce), "an older version repeated");
     assert_eq!(kind(&second, &put(8, 3, "/p/")), Some(ErrorKind::StaleVersion));
     assert_eq!(kind(&first, &put(3, 3, "/p/")), Some(ErrorKind::Invalid), "not above the current one");
-    assert_eq!(kind(&second, &put(7, 3, "/q/")), Some(ErrorKind::StaleVersion), "its number is another's");
+    assert_eq!(
+        kind(&second, &put(7, 3, "/q/")),
+        Some(ErrorKind::StaleVersion),
+        "its version belongs to another proposal"
+    );
     assert_eq!(
         kind(&second, &put(5, 3, "/p/")),
         Some(ErrorKind::StaleVersion),
-        "between two that follow each other"
+        "between two consecutive accepted versions"
     );
     assert_eq!(
         kind(&second, &put(2, 0, "/p/")),
         Some(ErrorKind::OutcomeUnknown),
-        "before the oldest that is remembered"
+        "below the oldest remembered version"
     );
     assert_eq!(
         kind(&second, &put(2, 3, "/p/")),
         Some(ErrorKind::StaleVersion),
-        "nothing taken lies below what it builds on"
+        "an accepted version is above the one it builds on"
     );
 }
 
@@ -71,11 +76,11 @@
     let reformatted = body(3, 0, "/p/").replace(",\"", " ,\n \"");
     let reformatted =
         OperatorCommand::Configure(Proposal::replace(reformatted.as_bytes()).expect("readable"));
-    assert_eq!(apply(&first, &reformatted), Ok(Applied::AlreadyInForce), "it is the same change");
+    assert_eq!(apply(&first, &reformatted), Ok(Applied::AlreadyInForce), "only white space differs");
     assert_eq!(
         kind(&first, &put(9, 0, "/p/")),
         Some(ErrorKind::StaleVersion),
-        "the same content under another number"
+        "the same content under another version"
     );
 
     let second = next(&first, &change(9, 3));
@@ -83,16 +88,16 @@
     assert_eq!(
         kind(&second, &put(9, 3, "/p/")),
         Some(ErrorKind::StaleVersion),
-        "a whole one under the number of a change"
+        "a replacement under the version of a change"
     );
     let third = next(&second, &put(12, 9, "/p/"));
     assert_eq!(
         kind(&third, &change(12, 9)),
         Some(ErrorKind::StaleVersion),
-        "a change under the number of a whole one"
+        "a change under the version of a replacement"
     );
 
-    // No body is read by both calls.
+    // No body is valid for both calls.
     assert!(Proposal::change(body(9, 3, "/p/").as_bytes()).is_err());
     assert!(Proposal::replace(br#"{"version":"r9","builtOn":"r3"}"#).is_err());
 }
@@ -119,20 +124,24 @@
     assert_eq!(
         kind(&agreed_state, &put(version_at(last), built_on(last), "/q/")),
         Some(ErrorKind::StaleVersion),
-        "a rival"
+        "a conflicting proposal"
     );
     assert_eq!(
         kind(&agreed_state, &put(version_at(last) - 1, built_on(last), "/q/")),
         Some(ErrorKind::StaleVersion),
-        "in a gap"
+        "between two accepted versions"
     );
     assert_eq!(
         kind(&agreed_state, &put(version_at(last) + 9, built_on(last), "/q/")),
         Some(ErrorKind::StaleVersion),
-        "too late"
+        "built on a version that is no longer in force"
     );
     let impossible = put(version_at(0), version_at(last), "/q/");
-    assert_eq!(kind(&agreed_state, &impossible), Some(ErrorKind::Invalid), "it lies below what it builds on");
+    assert_eq!(
+        kind(&agreed_state, &impossible),
+        Some(ErrorKind::Invalid),
+        "its version is below the one it builds on"
+    );
     let without_versions = AgreedState { steps: Vec::new(), digests: Vec::new(), ..agreed_state.clone() };
     let bytes = agreed_state.encoded_len() - without_versions.encoded_len();
     assert!(bytes <= 10 * REMEMBERED_VERSIONS, "{bytes} bytes for {REMEMBERED_VERSIONS} versions");
@@ -143,7 +152,7 @@
 fn unpacked_list_of_earlier_releases_is_continued_and_a_lost_list_makes_outcomes_unknown() {
     let first = next(&AgreedState::default(), &put(3, 0, "/p/"));
     let second = next(&first, &put(7, 3, "/p/"));
-    // As one that knows nothing of the packed list has left it.
+    // The state as written by a release that does not know the packed list.
     let digest = second.digests[1];
     let old = AgreedState {
         accepted: vec![AcceptedVersion { version: 7, digest }],
@@ -170,21 +179,21 @@
     let available_length = MAX_CONFIG_BYTES + 1 - next(&first, &long(7, 3, 1)).config.len();
     let largest = next(&first, &long(7, 3, available_length));
     assert_eq!(largest.config.len(), MAX_CONFIG_BYTES);
-    let rejection = apply(&first, &long(7, 3, available_length + 1)).expect_err("a byte more");
+    let rejection = apply(&first, &long(7, 3, available_length + 1)).expect_err("one byte too long");
     assert_eq!(rejection.kind, ErrorKind::TooLong);
     assert!(rejection.problem.contains(&MAX_CONFIG_BYTES.to_string()), "{}", rejection.problem);
-    // A change may make it too long as well, however short it is itself.
+    // A short change may also make the configuration too long.
     let add = r#"{"version":"r9","builtOn":"r7","putItems":{"services":{"columns":["name"],"rows":[["another"]]}}}"#;
     let add = OperatorCommand::Configure(Proposal::change(add.as_bytes()).expect("readable"));
     assert_eq!(kind(&largest, &add), Some(ErrorKind::TooLong));
-    assert_eq!(version(&next(&largest, &put(9, 7, "/p/"))), 9, "and a shorter one is taken");
+    assert_eq!(version(&next(&largest, &put(9, 7, "/p/"))), 9, "a shorter configuration is accepted");
 }
 
 #[test]
 fn evacuations_begin_and_end_independently_of_configurations() {
     let command = |zone: &str, begin| OperatorCommand::Evacuate { zone: zone.into(), begin };
     let agreed_state = next(&AgreedState::default(), &command("z", true));
-    assert_eq!(apply(&agreed_state, &command("z", true)), Ok(Applied::AlreadyInForce), "again");
+    assert_eq!(apply(&agreed_state, &command("z", true)), Ok(Applied::AlreadyInForce), "repeated");
     let agreed_state = next(&agreed_state, &put(3, 0, "/p/"));
     assert_eq!(agreed_state.evacuated_zones, ["z"]);
     let back = next(&agreed_state, &command("z", false));
