--- a/crates/cluster-state/src/messages.rs
+++ b/crates/cluster-state/src/messages.rs
@@ -247,7 +247,7 @@
     /// The newest edition known to the source; 0 before the first.
     #[prost(uint64, tag = "7")]
     pub edition: u64,
-    /// The agreed state of that edition, if the follower lacks it.
+    /// The agreed state of `edition`, if the follower lacks it.
     #[prost(message, optional, tag = "8")]
     pub agreed: Option<AgreedState>,
     /// Time since a majority last confirmed that nothing newer is known, ms; absent if never.
--- a/crates/cluster-state/src/state/tests.rs
+++ b/crates/cluster-state/src/state/tests.rs
@@ -103,8 +103,8 @@
     table.mark_server_left(3.0, "a");
     table.merge_server(4.0, &server("a", 9, server_state::DRAINING));
     assert_eq!(states(&table)[0].1, server_state::LEFT);
-    table.mark_server_left(4.0, "never heard of");
-    table.merge_server(5.0, &server("never heard of", 3, server_state::READY));
+    table.mark_server_left(4.0, "unknown");
+    table.merge_server(5.0, &server("unknown", 3, server_state::READY));
     assert_eq!(states(&table)[1].1, server_state::LEFT);
 }
 
--- a/crates/registry/src/quorum_client.rs
+++ b/crates/registry/src/quorum_client.rs
@@ -152,7 +152,7 @@
         true
     }
 
-    /// Refreshes the state every [`READ_INTERVAL`] for the life of the process, and logs when contact is lost or regained.
+    /// Refreshes the state periodically for the life of the process, and logs when contact is lost or regained.
     pub async fn refresh_forever(self: Rc<Self>) {
         let mut is_in_touch = true;
         loop {
--- a/crates/registry/tests/one_number.rs
+++ b/crates/registry/tests/one_number.rs
@@ -351,7 +351,7 @@
     for seed in 0..150 {
         let mut system = System::new(seed);
         assert_eq!(system.run_without_losses(&put(3, 0, "/first/"), 0), CommandResult::Accepted);
-        let (command, conflicting) = (put(7, 3, "/order/"), put(7, 3, "/rival/"));
+        let (command, conflicting) = (put(7, 3, "/interrupted/"), put(7, 3, "/conflicting/"));
         // The command is interrupted after some messages by a restart of all processes, in one of three cases with a lost disk.
         let mut call = system.start_call(0, 0, Task::Change(change_function(&command)));
         for _ in 0..seed % 12 {
@@ -379,7 +379,7 @@
                 (first, second)
             );
         }
-        let path = if first == CommandResult::Accepted { "\"/rival/\"" } else { "\"/order/\"" };
+        let path = if first == CommandResult::Accepted { "\"/conflicting/\"" } else { "\"/interrupted/\"" };
         assert!(system.config_in_force().contains(path), "seed {seed}");
     }
 }
