--- a/crates/registry/src/heartbeat.rs
+++ b/crates/registry/src/heartbeat.rs
@@ -38,7 +38,7 @@
         }
         /// The id is empty, or a name is too long.
         Name {
-            display("the id is empty, or the id, service or zone is longer than {} bytes", MAX_NAME_BYTES)
+            display("id, service or zone has an invalid length; allowed: an id of 1 to {0} bytes, a service and a zone of up to {0}", MAX_NAME_BYTES)
         }
         /// The mesh is not a valid name, or differs from the mesh in the service's name.
         Mesh(mesh: String, service: String) {
