--- a/crates/cluster-state/src/cluster_view.rs
+++ b/crates/cluster-state/src/cluster_view.rs
@@ -390,7 +390,7 @@
             self.set_core_members(core.version, core.ips.iter().map(|ip| Ipv4Addr::from(*ip)));
         }
         if let Some(ago) = update.confirmed_ago {
-            // The response was sent no earlier than `held_ms` after the request, and `ago` is its age at that time.
+            // The response was sent at least `held_ms` after the request, and `ago` is the age of the confirmation then.
             self.confirm(requested + f64::from(update.held_ms) - f64::from(ago), update.edition);
         }
         self.change(|table, now| table.merge_update(now, &update));
--- a/crates/cluster-state/tests/applied_editions.rs
+++ b/crates/cluster-state/tests/applied_editions.rs
@@ -123,11 +123,11 @@
 fn changes_without_effect_are_batched_whether_or_not_a_command_waits() {
     run(async {
         let cluster = cluster(MS, 6).await;
-        let [here, there, _] = &cluster.core[..] else { panic!("three") };
+        let [here, there, _] = &cluster.core[..] else { panic!("three core machines") };
         for wants_prompt_acks in [false, true] {
             let position_there = there.with(|table, _| (table.epoch(), table.sequence()));
             let request = FollowRequest {
-                name: "asks".into(),
+                name: "follower".into(),
                 epoch: position_there.0,
                 seen: position_there.1,
                 edition: 1,
--- a/crates/registry/tests/one_number.rs
+++ b/crates/registry/tests/one_number.rs
@@ -79,7 +79,7 @@
     fn restart_all(&mut self) {
         for voter in self.voters.values_mut() {
             let restored = Acceptor::restored(voter.state().clone(), voter.record().cloned());
-            *voter = restored.expect("whole");
+            *voter = restored.expect("a valid state on disk");
         }
         self.machines = (0..3u64)
             .map(|n| Machine {
