--- a/crates/proxy/src/config_snapshot/tests.rs
+++ b/crates/proxy/src/config_snapshot/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn homes_of_route_and_tenant_both_bind() {
+fn allowed_zones_are_the_intersection_of_route_and_tenant_homes() {
     let (settings, snapshot) =
         (settings(), ConfigSnapshot::new(3, &agreed_state(), &settings()).expect("a snapshot"));
     let zones = |mask: u64| -> Vec<&str> {
@@ -26,17 +26,17 @@
 }
 
 #[test]
-fn what_may_run_once_keeps_to_the_zones_part_that_is_surely_the_owners() {
+fn only_repeatable_requests_may_use_contested_servers() {
     let settings = settings();
     let snapshot = ConfigSnapshot::new(3, &agreed_state(), &settings).expect("a snapshot");
-    let (all, places) = (zone_names(&settings), settings.zones.len());
+    let (all, zone_count_of_settings) = (zone_names(&settings), settings.zones.len());
     let names = |mask: u64| -> Vec<&str> {
         let zones = all.iter().enumerate().filter(|(at, _)| mask & 1 << at != 0);
         zones.map(|(_, zone)| zone.as_str()).collect()
     };
     assert_eq!(
         (snapshot.with_contested(0, true), names(snapshot.with_contested(0, false)).len()),
-        (0, places)
+        (0, zone_count_of_settings)
     );
     let home = snapshot.allowed_zones(1, None).expect("its homes' zones");
     assert_eq!(snapshot.with_contested(home, false), home);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn weights_cut_the_roll() {
+fn services_are_chosen_by_weight() {
     let snapshot = ConfigSnapshot::new(3, &agreed_state(), &settings()).expect("a snapshot");
     let route = &snapshot.configuration().routes[0];
     assert_eq!(
--- a/crates/proxy/src/counter_owner/tests.rs
+++ b/crates/proxy/src/counter_owner/tests.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 #[test]
-fn numbers_are_spread_and_only_a_leavers_change_hands() {
+fn counters_are_balanced_and_only_those_of_a_removed_owner_move() {
     let names: Vec<String> = (0..9).map(|i| format!("edge-{i}")).collect();
     let of = |names: &[String], number| owner_of(number, names.iter().map(String::as_str)).map(str::to_owned);
     let mut owned: HashMap<String, u32> = HashMap::new();
--- a/crates/proxy/src/lease/tests.rs
+++ b/crates/proxy/src/lease/tests.rs
@@ -9,14 +9,14 @@
 }
 
 #[test]
-fn a_limiter_that_was_not_confirmed_stops_before_a_key_must_fail() {
+fn an_unconfirmed_limiter_stops_before_revoked_keys_must_fail() {
     let lease = lease(true);
     assert!(lease.is_valid(Some(3400.0)) && !lease.is_valid(Some(3500.0)) && !lease.is_valid(None));
     assert!(!lease.may_start(60_000.0, None), "however long it waits");
 }
 
 #[test]
-fn without_the_rule_it_goes_on_for_ever_but_begins_confirmed_if_it_can() {
+fn without_a_lease_limit_only_the_start_waits_for_a_confirmation() {
     let lease = lease(false);
     assert!(lease.is_valid(None));
     assert!(
--- a/crates/proxy/src/limiter_settings.rs
+++ b/crates/proxy/src/limiter_settings.rs
@@ -11,7 +11,7 @@
 const OTHER_REGION_COST: f64 = 9.0;
 /// Mean answer times over this share of the latency target say that servers are full: the work alone may take a third, and
 /// the latency to another region a tenth.
-const SLOW_MARK: f64 = 0.7;
+const SLOW_THRESHOLD_SHARE: f64 = 0.7;
 /// The least concurrency limit. Servers reject what is too much for them, and that costs less than a request that is held
 /// back by a limit that has not grown yet.
 const MIN_CONCURRENCY: f64 = 12.0;
@@ -54,7 +54,7 @@
         retry_saved: RETRY_SHARE * node.bounds.extra_tries / limiters,
         retry_earn: RETRY_SHARE * node.bounds.retry_ratio,
         cold_rate: WarmupShares::new(&node.bounds, warmup_rate, limiters as usize).rate,
-        slow_mark: SLOW_MARK,
+        slow_mark: SLOW_THRESHOLD_SHARE,
         hedge_after: HEDGE_AFTER,
         least_limit: MIN_CONCURRENCY,
         subset_least: MIN_SUBSET,
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -17,16 +17,16 @@
 
 /// One limiter tries an unhealthy server for so long, ms; then the lot falls anew, so that one that stands still
 /// holds nobody up.
-const PROBE_TURN: Millis = 2000.0;
+const PROBE_ROTATION_INTERVAL: Millis = 2000.0;
 
 /// Hundredths that others say against a server, from which on it is contested.
-const CONTESTED: i32 = 400;
+const DISPUTED_WEIGHT: i32 = 400;
 /// So long after a server turned something away none of its service is left, ms.
-const NO_ROOM: Millis = 5000.0;
+const SATURATION_HOLD: Millis = 5000.0;
 /// Of the lots.
-const PRIME: u64 = 0x0100_0000_01b3;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
 /// Without updates, servers are looked at this often, ms.
-const IDLE: Millis = 250.0;
+const EVALUATION_INTERVAL: Millis = 250.0;
 
 /// What this proxy sees, and what all say.
 #[derive(Default)]
@@ -38,15 +38,15 @@
     /// Servers that are not simply healthy, as last asked for.
     standings: RefCell<BTreeMap<String, Standing>>,
     /// When it was last thought about, and by which count of the book; ends came in since.
-    last: Cell<(Millis, u64)>,
-    confirmed: Cell<bool>,
+    last_evaluation: Cell<(Millis, u64)>,
+    has_new_ends: Cell<bool>,
     /// When servers of a service last turned something away.
-    full: RefCell<BTreeMap<String, Millis>>,
+    saturated_at: RefCell<BTreeMap<String, Millis>>,
     log_limit: RateLimitedLog,
 }
 
 /// What an attempt's end says of its server.
-fn end(outcome: Outcome) -> EndKind {
+fn end_kind(outcome: Outcome) -> EndKind {
     match outcome {
         Outcome::Ok => EndKind::Success,
         Outcome::Error | Outcome::TimedOut => EndKind::Failure,
@@ -81,25 +81,30 @@
     /// Takes in how attempts of a service have ended; `class`: the names of its classes.
     pub fn record_ends(&self, now: Millis, service: &str, classes: &[String], ends: &[Finished]) {
         let mut observer = self.observer.borrow_mut();
-        self.confirmed.set(true);
-        for f in ends {
-            if matches!(f.outcome, Outcome::Full | Outcome::Reset) {
-                self.full.borrow_mut().insert(service.to_owned(), now);
+        self.has_new_ends.set(true);
+        for finished in ends {
+            if matches!(finished.outcome, Outcome::Full | Outcome::Reset) {
+                self.saturated_at.borrow_mut().insert(service.to_owned(), now);
             }
-            let class = classes.get(f.class.0).map_or("", String::as_str);
-            let (server, took, warm) = (&*f.server, f.took, f.warm);
-            observer.record(now, &AttemptResult { service, class, server, end: end(f.outcome), took, warm });
+            let class = classes.get(finished.class.0).map_or("", String::as_str);
+            let (server, took, warm) = (&*finished.server, finished.took, finished.warm);
+            observer.record(
+                now,
+                &AttemptResult { service, class, server, end: end_kind(finished.outcome), took, warm },
+            );
         }
     }
 
     /// Whether to evaluate again: something is new, or time has passed.
     pub fn is_due(&self, now: Millis, table: &StateTable) -> bool {
-        let (at, seen) = self.last.get();
-        let is = self.confirmed.replace(false) || table.observation_sequence() != seen || now - at >= IDLE;
-        if is {
-            self.last.set((now, table.observation_sequence()));
+        let (at, seen) = self.last_evaluation.get();
+        let is_due = self.has_new_ends.replace(false)
+            || table.observation_sequence() != seen
+            || now - at >= EVALUATION_INTERVAL;
+        if is_due {
+            self.last_evaluation.set((now, table.observation_sequence()));
         }
-        is
+        is_due
     }
 
     /// What this limiter has to tell now, as rows of the book.
@@ -112,14 +117,14 @@
     ) -> Vec<ObservationRow> {
         // Where others complain of a server by more than one failure, what is known in its favour is worth
         // telling.
-        let mut against: BTreeMap<&str, i32> = BTreeMap::new();
+        let mut weight_against: BTreeMap<&str, i32> = BTreeMap::new();
         for (row, _) in table.observations(now).filter(|(row, _)| row.observer != name) {
             let most = row.failing.iter().chain(&row.slow).max().copied().unwrap_or(0).clamp(0, 3000);
-            let unreached = if row.unreached > 90 { CONTESTED } else { 0 };
-            *against.entry(&row.server).or_default() += most.max(unreached);
+            let unreached = if row.unreached > 90 { DISPUTED_WEIGHT } else { 0 };
+            *weight_against.entry(&row.server).or_default() += most.max(unreached);
         }
-        let contested = |id: &str| against.get(id).is_some_and(|w| *w >= CONTESTED);
-        let observations = self.observer.borrow_mut().reports(now, contested);
+        let is_disputed = |id: &str| weight_against.get(id).is_some_and(|w| *w >= DISPUTED_WEIGHT);
+        let observations = self.observer.borrow_mut().reports(now, is_disputed);
         let mut seqs = self.seqs.borrow_mut();
         if seqs.len() > 1024 {
             // Servers come and go. Those told of lately are kept, as their words count on.
@@ -127,19 +132,19 @@
                 table.observations(now).map(|(row, _)| row.server.as_str()).collect();
             seqs.retain(|id, _| observed.contains(id.as_str()));
         }
-        let row = |n: Evidence| {
-            let seq = seqs.entry(n.server.clone()).or_default();
+        let row = |evidence: Evidence| {
+            let seq = seqs.entry(evidence.server.clone()).or_default();
             *seq += 1;
             ObservationRow {
                 observer: name.to_owned(),
                 incarnation,
                 seq: *seq,
-                failing: hundredths(n.failing),
-                slow: hundredths(n.slow),
-                unreached: (n.unreached * 100.0).round() as u32,
-                goods: n.goods,
+                failing: hundredths(evidence.failing),
+                slow: hundredths(evidence.slow),
+                unreached: (evidence.unreached * 100.0).round() as u32,
+                goods: evidence.goods,
                 ago: 0,
-                server: n.server,
+                server: evidence.server,
             }
         };
         observations.into_iter().map(row).collect()
@@ -170,26 +175,27 @@
         self.observer.borrow_mut().set_unhealthy(&unhealthy);
         let ready = || members.iter().filter(|row| row.state == member_state::READY);
         // Who tries it stands as near to it as there are any.
-        let probes = |id: &str| {
+        let is_prober = |id: &str| {
             let zone = zones.get(id).copied().unwrap_or_default();
             let region = node.zones.iter().find(|(z, _)| z == zone).map_or("", |(_, region)| region);
-            let near: Vec<&str> = ready().filter(|r| r.zone == zone).map(|r| r.name.as_str()).collect();
-            let around: Vec<&str> = ready().filter(|r| r.region == region).map(|r| r.name.as_str()).collect();
-            let names = match (near.is_empty(), around.is_empty()) {
-                (false, _) => near,
-                (true, false) => around,
+            let in_zone: Vec<&str> = ready().filter(|r| r.zone == zone).map(|r| r.name.as_str()).collect();
+            let in_region: Vec<&str> =
+                ready().filter(|r| r.region == region).map(|r| r.name.as_str()).collect();
+            let names = match (in_zone.is_empty(), in_region.is_empty()) {
+                (false, _) => in_zone,
+                (true, false) => in_region,
                 _ => ready().map(|r| r.name.as_str()).collect(),
             };
-            let turn = (time / PROBE_TURN) as u64;
-            let number = id.bytes().fold(turn.wrapping_mul(0x9e37_79b9_7f4a_7c15), |x, b| {
-                (x ^ u64::from(b)).wrapping_mul(PRIME)
+            let rotation = (time / PROBE_ROTATION_INTERVAL) as u64;
+            let number = id.bytes().fold(rotation.wrapping_mul(0x9e37_79b9_7f4a_7c15), |x, b| {
+                (x ^ u64::from(b)).wrapping_mul(FNV_PRIME)
             });
             owner_of(number, names.into_iter()) == Some(node.node_name.as_str())
         };
         let standing = |id: &String| match detector.state(id) {
             HealthState::Healthy => Standing::Well,
             HealthState::Returning => Standing::Returning,
-            _ if detector.is_due(now, id) && probes(id) => Standing::Tried,
+            _ if detector.is_due(now, id) && is_prober(id) => Standing::Tried,
             HealthState::Suspect => Standing::Doubtful,
             HealthState::Ejected => Standing::Shunned,
         };
@@ -220,7 +226,7 @@
     /// How a server of a service is to be used. Where servers have turned something away of late there is no room for
     /// what others would have to take.
     pub fn standing(&self, now: Millis, service: &str, id: &str) -> Standing {
-        if self.full.borrow().get(service).is_some_and(|at| now - at < NO_ROOM) {
+        if self.saturated_at.borrow().get(service).is_some_and(|at| now - at < SATURATION_HOLD) {
             return Standing::Well;
         }
         self.standings.borrow().get(id).copied().unwrap_or_default()
--- a/crates/proxy/src/outlier_ejection/tests.rs
+++ b/crates/proxy/src/outlier_ejection/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_told_is_read_back_alike() {
+fn an_observation_row_round_trips_and_weights_are_clamped() {
     let evidence = Evidence {
         server: "i-1".into(),
         observer: "edge-1".into(),
--- a/crates/proxy/src/quota_backlog.rs
+++ b/crates/proxy/src/quota_backlog.rs
@@ -15,11 +15,11 @@
 /// later than it hears that it does not, ms.
 const VIEW_LAG: Millis = 1000.0;
 /// Limiters that owned counters and do so no more are remembered for this long, ms: longer than any bucket takes to be empty.
-const REMEMBERED: Millis = 30_000.0;
+const FORMER_OWNER_RETENTION: Millis = 30_000.0;
 /// A bucket that is empty and was not reported to for this long is forgotten, ms: longer than the rule's window.
 const IDLE: Millis = 10_000.0;
 /// Width of the parts in which the last window of admissions is kept, ms.
-const PART: Millis = 250.0;
+const PART_WIDTH: Millis = 250.0;
 /// The longest backlog that a report may raise a bucket to, in bursts: what was admitted beyond a quota is owed no longer.
 const MAX_BACKLOG_BURSTS: f64 = 5.0;
 
@@ -82,7 +82,7 @@
 
     /// Notes what was reported, and returns how much of it is beyond what may run in a window.
     fn note(&mut self, now: Millis, requests: f64, bounds: &QuotaBounds) -> f64 {
-        let from = (now / PART).floor() * PART;
+        let from = (now / PART_WIDTH).floor() * PART_WIDTH;
         match self.reported.back_mut().filter(|part| part.from >= from) {
             Some(part) => {
                 part.requests += requests;
@@ -169,9 +169,10 @@
         }
         let bucket = self.buckets.entry(tenant).or_default();
         bucket.leak(now);
-        let most = MAX_BACKLOG_BURSTS * bounds.time_of(bounds.burst);
+        let max_backlog = MAX_BACKLOG_BURSTS * bounds.time_of(bounds.burst);
         let admitted = f64::from(report.admitted);
-        bucket.backlog = bucket.backlog.max(f64::from(report.backlog).min(most)) + bounds.time_of(admitted);
+        bucket.backlog =
+            bucket.backlog.max(f64::from(report.backlog).min(max_backlog)) + bounds.time_of(admitted);
         let room = (bounds.burst - bucket.backlog * bounds.rate / 1000.0).max(0.0).floor();
         let granted = room.min(f64::from(report.wanted));
         bucket.backlog += bounds.time_of(granted);
@@ -195,7 +196,7 @@
         }
         let removed: Vec<String> =
             before.iter().filter(|name| self.owners.binary_search(name).is_err()).cloned().collect();
-        self.former_owners.retain(|(at, _)| now - at < REMEMBERED);
+        self.former_owners.retain(|(at, _)| now - at < FORMER_OWNER_RETENTION);
         if !removed.is_empty() {
             self.former_owners.push((now, removed));
         }
--- a/crates/proxy/src/quota_backlog/tests.rs
+++ b/crates/proxy/src/quota_backlog/tests.rs
@@ -6,7 +6,7 @@
     QuotaBounds { rate: 100.0, burst: 60.0, credit: 2.0, limiters: 10.0, reported: 700.0, window: 5000.0 };
 const TENANT: CustomerId = CustomerId(7);
 
-fn owner(since: Millis) -> OwnedBacklogs {
+fn backlogs(since: Millis) -> OwnedBacklogs {
     OwnedBacklogs::new(since, "me".into())
 }
 
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn an_owner_that_has_just_started_gives_out_the_rate_and_no_burst() {
-    let mut owned = owner(1000.0);
+fn a_new_owner_grants_the_rate_without_a_burst() {
+    let mut owned = backlogs(1000.0);
     assert_eq!(owned.report(1000.0, TENANT, wanted(50), &BOUNDS), (600.0, 0));
     assert_eq!(owned.report(1100.0, TENANT, wanted(50), &BOUNDS), (600.0, 10));
     // One whose tenants come later has waited as long for them.
@@ -43,12 +43,12 @@
 }
 
 #[test]
-fn whatever_restarts_an_owner_a_window_sees_no_more_than_rate_and_burst() {
-    let mut owned = owner(-1000.0);
+fn owner_restarts_do_not_exceed_rate_and_burst_per_window() {
+    let mut owned = backlogs(-1000.0);
     let mut granted = 0;
     for ms in 0..5000 {
         if ms % 700 == 0 {
-            owned = owner(f64::from(ms) - if ms == 0 { 1000.0 } else { 0.0 });
+            owned = backlogs(f64::from(ms) - if ms == 0 { 1000.0 } else { 0.0 });
         }
         granted += owned.report(f64::from(ms), TENANT, wanted(5), &BOUNDS).1;
     }
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn a_new_owner_takes_over_the_backlog_that_limiters_have_heard() {
-    let mut owned = owner(0.0);
+fn a_new_owner_adopts_the_backlog_in_reports_up_to_a_limit() {
+    let mut owned = backlogs(0.0);
     let report = Report { admitted: 1, wanted: 10, backlog: 1500 };
     assert_eq!(owned.report(0.0, TENANT, report, &BOUNDS), (1510.0, 0));
     // Not without an end: a limiter of other bounds, or a faulty one, may say anything.
@@ -66,9 +66,9 @@
 }
 
 #[test]
-fn a_tenant_that_is_owned_again_begins_anew_and_one_that_others_have_reported_early_stays() {
+fn a_reacquired_tenant_starts_full_and_an_early_report_is_kept() {
     let (with_first, without, first) = names(TENANT);
-    let mut owned = owner(-10_000.0);
+    let mut owned = backlogs(-10_000.0);
     owned.set_owners(-10_000.0, without.clone());
     owned.report(0.0, TENANT, admitted(0), &BOUNDS);
     owned.set_owners(1000.0, with_first.clone());
@@ -82,24 +82,24 @@
 }
 
 #[test]
-fn a_tenant_that_was_idle_is_not_rejected_because_other_limiters_come_and_go() {
+fn unrelated_membership_changes_do_not_fill_an_idle_tenants_bucket() {
     let (with_first, without, _) = names(TENANT);
-    let mut owned = owner(-10_000.0);
+    let mut owned = backlogs(-10_000.0);
     // None of these owned it.
     owned.set_owners(-10_000.0, without.clone());
     owned.set_owners(0.0, without[1..].to_vec());
     assert_eq!(owned.report(100.0, TENANT, wanted(10), &BOUNDS), (100.0, 10));
     // One of these did.
-    let mut owned = owner(-10_000.0);
+    let mut owned = backlogs(-10_000.0);
     owned.set_owners(-10_000.0, with_first);
     owned.set_owners(0.0, without.clone());
     assert_eq!(owned.report(100.0, TENANT, wanted(10), &BOUNDS), (600.0, 10));
 }
 
 #[test]
-fn one_that_others_take_for_the_owner_before_it_does_itself_gives_out_no_burst() {
+fn a_limiter_reported_to_before_it_owns_a_tenant_grants_no_burst() {
     let (with_first, _, _) = names(TENANT);
-    let mut owned = owner(-10_000.0);
+    let mut owned = backlogs(-10_000.0);
     owned.set_owners(-10_000.0, with_first);
     assert!(!owned.has(TENANT));
     assert_eq!(owned.report(0.0, TENANT, wanted(10), &BOUNDS), (600.0, 0));
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn what_was_counted_alone_says_nothing_of_what_others_counted_meanwhile() {
+fn buckets_counted_alone_are_dropped_on_rejoining() {
     let (_, without, _) = names(TENANT);
-    let mut owned = owner(-10_000.0);
+    let mut owned = backlogs(-10_000.0);
     owned.set_owners(-10_000.0, without.clone());
     owned.set_owners(0.0, vec!["me".to_owned()]);
     owned.report(1000.0, TENANT, admitted(1), &BOUNDS);
@@ -118,8 +118,8 @@
 }
 
 #[test]
-fn what_is_reported_beyond_a_window_is_counted() {
-    let mut owned = owner(0.0);
+fn reports_above_the_window_bound_count_as_overrun() {
+    let mut owned = backlogs(0.0);
     for second in 0..5 {
         owned.report(f64::from(second) * 1000.0, TENANT, admitted(140), &BOUNDS);
     }
@@ -129,10 +129,10 @@
 }
 
 #[test]
-fn a_lower_bound_is_counted_against_one_window_after_it_was_set() {
+fn a_lower_bound_applies_one_window_after_it_was_set() {
     // An owner that loses the core gives out its own part alone: what it counted before was not too much.
     let lower = QuotaBounds { rate: 10.0, reported: 70.0, ..BOUNDS };
-    let mut owned = owner(0.0);
+    let mut owned = backlogs(0.0);
     owned.report(0.0, TENANT, admitted(300), &BOUNDS);
     owned.report(4000.0, TENANT, admitted(30), &lower);
     assert_eq!(owned.overrun(), 0.0);
@@ -141,8 +141,8 @@
 }
 
 #[test]
-fn buckets_that_are_empty_and_idle_are_forgotten() {
-    let mut owned = owner(0.0);
+fn empty_idle_buckets_are_removed() {
+    let mut owned = backlogs(0.0);
     owned.report(0.0, TENANT, admitted(1), &BOUNDS);
     owned.report(25_000.0, CustomerId(8), admitted(1), &BOUNDS);
     assert_eq!(owned.len(), 1);
--- a/crates/proxy/src/quota_counter.rs
+++ b/crates/proxy/src/quota_counter.rs
@@ -35,9 +35,9 @@
 use tokio::time::Instant;
 
 /// Additions are gathered for this long.
-const GATHER: Duration = Duration::from_millis(25);
+const BATCH_DELAY: Duration = Duration::from_millis(25);
 /// The same where a request waits for the owner.
-const GATHER_ASKED: Duration = Duration::from_millis(4);
+const URGENT_BATCH_DELAY: Duration = Duration::from_millis(4);
 /// How long an owner may take to answer: on a tenth of a core and in another region, 400 ms are not rare.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// A call is slow for the decision module beyond a part of this, ms, and it pauses for as long after failures.
@@ -48,9 +48,9 @@
 /// all limiters between two syncs comes on top of its burst.
 const SYNC_INTERVAL: Millis = 100.0;
 /// Share of a burst that a limiter leaves untold until then.
-const UNTOLD_SHARE: f64 = 0.1;
+const UNREPORTED_SHARE: f64 = 0.1;
 /// Share of a burst that all limiters together leave untold until then.
-const UNTOLD_SHARE_OF_ALL: f64 = 0.6;
+const TOTAL_UNREPORTED_SHARE: f64 = 0.6;
 /// Less than that share of a burst is told after this, ms: a call to an owner in another region is expensive.
 const FLUSH_AFTER: Millis = 3000.0;
 /// The longest lifetime of a counter, ms.
@@ -173,7 +173,7 @@
             if !std::mem::replace(&mut has_asked, true) {
                 self.count(|counts| counts.waited += 1);
                 self.with_credit(customer, TenantCredit::want);
-                self.report_now(customer, GATHER_ASKED);
+                self.report_now(customer, URGENT_BATCH_DELAY);
             }
             if tokio::time::timeout_at(deadline, answered).await.is_err() {
                 self.count(|counts| counts.given_up += 1);
@@ -206,7 +206,7 @@
         let is_report_due = result.is_ok() && self.credits.borrow_mut().spend(customer);
         self.carry_out(actions);
         if is_report_due || is_sampled && result.is_ok() {
-            self.report_now(customer, GATHER);
+            self.report_now(customer, BATCH_DELAY);
         }
         result
     }
@@ -216,10 +216,10 @@
     }
 
     /// Reports what was admitted of a tenant, without waiting for the decision module to tell its counter.
-    fn report_now(self: &Rc<Self>, customer: CustomerId, gather: Duration) {
+    fn report_now(self: &Rc<Self>, customer: CustomerId, delay: Duration) {
         if self.with_credit(customer, |credit| credit.has_report()) == Some(true) {
             self.queue(customer, QuotaAdd { name: NO_COUNTER, ..QuotaAdd::default() }, true);
-            self.schedule_flush(gather);
+            self.schedule_flush(delay);
         }
     }
 
@@ -239,12 +239,12 @@
             };
             self.queue(customer, QuotaAdd { name: name.0, add, ttl, ..QuotaAdd::default() }, reports);
         }
-        self.schedule_flush(GATHER);
+        self.schedule_flush(BATCH_DELAY);
     }
 
-    /// Sends what is queued after `gather`, or sooner if that is planned.
-    fn schedule_flush(self: &Rc<Self>, gather: Duration) {
-        let due = Instant::now() + gather;
+    /// Sends what is queued after `delay`, or sooner if that is planned.
+    fn schedule_flush(self: &Rc<Self>, delay: Duration) {
+        let due = Instant::now() + delay;
         let is_planned = self.flush_due.get().is_some_and(|planned| planned <= due);
         if self.pending.borrow().is_empty() || is_planned {
             return;
@@ -281,8 +281,8 @@
             return;
         }
         if before.is_some_and(|before| (before == ALONE) != (fingerprint == ALONE)) {
-            let whom = if fingerprint == ALONE { "alone, by its own part" } else { "with the others" };
-            log::info!("quotas: counts {}", whom);
+            let mode = if fingerprint == ALONE { "alone, by its own part" } else { "with the others" };
+            log::info!("quotas: counts {}", mode);
         }
         let owners = owner_names(&self.view, &self.node_name);
         self.backlogs.borrow_mut().set_owners(self.view.now(), owners);
@@ -329,11 +329,11 @@
     fn settle_reports(&self, adds: &[QuotaAdd], answer: &Result<QuotaTotals, RpcError>, took: Millis) {
         let now = self.view.now();
         let reports: Vec<&QuotaAdd> = adds.iter().filter(|add| add.tenant != 0).collect();
-        let is_whole = |totals: &QuotaTotals| {
+        let is_complete = |totals: &QuotaTotals| {
             totals.backlogs.len() == reports.len() && totals.granted.len() == reports.len()
         };
         let (backlogs, granted) = match answer {
-            Ok(totals) if is_whole(totals) => (totals.backlogs.as_slice(), totals.granted.as_slice()),
+            Ok(totals) if is_complete(totals) => (totals.backlogs.as_slice(), totals.granted.as_slice()),
             // It answers as an older version does: there is nothing to wait for.
             Ok(totals) if totals.backlogs.is_empty() && totals.totals.len() == adds.len() => {
                 (&[][..], &[][..])
@@ -378,12 +378,12 @@
         };
         let totals = adds.iter().map(total).collect();
         let reports = adds.iter().filter(|add| add.tenant != 0);
-        let (backlogs, granted) = reports.map(|add| self.take_in_report(now, add)).unzip();
+        let (backlogs, granted) = reports.map(|add| self.receive_report(now, add)).unzip();
         QuotaTotals { totals, backlogs, granted }
     }
 
     /// Takes in a report of admissions. The backlog and 1, or 0 if the tenant is not known here; and how much is granted.
-    fn take_in_report(&self, now: Millis, add: &QuotaAdd) -> (u32, u32) {
+    fn receive_report(&self, now: Millis, add: &QuotaAdd) -> (u32, u32) {
         let tenant = CustomerId(add.tenant);
         let Some(bounds) = self.credits.borrow().bounds(tenant) else { return (0, add.wanted) };
         // A limiter that counted alone until now has to forget that first, and one that is met for the first time may be new here.
@@ -493,6 +493,6 @@
         counter_timeout: COUNTER_TIMEOUT,
         sync_every: SYNC_INTERVAL,
         flush_after: FLUSH_AFTER,
-        sync_share: UNTOLD_SHARE.min(UNTOLD_SHARE_OF_ALL / limiters),
+        sync_share: UNREPORTED_SHARE.min(TOTAL_UNREPORTED_SHARE / limiters),
     }
 }
--- a/crates/proxy/src/quota_credit.rs
+++ b/crates/proxy/src/quota_credit.rs
@@ -14,9 +14,9 @@
 /// An owner that has not answered to anything for this long is silent, ms: longer than an answer may take.
 const OWNER_TIMEOUT: Millis = 800.0;
 /// A backlog that was received longer ago is not reported to an owner, ms: it has leaked, or another has counted on.
-const REPORTED_FOR: Millis = 5000.0;
+const BACKLOG_MAX_AGE: Millis = 5000.0;
 /// What was granted is to be used within this, ms: its request may have been given up.
-const GRANTED_FOR: Millis = 1000.0;
+const GRANT_VALIDITY: Millis = 1000.0;
 /// What was not asked for this long is forgotten, ms.
 const IDLE: Millis = 30_000.0;
 
@@ -112,7 +112,7 @@
     /// Whether one more request may be admitted.
     pub fn check(&mut self, now: Millis, bounds: &QuotaBounds) -> CreditVerdict {
         self.used_at = now;
-        if self.granted > 0 && now - self.granted_at <= GRANTED_FOR {
+        if self.granted > 0 && now - self.granted_at <= GRANT_VALIDITY {
             return CreditVerdict::Granted;
         }
         self.granted = 0;
@@ -125,9 +125,9 @@
         };
         if let Some(received) = self.received {
             let backlog = (received.backlog - (now - received.answered_at)).max(0.0);
-            let beyond = backlog + bounds.time_of(self.outstanding.max(0.0) + 1.0 - bounds.burst);
-            if beyond > 0.0 {
-                return CreditVerdict::UsedUp(beyond);
+            let excess = backlog + bounds.time_of(self.outstanding.max(0.0) + 1.0 - bounds.burst);
+            if excess > 0.0 {
+                return CreditVerdict::UsedUp(excess);
             }
             credit = bounds.credit + bounds.shared_burst(backlog);
         }
@@ -169,7 +169,7 @@
         let admitted = self.unreported.floor();
         self.unreported -= admitted;
         // From when it was asked for: what an owner hears must not grow on its way there and back.
-        let received = self.received.filter(|received| now - received.asked_at < REPORTED_FOR);
+        let received = self.received.filter(|received| now - received.asked_at < BACKLOG_MAX_AGE);
         let backlog = received.map_or(0.0, |received| received.backlog - (now - received.asked_at)).max(0.0);
         Report {
             admitted: admitted as u32,
@@ -215,7 +215,7 @@
     }
 
     /// Whether nothing is left to remember.
-    pub fn is_forgettable(&self, now: Millis) -> bool {
+    pub fn is_idle(&self, now: Millis) -> bool {
         now - self.used_at > IDLE
     }
 
@@ -281,7 +281,7 @@
     fn forget_idle(&mut self, now: Millis) {
         if now - self.forgotten_at >= IDLE {
             self.forgotten_at = now;
-            self.credits.retain(|_, credit| !credit.is_forgettable(now));
+            self.credits.retain(|_, credit| !credit.is_idle(now));
         }
     }
 
--- a/crates/proxy/src/quota_credit/tests.rs
+++ b/crates/proxy/src/quota_credit/tests.rs
@@ -22,15 +22,15 @@
 }
 
 /// A tenant whose owner has just said that its burst is given out but for a few requests.
-fn nearly_used_up(now: Millis) -> TenantCredit {
+fn nearly_exhausted_credit(now: Millis) -> TenantCredit {
     let mut credit = TenantCredit::new(now, SINCE, 0.0);
     credit.on_answer(now, 0.0, report(0), Some(550.0), 0);
     credit
 }
 
 #[test]
-fn without_an_answer_credit_is_used_up_and_comes_back_at_this_limiters_part_of_the_rate() {
-    let mut credit = nearly_used_up(0.0);
+fn without_an_answer_credit_recovers_at_the_limiters_share_of_the_rate() {
+    let mut credit = nearly_exhausted_credit(0.0);
     assert_eq!(admitted_at(&mut credit, 0.0, &BOUNDS), 2);
     assert_eq!(credit.check(0.0, &BOUNDS), CreditVerdict::AskOwner);
     // The backlog leaks meanwhile: of what the burst has again each limiter has its part, once.
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn an_answer_gives_back_what_was_reported_and_a_full_backlog_closes() {
-    let mut credit = nearly_used_up(0.0);
+fn an_answer_restores_credit_and_a_full_backlog_rejects() {
+    let mut credit = nearly_exhausted_credit(0.0);
     assert_eq!(admitted_at(&mut credit, 0.0, &BOUNDS), 2);
     let first = credit.take_report(0.0);
     assert_eq!((first.admitted, first.wanted), (2, 0));
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn what_was_lost_stays_outstanding_and_is_reported_again_after_the_next_answer() {
-    let mut credit = nearly_used_up(0.0);
+fn a_lost_report_stays_outstanding_and_is_resent_after_the_next_answer() {
+    let mut credit = nearly_exhausted_credit(0.0);
     admitted_at(&mut credit, 0.0, &BOUNDS);
     let lost = credit.take_report(0.0);
     credit.on_lost(lost);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_fraction_of_a_request_is_rounded_so_that_the_sum_is_right_and_the_rest_asks() {
+fn fractional_credit_is_rounded_so_that_limiters_sum_to_the_total() {
     let bounds = QuotaBounds { credit: 0.25, burst: 0.0, ..BOUNDS };
     let admitted: u32 = (0..100)
         .map(|limiter| {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_an_owner_grants_is_admitted_once_and_in_time_only() {
+fn a_grant_is_used_once_and_expires() {
     let bounds = QuotaBounds { credit: 0.0, ..BOUNDS };
     let mut credit = TenantCredit::new(0.0, 0.0, 0.0);
     assert_eq!(credit.check(0.0, &bounds), CreditVerdict::AskOwner);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_is_reported_of_a_backlog_does_not_grow_on_its_way() {
+fn a_reported_backlog_leaks_while_in_transit() {
     let mut credit = TenantCredit::new(0.0, 0.0, 0.0);
     credit.on_answer(300.0, 300.0, report(0), Some(1000.0), 0);
     assert_eq!(credit.take_report(400.0).backlog, 600);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn tenants_that_are_idle_are_forgotten() {
+fn idle_tenants_are_removed() {
     let tenant = CustomerId(7);
     let mut credits = TenantCredits::new(0.0);
     assert_eq!(credits.check(0.0, tenant, || 0.0), CreditVerdict::Granted, "it has no quota");
--- a/crates/proxy/src/quota_plan.rs
+++ b/crates/proxy/src/quota_plan.rs
@@ -12,7 +12,7 @@
 /// What was admitted beyond the quota, up to so many bursts, is paid back before anything else is admitted.
 const MAX_DEBT_BURSTS: f64 = 4.0;
 /// A tenant under pressure asks for so many times its rate beyond it: what is admitted unheard is sized by that.
-const PRESSURE: f64 = 3.7;
+const OVERLOAD_FACTOR: f64 = 3.7;
 /// For how long limiters admit requests before they have heard of each other's, s.
 const PROPAGATION_S: f64 = 0.2;
 /// How much longer for each limiter, s: each reports every request, and has one more rarely the more limiters there are.
@@ -61,9 +61,10 @@
     }
     let allowed = allowed_in_window(rate, burst, allowance);
     let burst = burst_of(rate, burst);
-    let given = RATE_SHARE * rate * allowance.window;
-    let unheard = PRESSURE * rate * (PROPAGATION_S + PROPAGATION_PER_LIMITER_S * allowance.limiters);
-    let room = if allowance.window > 0.0 { allowed - given - unheard } else { burst };
+    let sustained = RATE_SHARE * rate * allowance.window;
+    let unreported =
+        OVERLOAD_FACTOR * rate * (PROPAGATION_S + PROPAGATION_PER_LIMITER_S * allowance.limiters);
+    let room = if allowance.window > 0.0 { allowed - sustained - unreported } else { burst };
     Plan {
         rate: rate * RATE_SHARE,
         burst: room.max(MIN_BURST_SHARE * burst).min(MAX_BURST_SHARE * burst).max(1.0),
--- a/crates/proxy/src/quota_plan/tests.rs
+++ b/crates/proxy/src/quota_plan/tests.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn a_tenant_has_one_number_at_all_limiters_and_no_other_has_it() {
+fn tenant_numbers_are_stable_and_unique() {
     // A limiter that started after a tenant had come and gone counted the rest one place further on.
     let numbers: BTreeSet<u64> = (0..5000).map(|i| tenant_number(&format!("t{i}")).0).collect();
     assert_eq!(numbers.len(), 5000);
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -213,7 +213,7 @@
     /// Takes in what has changed: a new edition, servers and limiters.
     pub fn refresh(&self) {
         let node = self.settings.settings();
-        self.take_new_edition(&node);
+        self.apply_new_edition(&node);
         let Some(snapshot) = self.snapshot.borrow().clone() else { return };
         if self.plans.is_outdated() {
             self.plans.update(&snapshot, &node.bounds);
@@ -223,7 +223,7 @@
         self.pools.update(&snapshot, &node, &catalog, &self.outliers, &self.outcomes);
     }
 
-    fn take_new_edition(&self, node: &NodeSettings) {
+    fn apply_new_edition(&self, node: &NodeSettings) {
         let edition = self.view.edition();
         let current = self.snapshot.borrow().as_ref().map_or(0, |snapshot| snapshot.edition);
         let agreed = self.view.agreed_state();
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -292,7 +292,7 @@
             let in_subset = select_servers(context.ready, &ids_and_zones);
             let standing = |row: &ServerRow| context.outliers.standing(at, name, &row.id);
             let is_blind = now - self.started_at < BLIND_AFTER_START;
-            let takes_warming = |row: &ServerRow| {
+            let accepts_warming = |row: &ServerRow| {
                 !is_blind
                     && !removed.contains_key(&row.id)
                     && warmup.shares.includes(context.active, &row.id, &row.zone)
@@ -301,7 +301,7 @@
             let mut members = Vec::new();
             for ((row, warmup_left), is_in_subset) in candidates.iter().zip(in_subset) {
                 let is_selected = if *warmup_left > 0.0 {
-                    takes_warming(row)
+                    accepts_warming(row)
                 } else {
                     // Whoever probes an unhealthy server is drawn from all limiters, whichever subset it is in.
                     is_in_subset || standing(row) == Standing::Tried
@@ -320,19 +320,19 @@
             }
             Selection { members, candidates: candidates.len() }
         });
-        pool.forget_all_but(&selection.members, &mut removed, now);
+        pool.retain_members(&selection.members, &mut removed, now);
         selection
     }
 }
 
 impl ServicePool {
     /// Drops what is known of servers that are no longer members, and notes when each was removed.
-    fn forget_all_but(&self, members: &[Member], removed: &mut HashMap<String, Millis>, now: Millis) {
+    fn retain_members(&self, members: &[Member], removed: &mut HashMap<String, Millis>, now: Millis) {
         let is_member = |id: &str| members.iter().any(|member| member.id == id);
         self.warmups.borrow_mut().retain(|id, _| is_member(id));
         let before = self.members.borrow();
-        let gone = before.iter().filter(|member| !is_member(&member.id));
-        removed.extend(gone.map(|member| (member.id.clone(), now)));
+        let departed = before.iter().filter(|member| !is_member(&member.id));
+        removed.extend(departed.map(|member| (member.id.clone(), now)));
     }
 }
 
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -176,8 +176,8 @@
     /// Holds a session, for the life of the process.
     pub async fn run(self: Rc<Self>) {
         let (states, observations) = (self.clone(), self.clone());
-        tokio::task::spawn_local(async move { observations.tell_strong_observations().await });
-        tokio::task::spawn_local(async move { states.tell_state_changes().await });
+        tokio::task::spawn_local(async move { observations.send_strong_observations().await });
+        tokio::task::spawn_local(async move { states.send_state_changes().await });
         let mut next: VecDeque<Ipv4Addr> = VecDeque::new();
         let mut positions: HashMap<Ipv4Addr, ReplicationPosition> = HashMap::new();
         loop {
@@ -232,7 +232,7 @@
     }
 
     /// Tells changes of state besides the call that may be held just now.
-    async fn tell_state_changes(&self) {
+    async fn send_state_changes(&self) {
         loop {
             self.state_changed.notified().await;
             for _ in 0..STATE_CHANGE_CALLS {
@@ -245,7 +245,7 @@
     }
 
     /// Tells what makes a server suspect besides the call that may be held just now.
-    async fn tell_strong_observations(&self) {
+    async fn send_strong_observations(&self) {
         loop {
             self.strong_observation.notified().await;
             if let Some(ip) = self.core_machine.get() {
--- a/crates/proxy/src/subsetting/tests.rs
+++ b/crates/proxy/src/subsetting/tests.rs
@@ -11,45 +11,45 @@
         .collect()
 }
 
-fn spread(zones: &[(String, String)], what: &str, many: usize) -> Vec<(String, String)> {
-    (0..many).map(|i| (format!("{what}-{i}"), zones[i % zones.len()].0.clone())).collect()
+fn spread(zones: &[(String, String)], prefix: &str, count: usize) -> Vec<(String, String)> {
+    (0..count).map(|i| (format!("{prefix}-{i}"), zones[i % zones.len()].0.clone())).collect()
 }
 
 fn borrowed(all: &[(String, String)]) -> Vec<(&str, &str)> {
     all.iter().map(|(a, b)| (a.as_str(), b.as_str())).collect()
 }
 
-fn all_casts(
+fn all_selections(
     zones: &[(String, String)],
     limiters: &[(String, String)],
     servers: &[(&str, &str)],
 ) -> Vec<Vec<bool>> {
-    let every_change =
+    let select =
         |(name, zone): &(String, String)| select_servers(&Placement { zones, name, zone, limiters }, servers);
-    limiters.iter().map(every_change).collect()
+    limiters.iter().map(select).collect()
 }
 
 #[test]
-fn a_small_fleet_takes_all() {
+fn all_servers_of_a_small_fleet_are_selected() {
     let zones = zones(2);
     let (limiters, servers) = (spread(&zones, "l", 9), spread(&zones, "s", 12));
-    let selections = all_casts(&zones, &limiters, &borrowed(&servers));
+    let selections = all_selections(&zones, &limiters, &borrowed(&servers));
     assert!(selections.iter().flatten().all(|taken| *taken));
 }
 
 #[test]
-fn a_large_fleet_takes_slices_that_cover_each_server_evenly_and_each_region() {
+fn slices_of_a_large_fleet_cover_servers_evenly_and_reach_each_region() {
     for (regions, limiters, servers) in [(2, 87, 189), (3, 85, 135), (2, 87, 89), (3, 85, 64), (2, 300, 450)]
     {
         let zones = zones(regions);
         let (limiters, servers) = (spread(&zones, "l", limiters), spread(&zones, "s", servers));
         let servers = borrowed(&servers);
-        let selections = all_casts(&zones, &limiters, &servers);
+        let selections = all_selections(&zones, &limiters, &servers);
         let times = |at: usize, near: bool| {
             let by = limiters
                 .iter()
                 .zip(&selections)
-                .filter(|((_, zone), select_servers)| select_servers[at] && (zone == servers[at].1) == near);
+                .filter(|((_, zone), selection)| selection[at] && (zone == servers[at].1) == near);
             by.count()
         };
         for zone in &zones {
@@ -58,12 +58,12 @@
             let (least, most) = (near.iter().min().expect("some"), near.iter().max().expect("some"));
             assert!(*least >= 1 && most - least <= 2, "{}: {near:?}", zone.0);
         }
-        for (select_servers, (_, zone)) in selections.iter().zip(&limiters) {
-            let many = select_servers.iter().filter(|taken| **taken).count();
-            assert!(many <= 40, "{many}");
+        for (selection, (_, zone)) in selections.iter().zip(&limiters) {
+            let count = selection.iter().filter(|taken| **taken).count();
+            assert!(count <= 40, "{count}");
             for region in ["a", "b", "c"].iter().take(regions) {
                 let there =
-                    (0..servers.len()).filter(|at| select_servers[*at] && servers[*at].1.starts_with(region));
+                    (0..servers.len()).filter(|at| selection[*at] && servers[*at].1.starts_with(region));
                 assert!(there.count() >= FAR_SERVERS, "{zone} reaches too few of {region}");
             }
         }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn who_comes_or_goes_moves_little() {
+fn adding_or_removing_one_member_changes_few_selections() {
     let zones = zones(2);
     let (limiters, servers) = (spread(&zones, "l", 87), spread(&zones, "s", 189));
     let servers = borrowed(&servers);
