--- a/crates/proxy/tests/apart.rs
+++ b/crates/proxy/tests/apart.rs
@@ -16,38 +16,40 @@
 const RATE: f64 = 83.0;
 const BURST: f64 = 83.0;
 const WINDOW: f64 = 5.0;
-const LATE: Millis = 45.0;
-const TICK: usize = 50;
-const CUT: usize = 10_000;
-const JOINED: usize = 26_000;
-const END: usize = 36_000;
+const ROUND_TRIP: Millis = 45.0;
+const TICK_INTERVAL_MS: usize = 50;
+const PARTITION_START_MS: usize = 10_000;
+const PARTITION_END_MS: usize = 26_000;
+const END_MS: usize = 36_000;
 
 /// What limiters see of each other, and whether that matters to them.
 #[derive(Clone, Copy)]
-struct Sight {
+struct PartitionScenario {
     /// Limiters from this one on are cut off from the others.
-    first: usize,
+    first_separated: usize,
     /// From then on the tenant presses, ms.
-    hot: usize,
+    overload_start: usize,
     /// As it was before: each side gives out the whole.
-    is_snapshot: bool,
+    gives_out_whole_quota: bool,
 }
 
 fn name(limiter: usize) -> String {
     format!("edge-{limiter}")
 }
 
-impl Sight {
+impl PartitionScenario {
     fn reaches(&self, ms: usize, one: usize, other: usize) -> bool {
-        !(CUT..JOINED).contains(&ms) || (one >= self.first) == (other >= self.first)
+        !(PARTITION_START_MS..PARTITION_END_MS).contains(&ms)
+            || (one >= self.first_separated) == (other >= self.first_separated)
     }
 
     /// How the others stand to this limiter: the core is on the larger side, where sessions end; a call was held for half
     /// a second before.
     fn members(&self, ms: usize, one: usize, limiters: usize) -> Vec<(MemberRow, Millis)> {
         let row = |other: usize| {
-            let ago = if self.reaches(ms, one, other) { 300.0 } else { (ms - CUT) as f64 + 500.0 };
-            let expired = ago > 2000.0 && one < self.first;
+            let ago =
+                if self.reaches(ms, one, other) { 300.0 } else { (ms - PARTITION_START_MS) as f64 + 500.0 };
+            let expired = ago > 2000.0 && one < self.first_separated;
             (
                 MemberRow { name: name(other), expired, state: member_state::READY, ..MemberRow::default() },
                 ago,
@@ -56,26 +58,28 @@
         (0..limiters).filter(|other| *other != one).map(row).collect()
     }
 
-    fn reach(&self, ms: usize, one: usize, limiters: usize) -> QuotaPartition {
-        let confirmed = if self.reaches(ms, one, 0) { 500.0 } else { (ms - CUT) as f64 + 500.0 };
+    fn partition(&self, ms: usize, one: usize, limiters: usize) -> QuotaPartition {
+        let confirmed =
+            if self.reaches(ms, one, 0) { 500.0 } else { (ms - PARTITION_START_MS) as f64 + 500.0 };
         let members = self.members(ms, one, limiters);
-        let reach =
+        let partition =
             QuotaPartition::of(&name(one), members.iter().map(|(row, ago)| (row, *ago)), Some(confirmed));
-        match self.is_snapshot {
-            true => QuotaPartition { separated: 0, is_alone: false, ..reach },
-            false => reach,
+        match self.gives_out_whole_quota {
+            true => QuotaPartition { separated: 0, is_alone: false, ..partition },
+            false => partition,
         }
     }
 
     /// The limiter that keeps this number for this one.
     fn owner_of(&self, ms: usize, one: usize, limiters: usize, number: u64) -> usize {
-        if self.reach(ms, one, limiters).is_alone {
+        if self.partition(ms, one, limiters).is_alone {
             return one;
         }
         let members = self.members(ms, one, limiters);
         let kept = members.iter().filter(|(row, ago)| {
             // Nobody judges sessions where the core is not: before, numbers stayed where they were there.
-            owns_counters(row, *ago) && !(self.is_snapshot && one >= self.first && *ago > 4000.0)
+            owns_counters(row, *ago)
+                && !(self.gives_out_whole_quota && one >= self.first_separated && *ago > 4000.0)
         });
         let names: Vec<&str> = kept.map(|(row, _)| row.name.as_str()).collect();
         let me = name(one);
@@ -93,104 +97,111 @@
 }
 
 /// The worst window as a part of what the rule allows, and what was let through in the cut as a part of the rate.
-fn play(seed: u64, limiters: usize, sight: Sight) -> (f64, f64) {
+fn simulate(seed: u64, limiters: usize, scenario: PartitionScenario) -> (f64, f64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut roll = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
-    let settings = |reach: QuotaPartition| {
-        let share = if reach.is_alone { 1.0 } else { limiters as f64 };
+    let settings = |partition: QuotaPartition| {
+        let share = if partition.is_alone { 1.0 } else { limiters as f64 };
         let allowed =
-            QuotaAllowance { window: WINDOW, over: 0.1, slack: 20.0 * reach.share(), limiters: share };
-        quota_settings(vec![plan(RATE * reach.share(), BURST * reach.share(), allowed)], share)
+            QuotaAllowance { window: WINDOW, over: 0.1, slack: 20.0 * partition.share(), limiters: share };
+        quota_settings(vec![plan(RATE * partition.share(), BURST * partition.share(), allowed)], share)
     };
-    let reaches: Vec<QuotaPartition> = (0..limiters).map(|one| sight.reach(0, one, limiters)).collect();
-    let mut all: Vec<Quotas> =
-        reaches.iter().enumerate().map(|(n, reach)| Quotas::new(settings(*reach), seed ^ n as u64)).collect();
-    let mut planned = reaches;
+    let initial: Vec<QuotaPartition> =
+        (0..limiters).map(|one| scenario.partition(0, one, limiters)).collect();
+    let mut all: Vec<Quotas> = initial
+        .iter()
+        .enumerate()
+        .map(|(n, partition)| Quotas::new(settings(*partition), seed ^ n as u64))
+        .collect();
+    let mut planned_partitions = initial;
     let mut totals: BTreeMap<(usize, CountName), f64> = BTreeMap::new();
     let (mut adds, mut calls) = (Vec::new(), Vec::<Call>::new());
-    let mut ran = Vec::new();
-    for ms in 0..END {
+    let mut admitted_at = Vec::new();
+    for ms in 0..END_MS {
         let now = 60_000.0 + ms as f64;
-        if roll() < if ms < sight.hot { 0.62 } else { 7.5 * 0.62 } * RATE / 1000.0 {
-            let (at, mut wait_until_applied) = ((roll() * limiters as f64) as usize % limiters, Vec::new());
-            let spread = if planned[at].is_alone { 1.0 } else { limiters as f64 };
+        if roll() < if ms < scenario.overload_start { 0.62 } else { 7.5 * 0.62 } * RATE / 1000.0 {
+            let (at, mut actions) = ((roll() * limiters as f64) as usize % limiters, Vec::new());
+            let spread = if planned_partitions[at].is_alone { 1.0 } else { limiters as f64 };
             let draw = Draw { customer: CustomerId(1), units: 1.0, spread, ..Draw::default() };
-            let within = all[at].admit(now, draw, &mut wait_until_applied) == Verdict::Within;
+            let within = all[at].admit(now, draw, &mut actions) == Verdict::Within;
             all[at].record(now, CustomerId(1), 1.0, within);
             if within {
-                ran.push(now);
+                admitted_at.push(now);
             }
-            push(&mut adds, wait_until_applied, now, at);
+            queue_adds(&mut adds, actions, now, at);
         }
-        if ms % TICK == 0 {
+        if ms % TICK_INTERVAL_MS == 0 {
             for at in 0..limiters {
-                let reach = sight.reach(ms, at, limiters);
-                if reach != planned[at] {
-                    all[at].settle(settings(reach));
-                    planned[at] = reach;
+                let partition = scenario.partition(ms, at, limiters);
+                if partition != planned_partitions[at] {
+                    all[at].settle(settings(partition));
+                    planned_partitions[at] = partition;
                 }
                 // Other tenants' keepers answer: only these numbers are out of reach.
-                all[at].counted(now, CountName(0), Outcome::Ok, LATE, 0.0);
-                let mut wait_until_applied = Vec::new();
-                all[at].tick(now, &mut wait_until_applied);
-                push(&mut adds, wait_until_applied, now, at);
+                all[at].counted(now, CountName(0), Outcome::Ok, ROUND_TRIP, 0.0);
+                let mut actions = Vec::new();
+                all[at].tick(now, &mut actions);
+                queue_adds(&mut adds, actions, now, at);
             }
         }
         adds.retain(|(when, from, name, add)| {
-            let comes = *when <= now;
-            if comes {
-                let owner_of = sight.owner_of(ms, *from, limiters, name.0);
-                let total = sight.reaches(ms, *from, owner_of).then(|| {
-                    let total = totals.entry((owner_of, *name)).or_default();
+            let is_due = *when <= now;
+            if is_due {
+                let owner = scenario.owner_of(ms, *from, limiters, name.0);
+                let total = scenario.reaches(ms, *from, owner).then(|| {
+                    let total = totals.entry((owner, *name)).or_default();
                     *total += add;
                     *total
                 });
-                let back = if total.is_some() { LATE / 2.0 } else { 400.0 };
+                let back = if total.is_some() { ROUND_TRIP / 2.0 } else { 400.0 };
                 calls.push(Call { at: now + back, from: *from, name: *name, total });
             }
-            !comes
+            !is_due
         });
         calls.retain(|call| {
-            let comes = call.at <= now;
-            if comes {
+            let is_due = call.at <= now;
+            if is_due {
                 let (outcome, took) = match call.total {
-                    Some(_) => (Outcome::Ok, LATE),
+                    Some(_) => (Outcome::Ok, ROUND_TRIP),
                     None => (Outcome::TimedOut, 400.0),
                 };
                 all[call.from].counted(now, call.name, outcome, took, call.total.unwrap_or(0.0));
             }
-            !comes
+            !is_due
         });
     }
     let allowed = (RATE * WINDOW + BURST) * 1.1 + 20.0;
-    let within = |from: f64| ran.iter().filter(|at| (from..from + WINDOW * 1000.0).contains(*at)).count();
-    let worst = ran.iter().step_by(3).map(|at| within(*at)).max().unwrap_or(0);
-    let separated = 60_000.0 + (CUT + 6000) as f64..60_000.0 + JOINED as f64;
-    let given = ran.iter().filter(|at| separated.contains(*at)).count() as f64;
+    let within =
+        |from: f64| admitted_at.iter().filter(|at| (from..from + WINDOW * 1000.0).contains(*at)).count();
+    let worst = admitted_at.iter().step_by(3).map(|at| within(*at)).max().unwrap_or(0);
+    let separated = 60_000.0 + (PARTITION_START_MS + 6000) as f64..60_000.0 + PARTITION_END_MS as f64;
+    let given = admitted_at.iter().filter(|at| separated.contains(*at)).count() as f64;
     (worst as f64 / allowed, given / (RATE * (separated.end - separated.start) / 1000.0))
 }
 
-fn push(
-    adds: &mut Vec<(Millis, usize, CountName, f64)>,
-    wait_until_applied: Vec<Action>,
-    now: Millis,
-    at: usize,
-) {
-    for act in wait_until_applied {
-        if let Action::Count { name, add, .. } = act {
-            adds.push((now + LATE / 2.0, at, name, add));
+fn queue_adds(adds: &mut Vec<(Millis, usize, CountName, f64)>, actions: Vec<Action>, now: Millis, at: usize) {
+    for action in actions {
+        if let Action::Count { name, add, .. } = action {
+            adds.push((now + ROUND_TRIP / 2.0, at, name, add));
         }
     }
 }
 
 #[test]
-fn limiters_that_are_cut_off_from_each_other_divide_a_quota() {
+fn partitioned_limiters_stay_within_the_quota_together() {
     for seed in 1..=2 {
-        for hot in [0, CUT - 2000] {
+        for overload_start in [0, PARTITION_START_MS - 2000] {
             for (limiters, separated) in [(9, 1), (9, 2), (9, 3), (30, 5), (87, 15)] {
-                let (worst, given) =
-                    play(seed, limiters, Sight { first: limiters - separated, hot, is_snapshot: false });
-                println!("seed {seed}, hot {hot}, {separated} of {limiters} apart: worst {worst:.2}, in the cut {given:.2}");
+                let (worst, given) = simulate(
+                    seed,
+                    limiters,
+                    PartitionScenario {
+                        first_separated: limiters - separated,
+                        overload_start,
+                        gives_out_whole_quota: false,
+                    },
+                );
+                println!("seed {seed}, hot {overload_start}, {separated} of {limiters} apart: worst {worst:.2}, in the cut {given:.2}");
                 assert!(worst <= 1.0, "seed {seed}, {separated} of {limiters} apart: {worst:.2}");
                 assert!(
                     given > 0.75,
@@ -202,14 +213,18 @@
 }
 
 #[test]
-fn where_each_side_gives_out_the_whole_the_same_check_fails() {
-    let (worst, given) = play(1, 9, Sight { first: 6, hot: 0, is_snapshot: true });
+fn giving_out_the_whole_quota_on_each_side_exceeds_it() {
+    let (worst, given) = simulate(
+        1,
+        9,
+        PartitionScenario { first_separated: 6, overload_start: 0, gives_out_whole_quota: true },
+    );
     println!("3 of 9 apart, each side gives out the whole: worst {worst:.2}, in the cut {given:.2}");
     assert!(worst > 1.2 && given > 1.5);
 }
 
 #[test]
-fn who_said_that_it_ends_holds_nothing_back_and_who_fell_silent_does() {
+fn expired_members_hold_back_their_share_and_leaving_members_do_not() {
     let row =
         |name: &str, expired, state| MemberRow { name: name.into(), expired, state, ..MemberRow::default() };
     let members = [
--- a/crates/proxy/tests/calm.rs
+++ b/crates/proxy/tests/calm.rs
@@ -15,47 +15,43 @@
 }
 
 /// Plays 20 s of bursts of four requests twice a second, each of 200 ms at a server; returns how many were refused.
-fn play(settings: Settings) -> u32 {
+fn count_rejections(settings: Settings) -> u32 {
     let class = Class { aim: 600.0, deadline: 2500.0, late_worth: 0.3, worth: 0.5, repeat: Repeat::Safe };
     let mut module = Gateway::new(Settings { gateways: 9.0, ..Settings::default() }, 7);
-    let mut wait_until_applied = Vec::new();
+    let mut actions = Vec::new();
     // The list comes before the terms, and server by server, as servers beat one after the other.
     for id in 0..8u64 {
         let entries = (0..=id).map(|id| server(id, (id % 4) as u16)).collect();
-        module.handle(
-            id as f64,
-            Event::Servers { update: ListUpdate::Full, entries },
-            &mut wait_until_applied,
-        );
+        module.handle(id as f64, Event::Servers { update: ListUpdate::Full, entries }, &mut actions);
         if id == 0 {
             let settings = Settings { classes: vec![class.clone()], ..settings.clone() };
-            module.handle(0.5, Event::Settings(Box::new(settings)), &mut wait_until_applied);
+            module.handle(0.5, Event::Settings(Box::new(settings)), &mut actions);
         }
     }
-    let (mut out, mut refused, mut next) = (Vec::new(), 0, 0u32);
+    let (mut in_flight, mut rejected, mut next_id) = (Vec::new(), 0, 0u32);
     for tick in 1..2000u32 {
         let now = 100.0 + f64::from(tick) * 10.0;
-        wait_until_applied.clear();
+        actions.clear();
         if tick % 50 == 0 {
             for _ in 0..4 {
-                next += 1;
+                next_id += 1;
                 let request = Request {
-                    id: RequestId(next),
+                    id: RequestId(next_id),
                     units: 1.0,
                     time_left: 2500.0,
                     spread: 1.0,
                     ..Request::default()
                 };
-                module.handle(now, Event::Request(request), &mut wait_until_applied);
+                module.handle(now, Event::Request(request), &mut actions);
             }
         }
         if tick % 2 == 0 {
-            module.handle(now, Event::Timer(0), &mut wait_until_applied);
+            module.handle(now, Event::Timer(0), &mut actions);
         }
-        let done: Vec<(f64, RequestId, u8, ServerId)> =
-            out.iter().copied().filter(|o: &(f64, _, _, _)| o.0 <= now).collect();
-        out.retain(|o| o.0 > now);
-        for (_, id, attempt, server) in done {
+        let completed: Vec<(f64, RequestId, u8, ServerId)> =
+            in_flight.iter().copied().filter(|o: &(f64, _, _, _)| o.0 <= now).collect();
+        in_flight.retain(|o| o.0 > now);
+        for (_, id, attempt, server) in completed {
             let ended = Event::Ended {
                 id,
                 attempt,
@@ -66,27 +62,27 @@
                 settled: 0.0,
                 load: Vec::new(),
             };
-            module.handle(now, ended, &mut wait_until_applied);
+            module.handle(now, ended, &mut actions);
         }
-        for act in &wait_until_applied {
-            match act {
-                Action::Send { id, server, .. } => out.push((now + 200.0, *id, 0, *server)),
-                Action::Refuse { .. } => refused += 1,
+        for action in &actions {
+            match action {
+                Action::Send { id, server, .. } => in_flight.push((now + 200.0, *id, 0, *server)),
+                Action::Refuse { .. } => rejected += 1,
                 _ => {}
             }
         }
     }
-    refused
+    rejected
 }
 
 #[test]
-fn calm_bursts_are_served() {
-    assert_eq!(play(limiter_settings::settings(&node(), 9.0, 3.0, 3.6)), 0);
+fn bursts_to_idle_servers_are_not_rejected() {
+    assert_eq!(count_rejections(limiter_settings::settings(&node(), 9.0, 3.0, 3.6)), 0);
 }
 
 #[test]
-fn the_terms_in_service_would_refuse_them() {
-    let ours = limiter_settings::settings(&node(), 9.0, 3.0, 3.6);
-    let in_service = Settings { slow_mark: 0.0, least_limit: 0.0, subset_least: 0.0, ..ours };
-    assert!(play(in_service) > 10, "the check can fail");
+fn without_the_tuned_settings_the_same_bursts_are_rejected() {
+    let tuned = limiter_settings::settings(&node(), 9.0, 3.0, 3.6);
+    let untuned = Settings { slow_mark: 0.0, least_limit: 0.0, subset_least: 0.0, ..tuned };
+    assert!(count_rejections(untuned) > 10, "the check can fail");
 }
--- a/crates/proxy/tests/common/quota_fleet.rs
+++ b/crates/proxy/tests/common/quota_fleet.rs
@@ -34,7 +34,7 @@
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct Scenario {
     /// Draws arrivals, latencies and who is hit.
     pub seed: u64,
     /// How many limiters there are.
@@ -44,29 +44,29 @@
     /// Its burst.
     pub burst: f64,
     /// What it sends before it presses, as a share of its rate.
-    pub usual: f64,
+    pub usual_share: f64,
     /// How many times that it sends when it presses.
-    pub press: f64,
+    pub overload: f64,
     /// From when on it presses, ms.
-    pub onset: u64,
+    pub overload_start: u64,
     /// How long it all lasts, ms.
-    pub lasts: u64,
+    pub duration: u64,
     /// What happens besides.
     pub faults: Vec<Fault>,
 }
 
-impl Play {
+impl Scenario {
     /// The largest tenant of a deployment of 85 limiters, that presses from 6 s to 16 s.
-    pub fn large(seed: u64, faults: Vec<Fault>) -> Play {
-        Play {
+    pub fn large(seed: u64, faults: Vec<Fault>) -> Scenario {
+        Scenario {
             seed,
             limiters: 85,
             rate: 314.0,
             burst: 314.0,
-            usual: 0.62,
-            press: 8.0,
-            onset: 6000,
-            lasts: 16_000,
+            usual_share: 0.62,
+            overload: 8.0,
+            overload_start: 6000,
+            duration: 16_000,
             faults,
         }
     }
@@ -78,7 +78,7 @@
     /// When it begins, ms.
     pub at: u64,
     /// How long it lasts, ms.
-    pub lasts: u64,
+    pub duration: u64,
     /// What it is.
     pub kind: FaultKind,
     /// Whom it hits.
@@ -117,17 +117,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     /// The fullest window as a share of what the rule allows.
-    pub worst: f64,
+    pub fullest_window: f64,
     /// The share of what was sent before the onset that was rejected.
-    pub refused_calm: f64,
+    pub calm_rejected_share: f64,
     /// What was admitted from 3 s after the onset on, as a share of the rate.
-    pub given: f64,
+    pub admitted_share: f64,
     /// The share of calm requests that waited longer than 1 ms.
-    pub waited_calm: f64,
+    pub calm_waited_share: f64,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Conduct {
+struct NodeState {
     is_dead: bool,
     is_leaving: bool,
     is_cut: bool,
@@ -146,20 +146,20 @@
 }
 
 struct Fleet {
-    play: Play,
-    begun: Instant,
+    scenario: Scenario,
+    started: Instant,
     settings: Settings,
     snapshot: ConfigSnapshot,
     customer: Customer,
-    conduct: RefCell<Vec<Conduct>>,
+    node_states: RefCell<Vec<NodeState>>,
     limiters: RefCell<Vec<Option<Rc<Limiter>>>>,
-    random: RefCell<Pcg64Mcg>,
+    rng: RefCell<Pcg64Mcg>,
     heartbeat: Cell<u64>,
     /// How often each was asked, fading.
-    asked: RefCell<Vec<f64>>,
+    calls_received: RefCell<Vec<f64>>,
     admitted: RefCell<Vec<Millis>>,
-    calm: Cell<u32>,
-    calm_refused: Cell<u32>,
+    calm_requests: Cell<u32>,
+    calm_rejected: Cell<u32>,
     calm_waited: Cell<u32>,
 }
 
@@ -184,8 +184,8 @@
         Box::pin(async move {
             let Some(fleet) = fleet.upgrade() else { return Err(RpcError::Lost) };
             // What has arrived is worked on, whether or not its caller still waits.
-            let carried = tokio::task::spawn_local(async move { fleet.carry(from, to, adds).await });
-            match tokio::time::timeout(within, carried).await {
+            let delivery = tokio::task::spawn_local(async move { fleet.deliver(from, to, adds).await });
+            match tokio::time::timeout(within, delivery).await {
                 Ok(Ok(result)) => result,
                 _ => Err(RpcError::Lost),
             }
@@ -195,24 +195,24 @@
 
 impl Fleet {
     fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() * 1000.0
+        self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn roll(&self) -> f64 {
-        f64::from(self.random.borrow_mut().next_u32()) / f64::from(u32::MAX)
+    fn random(&self) -> f64 {
+        f64::from(self.rng.borrow_mut().next_u32()) / f64::from(u32::MAX)
     }
 
     async fn latency(&self) {
-        let ms = LATENCY.0 + (LATENCY.1 - LATENCY.0) * self.roll();
+        let ms = LATENCY.0 + (LATENCY.1 - LATENCY.0) * self.random();
         sleep(Duration::from_secs_f64(ms / 1000.0)).await;
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let conduct = self.conduct.borrow();
-        !conduct[from].is_cut && !conduct[to].is_cut
+        let node_states = self.node_states.borrow();
+        !node_states[from].is_cut && !node_states[to].is_cut
     }
 
-    async fn carry(&self, from: usize, to: usize, adds: Vec<u8>) -> Result<Bytes, RpcError> {
+    async fn deliver(&self, from: usize, to: usize, adds: Vec<u8>) -> Result<Bytes, RpcError> {
         self.latency().await;
         if !self.reaches(from, to) {
             std::future::pending::<()>().await;
@@ -221,8 +221,8 @@
             self.latency().await;
             return Err(RpcError::Unreachable);
         };
-        self.asked.borrow_mut()[to] += 1.0;
-        let slow = self.conduct.borrow()[to].slow;
+        self.calls_received.borrow_mut()[to] += 1.0;
+        let slow = self.node_states.borrow()[to].slow;
         sleep(Duration::from_millis(u64::from(slow))).await;
         let answer = limiter.counter.answer(adds.into());
         self.latency().await;
@@ -236,21 +236,21 @@
     fn start(self: &Rc<Self>, at: usize) {
         let view = ClusterView::new(MonotonicClock::start(), 1500.0);
         let peers = Rc::new(Network { fleet: Rc::downgrade(self), from: at });
-        let counter = QuotaCounter::new(view.clone(), peers, name(at), self.play.seed ^ at as u64);
+        let counter = QuotaCounter::new(view.clone(), peers, name(at), self.scenario.seed ^ at as u64);
         let plans = Rc::new(TenantPlans::new(view.clone(), counter.clone()));
         let running = tokio::task::spawn_local(counter.clone().run()).abort_handle();
-        let mut conduct = self.conduct.borrow_mut();
-        conduct[at] = Conduct {
-            incarnation: conduct[at].incarnation + 1,
+        let mut node_states = self.node_states.borrow_mut();
+        node_states[at] = NodeState {
+            incarnation: node_states[at].incarnation + 1,
             heard_at: self.now(),
             heartbeat: self.heartbeat.get(),
-            ..Conduct::default()
+            ..NodeState::default()
         };
-        drop(conduct);
+        drop(node_states);
         // All processes agree on the cluster's time.
         view.apply_update(view.now(), StateUpdate { time: 60_000.0 + self.now(), ..StateUpdate::default() });
         let limiter = Rc::new(Limiter { view, counter, plans, running });
-        self.tell(at, &limiter, self.now());
+        self.update_view(at, &limiter, self.now());
         self.limiters.borrow_mut()[at] = Some(limiter);
     }
 
@@ -258,18 +258,19 @@
         if let Some(limiter) = self.limiters.borrow_mut()[at].take() {
             limiter.running.abort();
         }
-        self.conduct.borrow_mut()[at].is_dead = true;
+        self.node_states.borrow_mut()[at].is_dead = true;
     }
 
     /// Tells a limiter how the others stood at a moment.
-    fn tell(&self, at: usize, limiter: &Limiter, when: f64) {
-        let conduct = self.conduct.borrow();
-        if conduct[at].is_cut {
+    fn update_view(&self, at: usize, limiter: &Limiter, when: f64) {
+        let node_states = self.node_states.borrow();
+        if node_states[at].is_cut {
             return;
         }
         limiter.view.confirm(limiter.view.now(), 0);
         limiter.view.change(|table, now| {
-            for (other, member) in conduct.iter().enumerate().filter(|(_, member)| member.incarnation > 0) {
+            for (other, member) in node_states.iter().enumerate().filter(|(_, member)| member.incarnation > 0)
+            {
                 let silent = when - member.heard_at;
                 let expired = silent > SESSION;
                 let row = MemberRow {
@@ -294,18 +295,19 @@
     /// Brings views up to date, each a little later than the last.
     fn refresh_views(self: &Rc<Self>) {
         let when = self.now();
-        self.asked.borrow_mut().iter_mut().for_each(|asked| *asked *= 0.5);
+        self.calls_received.borrow_mut().iter_mut().for_each(|calls_received| *calls_received *= 0.5);
         self.heartbeat.set(self.heartbeat.get() + 1);
-        for member in self.conduct.borrow_mut().iter_mut().filter(|member| !member.is_dead && !member.is_cut)
+        for member in
+            self.node_states.borrow_mut().iter_mut().filter(|member| !member.is_dead && !member.is_cut)
         {
             (member.heard_at, member.heartbeat) = (when, self.heartbeat.get());
         }
         let limiters: Vec<_> = self.limiters.borrow().iter().cloned().enumerate().collect();
         for (at, limiter) in limiters.into_iter().filter_map(|(at, limiter)| Some((at, limiter?))) {
-            let (fleet, lag) = (self.clone(), self.roll() * VIEW_LAG);
+            let (fleet, lag) = (self.clone(), self.random() * VIEW_LAG);
             tokio::task::spawn_local(async move {
                 sleep(Duration::from_secs_f64(lag / 1000.0)).await;
-                fleet.tell(at, &limiter, when);
+                fleet.update_view(at, &limiter, when);
                 if limiter.plans.is_outdated() {
                     limiter.plans.update(&fleet.snapshot, &fleet.settings.bounds);
                 }
@@ -315,84 +317,86 @@
 
     /// The limiter that was asked most often of late.
     fn owner(&self) -> usize {
-        let asked = self.asked.borrow();
-        (0..asked.len()).max_by(|a, b| asked[*a].total_cmp(&asked[*b])).unwrap_or(0)
+        let calls_received = self.calls_received.borrow();
+        (0..calls_received.len())
+            .max_by(|a, b| calls_received[*a].total_cmp(&calls_received[*b]))
+            .unwrap_or(0)
     }
 
     fn targets(&self, target: Target) -> Vec<usize> {
         let owner = self.owner();
         let share = |share: f64, spared: Option<usize>| {
             let mut all: Vec<usize> =
-                (0..self.play.limiters).filter(|limiter| Some(*limiter) != spared).collect();
-            let count = (share * self.play.limiters as f64).round() as usize;
+                (0..self.scenario.limiters).filter(|limiter| Some(*limiter) != spared).collect();
+            let count = (share * self.scenario.limiters as f64).round() as usize;
             (0..count.min(all.len()))
-                .map(|_| all.swap_remove((self.roll() * all.len() as f64) as usize % all.len()))
+                .map(|_| all.swap_remove((self.random() * all.len() as f64) as usize % all.len()))
                 .collect()
         };
         match target {
             Target::Owner => vec![owner],
             Target::OthersShare(part) => share(part, Some(owner)),
             Target::Share(part) => share(part, None),
-            Target::Rolling(..) => (0..self.play.limiters).collect(),
+            Target::Rolling(..) => (0..self.scenario.limiters).collect(),
         }
     }
 
-    async fn hit(self: Rc<Self>, fault: Fault, at: usize, after: u64) {
+    async fn inject_fault(self: Rc<Self>, fault: Fault, at: usize, after: u64) {
         sleep(Duration::from_millis(after)).await;
-        let set = |change: &dyn Fn(&mut Conduct)| change(&mut self.conduct.borrow_mut()[at]);
-        let lasts = Duration::from_millis(fault.lasts);
+        let set = |change: &dyn Fn(&mut NodeState)| change(&mut self.node_states.borrow_mut()[at]);
+        let duration = Duration::from_millis(fault.duration);
         match fault.kind {
             FaultKind::Kill => {
                 self.stop(at);
-                sleep(lasts).await;
+                sleep(duration).await;
                 self.start(at);
             }
             FaultKind::Restart => {
-                set(&|conduct| conduct.is_leaving = true);
-                sleep(lasts).await;
+                set(&|node_states| node_states.is_leaving = true);
+                sleep(duration).await;
                 self.stop(at);
                 sleep(Duration::from_millis(500)).await;
                 self.start(at);
             }
             FaultKind::Cut => {
-                set(&|conduct| conduct.is_cut = true);
-                sleep(lasts).await;
-                set(&|conduct| conduct.is_cut = false);
+                set(&|node_states| node_states.is_cut = true);
+                sleep(duration).await;
+                set(&|node_states| node_states.is_cut = false);
             }
             FaultKind::Slow(ms) => {
-                set(&|conduct| conduct.slow = ms);
-                sleep(lasts).await;
-                set(&|conduct| conduct.slow = 0);
+                set(&|node_states| node_states.slow = ms);
+                sleep(duration).await;
+                set(&|node_states| node_states.slow = 0);
             }
         }
     }
 
-    async fn play_fault(self: Rc<Self>, fault: Fault) {
-        sleep_until(self.begun + Duration::from_millis(fault.at)).await;
+    async fn schedule_fault(self: Rc<Self>, fault: Fault) {
+        sleep_until(self.started + Duration::from_millis(fault.at)).await;
         let (at_once, gap) = match fault.target {
             Target::Rolling(at_once, gap) => (at_once, gap),
             _ => (usize::MAX, 0),
         };
         for (nth, at) in self.targets(fault.target).into_iter().enumerate() {
             let after = (nth / at_once) as u64 * gap;
-            tokio::task::spawn_local(self.clone().hit(fault, at, after));
+            tokio::task::spawn_local(self.clone().inject_fault(fault, at, after));
         }
     }
 
-    fn request(self: &Rc<Self>, presses: bool) {
+    fn request(self: &Rc<Self>, is_overloaded: bool) {
         let up: Vec<Rc<Limiter>> = self.limiters.borrow().iter().flatten().cloned().collect();
         if up.is_empty() {
             return;
         }
-        let limiter = up[(self.roll() * up.len() as f64) as usize % up.len()].clone();
+        let limiter = up[(self.random() * up.len() as f64) as usize % up.len()].clone();
         let fleet = self.clone();
         let sent_at = self.now();
         tokio::task::spawn_local(async move {
             let is_admitted = limiter.plans.admit(&fleet.customer).await.is_ok();
             // Requests of the first seconds find limiters that have all just started.
-            let is_calm = !presses && sent_at > 1500.0;
-            fleet.calm.set(fleet.calm.get() + u32::from(is_calm));
-            fleet.calm_refused.set(fleet.calm_refused.get() + u32::from(is_calm && !is_admitted));
+            let is_calm = !is_overloaded && sent_at > 1500.0;
+            fleet.calm_requests.set(fleet.calm_requests.get() + u32::from(is_calm));
+            fleet.calm_rejected.set(fleet.calm_rejected.get() + u32::from(is_calm && !is_admitted));
             let has_waited = fleet.now() - sent_at > 1.0;
             fleet.calm_waited.set(fleet.calm_waited.get() + u32::from(is_calm && has_waited));
             if is_admitted {
@@ -402,25 +406,27 @@
     }
 
     async fn run(self: Rc<Self>) {
-        for at in 0..self.play.limiters {
+        for at in 0..self.scenario.limiters {
             self.start(at);
         }
         // Once more, as the first did not know of the last.
         self.refresh_views();
-        for fault in self.play.faults.clone() {
-            tokio::task::spawn_local(self.clone().play_fault(fault));
+        for fault in self.scenario.faults.clone() {
+            tokio::task::spawn_local(self.clone().schedule_fault(fault));
         }
-        for ms in 0..self.play.lasts {
-            sleep_until(self.begun + Duration::from_millis(ms)).await;
+        for ms in 0..self.scenario.duration {
+            sleep_until(self.started + Duration::from_millis(ms)).await;
             if ms % VIEW_INTERVAL == 0 {
                 self.refresh_views();
             }
-            let presses = ms >= self.play.onset;
-            let a_second = self.play.rate * self.play.usual * if presses { self.play.press } else { 1.0 };
-            let mut due = a_second / 1000.0;
+            let is_overloaded = ms >= self.scenario.overload_start;
+            let per_second = self.scenario.rate
+                * self.scenario.usual_share
+                * if is_overloaded { self.scenario.overload } else { 1.0 };
+            let mut due = per_second / 1000.0;
             while due > 0.0 {
-                if self.roll() < due.min(1.0) {
-                    self.request(presses);
+                if self.random() < due.min(1.0) {
+                    self.request(is_overloaded);
                 }
                 due -= 1.0;
             }
@@ -431,7 +437,8 @@
         let mut admitted = self.admitted.borrow().clone();
         admitted.sort_by(f64::total_cmp);
         let bounds = &self.settings.bounds;
-        let allowed = (self.play.rate * WINDOW / 1000.0 + self.play.burst) * (1.0 + bounds.quota_over)
+        let allowed = (self.scenario.rate * WINDOW / 1000.0 + self.scenario.burst)
+            * (1.0 + bounds.quota_over)
             + bounds.quota_slack;
         let mut first = 0;
         let mut fullest = 0;
@@ -441,26 +448,27 @@
             }
             fullest = fullest.max(last - first + 1);
         }
-        let from = self.play.onset as f64 + 3000.0;
+        let from = self.scenario.overload_start as f64 + 3000.0;
         let late = admitted.iter().filter(|at| **at >= from).count() as f64;
-        let span = (self.play.lasts as f64 - from) / 1000.0;
+        let span = (self.scenario.duration as f64 - from) / 1000.0;
         Outcome {
-            worst: fullest as f64 / allowed,
-            refused_calm: f64::from(self.calm_refused.get()) / f64::from(self.calm.get().max(1)),
-            given: late / (self.play.rate * span),
-            waited_calm: f64::from(self.calm_waited.get()) / f64::from(self.calm.get().max(1)),
+            fullest_window: fullest as f64 / allowed,
+            calm_rejected_share: f64::from(self.calm_rejected.get())
+                / f64::from(self.calm_requests.get().max(1)),
+            admitted_share: late / (self.scenario.rate * span),
+            calm_waited_share: f64::from(self.calm_waited.get()) / f64::from(self.calm_requests.get().max(1)),
         }
     }
 }
 
 /// Plays it; the same play has the same outcome each time.
-pub fn play(play: Play) -> Outcome {
+pub fn simulate(scenario: Scenario) -> Outcome {
     let settings = Settings::parse(include_str!("../../../node-runtime/tests/node.toml")).expect("settings");
     let config = format!(
         r#"{{"version":"r1","routes":{{"columns":["name","hostName","pathStart","service"],"rows":[["a","h","/","s"]]}},
         "services":{{"columns":["name"],"rows":[["s"]]}},"limits":{{}},
         "customers":{{"columns":["name","keys","ratePerS","burst"],"rows":[["{TENANT}",["key"],{},{}]]}}}}"#,
-        play.rate, play.burst
+        scenario.rate, scenario.burst
     );
     let agreed = AgreedState { config, ..AgreedState::default() };
     let snapshot = ConfigSnapshot::new(1, &agreed, &settings).expect("a configuration");
@@ -469,20 +477,20 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime.expect("a runtime"), async {
         let fleet = Rc::new(Fleet {
-            begun: Instant::now(),
+            started: Instant::now(),
             settings,
             snapshot,
             customer,
-            conduct: RefCell::new(vec![Conduct::default(); play.limiters]),
-            limiters: RefCell::new((0..play.limiters).map(|_| None).collect()),
-            random: RefCell::new(Pcg64Mcg::seed_from_u64(play.seed)),
+            node_states: RefCell::new(vec![NodeState::default(); scenario.limiters]),
+            limiters: RefCell::new((0..scenario.limiters).map(|_| None).collect()),
+            rng: RefCell::new(Pcg64Mcg::seed_from_u64(scenario.seed)),
             heartbeat: Cell::default(),
-            asked: RefCell::new(vec![0.0; play.limiters]),
+            calls_received: RefCell::new(vec![0.0; scenario.limiters]),
             admitted: RefCell::default(),
-            calm: Cell::default(),
-            calm_refused: Cell::default(),
+            calm_requests: Cell::default(),
+            calm_rejected: Cell::default(),
             calm_waited: Cell::default(),
-            play,
+            scenario,
         });
         fleet.clone().run().await;
         fleet.outcome()
--- a/crates/proxy/tests/counting.rs
+++ b/crates/proxy/tests/counting.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 #[test]
-fn a_keeper_tells_a_total_for_each_add_in_their_order_also_where_one_cannot_be_added() {
+fn an_owner_returns_one_total_per_addition_in_order_and_nan_for_invalid_ones() {
     let view = ClusterView::new(MonotonicClock::start(), 1500.0);
     let counter = QuotaCounter::new(view.clone(), Rc::new(PeerClients::default()), "edge-1".into(), 7);
     let body = QuotaAdds { counts: vec![QuotaAdd { name: 9, add: 1.0, ..QuotaAdd::default() }] };
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_an_answer_says_of_each_add() {
+fn outcomes_are_derived_from_the_answer_or_its_error() {
     let outcomes_of = |adds, answer: &Result<Vec<f64>, RpcError>| {
         let answer = answer.clone().map(|totals| QuotaTotals { totals, ..QuotaTotals::default() });
         outcomes_of(adds, &answer)
@@ -63,39 +63,39 @@
 
 /// What a keeper does with one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Does {
-    Answers,
+enum CallFault {
+    None,
     /// Adds, and the answer is lost.
-    LosesAnswer,
+    AnswerLost,
     /// The call itself is lost.
-    LosesCall,
+    CallLost,
 }
 
 /// Sixty requests of one tenant within 1.2 s, of whose calls the nth meets this; what the keeper holds at the end.
-fn kept(nth: usize, does: Does) -> f64 {
+fn total_after_fault(nth: usize, fault: CallFault) -> f64 {
     let plan = Plan { rate: 200.0, burst: 60.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
     let mut quotas = Quotas::new(quota_settings(vec![plan], 1.0), 7);
     let (mut sums, mut calls) = (BTreeMap::<u64, f64>::new(), 0);
     for tick in 0..800u32 {
         let now = 2000.0 + f64::from(tick) * 10.0;
-        let mut wait_until_applied = Vec::new();
+        let mut actions = Vec::new();
         if tick % 2 == 0 && tick < 120 {
             let draw = Draw { customer: CustomerId(1), units: 1.0, spread: 1.0, ..Draw::default() };
-            assert!(!matches!(quotas.admit(now, draw, &mut wait_until_applied), Verdict::Refuse { .. }));
+            assert!(!matches!(quotas.admit(now, draw, &mut actions), Verdict::Refuse { .. }));
             quotas.record(now, CustomerId(1), 1.0, true);
         }
         if tick % 5 == 0 {
-            quotas.tick(now, &mut wait_until_applied);
+            quotas.tick(now, &mut actions);
         }
-        for act in wait_until_applied {
-            let Action::Count { name, add, .. } = act else { continue };
-            let how = if calls == nth { does } else { Does::Answers };
+        for action in actions {
+            let Action::Count { name, add, .. } = action else { continue };
+            let call_fault = if calls == nth { fault } else { CallFault::None };
             calls += 1;
-            if how != Does::LosesCall {
+            if call_fault != CallFault::CallLost {
                 *sums.entry(name.0).or_default() += add;
             }
-            let answer = match how {
-                Does::Answers => Ok(QuotaTotals { totals: vec![sums[&name.0]], ..QuotaTotals::default() }),
+            let answer = match call_fault {
+                CallFault::None => Ok(QuotaTotals { totals: vec![sums[&name.0]], ..QuotaTotals::default() }),
                 _ => Err(RpcError::Lost),
             };
             let (outcome, total) = outcomes_of(1, &answer)[0];
@@ -107,10 +107,10 @@
 }
 
 #[test]
-fn an_add_whose_answer_is_lost_is_not_made_twice_and_one_that_never_arrived_is_made_once_more() {
-    for does in [Does::Answers, Does::LosesAnswer, Does::LosesCall] {
+fn each_addition_is_counted_exactly_once_when_a_call_or_its_answer_is_lost() {
+    for fault in [CallFault::None, CallFault::AnswerLost, CallFault::CallLost] {
         for nth in 0..4 {
-            assert_eq!(kept(nth, does), 60.0, "{does:?}, call {nth}");
+            assert_eq!(total_after_fault(nth, fault), 60.0, "{fault:?}, call {nth}");
         }
     }
 }
--- a/crates/proxy/tests/program.rs
+++ b/crates/proxy/tests/program.rs
@@ -10,15 +10,15 @@
         .join(format!("oatbank-proxy-{}-{name}.toml", std::process::id()));
     std::fs::write(&path, text).unwrap();
     let mut run = Command::new(env!("CARGO_BIN_EXE_oatbank-proxy"));
-    let output = run.arg("--settings").arg(&path).arg("--check").output().unwrap();
+    let result = run.arg("--settings").arg(&path).arg("--check").output().unwrap();
     std::fs::remove_file(path).unwrap();
-    (output.status.success(), String::from_utf8([output.stdout, output.stderr].concat()).unwrap())
+    (result.status.success(), String::from_utf8([result.stdout, result.stderr].concat()).unwrap())
 }
 
 #[test]
-fn settings_are_checked_and_told_by_line() {
-    let (good, said) = check("good", EXAMPLE);
-    assert!(good && said.contains("in order"), "{said}");
-    let (good, said) = check("bad", &EXAMPLE.replace("drainMs = 3000", "drainMs = -1"));
-    assert!(!good && said.contains("line 41: bounds.drainMs"), "{said}");
+fn check_reports_invalid_settings_with_their_line() {
+    let (is_valid, output) = check("good", EXAMPLE);
+    assert!(is_valid && output.contains("in order"), "{output}");
+    let (is_valid, output) = check("bad", &EXAMPLE.replace("drainMs = 3000", "drainMs = -1"));
+    assert!(!is_valid && output.contains("line 41: bounds.drainMs"), "{output}");
 }
--- a/crates/proxy/tests/quota_beside_restarts.rs
+++ b/crates/proxy/tests/quota_beside_restarts.rs
@@ -11,82 +11,86 @@
 
 mod common;
 
-use common::quota_fleet::{play, Fault, FaultKind, Outcome, Play, Target};
+use common::quota_fleet::{simulate, Fault, FaultKind, Outcome, Scenario, Target};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
-fn fault(kind: FaultKind, at: u64, lasts: u64, target: Target) -> Fault {
-    Fault { at, lasts, kind, target }
+fn fault(kind: FaultKind, at: u64, duration: u64, target: Target) -> Fault {
+    Fault { at, duration, kind, target }
 }
 
 fn outcomes(title: &str, faults: &[Fault]) -> Vec<Outcome> {
     SEEDS
         .map(|seed| {
-            let outcome = play(Play::large(seed, faults.to_vec()));
+            let outcome = simulate(Scenario::large(seed, faults.to_vec()));
             println!("{title}, seed {seed}: {outcome:?}");
             outcome
         })
         .collect()
 }
 
-fn assert_kept(title: &str, faults: &[Fault]) {
+fn assert_quota_kept(title: &str, faults: &[Fault]) {
     for outcome in outcomes(title, faults) {
-        assert!(outcome.worst <= 1.0, "{title}: {outcome:?}");
-        assert!(outcome.refused_calm < 0.01, "{title}: {outcome:?}");
+        assert!(outcome.fullest_window <= 1.0, "{title}: {outcome:?}");
+        assert!(outcome.calm_rejected_share < 0.01, "{title}: {outcome:?}");
     }
 }
 
 #[test]
-fn an_onset_alone_keeps_the_quota_and_calm_is_not_refused() {
+fn overload_without_faults_stays_within_the_quota_and_calm_requests_pass() {
     for outcome in outcomes("nothing", &[]) {
-        assert!(outcome.worst <= 1.0 && outcome.given > 0.85, "{outcome:?}");
-        assert!(outcome.refused_calm == 0.0 && outcome.waited_calm < 0.02, "{outcome:?}");
+        assert!(outcome.fullest_window <= 1.0 && outcome.admitted_share > 0.85, "{outcome:?}");
+        assert!(outcome.calm_rejected_share == 0.0 && outcome.calm_waited_share < 0.02, "{outcome:?}");
     }
 }
 
 #[test]
-fn an_owner_that_answers_nobody_in_time_closes_admission() {
+fn an_owner_that_does_not_answer_in_time_does_not_raise_the_quota() {
     for (title, kind, lasts) in [
         ("killed for 3.5 s", FaultKind::Kill, 3500),
         ("cut off", FaultKind::Cut, 6000),
         ("answers after 0.45 s", FaultKind::Slow(450), 8000),
         ("killed, at once back", FaultKind::Kill, 500),
     ] {
-        assert_kept(&format!("the owner is {title}"), &[fault(kind, 5900, lasts, Target::Owner)]);
+        assert_quota_kept(&format!("the owner is {title}"), &[fault(kind, 5900, lasts, Target::Owner)]);
     }
 }
 
 #[test]
-fn limiters_that_start_without_memory_do_not_give_out_a_quota_anew() {
+fn killed_and_restarted_limiters_do_not_give_out_the_quota_again() {
     let killed = |at, share| fault(FaultKind::Kill, at, 500, Target::Share(share));
-    assert_kept("three and six tenths killed", &[killed(7000, 0.3), killed(8500, 0.6)]);
+    assert_quota_kept("three and six tenths killed", &[killed(7000, 0.3), killed(8500, 0.6)]);
     let owner = fault(FaultKind::Kill, 7000, 3500, Target::Owner);
-    assert_kept("the owner and others killed", &[owner, killed(7000, 0.3)]);
+    assert_quota_kept("the owner and others killed", &[owner, killed(7000, 0.3)]);
 }
 
 #[test]
-fn limiters_that_restart_in_order_or_are_cut_off_do_not_raise_a_rate() {
+fn rolling_restarts_and_partitions_do_not_raise_the_rate() {
     let rolling = [fault(FaultKind::Restart, 6500, 500, Target::Rolling(4, 500))];
     for outcome in outcomes("rolling restart", &rolling) {
-        assert!(outcome.worst <= 1.0 && outcome.given <= 1.05, "rolling restart: {outcome:?}");
+        assert!(
+            outcome.fullest_window <= 1.0 && outcome.admitted_share <= 1.05,
+            "rolling restart: {outcome:?}"
+        );
     }
-    assert_kept("three tenths cut off", &[fault(FaultKind::Cut, 6500, 6000, Target::Share(0.3))]);
+    assert_quota_kept("three tenths cut off", &[fault(FaultKind::Cut, 6500, 6000, Target::Share(0.3))]);
 }
 
 #[test]
-fn an_owner_that_is_cut_off_while_its_tenant_presses_hardest_does_not_give_out_a_second_quota() {
+fn an_owner_isolated_under_peak_load_does_not_give_out_a_second_quota() {
     // Until it knows that it is alone it goes on giving out, and the others have their parts already.
     for (limiters, rate, seed, at) in [(85, 40.0, 1, 7000), (13, 83.0, 2, 8000), (9, 172.0, 1, 7000)] {
         let faults = vec![fault(FaultKind::Cut, at, 6000, Target::Owner)];
-        let play_of = Play { limiters, rate, burst: rate, press: 10.0, ..Play::large(seed, faults) };
-        let outcome = play(play_of);
+        let scenario =
+            Scenario { limiters, rate, burst: rate, overload: 10.0, ..Scenario::large(seed, faults) };
+        let outcome = simulate(scenario);
         println!("{limiters} limiters, {rate} a second: {outcome:?}");
-        assert!(outcome.worst <= 1.0, "{limiters} limiters, {rate} a second: {outcome:?}");
+        assert!(outcome.fullest_window <= 1.0, "{limiters} limiters, {rate} a second: {outcome:?}");
     }
 }
 
 #[test]
-fn tenants_and_fleets_of_other_sizes_keep_it_too() {
+fn other_tenant_and_fleet_sizes_stay_within_the_quota() {
     let killed = |at| fault(FaultKind::Kill, at, 300, Target::Share(1.0));
     let faults = [
         ("all killed three times", vec![killed(7000), killed(8500), killed(10_000)]),
@@ -105,9 +109,9 @@
     for (limiters, rate, burst) in sizes {
         for (title, faults) in &faults {
             let title = format!("{limiters} limiters, {rate} a second, burst {burst}, {title}");
-            let outcome = play(Play { limiters, rate, burst, ..Play::large(1, faults.clone()) });
+            let outcome = simulate(Scenario { limiters, rate, burst, ..Scenario::large(1, faults.clone()) });
             println!("{title}: {outcome:?}");
-            assert!(outcome.worst <= 1.0, "{title}: {outcome:?}");
+            assert!(outcome.fullest_window <= 1.0, "{title}: {outcome:?}");
         }
     }
 }
