--- a/crates/proxy/src/config_snapshot.rs
+++ b/crates/proxy/src/config_snapshot.rs
@@ -1,4 +1,4 @@
-//! One edition of the agreed state as requests are handled by it: an immutable snapshot, replaced as a whole.
+//! Immutable snapshot of one edition of the agreed state, used to handle requests and replaced as a whole.
 
 use http::header::HOST;
 use http::request::Parts;
@@ -8,14 +8,14 @@
 use oatbank_node_runtime::settings::Settings;
 use std::collections::BTreeSet;
 
-/// Each zone has a bit in the mask of zones that a request's servers may stand in.
+/// Most zones with a bit of their own in masks of allowed zones.
 const MAX_ZONES: usize = 63;
 
-/// Value of an answer that is later than its route's target, beside one in time.
+/// Value of an answer after its route's latency target, relative to one in time.
 const LATE_VALUE: f64 = 0.3;
 
-/// Put after a zone's name for those of its servers whose owner is contested. Their answers are proven by the server id that
-/// each attempt names. The decision module tells servers apart by zone only, so each zone appears there twice.
+/// Suffix of the zone name that holds a zone's contested servers. Their answers are proven by the server id that each attempt
+/// names. The decision module distinguishes servers by zone only, so it has two zones for each zone.
 const CONTESTED_SUFFIX: &str = " (contested)";
 
 /// The decision module's name for the contested servers of a zone.
@@ -23,29 +23,29 @@
     format!("{zone}{CONTESTED_SUFFIX}")
 }
 
-/// All zones by their names in the decision module: first those with the servers that are certainly their owner's.
+/// Names of all zones in the decision module: first the zones of uncontested servers, then those of contested ones.
 pub fn zone_names(settings: &Settings) -> Vec<String> {
     let zones = settings.zones.iter().map(|(zone, _)| zone.clone());
     zones.chain(settings.zones.iter().map(|(zone, _)| contested_zone(zone))).collect()
 }
 
-/// One edition.
+/// Routes, keys, evacuated zones and zone masks of one edition.
 #[derive(Debug)]
 pub struct ConfigSnapshot {
-    /// The edition.
+    /// Number of the edition.
     pub edition: u64,
     /// Routes and keys.
     pub routes: RouteTable,
     /// Zones that are evacuated.
     pub evacuated: BTreeSet<String>,
-    /// By route: the mask of zones that its homes allow; 0: all.
+    /// Mask of the zones that each route's homes allow, by route index; 0 allows all.
     route_zones: Vec<u64>,
-    /// By customer: the same.
+    /// Mask of the zones that each customer's homes allow, by customer index; 0 allows all.
     customer_zones: Vec<u64>,
     zone_count: usize,
 }
 
-/// The bits of the zones in these regions; 0 if no region is named.
+/// Mask of the zones in these regions; 0 if there are none.
 fn zone_mask(settings: &Settings, regions: &[String]) -> u64 {
     let zones = settings.zones.iter().take(MAX_ZONES).enumerate();
     zones.filter(|(_, (_, region))| regions.contains(region)).fold(0, |mask, (index, _)| mask | 1 << index)
@@ -55,7 +55,7 @@
     /// Reads the agreed state of an edition.
     ///
     /// # Errors
-    /// When the configuration cannot be read.
+    /// Fails if the configuration is invalid.
     pub fn new(
         edition: u64,
         agreed: &AgreedState,
@@ -84,15 +84,14 @@
         self.routes.route(head.uri.host().or_else(host_header).unwrap_or_default(), head.uri.path())
     }
 
-    /// Whether a request's route says that it runs at most once, whatever its method.
+    /// Whether the request's route requires at-most-once execution, whatever the method.
     pub fn is_at_most_once(&self, head: &Parts) -> bool {
         self.route(head).is_some_and(|route| self.configuration().routes[route].kind == RouteKind::Unsafe)
     }
 
-    /// The mask of allowed zones for a service with contested servers: including these if the request may be repeated,
-    /// without them otherwise.
+    /// The mask of allowed zones for a service with contested servers. It includes these only if the request is repeatable.
     pub fn with_contested(&self, allowed: u64, is_repeatable: bool) -> u64 {
-        // A mask that has no room for all zones twice excludes all contested servers.
+        // Excludes all contested servers if the mask has no room for two zones each.
         let zones = self.zone_count.min(MAX_ZONES);
         let all = if zones >= MAX_ZONES { u64::MAX >> 1 } else { (1 << zones) - 1 };
         match (allowed, is_repeatable && 2 * zones <= MAX_ZONES) {
@@ -103,7 +102,8 @@
         }
     }
 
-    /// The mask of zones that a request's servers may stand in; 0: all. `None` if its homes leave none.
+    /// The mask of zones whose servers may get a request; 0 allows all. `None` if the homes of route and customer have no zone
+    /// in common.
     pub fn allowed_zones(&self, route: usize, customer: Option<usize>) -> Option<u64> {
         let by_route = self.route_zones.get(route).copied().unwrap_or(0);
         let by_customer =
@@ -115,7 +115,7 @@
     }
 }
 
-/// The decision module's class of a route, with this rank.
+/// The decision module's class of a route for requests of this rank.
 pub fn class(route: &Route, rank: u32) -> Class {
     Class {
         aim: route.target_ms.max(1.0),
@@ -129,7 +129,7 @@
     }
 }
 
-/// The service of a route that a random number from 0 to 1 falls on, by the services' weights.
+/// Chooses a service of a route by weight for `random` from 0 to 1; `None` if no weight is above 0.
 pub fn choose_service(route: &Route, random: f64) -> Option<&str> {
     let total: f64 = route.shares.iter().map(|(_, weight)| weight.max(0.0)).sum();
     let mut left = random * total;
--- a/crates/proxy/src/counter_owner.rs
+++ b/crates/proxy/src/counter_owner.rs
@@ -1,24 +1,24 @@
-//! Which limiter owns a counter, by rendezvous hashing over the limiters that may be active.
+//! Assigns counters to owners by rendezvous hashing over the limiters that may be active.
 
 use crate::quota_partition::owns_counters;
 use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_cluster_state::state::member_state;
 use std::net::SocketAddr;
 
-/// The owner of a counter: each limiter has a score by its name and the counter's number, and the highest wins. When a limiter
-/// comes or goes, only its own counters change hands.
+/// The owner of a counter: the limiter with the highest score for the counter's number; `None` without limiters. Adding or
+/// removing a limiter moves only that limiter's counters.
 pub fn owner_of<'a>(number: u64, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names.max_by_key(|name| (score(number, name), *name))
 }
 
-/// Whether the limiter of this name has said that it ends.
+/// Whether the limiter of this name is leaving.
 fn is_leaving(view: &ClusterView, name: &str) -> bool {
     view.with(|table, _| table.member(name).is_some_and(|row| row.state == member_state::LEAVING))
 }
 
-/// The limiters that own counters as known to the limiter of this name, in order.
+/// Sorted names of the limiters that own counters, as known to the limiter of this name.
 pub fn owner_names(view: &ClusterView, own_name: &str) -> Vec<String> {
-    // A limiter that is not in touch counts alone: see `QuotaPartition`.
+    // A limiter without a connection to the core's majority counts alone: see `QuotaPartition`.
     if !view.in_touch() {
         return vec![own_name.to_owned()];
     }
@@ -34,10 +34,10 @@
     names
 }
 
-/// The fingerprint of the owners as known to a limiter that counts alone.
+/// Fingerprint of a limiter that counts alone.
 pub const ALONE: u64 = 0;
 
-/// A number that differs when [`owner_names`] does, without the names: with thousands of limiters it is looked at often.
+/// A hash of [`owner_names`] that is computed without copying the names: it is checked often, also with thousands of limiters.
 pub fn owners_fingerprint(view: &ClusterView, own_name: &str) -> u64 {
     if !view.in_touch() {
         return ALONE;
@@ -49,7 +49,8 @@
     })
 }
 
-/// Where the owner of a counter answers, as known to the limiter of this name; `None`: that limiter itself.
+/// RPC address of a counter's owner, as known to the limiter of this name; `None` if that is the limiter itself or the address
+/// cannot be parsed.
 pub fn owner_address(view: &ClusterView, own_name: &str, number: u64) -> Option<SocketAddr> {
     if !view.in_touch() {
         return None;
--- a/crates/proxy/src/front_desk.rs
+++ b/crates/proxy/src/front_desk.rs
@@ -30,7 +30,7 @@
 
     fn may_overtake(&self, head: &Parts) -> bool {
         let is_plain = matches!(head.method, Method::GET | Method::HEAD);
-        // Before the first edition every request is rejected, and runs nowhere.
+        // Before the first edition every request is rejected and none is executed.
         is_plain && !self.0.is_at_most_once(head).unwrap_or(false)
     }
 
--- a/crates/proxy/src/invariants.rs
+++ b/crates/proxy/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants that a running proxy checks of itself: how often each was violated, for `oatbankctl invariants` and the log.
+//! Invariants that a running proxy checks itself. The number of violations is logged and shown by `oatbankctl invariants`.
 
 use crate::front_desk::FrontDesk;
 use crate::request_handler::RequestHandler;
@@ -11,20 +11,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What is due every so often may come this much later; beyond it requests have waited too.
+/// Delay of the periodic check from which on a stall is logged: requests are delayed as long.
 const STALL: Duration = Duration::from_millis(150);
 
-/// Ends of connections that are this proxy's decision. A streamed answer that broke off is its server's.
+/// Ways in which this proxy itself ends connections. Interrupted streamed answers are caused by the server and excluded.
 const OWN_ENDS: [ConnectionEnd; 3] = [ConnectionEnd::LastAnswer, ConnectionEnd::Idle, ConnectionEnd::Dropped];
 
-/// What must hold.
+/// Conditions that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// No server works on for a client that has left, where the request may be repeated.
+    /// Attempts of a repeatable request are cancelled when its client leaves.
     NoAbandonedAttempts,
-    /// A connection that this proxy ends of its own has no request that was begun and not answered.
+    /// Connections that this proxy closes have no unanswered request.
     NoUnansweredAtClose,
-    /// Of no tenant whose counters this proxy owns, more ran in a window than its quota allows, as far as was reported.
+    /// Reported admissions of each tenant whose counters this proxy owns stay within its quota in every window.
     NoQuotaOverrun,
 }
 
@@ -49,12 +49,12 @@
 }
 
 impl InvariantMonitor {
-    /// Of the proxy that these belong to.
+    /// Creates a monitor of the proxy with this handler and front.
     pub fn new(handler: Rc<RequestHandler>, front: Rc<Front<FrontDesk>>) -> Rc<Self> {
         Rc::new(InvariantMonitor { handler, front, logged: RefCell::default() })
     }
 
-    /// How often an invariant was violated since the process started.
+    /// Number of violations of an invariant since the process started.
     pub fn violations(&self, invariant: Invariant) -> u64 {
         match invariant {
             Invariant::NoAbandonedAttempts => self.handler.departures().abandoned_attempts,
@@ -67,7 +67,7 @@
         self.front.ends().count(end).unanswered
     }
 
-    /// Logs violations that are new.
+    /// Logs each invariant whose number of violations has increased since the last call.
     pub fn log_new(&self) {
         let mut logged = self.logged.borrow_mut();
         for (invariant, before) in Invariant::ALL.into_iter().zip(logged.iter_mut()) {
@@ -75,7 +75,7 @@
             if violations > *before {
                 let details = self.details(invariant);
                 log::warn!(
-                    "invariant violated: {}, {} times by now{}",
+                    "invariant violated: {}, {} times since the start{}",
                     invariant.name(),
                     violations,
                     details
@@ -85,7 +85,7 @@
         }
     }
 
-    /// What else is known of violations of this invariant, for the log.
+    /// Additional text for the log line of an invariant: unanswered requests by the way in which the connection ended.
     fn details(&self, invariant: Invariant) -> String {
         if invariant != Invariant::NoUnansweredAtClose {
             return String::new();
@@ -100,15 +100,16 @@
         text
     }
 
-    /// Logs that what was due after `expected` came after `elapsed`: so long no request was looked at.
+    /// Logs a stall if a timer that was due after `expected` fired after `elapsed`, more than [`STALL`] late. No request was
+    /// handled during the delay.
     pub fn log_stall(&self, expected: Duration, elapsed: Duration) {
         let late = elapsed.saturating_sub(expected);
         if late > STALL {
-            log::warn!("stalled for {} ms: requests have waited", late.as_millis());
+            log::warn!("stalled for {} ms: requests were delayed", late.as_millis());
         }
     }
 
-    /// The table of invariants.
+    /// The `invariants` table: number of violations of each.
     pub fn table(&self) -> Table {
         let row =
             |invariant: Invariant| vec![invariant.name().to_owned(), self.violations(invariant).to_string()];
@@ -116,7 +117,7 @@
         table("violations since the start", &["invariant", "violations"], rows)
     }
 
-    /// The table of how clients' connections ended.
+    /// The `connections` table: number of client connections and unanswered requests by the way in which connections ended.
     pub fn connections_table(&self) -> Table {
         let row = |end: ConnectionEnd| {
             let count = self.front.ends().count(end);
@@ -124,8 +125,8 @@
         };
         let departures = self.handler.departures();
         let title = format!(
-            "{} open; {} clients left before their answer, {} attempts were cancelled for that; {} requests crossed \
-             the end of an idle connection, unread",
+            "{} open; {} clients left before their answer, {} attempts were cancelled because of that; {} requests \
+             arrived while an idle connection was being closed and were not read",
             self.front.open(),
             departures.clients,
             departures.cancelled_attempts,
--- a/crates/proxy/src/lease.rs
+++ b/crates/proxy/src/lease.rs
@@ -1,30 +1,30 @@
-//! For how long a limiter may act by what it knows (a lease).
+//! Lease on the confirmed configuration: how long a limiter may act on it without a new confirmation. No I/O.
 
 use oatbank_cluster_state::state::Millis;
 use oatbank_node_runtime::log;
 use oatbank_node_runtime::settings::Bounds;
 use std::cell::Cell;
 
-/// Share of `revokeMs` for which a limiter acts by what a majority confirmed. The rest is for a request's way through it.
+/// Lease duration as a share of `revokeMs`. The rest is the time that a request spends in the limiter.
 const LEASE_SHARE: f64 = 0.7;
-/// Without leases, a limiter that has just started waits this long for a confirmed edition, ms; then any will do.
+/// Without a lease limit, how long a limiter that has just started waits for a confirmed edition before it uses any, ms.
 const START_PATIENCE: Millis = 2500.0;
 
-/// For how long a limiter may act without a confirmation, if that is limited: revoked keys may have to fail also where
-/// updates do not arrive.
+/// Maximum time for which a limiter may act without a confirmation, if there is one: revoked keys may have to be rejected even
+/// where updates do not arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    /// `None`: without limit.
+    /// Duration, ms; `None` for no limit.
     duration: Option<Millis>,
 }
 
 impl Lease {
-    /// The lease by the rules' figures.
+    /// Derives the lease from the bounds: limited only if revoked keys must fail.
     pub fn new(bounds: &Bounds) -> Self {
         Lease { duration: bounds.revoked_fail.then_some(bounds.revoke_ms * LEASE_SHARE) }
     }
 
-    /// Whether a limiter may act that was confirmed this long ago.
+    /// Whether a limiter may act that was last confirmed this long ago, ms; `None` if never.
     pub fn is_valid(&self, confirmed_ago: Option<Millis>) -> bool {
         match self.duration {
             None => true,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Whether a limiter may begin to act that has run for `uptime` and was confirmed this long ago. Its edition never goes
-    /// back, so it has to begin with the newest.
+    /// Whether a limiter that has run for `uptime` ms and was last confirmed this long ago may start to act. Editions must not
+    /// go back, so it has to start with the newest.
     pub fn may_start(&self, uptime: Millis, confirmed_ago: Option<Millis>) -> bool {
         match self.duration {
             None => confirmed_ago.is_some() || uptime >= START_PATIENCE,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Whether a limiter is active: it starts once, and goes on by what it knows while its lease is valid.
+/// Tracks whether a limiter is active: it starts once and stays active while its lease is valid.
 #[derive(Debug)]
 pub struct LeaseState {
     lease: Lease,
@@ -50,12 +50,13 @@
 }
 
 impl LeaseState {
-    /// It has not started.
+    /// Creates the state of a limiter that has not started.
     pub fn new(lease: Lease) -> Self {
         LeaseState { lease, has_started: Cell::new(false) }
     }
 
-    /// Whether it is active now, after it has run for `uptime` and was confirmed this long ago. It starts only if it `can`.
+    /// Whether the limiter is active after `uptime` ms and the last confirmation this long ago. It starts only if `can` returns
+    /// true.
     pub fn is_active(
         &self,
         uptime: Millis,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,22 +1,22 @@
-//! The proxy: takes the requests of clients to the servers.
+//! The proxy: forwards clients' requests to servers.
 //!
 //! | module | holds |
 //! | --- | --- |
 //! | [`front_desk`] | hands requests from the engine's HTTP front to the handler |
-//! | [`request_handler`] | what happens to a request, and keeping its state up to date |
-//! | [`rejection`] | the proxy's own answers |
-//! | [`config_snapshot`] | one edition of the configuration, as requests are handled by it |
-//! | [`service_pool`], [`limiter_settings`] | one engine for each service: its servers and settings |
-//! | [`subsetting`], [`slow_start`] | which servers a limiter uses, and how it treats those that warm up; pure |
-//! | [`outlier_ejection`] | which servers are unhealthy, by what all proxies observe |
-//! | [`outcome_recorder`] | outcomes of requests that run at most once |
-//! | [`tenant_plans`], [`quota_plan`], [`quota_counter`] | quotas of tenants over all limiters |
-//! | [`quota_credit`], [`quota_backlog`] | what bounds a quota beneath that: admissions ahead of an owner's answer, and the owner's buckets; pure |
+//! | [`request_handler`] | routing, admission and forwarding of requests, and updates of the state that this needs |
+//! | [`rejection`] | answers of the proxy itself |
+//! | [`config_snapshot`] | immutable snapshot of one edition of the configuration |
+//! | [`service_pool`], [`limiter_settings`] | per-service engines: their servers and settings |
+//! | [`subsetting`], [`slow_start`] | which servers a limiter uses, and how it sends to warming ones; no I/O |
+//! | [`outlier_ejection`] | which servers are unhealthy, from the observations of all proxies |
+//! | [`outcome_recorder`] | outcomes of at-most-once requests |
+//! | [`tenant_plans`], [`quota_plan`], [`quota_counter`] | tenants' quotas across all limiters |
+//! | [`quota_credit`], [`quota_backlog`] | stricter quota bounds: admissions ahead of an owner's answer, and the owner's buckets; no I/O |
 //! | [`quota_partition`], [`counter_owner`] | which limiters count together, and who owns a counter |
-//! | [`session`] | the session with a core machine, and following other limiters |
-//! | [`lease`] | for how long a limiter may act by what it knows; pure |
+//! | [`session`] | the session with a core machine, and replication from other limiters |
+//! | [`lease`] | how long a limiter may act without a new confirmation; no I/O |
 //! | [`readiness`] | `GET /ready` |
-//! | [`invariants`] | what a running proxy checks of itself |
+//! | [`invariants`] | invariants that a running proxy checks itself |
 
 pub mod config_snapshot;
 pub mod counter_owner;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `oatbank-proxy`: takes the requests of clients to the servers.
+//! The program `oatbank-proxy`: forwards clients' requests to servers.
 
 use bytes::Bytes;
 use oatbank_cluster_state::admin_query::Commands;
@@ -28,29 +28,29 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Interval of checks whether clients may be served, and of observations of servers.
+/// Interval of readiness checks and evaluations of server health.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval of checks of the invariants.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval at which what changes by time alone is taken in.
+/// Interval of refreshes for changes that only the passage of time causes.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
-/// After SIGTERM, new clients are taken for this share of the grace period: they may hold an old answer of the directory.
+/// Share of the grace period after SIGTERM in which new clients are accepted: their directory entries may be stale.
 const ACCEPT_SHARE: f64 = 0.5;
-/// What is left of the grace period for the last bytes.
+/// Part of the grace period that is reserved for sending the last bytes.
 const LAST_BYTES: Duration = Duration::from_millis(500);
 /// Interval of checks during a shutdown.
 const SHUTDOWN_POLL: Duration = Duration::from_millis(20);
-/// A request's head must be complete within this, ms.
+/// Time within which a request's headers must be complete, ms.
 const HEAD_TIMEOUT_MS: f64 = 3500.0;
-/// An idle client connection is closed after this, ms.
+/// Time after which an idle client connection is closed, ms.
 const CLIENT_IDLE_MS: f64 = 15_000.0;
 
 fn main() -> ExitCode {
-    let about = "the proxy: takes clients' requests to the servers";
+    let about = "the proxy: forwards clients' requests to servers";
     process::main(&Program { name: "oatbank-proxy", about }, serve)
 }
 
-/// The parts of the running program.
+/// Components of the running program.
 struct Proxy {
     view: Rc<ClusterView>,
     handler: Rc<RequestHandler>,
@@ -101,7 +101,7 @@
         Proxy { view, handler, counter, session, front, invariants }
     }
 
-    /// Answers other processes of the system.
+    /// The handler of RPCs from other processes of the system.
     fn rpc_handler(&self, node: &Settings) -> Handler {
         let outcomes =
             OutcomeService::new(self.view.clone(), node.node_name.clone(), Some(self.handler.outcomes()));
@@ -147,7 +147,7 @@
         self.session.follow_limiters();
         tokio::task::spawn_local(self.counter.clone().run());
         tokio::task::spawn_local(self.front.clone().look_round());
-        // What changes is taken in at once; what changes by time alone, a little later.
+        // Changes of the view are applied at once, changes by time alone with a delay.
         let handler = self.handler.clone();
         self.view.on_change(Rc::new(move || handler.refresh()));
         tokio::task::spawn_local(refresh_forever(self.handler.clone()));
@@ -160,12 +160,13 @@
         Rc::new(move || handler.is_ready() && !session.is_leaving())
     }
 
-    /// Leaves the directory, takes late clients for a while, and waits for answers.
+    /// Shuts down gracefully: announces the departure, accepts clients for a part of the grace period, and then waits for
+    /// connections and at-most-once requests to finish.
     async fn shut_down(&self, node: &Settings, accepting: &AbortHandle) {
         let begun = Instant::now();
         let grace = Duration::from_secs_f64(node.bounds.grace_s);
         log::info!(
-            "proxy: {} shuts down, {} connections, {} requests unanswered",
+            "proxy: {} is shutting down, {} connections, {} requests unanswered",
             node.node_name,
             self.front.open(),
             self.handler.unanswered()
@@ -176,7 +177,7 @@
         accepting.abort();
         self.front.close_idle();
         let deadline = begun + grace.saturating_sub(LAST_BYTES);
-        // What a server executes goes on, whether or not its client still waits.
+        // At-most-once requests at servers are awaited even if their clients have left.
         while (self.front.open() > 0 || self.handler.at_most_once_in_flight() > 0)
             && Instant::now() < deadline
         {
--- a/crates/proxy/src/outcome_recorder.rs
+++ b/crates/proxy/src/outcome_recorder.rs
@@ -1,4 +1,4 @@
-//! Records the outcomes of requests that run at most once, as the engines report them.
+//! Records the outcomes of at-most-once requests that the engines report.
 
 use crate::request_handler::TRY_ID;
 use crate::service_pool::ServiceEngine;
@@ -12,29 +12,29 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A server stops at the deadline that it was handed; its answer to that is waited for this much longer, ms: the latency there
-/// and back between regions, several times.
+/// How long an answer is awaited after the deadline passed to the server, at which it stops, ms: several round trips between
+/// regions.
 const LATE_ANSWER_SLACK: Millis = 400.0;
 
-/// The outcomes that this proxy has seen.
+/// Log of the outcomes that this proxy has observed.
 pub struct OutcomeRecorder {
     view: Rc<ClusterView>,
     log: Rc<RefCell<OutcomeLog>>,
 }
 
 impl OutcomeRecorder {
-    /// Nothing is recorded yet.
+    /// Creates a recorder with an empty log.
     pub fn new(view: Rc<ClusterView>) -> Self {
         let log = OutcomeLog::new(OutcomeLogLimits::default());
         OutcomeRecorder { view, log: Rc::new(RefCell::new(log)) }
     }
 
-    /// The outcomes.
+    /// The outcome log.
     pub fn log(&self) -> &Rc<RefCell<OutcomeLog>> {
         &self.log
     }
 
-    /// Records from now on what becomes of this engine's requests that run at most once.
+    /// Starts to record the outcomes of this engine's at-most-once requests, and logs violations of at-most-once execution.
     pub(crate) fn attach(&self, engine: &ServiceEngine) {
         let (log, view) = (self.log.clone(), self.view.clone());
         let no_server: Arc<str> = Arc::from("");
@@ -56,12 +56,12 @@
         );
     }
 
-    /// Whether a request of this id was sent to a server and nothing proves that it did not run.
+    /// Whether a request with this id was sent to a server and is not known not to have run.
     pub fn may_have_run(&self, try_id: &str) -> bool {
         self.server_if_may_have_run(try_id).is_some()
     }
 
-    /// The server that a request of this id may have run at, if it is known.
+    /// The server at which a request with this id may have run, if known.
     pub fn may_have_run_at(&self, try_id: &str) -> Option<Arc<str>> {
         self.server_if_may_have_run(try_id).filter(|server| !server.is_empty())
     }
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -1,5 +1,6 @@
-//! Outlier ejection, together with all other proxies. How attempts end goes to an [`Observer`]; what it concludes is sent to the
-//! other proxies as observation rows; a [`Detector`] over the rows of all proxies says which servers get traffic.
+//! Outlier ejection, shared by all proxies. An [`Observer`] evaluates the results of this proxy's attempts, and its evidence is
+//! sent to the other proxies as observation rows. A [`Detector`] decides from the rows of all proxies which servers get
+//! traffic.
 
 use crate::counter_owner::owner_of;
 use oatbank_cluster_state::admin_query::table;
@@ -15,44 +16,46 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One limiter tries an unhealthy server for so long, ms; then the lot falls anew, so that one that stands still
-/// holds nobody up.
+/// How long one limiter probes an unhealthy server before another is drawn, ms, so that a stalled limiter does not delay the
+/// server's return.
 const PROBE_ROTATION_INTERVAL: Millis = 2000.0;
 
-/// Hundredths that others say against a server, from which on it is contested.
+/// Weight of other limiters' evidence against a server from which on this limiter also reports evidence in its favour, in
+/// hundredths.
 const DISPUTED_WEIGHT: i32 = 400;
-/// So long after a server turned something away none of its service is left, ms.
+/// Time after a server rejected a request as overloaded during which no server of its service is avoided, ms.
 const SATURATION_HOLD: Millis = 5000.0;
-/// Of the lots.
+/// FNV-1a prime, used to draw the limiter that probes a server.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
-/// Without updates, servers are looked at this often, ms.
+/// Longest time between evaluations if there is nothing new, ms.
 const EVALUATION_INTERVAL: Millis = 250.0;
 
-/// What this proxy sees, and what all say.
+/// Evidence of this proxy on servers and the verdicts drawn from the evidence of all proxies.
 #[derive(Default)]
 pub struct OutlierEjection {
     observer: RefCell<Observer>,
     detector: RefCell<Detector>,
     /// Sequence number of the latest observation reported about each server.
     seqs: RefCell<BTreeMap<String, u32>>,
-    /// Servers that are not simply healthy, as last asked for.
+    /// Standings of servers that are not healthy, as of the last evaluation.
     standings: RefCell<BTreeMap<String, Standing>>,
-    /// When it was last thought about, and by which count of the book; ends came in since.
+    /// Time of the last evaluation, ms, and the table's observation sequence number then.
     last_evaluation: Cell<(Millis, u64)>,
+    /// Whether attempts have ended since the last evaluation.
     has_new_ends: Cell<bool>,
-    /// When servers of a service last turned something away.
+    /// Last time a server of each service rejected a request as overloaded or reset a connection, ms.
     saturated_at: RefCell<BTreeMap<String, Millis>>,
     log_limit: RateLimitedLog,
 }
 
-/// What an attempt's end says of its server.
+/// Classifies the outcome of an attempt as evidence on its server.
 fn end_kind(outcome: Outcome) -> EndKind {
     match outcome {
         Outcome::Ok => EndKind::Success,
         Outcome::Error | Outcome::TimedOut => EndKind::Failure,
         Outcome::ConnectFailed => EndKind::NotConnected,
         Outcome::Cancelled => EndKind::Cancelled,
-        // Servers that are full may end connections for that: to leave them would fill the others.
+        // Overloaded servers may reset connections: avoiding them would overload the others.
         Outcome::Full | Outcome::Reset | Outcome::Moot => EndKind::Ignored,
     }
 }
@@ -78,7 +81,7 @@
 }
 
 impl OutlierEjection {
-    /// Takes in how attempts of a service have ended; `class`: the names of its classes.
+    /// Records results of attempts at a service's servers. `classes` are the names of the service's classes, by index.
     pub fn record_ends(&self, now: Millis, service: &str, classes: &[String], ends: &[Finished]) {
         let mut observer = self.observer.borrow_mut();
         self.has_new_ends.set(true);
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Whether to evaluate again: something is new, or time has passed.
+    /// Whether an evaluation is due because attempts ended, observations arrived, or [`EVALUATION_INTERVAL`] has passed. If so,
+    /// notes it as done.
     pub fn is_due(&self, now: Millis, table: &StateTable) -> bool {
         let (at, seen) = self.last_evaluation.get();
         let is_due = self.has_new_ends.replace(false)
@@ -107,7 +111,7 @@
         is_due
     }
 
-    /// What this limiter has to tell now, as rows of the book.
+    /// This limiter's new observations, as rows for the cluster state.
     pub fn observations(
         &self,
         now: Millis,
@@ -115,8 +119,7 @@
         name: &str,
         incarnation: u64,
     ) -> Vec<ObservationRow> {
-        // Where others complain of a server by more than one failure, what is known in its favour is worth
-        // telling.
+        // Evidence in a server's favour is reported only where others have evidence of more than one failure.
         let mut weight_against: BTreeMap<&str, i32> = BTreeMap::new();
         for (row, _) in table.observations(now).filter(|(row, _)| row.observer != name) {
             let most = row.failing.iter().chain(&row.slow).max().copied().unwrap_or(0).clamp(0, 3000);
@@ -127,7 +130,7 @@
         let observations = self.observer.borrow_mut().reports(now, is_disputed);
         let mut seqs = self.seqs.borrow_mut();
         if seqs.len() > 1024 {
-            // Servers come and go. Those told of lately are kept, as their words count on.
+            // Bounds the map as servers are replaced. Servers with current observations keep their sequence numbers.
             let observed: BTreeSet<&str> =
                 table.observations(now).map(|(row, _)| row.server.as_str()).collect();
             seqs.retain(|id, _| observed.contains(id.as_str()));
@@ -150,7 +153,7 @@
         observations.into_iter().map(row).collect()
     }
 
-    /// Judges by all rows there are; `time` is the system's. Whether that changes how servers are to be used.
+    /// Evaluates the observations of all limiters. `time` is the cluster's time, ms. Returns whether any standing has changed.
     pub fn evaluate(&self, now: Millis, time: Millis, table: &StateTable, node: &Node) -> bool {
         let mut detector = self.detector.borrow_mut();
         let observations: Vec<Evidence> =
@@ -174,7 +177,7 @@
         let unhealthy = detector.unhealthy();
         self.observer.borrow_mut().set_unhealthy(&unhealthy);
         let ready = || members.iter().filter(|row| row.state == member_state::READY);
-        // Who tries it stands as near to it as there are any.
+        // The prober is drawn from the ready limiters nearest to the server.
         let is_prober = |id: &str| {
             let zone = zones.get(id).copied().unwrap_or_default();
             let region = node.zones.iter().find(|(z, _)| z == zone).map_or("", |(_, region)| region);
@@ -206,7 +209,7 @@
         changed
     }
 
-    /// For the shell: what is made of each server that is not simply healthy.
+    /// The `verdicts` table for `oatbankctl`: state and standing of each server that is not healthy.
     pub fn verdicts_table(&self, now: Millis) -> Table {
         let (detector, standings) = (self.detector.borrow(), self.standings.borrow());
         let row = |(id, since): (String, Millis)| {
@@ -216,15 +219,11 @@
             vec![id, state, format!("{here:?}").to_lowercase(), since]
         };
         let rows: Vec<Vec<String>> = detector.unhealthy().into_iter().map(row).collect();
-        table(
-            format!("{} servers are not simply well", rows.len()),
-            &["server", "verdict", "here", "for"],
-            rows,
-        )
+        table(format!("{} servers are not healthy", rows.len()), &["server", "verdict", "here", "for"], rows)
     }
 
-    /// How a server of a service is to be used. Where servers have turned something away of late there is no room for
-    /// what others would have to take.
+    /// How a server of a service is to be used. While servers of the service are overloaded, all are used: the others could not
+    /// take the traffic of an avoided one.
     pub fn standing(&self, now: Millis, service: &str, id: &str) -> Standing {
         if self.saturated_at.borrow().get(service).is_some_and(|at| now - at < SATURATION_HOLD) {
             return Standing::Well;
--- a/crates/proxy/src/quota_backlog.rs
+++ b/crates/proxy/src/quota_backlog.rs
@@ -1,52 +1,53 @@
-//! What an owner keeps of each tenant's quota: a leaky bucket over the admissions of all limiters. Pure; the time is handed in.
+//! An owner's record of each tenant's quota: a leaky bucket over the admissions of all limiters. No I/O; the current time is a
+//! parameter.
 //!
-//! A bucket is kept as its backlog: the time in which it would be empty at the quota's rate (GCRA). So it stays meaningful when the
-//! rate changes, or the part of a quota that is given out.
+//! A bucket is stored as its backlog, the time in which it would drain at the quota's rate (GCRA), so that it stays valid when
+//! the rate changes or the share of a quota that is given out.
 //!
-//! An owner never takes a quota to be unused because it knows nothing of it. A bucket that it meets for the first time is as full
-//! as it can have been left when this limiter became its owner, and limiters report the backlog that they have received last.
+//! An owner never assumes that a quota it has no record of is unused. A new bucket starts as full as it can have been left
+//! when this limiter became its owner, and limiters report the backlog that they last received.
 
 use crate::counter_owner::owner_of;
 use crate::quota_credit::Report;
 use oatbank_limiter_core::interface::{CustomerId, Millis};
 use std::collections::{HashMap, VecDeque};
 
-/// Reports from limiters that see other owners may come this much sooner than this limiter hears that it owns a bucket, or
-/// later than it hears that it does not, ms.
+/// Maximum difference between limiters in the time at which they see a change of owners, ms. Reports may arrive this long
+/// before this limiter sees that it owns a bucket, or after it sees that it no longer does.
 const VIEW_LAG: Millis = 1000.0;
-/// Limiters that owned counters and do so no more are remembered for this long, ms: longer than any bucket takes to be empty.
+/// How long former owners are remembered, ms: longer than any bucket takes to drain.
 const FORMER_OWNER_RETENTION: Millis = 30_000.0;
-/// A bucket that is empty and was not reported to for this long is forgotten, ms: longer than the rule's window.
+/// Time without reports after which an empty bucket is removed, ms: longer than the quota window.
 const IDLE: Millis = 10_000.0;
-/// Width of the parts in which the last window of admissions is kept, ms.
+/// Width of the intervals in which the admissions of the last window are summed, ms.
 const PART_WIDTH: Millis = 250.0;
-/// The longest backlog that a report may raise a bucket to, in bursts: what was admitted beyond a quota is owed no longer.
+/// Limit on the backlog that a report may set, in bursts. It bounds how long admissions beyond a quota have to be paid back.
 const MAX_BACKLOG_BURSTS: f64 = 5.0;
 
-/// What a tenant's admissions are bounded by.
+/// Bounds on a tenant's admissions.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaBounds {
-    /// How much is given out in all, requests a second.
+    /// Rate that all limiters together give out, requests per second.
     pub rate: f64,
-    /// How much of it may be given out at once, requests.
+    /// Burst that may be given out at once, requests.
     pub burst: f64,
-    /// How much each limiter may admit ahead of the owner's answer, requests; also a fraction of one.
+    /// Requests that each limiter may admit ahead of the owner's answer; may be a fraction.
     pub credit: f64,
-    /// Limiters that share what is given out.
+    /// Number of limiters that share the rate and burst.
     pub limiters: f64,
-    /// How much may be reported to the owner in a window of the rule, requests.
+    /// Most requests that may be reported to the owner in a window.
     pub reported: f64,
-    /// The window, ms.
+    /// Length of the quota window, ms.
     pub window: Millis,
 }
 
 impl QuotaBounds {
-    /// How long so many requests take at the quota's rate.
+    /// Time that this number of requests takes at the quota's rate, ms.
     pub fn time_of(&self, requests: f64) -> Millis {
         requests * 1000.0 / self.rate.max(f64::MIN_POSITIVE)
     }
 
-    /// What is left of the burst at a backlog, for each limiter.
+    /// Each limiter's share of the burst that is left at a backlog, requests.
     pub fn shared_burst(&self, backlog: Millis) -> f64 {
         let left = (self.burst - backlog * self.rate / 1000.0).max(0.0);
         left / self.limiters.max(1.0)
@@ -56,21 +57,21 @@
 /// One tenant's bucket.
 #[derive(Debug, Default)]
 struct Bucket {
-    /// As of `at`.
+    /// Time to drain as of `at`, ms.
     backlog: Millis,
     at: Millis,
-    /// Admissions in the last window, by the part of it in which they were reported.
+    /// Admissions of the last window, summed by the interval in which they were reported.
     reported: VecDeque<ReportedPart>,
 }
 
-/// What was reported in a part of a window.
+/// Sum of admissions reported in one interval of [`PART_WIDTH`].
 #[derive(Debug)]
 struct ReportedPart {
-    /// When the part began.
+    /// Start of the interval, ms.
     from: Millis,
-    /// Admissions.
+    /// Number of reported admissions.
     requests: f64,
-    /// The most that might then be reported in a window: a lower bound holds one window after it was set.
+    /// [`QuotaBounds::reported`] at that time: a bound that was lowered takes effect one window later.
     allowed: f64,
 }
 
@@ -80,7 +81,7 @@
         self.at = self.at.max(now);
     }
 
-    /// Notes what was reported, and returns how much of it is beyond what may run in a window.
+    /// Records reported admissions and returns how many of them exceed the window's bound.
     fn note(&mut self, now: Millis, requests: f64, bounds: &QuotaBounds) -> f64 {
         let from = (now / PART_WIDTH).floor() * PART_WIDTH;
         match self.reported.back_mut().filter(|part| part.from >= from) {
@@ -90,7 +91,7 @@
             }
             None => self.reported.push_back(ReportedPart { from, requests, allowed: bounds.reported }),
         }
-        // Whole parts within the window only: what is counted too much would be a false alarm.
+        // Only intervals that lie completely within the window: counting more would raise false alarms.
         while self.reported.front().is_some_and(|part| part.from < now - bounds.window) {
             self.reported.pop_front();
         }
@@ -100,23 +101,23 @@
     }
 }
 
-/// The buckets of the tenants that this limiter owns.
+/// Buckets of the tenants whose counters this limiter owns.
 #[derive(Debug)]
 pub struct OwnedBacklogs {
     own_name: String,
-    /// The limiters that own counters as known here; none yet if empty.
+    /// Sorted names of the limiters that own counters; empty until first set.
     owners: Vec<String>,
     buckets: HashMap<CustomerId, Bucket>,
-    /// Since when this limiter counts together with the others.
+    /// Since when this limiter has counted together with the others, ms.
     since: Millis,
-    /// Limiters that owned counters until then; what one of them owned, this one may have taken over.
+    /// Limiters that ceased to own counters, with the time. This limiter may have taken over their tenants.
     former_owners: Vec<(Millis, Vec<String>)>,
     forgotten_at: Millis,
     overrun: f64,
 }
 
 impl OwnedBacklogs {
-    /// None yet, for the limiter of this name, which starts now.
+    /// Creates an empty set for the limiter of this name, which starts now.
     pub fn new(now: Millis, own_name: String) -> Self {
         let (owners, buckets, former_owners) = Default::default();
         OwnedBacklogs {
@@ -134,13 +135,13 @@
         owner_of(tenant.0, self.owners.iter().map(String::as_str)) == Some(&self.own_name)
     }
 
-    /// Whether a tenant's bucket is known. Before a report to one that is not, the owners have to be up to date.
+    /// Whether the tenant has a bucket. If not, [`Self::set_owners`] has to be called before [`Self::report`].
     pub fn has(&self, tenant: CustomerId) -> bool {
         self.buckets.contains_key(&tenant)
     }
 
-    /// Since when this limiter has owned a tenant's counters. One that others take for the owner before it does itself begins to
-    /// own them now.
+    /// Since when this limiter has owned a tenant's counters, ms; `now` if other limiters already take it for the owner but its
+    /// own view does not.
     fn owned_since(&self, now: Millis, tenant: CustomerId) -> Millis {
         if !self.owners.is_empty() && !self.is_own(tenant) {
             return now;
@@ -153,7 +154,7 @@
         taken_over.map_or(self.since, |(at, _)| self.since.max(*at))
     }
 
-    /// Takes in a limiter's report; returns the backlog after it, and how many of the requests that wait are granted.
+    /// Records a limiter's report. Returns the resulting backlog, ms, and how many of the waiting requests are granted.
     pub fn report(
         &mut self,
         now: Millis,
@@ -163,7 +164,7 @@
     ) -> (Millis, u32) {
         self.forget_idle(now);
         if !self.buckets.contains_key(&tenant) {
-            // Whoever owned it before may have left it full; since then it has leaked.
+            // A previous owner may have left the bucket full; it has leaked since.
             let backlog = (bounds.time_of(bounds.burst) - (now - self.owned_since(now, tenant))).max(0.0);
             self.buckets.insert(tenant, Bucket { backlog, at: now, ..Bucket::default() });
         }
@@ -180,7 +181,8 @@
         (bucket.backlog, granted as u32)
     }
 
-    /// The limiters that own counters are these now: what is not owned any more is forgotten, as another counts on from here.
+    /// Sets the sorted names of the limiters that own counters. Drops buckets that this limiter no longer owns, as their new
+    /// owner counts on.
     pub fn set_owners(&mut self, now: Millis, owners: Vec<String>) {
         let before = std::mem::replace(&mut self.owners, owners);
         if before == self.owners || before.is_empty() {
@@ -188,7 +190,7 @@
         }
         let is_alone = |names: &[String]| names == [self.own_name.as_str()];
         if is_alone(&before) || is_alone(&self.owners) {
-            // What it counts alone is its own part, and not what others count meanwhile.
+            // Counts taken alone cover this limiter's share only, not what others admit meanwhile.
             self.buckets.clear();
             self.former_owners.clear();
             self.since = now;
@@ -215,17 +217,17 @@
         }
     }
 
-    /// How many admissions were reported here beyond what may run in a window, since the start.
+    /// Number of admissions reported beyond a window's bound since the start.
     pub fn overrun(&self) -> f64 {
         self.overrun
     }
 
-    /// How many tenants are owned and in use.
+    /// Number of buckets.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether none is.
+    /// Whether there are no buckets.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
--- a/crates/proxy/src/quota_counter.rs
+++ b/crates/proxy/src/quota_counter.rs
@@ -1,12 +1,12 @@
-//! Tenants' quotas over all limiters: the decision module's counters, owned by the limiters themselves.
+//! Enforces tenants' quotas across all limiters with counters that the limiters own themselves.
 //!
-//! Each counter has one owner, by its key and the limiters that may be active. Additions for the same owner are sent together.
-//! An owner that is gone takes its totals with it: the decision module sees a total below its own last one and counts anew,
-//! and meanwhile keeps to its own part.
+//! Each counter has one owner, determined by its key and the limiters that may be active. Additions for the same owner are
+//! batched. Totals are lost with their owner: the decision module sees a total below its previous one, starts counting again,
+//! and meanwhile keeps to its own share.
 //!
-//! Totals say how much of a quota was used, and late: beneath them [`crate::quota_credit`] bounds what this limiter admits before the
-//! owner has answered, and [`crate::quota_backlog`] what an owner takes to be left. One owner has all counters of a tenant, and
-//! the reports that the decision module sends serve both.
+//! Totals reflect usage with a delay, so two stricter bounds apply: [`crate::quota_credit`] limits what this limiter admits
+//! before the owner has answered, and [`crate::quota_backlog`] is the owner's record of what is left. All counters of a tenant
+//! have the same owner, and the reports that the decision module sends serve both.
 
 use crate::counter_owner::{owner_address, owner_names, owners_fingerprint, ALONE};
 use crate::quota_backlog::{OwnedBacklogs, QuotaBounds};
@@ -34,58 +34,58 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Additions are gathered for this long.
+/// How long additions are batched before they are sent.
 const BATCH_DELAY: Duration = Duration::from_millis(25);
-/// The same where a request waits for the owner.
+/// How long additions are batched while a request waits for the owner.
 const URGENT_BATCH_DELAY: Duration = Duration::from_millis(4);
-/// How long an owner may take to answer: on a tenth of a core and in another region, 400 ms are not rare.
+/// Timeout of a call to an owner. An owner in another region that has a tenth of a CPU core often takes 400 ms.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// A call is slow for the decision module beyond a part of this, ms, and it pauses for as long after failures.
+/// Counter timeout of the decision module, ms: a call is slow beyond a fraction of it, and it is the pause after failures.
 const COUNTER_TIMEOUT: Millis = 400.0;
-/// Interval of checks for what is due.
+/// Interval at which the decision module's timers run.
 const TICK: Duration = Duration::from_millis(50);
-/// Interval of syncs of a tenant, ms: a tenth of a window of one second. What a tenant that comes under pressure sends through
-/// all limiters between two syncs comes on top of its burst.
+/// Interval between reports of a tenant's usage, ms: a tenth of a window of one second. Requests that an overloading tenant
+/// sends through all limiters between two reports come on top of its burst.
 const SYNC_INTERVAL: Millis = 100.0;
-/// Share of a burst that a limiter leaves untold until then.
+/// Share of a burst that one limiter may leave unreported until the next interval.
 const UNREPORTED_SHARE: f64 = 0.1;
-/// Share of a burst that all limiters together leave untold until then.
+/// Share of a burst that all limiters together may leave unreported until the next interval.
 const TOTAL_UNREPORTED_SHARE: f64 = 0.6;
-/// Less than that share of a burst is told after this, ms: a call to an owner in another region is expensive.
+/// Delay after which usage below the unreported share is sent, ms: a call to an owner in another region is expensive.
 const FLUSH_AFTER: Millis = 3000.0;
 /// The longest lifetime of a counter, ms.
 const MAX_LIFETIME: Millis = 120_000.0;
 
-/// A request waits for the answer of an owner for this long at most: a part of what its client waits for.
+/// Longest wait of a request for an owner's answer; shorter than clients wait for an answer.
 const OWNER_WAIT: Duration = Duration::from_millis(400);
-/// One that was rejected after that may come again after this, ms.
+/// `Retry-After` of a request that was rejected after [`OWNER_WAIT`], ms.
 const RETRY_AFTER_WAIT: Millis = 100.0;
-/// Interval of checks which limiters own counters.
+/// Interval of checks for changes among the limiters that own counters.
 const OWNERS_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval of log lines on requests that were rejected for want of an owner's answer.
+/// Minimum interval between log lines on requests rejected because no owner answered.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// The name of an addition that only reports admissions.
+/// Counter name of an addition that only carries a report of admissions.
 const NO_COUNTER: u64 = 0;
 
-/// How admissions have fared beneath the decision module, since the start.
+/// Counts of requests that were delayed or rejected by the credit bounds since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CreditCounts {
     /// Requests that waited for an owner's answer.
     pub waited: u64,
-    /// Of these, those that were rejected.
+    /// Requests that were rejected after waiting.
     pub given_up: u64,
-    /// Requests that were rejected as the owner's backlog was full.
+    /// Requests that were rejected because the owner's backlog was full.
     pub used_up: u64,
-    /// Reports without an answer.
+    /// Reports to owners that were not answered.
     pub unanswered_reports: u64,
 }
 
-/// An owner's answer to additions, still encoded.
+/// Future of an owner's encoded [`QuotaTotals`].
 pub type CountFuture = Pin<Box<dyn Future<Output = Result<bytes::Bytes, RpcError>>>>;
 
-/// How the other limiters are reached.
+/// Transport for calls to counter owners.
 pub trait QuotaPeers {
-    /// Sends encoded [`QuotaAdds`] to an owner, and waits for [`QuotaTotals`] for so long.
+    /// Sends encoded [`QuotaAdds`] to an owner and waits for [`QuotaTotals`], at most for `within`.
     fn count(&self, owner: SocketAddr, adds: Vec<u8>, within: Duration) -> CountFuture;
 }
 
@@ -97,23 +97,23 @@
     quotas: RefCell<Quotas>,
     /// The counters that this limiter owns.
     owned: Numbers,
-    /// Additions to send, by the owner's address; `None`: this limiter.
+    /// Additions to send, by the owner's address; `None` stands for this limiter.
     pending: RefCell<BTreeMap<Option<SocketAddr>, Vec<QuotaAdd>>>,
-    /// When it is to be sent.
+    /// When `pending` is to be sent.
     flush_due: Cell<Option<Instant>>,
     credits: RefCell<TenantCredits>,
-    /// The buckets of the tenants that this limiter owns.
+    /// Buckets of the tenants whose counters this limiter owns.
     backlogs: RefCell<OwnedBacklogs>,
-    /// Of the limiters that owned counters when last looked at, and whether this one counted with them.
+    /// Fingerprint of the limiters that owned counters at the last check; [`ALONE`] if this one counted alone.
     owners_fingerprint: Cell<Option<u64>>,
-    /// An owner has answered.
+    /// Notified when an owner has answered.
     answered: Notify,
     counts: Cell<CreditCounts>,
     random: Cell<u64>,
 }
 
 impl QuotaCounter {
-    /// No tenant yet.
+    /// Creates a counter without plans; `seed` seeds the decision module and the rounding of credit.
     pub fn new(view: Rc<ClusterView>, peers: Rc<dyn QuotaPeers>, node_name: String, seed: u64) -> Rc<Self> {
         let credits = RefCell::new(TenantCredits::new(view.now()));
         let backlogs = RefCell::new(OwnedBacklogs::new(view.now(), node_name.clone()));
@@ -134,22 +134,23 @@
         })
     }
 
-    /// Which limiters count with this one now.
+    /// The current partition: which limiters count together with this one.
     pub fn partition(&self) -> QuotaPartition {
         let confirmed_ago = self.view.confirmed_ago();
         self.view.with(|table, now| QuotaPartition::of(&self.node_name, table.members(now), confirmed_ago))
     }
 
-    /// Sets the plans, and what bounds each tenant, shared by so many limiters.
+    /// Sets the plans and each tenant's bounds, for quotas shared by this number of limiters.
     pub fn set_plans(&self, plans: Vec<Plan>, bounds: HashMap<CustomerId, QuotaBounds>, limiters: f64) {
         self.quotas.borrow_mut().settle(quota_settings(plans, limiters));
         self.credits.borrow_mut().set_bounds(bounds);
     }
 
-    /// Whether a tenant's request goes on. If its credit is used up, it waits a moment for the owner's answer.
+    /// Admits a tenant's request or rejects it. A request without credit waits for the owner's answer, at most for
+    /// [`OWNER_WAIT`].
     ///
     /// # Errors
-    /// If its quota is used up: when to come back, ms.
+    /// If the quota is used up or no owner has answered: the time after which to retry, ms.
     pub async fn admit(
         self: &Rc<Self>,
         customer: CustomerId,
@@ -182,14 +183,15 @@
         }
     }
 
-    /// A random number from 0 to 1.
+    /// Next pseudorandom number in [0, 1).
     fn draw_rounding(&self) -> f64 {
         let next = self.random.get().wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
         self.random.set(next);
         (next >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// What the decision module says of a request, which is to be rejected in any case if it is to come back `later`.
+    /// Passes a request to the decision module and returns its verdict. If `later` is set, the request is rejected with that
+    /// retry time whatever the verdict.
     fn decide(self: &Rc<Self>, draw: Draw, later: Option<Millis>) -> Result<(), Millis> {
         let (now, customer) = (self.view.cluster_time(), draw.customer);
         let mut actions = Vec::new();
@@ -215,7 +217,7 @@
         self.credits.borrow_mut().of(customer).map(then)
     }
 
-    /// Reports what was admitted of a tenant, without waiting for the decision module to tell its counter.
+    /// Queues a report of a tenant's admissions without waiting for the decision module's next addition.
     fn report_now(self: &Rc<Self>, customer: CustomerId, delay: Duration) {
         if self.with_credit(customer, |credit| credit.has_report()) == Some(true) {
             self.queue(customer, QuotaAdd { name: NO_COUNTER, ..QuotaAdd::default() }, true);
@@ -242,7 +244,7 @@
         self.schedule_flush(BATCH_DELAY);
     }
 
-    /// Sends what is queued after `delay`, or sooner if that is planned.
+    /// Schedules sending of the queue after `delay`, unless it is already scheduled earlier.
     fn schedule_flush(self: &Rc<Self>, delay: Duration) {
         let due = Instant::now() + delay;
         let is_planned = self.flush_due.get().is_some_and(|planned| planned <= due);
@@ -260,7 +262,7 @@
         });
     }
 
-    /// Queues an addition to a tenant's counter, for its owner, and with it the report of what was admitted.
+    /// Queues an addition to a tenant's counter for its owner. If `reports` is set, attaches the report of admissions.
     fn queue(&self, customer: CustomerId, mut add: QuotaAdd, reports: bool) {
         let owner = owner_address(&self.view, &self.node_name, customer.0);
         let now = self.view.now();
@@ -273,7 +275,7 @@
         self.pending.borrow_mut().entry(owner).or_default().push(add);
     }
 
-    /// Takes in which limiters own counters now.
+    /// Updates the owned buckets if the limiters that own counters have changed.
     fn check_owners(&self) {
         let fingerprint = owners_fingerprint(&self.view, &self.node_name);
         let before = self.owners_fingerprint.replace(Some(fingerprint));
@@ -281,8 +283,12 @@
             return;
         }
         if before.is_some_and(|before| (before == ALONE) != (fingerprint == ALONE)) {
-            let mode = if fingerprint == ALONE { "alone, by its own part" } else { "with the others" };
-            log::info!("quotas: counts {}", mode);
+            let mode = if fingerprint == ALONE {
+                "alone, within its own share"
+            } else {
+                "together with the other limiters"
+            };
+            log::info!("quotas: counting {}", mode);
         }
         let owners = owner_names(&self.view, &self.node_name);
         self.backlogs.borrow_mut().set_owners(self.view.now(), owners);
@@ -325,7 +331,7 @@
         self.answered.notify_waiters();
     }
 
-    /// Gives back the credit of what an owner has answered to.
+    /// Restores the credit of reports that an owner has answered, and marks the others as lost or not sent.
     fn settle_reports(&self, adds: &[QuotaAdd], answer: &Result<QuotaTotals, RpcError>, took: Millis) {
         let now = self.view.now();
         let reports: Vec<&QuotaAdd> = adds.iter().filter(|add| add.tenant != 0).collect();
@@ -334,7 +340,7 @@
         };
         let (backlogs, granted) = match answer {
             Ok(totals) if is_complete(totals) => (totals.backlogs.as_slice(), totals.granted.as_slice()),
-            // It answers as an older version does: there is nothing to wait for.
+            // An older version answers without backlogs: all requests that wait count as granted.
             Ok(totals) if totals.backlogs.is_empty() && totals.totals.len() == adds.len() => {
                 (&[][..], &[][..])
             }
@@ -360,7 +366,7 @@
         }
     }
 
-    /// Adds to counters that this limiter owns: one total for each, in their order. What cannot be added has none (NaN).
+    /// Adds to counters that this limiter owns and returns one total per addition, in order; NaN if it cannot be added.
     fn add(&self, adds: &[QuotaAdd]) -> QuotaTotals {
         let now = self.view.now();
         let total = |add: &QuotaAdd| {
@@ -382,11 +388,13 @@
         QuotaTotals { totals, backlogs, granted }
     }
 
-    /// Takes in a report of admissions. The backlog and 1, or 0 if the tenant is not known here; and how much is granted.
+    /// Records a report of admissions. Returns the backlog plus 1, ms, or 0 if the tenant is unknown here, and the number of
+    /// granted requests.
     fn receive_report(&self, now: Millis, add: &QuotaAdd) -> (u32, u32) {
         let tenant = CustomerId(add.tenant);
         let Some(bounds) = self.credits.borrow().bounds(tenant) else { return (0, add.wanted) };
-        // A limiter that counted alone until now has to forget that first, and one that is met for the first time may be new here.
+        // A limiter that counted alone until now has to drop its buckets first. Before a first report on a tenant, the owners
+        // have to be current, as the limiter may just have become its owner.
         let has_counted_alone = self.owners_fingerprint.get() == Some(ALONE) && self.view.in_touch();
         if has_counted_alone || !self.backlogs.borrow().has(tenant) {
             self.check_owners();
@@ -395,22 +403,23 @@
         (1 + backlog.ceil() as u32, granted)
     }
 
-    /// Answers another limiter's [`QuotaAdds`].
+    /// Answers another limiter's encoded [`QuotaAdds`] with encoded [`QuotaTotals`]; empty if this limiter counts alone or the
+    /// request cannot be decoded.
     pub fn answer(&self, body: bytes::Bytes) -> Vec<u8> {
         match QuotaAdds::decode(body) {
-            // One that counts alone gives out its own part, and nobody else's: see `QuotaPartition`.
+            // A limiter that counts alone gives out its own share only: see `QuotaPartition`.
             Ok(_) if !self.view.in_touch() => Vec::new(),
             Ok(adds) => self.add(&adds.counts).encode_to_vec(),
             Err(_) => Vec::new(),
         }
     }
 
-    /// How many admissions were reported to this limiter beyond what may run in a window, of the tenants that it owns.
+    /// Number of admissions reported to this limiter beyond a window's bound, over the tenants that it owns.
     pub fn overrun(&self) -> u64 {
         self.backlogs.borrow().overrun().ceil() as u64
     }
 
-    /// The table of what bounds quotas here.
+    /// The `quotas` table for `oatbankctl`.
     pub fn table(&self) -> Table {
         let counts = self.counts.get();
         let (credits, backlogs) = (self.credits.borrow(), self.backlogs.borrow());
@@ -427,13 +436,13 @@
         table("quotas, since the start", &["what", "how many"], rows)
     }
 
-    /// Logs how many requests were rejected for want of an owner's answer, if there are more than `logged` by now.
+    /// Logs the number of requests rejected because no owner answered if it exceeds `logged`, and returns it.
     fn log_rejected(&self, logged: u64) -> u64 {
         let counts = self.counts.get();
         if counts.given_up > logged {
             log::warn!(
-                "quotas: {} requests rejected by now as no owner answered; {} have waited, {} reports had no answer, {} \
-                 found their quota used up",
+                "quotas: {} requests rejected since the start because no owner answered; {} waited, {} reports were \
+                 unanswered, {} found their quota used up",
                 counts.given_up,
                 counts.waited,
                 counts.unanswered_reports,
@@ -443,7 +452,7 @@
         counts.given_up
     }
 
-    /// Sends what is due, for the life of the process.
+    /// Runs the decision module's timers and the checks of owners, for the life of the process.
     pub async fn run(self: Rc<Self>) {
         let mut owners_due = Instant::now();
         let mut log_due = Instant::now() + LOG_INTERVAL;
@@ -465,26 +474,26 @@
     }
 }
 
-/// The report that goes with an addition.
+/// The report attached to an addition.
 fn report_of(add: &QuotaAdd) -> Report {
     Report { admitted: add.admitted, wanted: add.wanted, backlog: add.backlog }
 }
 
-/// What an owner's answer to so many additions says of each: its outcome and total. An addition whose answer was lost may have
-/// been made: what a later total does not show of it is sent again, once.
+/// The outcome and total of each of `adds` additions, from an owner's answer. An addition whose answer was lost may have been
+/// made: the part of it that a later total does not show is sent again, once.
 pub fn outcomes_of(adds: usize, answer: &Result<QuotaTotals, RpcError>) -> Vec<(Outcome, f64)> {
-    // The owner has no room for a counter whose total is missing.
+    // NaN: the owner has no room for the counter.
     let outcome = |total: &f64| if total.is_finite() { (Outcome::Ok, *total) } else { (Outcome::Full, 0.0) };
     match answer {
         Ok(answer) if answer.totals.len() == adds => answer.totals.iter().map(outcome).collect(),
-        // Which total belongs to which addition is not known.
+        // Totals cannot be matched to additions.
         Ok(_) => vec![(Outcome::Reset, 0.0); adds],
         Err(RpcError::Unreachable) => vec![(Outcome::ConnectFailed, 0.0); adds],
         Err(RpcError::Lost) => vec![(Outcome::TimedOut, 0.0); adds],
     }
 }
 
-/// The settings of the decision module's quotas, shared by so many limiters.
+/// The decision module's quota settings for this number of limiters.
 pub fn quota_settings(plans: Vec<Plan>, limiters: f64) -> QuotaSettings {
     QuotaSettings {
         plans,
--- a/crates/proxy/src/quota_credit.rs
+++ b/crates/proxy/src/quota_credit.rs
@@ -1,48 +1,50 @@
-//! What a limiter may admit of a tenant's requests before its counter's owner has answered. Pure; the time is handed in.
+//! Bounds what a limiter may admit of a tenant's requests before the owner of the tenant's counter has answered. No I/O; the
+//! current time is a parameter.
 //!
-//! Each limiter has credit for a few requests, or a fraction of one. Admissions use it up, the owner's answer to their report gives it
-//! back. Where it does not reach, the owner is asked first: what it grants is charged to its bucket already. While the owner is
-//! silent, credit comes back at this limiter's part of the quota's rate alone.
+//! Each limiter has credit for a few requests, or a fraction of one. Admissions use it up and the owner's answer to their
+//! report restores it. Without credit, the owner is asked first: its bucket is charged for the requests that it grants. While
+//! the owner does not answer, credit recovers only at this limiter's share of the quota's rate.
 //!
-//! So however long an owner takes, is away or is cut off, a window T sees at most R·T + B + `limiters`·`credit` with rate R and burst B
-//! given out, for which [`crate::quota_plan::bounds`] leaves room. Nothing that is only assumed of an answer's time is part of it.
+//! However long an owner is slow, down or unreachable, a window T therefore sees at most R·T + B + `limiters`·`credit` with
+//! rate R and burst B given out. [`crate::quota_plan::bounds`] leaves room for that. The bound assumes nothing about the time
+//! that an answer takes.
 
 use crate::quota_backlog::QuotaBounds;
 use oatbank_limiter_core::interface::{CustomerId, Millis};
 use std::collections::HashMap;
 
-/// An owner that has not answered to anything for this long is silent, ms: longer than an answer may take.
+/// Time without any answer after which an owner counts as silent, ms: longer than the timeout of a call.
 const OWNER_TIMEOUT: Millis = 800.0;
-/// A backlog that was received longer ago is not reported to an owner, ms: it has leaked, or another has counted on.
+/// Age beyond which a received backlog is not reported to an owner, ms: it has leaked, or another owner has counted on.
 const BACKLOG_MAX_AGE: Millis = 5000.0;
-/// What was granted is to be used within this, ms: its request may have been given up.
+/// Lifetime of a grant, ms: the request that asked for it may have been rejected meanwhile.
 const GRANT_VALIDITY: Millis = 1000.0;
-/// What was not asked for this long is forgotten, ms.
+/// Time without requests after which a tenant's credit is removed, ms.
 const IDLE: Millis = 30_000.0;
 
-/// What a tenant's credit says of a request.
+/// Decision on a request by its tenant's credit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CreditVerdict {
-    /// It may be admitted.
+    /// The request may be admitted.
     Granted,
-    /// The owner is to be asked first.
+    /// The owner has to be asked first.
     AskOwner,
-    /// The quota is used up: when to come back, ms.
+    /// The quota is used up: the time after which to retry, ms.
     UsedUp(Millis),
 }
 
-/// What a limiter tells an owner of a tenant.
+/// A limiter's report on a tenant to the owner of its counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Requests that were admitted since the last report.
+    /// Requests admitted since the last report.
     pub admitted: u32,
-    /// Requests that wait for its grant.
+    /// Requests that wait for a grant.
     pub wanted: u32,
-    /// The backlog that is known here, ms; 0 if none is.
+    /// The backlog last received from an owner, less what has leaked since, ms; 0 if none is known.
     pub backlog: u32,
 }
 
-/// A backlog as an owner has told it.
+/// A backlog received from an owner, with the times of its request and answer.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedBacklog {
     backlog: Millis,
@@ -53,30 +55,31 @@
 /// One tenant's credit at this limiter.
 #[derive(Clone, Debug)]
 pub struct TenantCredit {
-    /// Admissions to which no owner has answered, as of `outstanding_at`. Below 0 where credit for less than one request has
-    /// come back.
+    /// Admissions that no owner has acknowledged, as of `outstanding_at`. Negative where the recovered credit is less than one
+    /// request.
     outstanding: f64,
     outstanding_at: Millis,
-    /// Of these, not yet reported.
+    /// Outstanding admissions that have not been reported.
     unreported: f64,
-    /// Of these, reported in calls whose answers were lost.
+    /// Outstanding admissions reported in calls whose answers were lost.
     in_doubt: f64,
-    /// Requests for which the owner is still to be asked.
+    /// Requests whose grant has not been asked for yet.
     wanted: u32,
-    /// Granted by an owner and not yet used, and when.
+    /// Unused grants of an owner; received at `granted_at`.
     granted: u32,
     granted_at: Millis,
-    /// Since when an answer is outstanding and none has come.
+    /// Start of the time without any answer to outstanding reports.
     unanswered_since: Option<Millis>,
     received: Option<ReceivedBacklog>,
     limiter_since: Millis,
-    /// From 0 to 1: limiters round the same fraction of a request differently, so that their sum is right.
+    /// Rounding offset in [0, 1). Limiters round the same fraction of a request differently, so that the total is correct on
+    /// average.
     rounding: f64,
     used_at: Millis,
 }
 
 impl TenantCredit {
-    /// Nothing is known of the tenant, at a limiter that started at `limiter_since`. `rounding` is drawn from 0 to 1.
+    /// Creates full credit at a limiter that started at `limiter_since`. `rounding` is a random number in [0, 1).
     pub fn new(now: Millis, limiter_since: Millis, rounding: f64) -> Self {
         TenantCredit {
             limiter_since,
@@ -94,7 +97,7 @@
         }
     }
 
-    /// While the owner is silent, credit comes back at this limiter's part of the rate: nobody else gives that part out.
+    /// Recovers credit at this limiter's share of the rate while the owner is silent: no other limiter gives that share out.
     fn recover(&mut self, now: Millis, bounds: &QuotaBounds) {
         let timed_out_from = self.unanswered_since.map_or(f64::INFINITY, |since| since + OWNER_TIMEOUT);
         let passed = (now - self.outstanding_at.max(timed_out_from)).max(0.0) / 1000.0;
@@ -104,12 +107,12 @@
         self.outstanding = left.max(least.min(self.outstanding));
     }
 
-    /// Whether this limiter has not yet run for a window.
+    /// Whether this limiter has run for less than a window.
     fn is_new(&self, now: Millis, bounds: &QuotaBounds) -> bool {
         now - self.limiter_since < bounds.window
     }
 
-    /// Whether one more request may be admitted.
+    /// Decides whether one more request may be admitted.
     pub fn check(&mut self, now: Millis, bounds: &QuotaBounds) -> CreditVerdict {
         self.used_at = now;
         if self.granted > 0 && now - self.granted_at <= GRANT_VALIDITY {
@@ -117,7 +120,7 @@
         }
         self.granted = 0;
         self.recover(now, bounds);
-        // Who has just started knows nothing of the last window, and what it had outstanding before is forgotten.
+        // A limiter that has just started does not know the last window, nor what it had outstanding before.
         let mut credit = if self.is_new(now, bounds) {
             bounds.credit.min(1.0)
         } else {
@@ -137,7 +140,7 @@
         CreditVerdict::Granted
     }
 
-    /// One request was admitted.
+    /// Charges one admitted request to a grant, or else to the credit.
     pub fn spend(&mut self) {
         if self.granted > 0 {
             self.granted -= 1;
@@ -148,27 +151,28 @@
         self.unreported += 1.0;
     }
 
-    /// One request waits for the owner.
+    /// Adds a request that waits for the owner's grant to the next report.
     pub fn want(&mut self) {
         self.unanswered_since.get_or_insert(self.outstanding_at);
         self.wanted += 1;
     }
 
-    /// Whether there is something to tell an owner.
+    /// Whether there is anything to report to an owner.
     pub fn has_report(&self) -> bool {
         self.unreported >= 1.0 || self.wanted > 0
     }
 
-    /// Whether that cannot wait for the decision module's own report: an owner that hears of admissions late counts them late.
+    /// Whether a report cannot wait for the decision module's next addition: an owner counts admissions only once they are
+    /// reported.
     pub fn is_report_due(&self, bounds: &QuotaBounds) -> bool {
         self.unreported >= bounds.credit.max(1.0) + 1.0
     }
 
-    /// Takes what is to be told.
+    /// Removes and returns the pending report.
     pub fn take_report(&mut self, now: Millis) -> Report {
         let admitted = self.unreported.floor();
         self.unreported -= admitted;
-        // From when it was asked for: what an owner hears must not grow on its way there and back.
+        // Leaks from the time of the request: the reported backlog must not grow by the round trip.
         let received = self.received.filter(|received| now - received.asked_at < BACKLOG_MAX_AGE);
         let backlog = received.map_or(0.0, |received| received.backlog - (now - received.asked_at)).max(0.0);
         Report {
@@ -178,8 +182,8 @@
         }
     }
 
-    /// An owner has answered a report that was sent `took` ago, with its backlog (none: it knows no such tenant) and how many
-    /// requests it grants.
+    /// Applies an owner's answer to a report that was sent `took` ms ago: its backlog, `None` if it does not know the tenant,
+    /// and the number of granted requests.
     pub fn on_answer(
         &mut self,
         now: Millis,
@@ -191,7 +195,7 @@
         if self.outstanding > 0.0 {
             self.outstanding = (self.outstanding - f64::from(report.admitted)).max(0.0);
         }
-        // Whether the reports before it had arrived is not known: what is still outstanding of them is reported again.
+        // Reports whose answers were lost may not have arrived: their outstanding admissions are reported again.
         let unreported = self.unreported + std::mem::take(&mut self.in_doubt);
         self.unreported = unreported.min(self.outstanding.max(0.0));
         self.unanswered_since = (self.outstanding > 0.0).then_some(now);
@@ -203,29 +207,29 @@
         }
     }
 
-    /// The answer to a report was lost: it may have been received.
+    /// Marks a report as in doubt: its answer was lost, so it may have been received.
     pub fn on_lost(&mut self, report: Report) {
         self.in_doubt += f64::from(report.admitted);
     }
 
-    /// A report was certainly not received: what is still outstanding of it is made again.
+    /// Returns the still outstanding admissions of a report that certainly was not received to the next report.
     pub fn on_not_sent(&mut self, report: Report) {
         let unreported = self.unreported + f64::from(report.admitted);
         self.unreported = unreported.min(self.outstanding.max(0.0));
     }
 
-    /// Whether nothing is left to remember.
+    /// Whether no request has been checked for [`IDLE`].
     pub fn is_idle(&self, now: Millis) -> bool {
         now - self.used_at > IDLE
     }
 
-    /// Admissions to which no owner has answered.
+    /// Number of admissions that no owner has acknowledged.
     pub fn outstanding(&self) -> f64 {
         self.outstanding.max(0.0)
     }
 }
 
-/// The credit of all tenants at this limiter, and what bounds each.
+/// Credit and bounds of all tenants at this limiter.
 #[derive(Debug)]
 pub struct TenantCredits {
     started_at: Millis,
@@ -235,23 +239,24 @@
 }
 
 impl TenantCredits {
-    /// No tenant yet, at a limiter that starts now.
+    /// Creates an empty set for a limiter that starts now.
     pub fn new(now: Millis) -> Self {
         let (bounds, credits) = Default::default();
         TenantCredits { started_at: now, bounds, credits, forgotten_at: now }
     }
 
-    /// Sets the bounds, by tenant. What is outstanding stays so.
+    /// Replaces the bounds of all tenants. Outstanding admissions are kept.
     pub fn set_bounds(&mut self, bounds: HashMap<CustomerId, QuotaBounds>) {
         self.bounds = bounds;
     }
 
-    /// What bounds a tenant; none: it has no quota, or is not known here.
+    /// A tenant's bounds; `None` if it has no quota or is unknown here.
     pub fn bounds(&self, tenant: CustomerId) -> Option<QuotaBounds> {
         self.bounds.get(&tenant).copied()
     }
 
-    /// Whether one more request of a tenant may be admitted. `rounding` is drawn from 0 to 1 for one that is not known yet.
+    /// Decides whether one more request of a tenant may be admitted; always if it has no bounds. `rounding` supplies a random
+    /// number in [0, 1) for a tenant without credit yet.
     pub fn check(
         &mut self,
         now: Millis,
@@ -265,7 +270,7 @@
         credit.check(now, bounds)
     }
 
-    /// One request of a tenant was admitted; whether that is to be reported at once.
+    /// Charges one admitted request of a tenant. Returns whether it has to be reported at once.
     pub fn spend(&mut self, tenant: CustomerId) -> bool {
         let (credit, bounds) = (self.credits.get_mut(&tenant), self.bounds.get(&tenant));
         let Some((credit, bounds)) = credit.zip(bounds) else { return false };
@@ -273,7 +278,7 @@
         credit.is_report_due(bounds)
     }
 
-    /// The credit of a tenant, if it was ever used.
+    /// A tenant's credit, if one of its requests was checked and it is not idle.
     pub fn of(&mut self, tenant: CustomerId) -> Option<&mut TenantCredit> {
         self.credits.get_mut(&tenant)
     }
@@ -285,7 +290,7 @@
         }
     }
 
-    /// Admissions to which no owner has answered, over all tenants.
+    /// Number of admissions that no owner has acknowledged, over all tenants.
     pub fn outstanding(&self) -> f64 {
         self.credits.values().map(TenantCredit::outstanding).sum()
     }
--- a/crates/proxy/src/quota_partition.rs
+++ b/crates/proxy/src/quota_partition.rs
@@ -1,40 +1,41 @@
-//! Which part of each tenant's quota is given out here: limiters that count together give it out together, and those that are
-//! separated divide it. No I/O; the time is handed in.
+//! Divides tenants' quotas among limiters during a network partition: limiters that count together share one part of each
+//! quota, and separated limiters have parts of their own. No I/O; the current time is a parameter.
 //!
-//! Limiters that cannot reach each other keep counters of their own, so each side would give out the whole quota. A quota is a
-//! sum over all machines, in touch or not: the parts of all sides have to add up to it, whichever they are.
+//! Limiters that cannot reach each other keep separate counters, so each side would give out the whole quota. A quota is a
+//! total over all machines, connected or not, so the parts of all sides have to add up to it in every partition.
 //!
-//! - A limiter in touch with a majority of the core counts with all whose sessions are alive. Those whose session expired
-//!   without a word may still act: their parts are held back until they are forgotten.
-//! - One that is not cannot know who counts with it: it gives out its own part alone, and counts by itself. That begins
-//!   sooner than others take over the counters that it owned.
+//! - A limiter connected to a majority of the core counts together with all limiters whose sessions are alive. Limiters whose
+//!   session expired without notice may still be running: their parts are held back until they are removed from the table.
+//! - A limiter without a majority cannot know which others count with it: it counts alone and gives out only its own part. It
+//!   starts to do so before others take over the counters that it owned.
 //!
-//! The limiters of one side are in touch with one majority, so there is at most one such side, and each limiter that is not
-//! on it has one part there.
+//! Since two majorities overlap, at most one side is connected to a majority, and every limiter outside it has one part held
+//! back there.
 
 use oatbank_cluster_state::cluster_view::IN_TOUCH;
 use oatbank_cluster_state::messages::MemberRow;
 use oatbank_cluster_state::state::{member_state, Millis};
 
-/// A limiter whose session has expired is taken to own its counters until it was not heard for this long, ms: it may be cut off
-/// from the core alone, and others that moved on at once would count beside it. It counts alone from 1.5 s after it last knew
-/// that the core was in touch, which may be up to 0.6 s after it was heard; until others move on, nobody answers for what it owned.
+/// Time since its last heartbeat during which a limiter with an expired session keeps its counters, ms. The limiter may only be
+/// cut off from the core, and others that took over at once would count in parallel with it. It counts alone from 1.5 s after it
+/// last knew the core to be reachable, which may be 0.6 s after its last heartbeat. Until the takeover, calls for its counters
+/// are not answered.
 pub const OWNS_AFTER_SESSION: Millis = 2500.0;
 
-/// Which limiters count with this one, and which may act besides.
+/// How many limiters count together with this one, and how many may act separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaPartition {
-    /// How many count together, this one included.
+    /// Number of limiters that count together, including this one.
     pub connected: u32,
-    /// How many may act separately from them.
+    /// Number of limiters that may act separately from them.
     pub separated: u32,
-    /// This limiter counts by itself, and asks nobody.
+    /// Whether this limiter counts alone and calls no owner.
     pub is_alone: bool,
 }
 
 impl QuotaPartition {
-    /// The partition as the limiter of this name sees it, from all limiters that are remembered with how long ago each was
-    /// heard, and from how long ago a majority of the core was known to have been asked.
+    /// The partition from the view of the limiter of this name. `members` are the known limiters with the time since each was
+    /// last heard, ms; `confirmed_ago` is the time since a majority of the core last confirmed the state, ms.
     pub fn of<'a>(
         name: &str,
         members: impl Iterator<Item = (&'a MemberRow, Millis)>,
@@ -54,14 +55,14 @@
         QuotaPartition { connected, separated, is_alone: false }
     }
 
-    /// The part of each quota that the limiters which count together give out.
+    /// Share of each quota that the limiters that count together give out, from 0 to 1.
     pub fn share(&self) -> f64 {
         f64::from(self.connected) / f64::from(self.connected + self.separated)
     }
 }
 
-/// Whether a limiter heard this long ago is taken to own its counters. One that says that it ends does not: it still answers
-/// those who have not heard so, and others count on before it is gone.
+/// Whether a limiter last heard `age` ms ago owns its counters. A limiter that is leaving does not: others take over before
+/// it stops, and until then it still answers calls of limiters that have not seen the change.
 pub fn owns_counters(row: &MemberRow, age: Millis) -> bool {
     row.state != member_state::LEAVING && (!row.expired || age < OWNS_AFTER_SESSION)
 }
--- a/crates/proxy/src/quota_plan.rs
+++ b/crates/proxy/src/quota_plan.rs
@@ -1,46 +1,48 @@
-//! A tenant's quota as a plan of the decision module, and the bounds beneath it. Pure.
+//! Derives the decision module's plan and the stricter admission bounds from a tenant's quota. No I/O.
 
 use crate::quota_backlog::QuotaBounds;
 use oatbank_limiter_core::interface::{CustomerId, Plan};
 
-/// Share of a tenant's rate that is given out. The rest is for what limiters admit before they hear of each other.
+/// Share of a tenant's rate that is given out. The rest covers requests that limiters admit before they learn of each other's.
 const RATE_SHARE: f64 = 0.97;
-/// Share of a tenant's burst that is given out, at most.
+/// Largest share of a tenant's burst that is given out.
 const MAX_BURST_SHARE: f64 = 0.6;
-/// A smaller share of the burst would reject requests that arrive unevenly in calm times.
+/// Smallest share of a tenant's burst that is given out. Less would reject requests that arrive unevenly at normal load.
 const MIN_BURST_SHARE: f64 = 0.3;
-/// What was admitted beyond the quota, up to so many bursts, is paid back before anything else is admitted.
+/// Admissions beyond the quota that are paid back before others are admitted, in bursts.
 const MAX_DEBT_BURSTS: f64 = 4.0;
-/// A tenant under pressure asks for so many times its rate beyond it: what is admitted unheard is sized by that.
+/// Assumed excess demand of an overloading tenant as a multiple of its rate. It determines the allowance for unreported
+/// admissions.
 const OVERLOAD_FACTOR: f64 = 3.7;
-/// For how long limiters admit requests before they have heard of each other's, s.
+/// Time during which limiters admit requests before they learn of each other's, s.
 const PROPAGATION_S: f64 = 0.2;
-/// How much longer for each limiter, s: each reports every request, and has one more rarely the more limiters there are.
+/// Increase of that time for each limiter, s: limiters report with their requests, and each has fewer the more there are.
 const PROPAGATION_PER_LIMITER_S: f64 = 0.001;
 
-/// What the rule leaves beyond rate and burst is given out too, this share of it by the owner: the decision module, which knows
-/// of admissions later, is to decide on the ordinary path.
+/// Share of the quota's tolerance beyond rate and burst that the owner gives out, so that normally the decision module decides,
+/// although it learns of admissions later.
 const OWNER_SHARE_OF_ROOM: f64 = 0.35;
-/// This share of it is the limiters' credit. The rest is for the time in which two sides of a cut do not yet know of each other.
+/// Share of that tolerance that is the limiters' credit. The rest covers the start of a network partition, before both sides
+/// have detected it.
 const CREDIT_SHARE_OF_ROOM: f64 = 0.45;
-/// Each limiter's credit leaves room for so many limiters that restart in a window, of each that there is: what they had outstanding
-/// is forgotten with them.
+/// Restarts in a window that the credit leaves room for, as a share of the limiters: outstanding admissions of a restarted
+/// limiter are lost.
 const RESTARTS_PER_LIMITER: f64 = 0.3;
 
-/// By how much a tenant's quota may be exceeded, and in which window.
+/// Tolerance of a tenant's quota: by how much it may be exceeded in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaAllowance {
-    /// The window, s.
+    /// Length of the window, s.
     pub window: f64,
-    /// By this share of what the quota gives in the window.
+    /// Relative tolerance, as a share of rate × window + burst.
     pub over: f64,
-    /// By so many requests.
+    /// Absolute tolerance, requests.
     pub slack: f64,
-    /// Limiters that share the quota.
+    /// Number of limiters that share the quota.
     pub limiters: f64,
 }
 
-/// What may be given out at once: a quota without a burst has none, but requests come unevenly.
+/// The burst of a quota; one second of its rate if none is configured, as requests arrive unevenly.
 fn burst_of(rate: f64, burst: f64) -> f64 {
     if burst > 0.0 {
         burst
@@ -49,12 +51,12 @@
     }
 }
 
-/// How much of a tenant may run in a window by the rule.
+/// Most requests of a tenant that may be admitted in a window, including the tolerance.
 fn allowed_in_window(rate: f64, burst: f64, allowance: QuotaAllowance) -> f64 {
     (rate * allowance.window + burst) * (1.0 + allowance.over) + allowance.slack
 }
 
-/// The plan of a tenant's quota, for the decision module.
+/// The decision module's plan for a tenant's quota. A rate of 0 means no quota.
 pub fn plan(rate: f64, burst: f64, allowance: QuotaAllowance) -> Plan {
     if rate <= 0.0 {
         return Plan { price: 1.0, ..Plan::default() };
@@ -75,7 +77,7 @@
     }
 }
 
-/// What bounds the tenant's admissions, whatever limiters hear of each other.
+/// The bounds on the tenant's admissions that hold even if limiters do not learn of each other's.
 pub fn bounds(rate: f64, burst: f64, allowance: QuotaAllowance) -> QuotaBounds {
     let plan = plan(rate, burst, allowance);
     let window = allowance.window;
@@ -84,12 +86,13 @@
     let burst = plan.burst + OWNER_SHARE_OF_ROOM * room;
     let limiters = allowance.limiters.max(1.0);
     let credit = CREDIT_SHARE_OF_ROOM * room / (limiters * (1.0 + RESTARTS_PER_LIMITER));
-    // What is outstanding may be reported in a later window than it ran in.
+    // Outstanding admissions may be reported in a later window than they ran in.
     let reported = allowed + limiters * credit;
     QuotaBounds { rate: plan.rate, burst, credit, limiters, reported, window: window * 1000.0 }
 }
 
-/// The number of a tenant's counter between limiters: the same at each, whichever versions of the configuration it has seen.
+/// The number that identifies a tenant's counter between limiters, a hash of its name: it does not depend on the versions of
+/// the configuration that a limiter has seen.
 pub fn tenant_number(name: &str) -> CustomerId {
     let mix = |x: u64, b: u8| (x ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
     let x = name.bytes().fold(0xcbf2_9ce4_8422_2325, mix);
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -5,14 +5,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A request must be complete within this.
+/// Time within which a request must be complete and answered.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest request, in bytes.
 const MAX_REQUEST_BYTES: usize = 4096;
-/// Wait after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Answers at this listener, for the life of the process.
+/// Serves `GET /ready` at this listener, for the life of the process: 200 if ready, 503 if not.
 pub async fn serve(listener: TcpListener, is_ready: Rc<dyn Fn() -> bool>) {
     loop {
         match listener.accept().await {
--- a/crates/proxy/src/rejection.rs
+++ b/crates/proxy/src/rejection.rs
@@ -1,4 +1,4 @@
-//! The proxy's own answers, where no server's answer is forwarded.
+//! Answers of the proxy itself to requests for which no server's answer is forwarded.
 
 use crate::limiter_settings::MAX_RETRY_AFTER;
 use http::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
@@ -7,27 +7,27 @@
 use oatbank_engine::body::Body;
 use oatbank_node_runtime::error_kind::ErrorKind;
 
-/// Why a request gets no server's answer.
+/// Reason for which a request gets no server's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
     /// The kind of error.
     pub kind: ErrorKind,
-    /// When the client may come back, ms; 0 if nothing is said of it.
+    /// Time after which the client may retry, ms; 0 if unspecified.
     pub retry_after: Millis,
 }
 
 impl Rejection {
-    /// Without a word on when to come back.
+    /// Creates a rejection without a retry time.
     pub fn new(kind: ErrorKind) -> Self {
         Rejection { kind, retry_after: 0.0 }
     }
 
-    /// With when to come back.
+    /// Creates a rejection with the time after which the client may retry, ms.
     pub fn with_retry_after(kind: ErrorKind, retry_after: Millis) -> Self {
         Rejection { kind, retry_after }
     }
 
-    /// The answer.
+    /// The HTTP response; with `Retry-After` if a retry time is set and the request certainly was not executed.
     pub fn response(&self) -> Response<Body> {
         let mut response = Response::new(Body::from(self.kind.code()));
         *response.status_mut() = StatusCode::from_u16(self.kind.status()).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -40,8 +40,8 @@
         response
     }
 
-    /// The answer to a request that runs at most once: it says what is certain of it. `server` is the one it may have run
-    /// at.
+    /// The HTTP response to an at-most-once request: its text says whether the request may have run, and at which `server` if
+    /// that is known.
     pub fn response_at_most_once(&self, try_id: &str, server: Option<&str>) -> Response<Body> {
         let certainty = match (self.kind.promises_nothing_done(), server) {
             (true, _) => "has not run and never will".to_owned(),
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -1,6 +1,6 @@
-//! What happens to a request: its route and tenant are looked up, the quota is asked, a service is chosen, and the service's
-//! engine sends it to a server. The state that this needs is brought up to date by [`RequestHandler::refresh`] and
-//! [`RequestHandler::observe`].
+//! Handles client requests: looks up the route and the tenant, checks the quota, chooses a service and forwards the request
+//! through the service's engine to a server. [`RequestHandler::refresh`] and [`RequestHandler::observe`] keep the state that
+//! this needs up to date.
 
 use crate::config_snapshot::{choose_service, class, ConfigSnapshot};
 use crate::lease::{Lease, LeaseState};
@@ -37,20 +37,20 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Names a request of a client; a retry by the client has the same one.
+/// Header with the client's id of a request; a retry by the client carries the same id.
 pub const TRY_ID: HeaderName = HeaderName::from_static("try-id");
 const TIME_LEFT: HeaderName = HeaderName::from_static("time-left-ms");
 const CUSTOMER: HeaderName = HeaderName::from_static("customer");
 
-/// If a limiter may not act yet, or has no capacity, clients come back after this, ms.
+/// `Retry-After` of rejections because this proxy is not ready or has no capacity, ms.
 const RETRY_SOON: Millis = 300.0;
-/// If a service's servers are contested, clients come back after this, ms: a conflict lasts for seconds.
+/// `Retry-After` of rejections because a service's servers are contested, ms: a conflict lasts for seconds.
 const RETRY_CONTESTED: Millis = 1000.0;
-/// Descriptors kept for connections to other processes of the system.
+/// File descriptors reserved for connections to other processes of the system.
 const PEER_CONNECTIONS: usize = 400;
-/// Descriptors kept for files.
+/// File descriptors reserved for files.
 const RESERVED_DESCRIPTORS: u64 = 200;
-/// The clock of the engines starts at this, ms: the decision module wants a time above 0.
+/// Start value of the engines' clock, ms: the decision module requires a time above 0.
 const CLOCK_START: Millis = 1e9;
 
 /// A request whose route and tenant are known.
@@ -74,13 +74,13 @@
     }
 }
 
-/// What a request consists of.
+/// A request as it is received from a client.
 pub struct IncomingRequest {
-    /// The head.
+    /// Request line and headers.
     pub head: Parts,
-    /// The body, or as much of it as has arrived.
+    /// The body; a stream if it has not arrived completely.
     pub body: Upload,
-    /// Memory that is reserved for a long body.
+    /// Memory reserved for a long body.
     pub room: Option<Room>,
 }
 
@@ -96,13 +96,13 @@
     lease_state: LeaseState,
     outliers: OutlierEjection,
     outcomes: OutcomeRecorder,
-    /// Requests that run at most once and have no answer yet.
+    /// Ids of at-most-once requests that have not been answered yet.
     open: OpenIds,
     random: Cell<u64>,
     log_limit: RateLimitedLog,
 }
 
-/// What this process may hold, by purpose.
+/// Divides this process's limits on sockets and memory by purpose.
 pub fn budget(node: &NodeSettings) -> Budget {
     let limits = Limits {
         sockets: node.open_files.saturating_sub(RESERVED_DESCRIPTORS) as usize,
@@ -112,7 +112,7 @@
 }
 
 impl RequestHandler {
-    /// Knows no edition yet.
+    /// Creates a handler that has no configuration yet and rejects all requests.
     pub fn new(
         view: Rc<ClusterView>,
         settings: Rc<ReloadableSettings>,
@@ -144,29 +144,29 @@
         self.clock.now()
     }
 
-    /// Outcomes of requests that run at most once, as far as this proxy has seen them.
+    /// The log of outcomes that this proxy has observed of at-most-once requests.
     pub fn outcomes(&self) -> Rc<RefCell<OutcomeLog>> {
         self.outcomes.log().clone()
     }
 
-    /// How many requests that run at most once are at a server.
+    /// Number of at-most-once requests that are being executed by servers.
     pub fn at_most_once_in_flight(&self) -> usize {
         self.pools.all().iter().map(|(_, pool)| pool.engine.out_once()).sum()
     }
 
-    /// How many requests still have no answer.
+    /// Number of requests that have not been answered yet.
     pub fn unanswered(&self) -> usize {
         self.pools.all().iter().map(|(_, pool)| pool.engine.owed()).sum()
     }
 
-    /// What became of requests whose clients left before their answer.
+    /// Counts of clients that left before their answer, and of their attempts, over all services.
     pub fn departures(&self) -> Departures {
         let mut sum = Departures::default();
         self.pools.all().iter().for_each(|(_, pool)| sum += pool.engine.departures());
         sum
     }
 
-    /// Whether clients may be served.
+    /// Whether clients may be served: a configuration is loaded, a server is known, and the lease is valid.
     pub fn is_ready(&self) -> bool {
         if self.snapshot.borrow().is_none() {
             return false;
@@ -175,34 +175,36 @@
         self.lease_state.is_active(self.view.now(), self.view.confirmed_ago(), knows_servers)
     }
 
-    /// How many admissions were reported here beyond what a quota allows, of the tenants whose counters this proxy owns.
+    /// Number of reported admissions that exceeded a quota, over the tenants whose counters this proxy owns.
     pub fn quota_overrun(&self) -> u64 {
         self.plans.counter().overrun()
     }
 
     // ---- For oatbankctl -----------------------------------------------------------------------
 
-    /// The table of requests that run at most once: how many are recorded, and how often a decision was not carried out.
+    /// The `guard` table: per service, at-most-once requests in flight and decisions that were not carried out because they
+    /// would have broken at-most-once execution. Its title gives the size of the outcome log.
     pub fn attempts_table(&self) -> Table {
         let row = |(name, pool): &(String, Rc<crate::service_pool::ServicePool>)| {
             vec![name.clone(), pool.engine.out_once().to_string(), pool.engine.kept_from().to_string()]
         };
         let log = self.outcomes.log().borrow();
-        let title = format!("{} tries kept, {} left out for want of room", log.len(), log.dropped());
+        let title =
+            format!("{} attempts recorded, {} dropped because the log was full", log.len(), log.dropped());
         table(title, &["service", "out", "kept from"], self.pools.all().iter().map(row).collect())
     }
 
-    /// The table of what bounds tenants' quotas here.
+    /// The `quotas` table: counters of admissions and of reports to owners.
     pub fn quotas_table(&self) -> Table {
         self.plans.counter().table()
     }
 
-    /// The table of servers that are not healthy.
+    /// The `verdicts` table: servers that are not healthy.
     pub fn verdicts_table(&self) -> Table {
         self.outliers.verdicts_table(self.view.now())
     }
 
-    /// Shows the catalog by which requests are sent, and the routes in force.
+    /// Passes `show` the current service catalog and, once a configuration is loaded, its routes.
     pub fn show_catalog(&self, show: &mut dyn FnMut(&Catalog, Option<&RouteTable>)) {
         let (catalog, snapshot) = (self.catalog.borrow().catalog.clone(), self.snapshot.borrow().clone());
         show(&catalog, snapshot.as_ref().map(|snapshot| &snapshot.routes));
@@ -210,7 +212,7 @@
 
     // ---- State --------------------------------------------------------------------------------
 
-    /// Takes in what has changed: a new edition, servers and limiters.
+    /// Applies changes of the configuration, the servers and the limiters.
     pub fn refresh(&self) {
         let node = self.settings.settings();
         self.apply_new_edition(&node);
@@ -240,7 +242,7 @@
                 }
             }
             Err(error) => {
-                log::error!("proxy: edition {} cannot be read, the old one holds: {}", edition, error);
+                log::error!("proxy: edition {} cannot be read, keeping the current one: {}", edition, error);
             }
         }
     }
@@ -253,8 +255,8 @@
         }
     }
 
-    /// Takes in how attempts have ended since the last call, and what other limiters have observed of servers. Returns what
-    /// the limiter of this incarnation has to tell the others.
+    /// Evaluates the results of attempts since the last call and other limiters' observations of servers. Returns this
+    /// limiter's new observations, to be sent to the others.
     pub fn observe(&self, incarnation: u64) -> Vec<ObservationRow> {
         let node = self.settings.settings();
         let snapshot = self.snapshot.borrow().clone().filter(|_| self.plans.is_outdated());
@@ -286,7 +288,7 @@
 
     // ---- Requests -----------------------------------------------------------------------------
 
-    /// Whether a request's route says that it runs at most once; `None` before the first edition.
+    /// Whether the request's route requires at-most-once execution; `None` before the first edition.
     pub fn is_at_most_once(&self, head: &Parts) -> Option<bool> {
         self.snapshot.borrow().as_ref().map(|snapshot| snapshot.is_at_most_once(head))
     }
@@ -294,7 +296,8 @@
     /// Looks up the route and the tenant of a request.
     ///
     /// # Errors
-    /// Why it is rejected.
+    /// Fails if the proxy is not ready, no route matches, the key is unknown, or the homes of route and tenant have no zone
+    /// in common.
     pub fn route(&self, head: &Parts) -> Result<RoutedRequest, Rejection> {
         let snapshot = self.snapshot.borrow().clone().filter(|_| self.is_ready());
         let Some(snapshot) = snapshot else {
@@ -310,14 +313,14 @@
         Ok(RoutedRequest { snapshot, route: index, customer, allowed_zones, time_left })
     }
 
-    /// Gives a request its one answer. If it runs at most once, an answer of the proxy's own says what is certain of it.
+    /// Answers a request. For an at-most-once request, an answer of the proxy's own says whether it may have run.
     pub async fn handle(&self, routed: RoutedRequest, request: IncomingRequest) -> Response<Body> {
         let is_at_most_once = routed.route().kind == RouteKind::Unsafe;
         let try_id = request.head.headers.get(&TRY_ID).filter(|_| is_at_most_once).cloned();
         let Some(try_id) = try_id.as_ref().and_then(|id| id.to_str().ok()) else {
             return self.forward(routed, request).await.unwrap_or_else(|rejection| rejection.response());
         };
-        // Held until it is answered; its outcome is recorded by then.
+        // Held until the answer, by which time the outcome is recorded: a retry meanwhile is rejected as a duplicate.
         let held = self.open.hold(try_id).ok().filter(|_| !self.outcomes.may_have_run(try_id));
         let result = match held {
             Some(_held) => self.forward(routed, request).await,
@@ -329,7 +332,7 @@
         })
     }
 
-    /// A server's answer, or why there is none.
+    /// Checks the quota, chooses a service and returns a server's answer, or the reason for rejecting the request.
     async fn forward(
         &self,
         routed: RoutedRequest,
@@ -379,9 +382,9 @@
         }
     }
 
-    /// The mask of zones that a request's servers may stand in, by whose the servers of its service are. Only a server's id
-    /// proves an answer of a server whose owner is contested: requests that run at most once go to others, and if there are
-    /// none, or it is not certain that these are known here, nowhere.
+    /// The mask of zones whose servers may get a request, considering contested ownership. An answer of a server with a
+    /// contested owner is proven by the server's id alone, so at-most-once requests avoid such servers. They are rejected if
+    /// no other server exists, or if this proxy may not know all servers of the service.
     fn zones_of_owned_servers(&self, service: &str, routed: &RoutedRequest) -> Result<u64, Rejection> {
         let counts = self.server_counts(service);
         if !counts.is_contested() {
@@ -397,14 +400,14 @@
         Ok(routed.snapshot.with_contested(routed.allowed_zones, is_repeatable))
     }
 
-    /// The servers of a service, by what they may get.
+    /// Number of a service's servers by permitted use; zeros if the service has no owner.
     fn server_counts(&self, service: &str) -> ServerCounts {
         let catalog = &self.catalog.borrow().catalog;
         let owner = catalog.service_owners().owner(service);
         owner.map(|owner| catalog.counts(owner)).unwrap_or_default()
     }
 
-    /// A random number from 0 to 1.
+    /// Next pseudorandom number in [0, 1).
     fn next_random(&self) -> f64 {
         let next = self.random.get().wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
         self.random.set(next);
@@ -422,7 +425,8 @@
     head.headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// The tenant whose key a request carries, as its index in the configuration; `None` if it needs none.
+/// Index of the tenant whose key the request carries; `None` if there are no tenants, or the route accepts requests without
+/// a known key. Fails with `UnknownKey` otherwise.
 fn authenticate(snapshot: &ConfigSnapshot, route: &Route, head: &Parts) -> Result<Option<usize>, Rejection> {
     if !snapshot.routes.has_customers() {
         return Ok(None);
@@ -435,14 +439,14 @@
     Ok(customer)
 }
 
-/// How much time a request has left, ms: as its client says, and no more than its route allows.
+/// Remaining time of a request, ms: the client's `Time-Left-Ms`, capped by the route's limit.
 fn time_left(head: &Parts, route: &Route) -> Millis {
     let by_client = header_text(head, &TIME_LEFT).and_then(|value| value.trim().parse::<f64>().ok());
     let by_client = by_client.filter(|ms| ms.is_finite() && *ms > 0.0);
     by_client.unwrap_or(route.give_up_ms).min(route.give_up_ms)
 }
 
-/// The headers that are forwarded: without the key, and with the name of the tenant.
+/// The headers to forward: without the tenant's key, with the tenant's name.
 fn forwarded_headers(headers: &HeaderMap, tenant: Option<&str>) -> HeaderMap {
     let mut forwarded = house::headers_on(headers);
     for name in [AUTHORIZATION, CUSTOMER, CONTENT_LENGTH] {
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -1,4 +1,4 @@
-//! One engine for each service: it has the service's servers, its concurrency limit, its resources and its retries.
+//! Per-service engines, each with the service's servers, concurrency limit, resource budget and retries.
 
 use crate::config_snapshot::{class, contested_zone, zone_names, ConfigSnapshot};
 use crate::lease::Lease;
@@ -27,41 +27,41 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A server closes a connection that was idle for this long, ms, if it says nothing else.
+/// Idle time after which a server is assumed to close a connection unless it announces another, ms.
 const SERVER_IDLE: Millis = 8000.0;
-/// A connection to a server that is not open within this, ms, has failed: regions are 70 ms apart and back.
+/// Connect timeout, ms. The round trip between regions takes 70 ms.
 const CONNECT_TIMEOUT: Millis = 400.0;
-/// If the lease has expired, clients come back after this, ms.
+/// `Retry-After` of rejections because the lease has expired, ms.
 const RETRY_AFTER_LEASE: Millis = 300.0;
-/// A warm-up that is reported again, to end within this of the one before, ms, is the same one.
+/// Reports of a warm-up whose computed starts differ by at most this mean the same warm-up, ms.
 const SAME_WARMUP: Millis = 700.0;
-/// How many services share what this process may hold.
+/// Number of services among which the process's connection and memory budget is divided.
 const SERVICES_PER_BUDGET: usize = 4;
 
 /// The engine of a service.
 pub type ServiceEngine = Engine<Http1<House>>;
 
-/// One service: its engine, and what the engine was told last.
+/// The engine of one service, with the members and settings last passed to it.
 pub struct ServicePool {
     /// The engine.
     pub engine: Rc<ServiceEngine>,
-    /// Routes by name, in the order of the decision module's classes. They only grow.
+    /// Route names in the order of the decision module's classes. Classes are only ever added.
     classes: RefCell<Vec<String>>,
-    /// When the warm-ups of servers began, on the engine's clock, by id.
+    /// Start of each server's warm-up by server id, on the engine's clock, ms.
     warmups: RefCell<HashMap<String, Millis>>,
-    /// When servers were last in the list that are no longer.
+    /// Time of removal by id of servers that recently ceased to be members, ms.
     removed: RefCell<HashMap<String, Millis>>,
     members: RefCell<Vec<Member>>,
     settings: RefCell<Settings>,
 }
 
 impl ServicePool {
-    /// The decision module's number of a route.
+    /// Index of the route's class in the decision module; 0 if the route is unknown.
     pub fn class_of(&self, route: &str) -> usize {
         self.classes.borrow().iter().position(|name| name == route).unwrap_or(0)
     }
 
-    /// Names of the classes.
+    /// Route names in class order.
     pub fn class_names(&self) -> Vec<String> {
         self.classes.borrow().clone()
     }
@@ -102,35 +102,35 @@
     }
 }
 
-/// The members of a service, out of how many.
+/// The selected members of a service and the number of candidates.
 struct Selection {
     members: Vec<Member>,
     candidates: usize,
 }
 
-/// What the members of all services are chosen by.
+/// Inputs to the selection of members that are common to all services.
 struct SelectionContext<'a> {
     snapshot: &'a ConfigSnapshot,
     catalog: &'a Catalog,
     outliers: &'a OutlierEjection,
-    /// Limiters that take clients.
+    /// Placement among the limiters that accept clients.
     ready: &'a Placement<'a>,
-    /// Limiters that may be active.
+    /// Placement among the limiters that may be active.
     active: &'a Placement<'a>,
 }
 
-/// How servers of a service that warm up are dealt with.
+/// Rules for sending requests to warming servers of a service.
 struct WarmupRules {
     /// The longest warm-up, ms.
     duration: Millis,
     shares: WarmupShares,
 }
 
-/// The services of a proxy.
+/// The engines of all services of a proxy.
 pub struct ServicePools {
     view: Rc<ClusterView>,
     clock: Rc<dyn Clock>,
-    /// When this process started, on that clock.
+    /// When this process started, on `clock`, ms.
     started_at: Millis,
     lease: Lease,
     budget: Budget,
@@ -139,7 +139,7 @@
 }
 
 impl ServicePools {
-    /// No service yet.
+    /// Creates an empty set of services.
     pub fn new(view: Rc<ClusterView>, clock: Rc<dyn Clock>, lease: Lease, budget: Budget) -> Self {
         ServicePools {
             view,
@@ -152,23 +152,24 @@
         }
     }
 
-    /// A service.
+    /// The pool of the named service, if it exists.
     pub fn get(&self, name: &str) -> Option<Rc<ServicePool>> {
         self.pools.borrow().get(name).cloned()
     }
 
-    /// All services, by name.
+    /// All pools with their services' names, in name order.
     pub fn all(&self) -> Vec<(String, Rc<ServicePool>)> {
         self.pools.borrow().iter().map(|(name, pool)| (name.clone(), pool.clone())).collect()
     }
 
-    /// Evacuated zones have changed.
+    /// Notes which zones ceased to be evacuated between two snapshots.
     pub fn on_evacuated_changed(&self, before: &ConfigSnapshot, after: &ConfigSnapshot) {
         let now = self.clock.now();
         self.restored_zones.borrow_mut().on_change(now, &before.evacuated, &after.evacuated);
     }
 
-    /// Brings all services up to date with this configuration and with the servers and limiters known now.
+    /// Updates members and settings of all services for this configuration and the servers and limiters currently known.
+    /// Creates engines of new services.
     pub fn update(
         &self,
         snapshot: &ConfigSnapshot,
@@ -259,7 +260,7 @@
         }
     }
 
-    /// The servers of a service that this limiter may send requests to.
+    /// Selects the servers of a service that this limiter sends requests to.
     fn select_members(
         &self,
         name: &str,
@@ -284,7 +285,7 @@
             let restored = self.restored_zones.borrow();
             let candidates: Vec<(&ServerRow, Millis)> = candidates(table, at, context.snapshot)
                 .filter(|(row, _)| permitted_use(row) != PermittedUse::Denied)
-                // The servers of a zone that is used again may have begun to warm up unheard.
+                // Servers of a restored zone may have started to warm up without having reported it yet.
                 .map(|(row, left)| (row, restored.warmup_left(now, &row.zone, left, warmup.duration)))
                 .collect();
             let ids_and_zones: Vec<(&str, &str)> =
@@ -303,7 +304,8 @@
                 let is_selected = if *warmup_left > 0.0 {
                     accepts_warming(row)
                 } else {
-                    // Whoever probes an unhealthy server is drawn from all limiters, whichever subset it is in.
+                    // The limiter that probes an unhealthy server is drawn from all, so the server may be outside its
+                    // subset.
                     is_in_subset || standing(row) == Standing::Tried
                 };
                 if !is_selected {
@@ -326,7 +328,7 @@
 }
 
 impl ServicePool {
-    /// Drops what is known of servers that are no longer members, and notes when each was removed.
+    /// Drops the warm-up starts of servers that are no longer members and records when each was removed.
     fn retain_members(&self, members: &[Member], removed: &mut HashMap<String, Millis>, now: Millis) {
         let is_member = |id: &str| members.iter().any(|member| member.id == id);
         self.warmups.borrow_mut().retain(|id, _| is_member(id));
@@ -336,7 +338,7 @@
     }
 }
 
-/// A member for a server that is ready, in its own zone and of full weight.
+/// A ready member with full weight for this server, in the server's own zone.
 fn ready_member(row: &ServerRow, address: SocketAddr) -> Member {
     Member {
         id: row.id.clone(),
@@ -350,7 +352,8 @@
     }
 }
 
-/// The zone under which the limiter module knows a server: a contested one only takes what may run twice.
+/// The decision module's zone of a server: a contested server is in its zone's contested counterpart, so that it gets only
+/// repeatable requests.
 fn zone_of(row: &ServerRow, permitted_use: PermittedUse) -> String {
     match permitted_use {
         PermittedUse::ReadsOnly => contested_zone(&row.zone),
@@ -358,7 +361,7 @@
     }
 }
 
-/// Limiters that take clients, with their zones.
+/// Names and zones of limiters that accept clients.
 fn ready_limiters(table: &StateTable, now: Millis) -> Vec<(String, String)> {
     let is_ready = |(row, _): &(&oatbank_cluster_state::messages::MemberRow, Millis)| {
         !row.expired && row.state == member_state::READY
@@ -366,7 +369,7 @@
     table.members(now).filter(is_ready).map(|(row, _)| (row.name.clone(), row.zone.clone())).collect()
 }
 
-/// Servers that are ready, in zones that are not evacuated, with how much longer they warm up, ms.
+/// Ready servers outside evacuated zones, each with its remaining warm-up time, ms.
 fn candidates<'a>(
     table: &'a StateTable,
     now: Millis,
@@ -377,7 +380,8 @@
     })
 }
 
-/// The newest configuration has dropped the service: its requests may end at the servers that it had.
+/// Selection for a service that the current configuration no longer contains: its remaining requests may finish at the
+/// members that are still ready.
 fn dropped_service(pool: &ServicePool, context: &SelectionContext<'_>) -> Selection {
     let is_usable = |member: &&Member| {
         let mut claims = context.catalog.of_id(&member.id).iter();
@@ -387,8 +391,8 @@
     Selection { candidates: members.len(), members }
 }
 
-/// When a server's warm-up began; 0 if none is known. One that is reported again is the same if it ends at nearly the same
-/// time.
+/// Start of a server's warm-up, ms; 0 if none is known. A repeated report keeps the recorded start if the two differ by at
+/// most [`SAME_WARMUP`].
 fn warmup_start(
     warmups: &mut HashMap<String, Millis>,
     row: &ServerRow,
@@ -407,7 +411,7 @@
     *known
 }
 
-/// Whether two settings agree in all that is set here.
+/// Whether two settings agree in all fields that this module varies.
 fn same_settings(a: &Settings, b: &Settings) -> bool {
     let class = |class: &Class| (class.aim, class.deadline, class.worth, class.repeat == Repeat::Safe);
     a.gateways == b.gateways
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,4 +1,4 @@
-//! This limiter's session with a core machine, and the few other limiters that it follows.
+//! This limiter's session with a core machine, and replication from a few other limiters.
 
 use crate::counter_owner::owner_of;
 use crate::quota_counter::{CountFuture, QuotaPeers};
@@ -18,27 +18,27 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long the core machine may hold a response, ms: well within a session.
+/// How long a core machine may hold a response (long polling), ms: well below the session timeout.
 const HOLD_MS: u32 = 600;
-/// Wait before another core machine is called after one has failed.
+/// Delay before the next core machine is called after one has failed.
 const FAILOVER_DELAY: Duration = Duration::from_millis(60);
-/// A change of state is told this often, in case a response was lost.
+/// Number of calls that report a change of state, in case one is lost.
 const STATE_CHANGE_CALLS: usize = 2;
-/// How many other limiters are followed; the first of them in the own region if there is one.
+/// Number of other limiters that are followed; the first is in this limiter's region if there is one.
 const FOLLOWED_LIMITERS: u64 = 2;
-/// How long they may hold a response, ms.
+/// How long a followed limiter may hold a response, ms.
 const LIMITER_HOLD_MS: u32 = 1500;
-/// Wait before one that has failed is replaced, or all core machines are called again.
+/// Delay before a failed limiter is replaced, or before the core machines are called again after all have failed.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Each is followed for so many calls; then another is drawn, so that no two groups keep to themselves.
+/// Number of calls after which another limiter is drawn, so that limiters do not form groups that only follow each other.
 const CALLS_PER_LIMITER: u32 = 20;
 
-/// Clients of other processes, one for each address.
+/// RPC clients of other processes, one per address.
 #[derive(Default)]
 pub struct PeerClients(RefCell<HashMap<SocketAddr, Rc<RpcClient>>>);
 
 impl PeerClients {
-    /// The client for this address.
+    /// The client for this address; created on first use.
     pub fn get(&self, address: SocketAddr) -> Rc<RpcClient> {
         self.0.borrow_mut().entry(address).or_insert_with(|| RpcClient::new(address)).clone()
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// What this limiter says of itself, and to whom.
+/// State of this limiter's session: what it reports about itself and servers, and to which core machine.
 pub struct Session {
     view: Rc<ClusterView>,
     settings: Rc<ReloadableSettings>,
@@ -62,15 +62,15 @@
     state_changed: Notify,
     /// The core machine that holds the session.
     core_machine: Cell<Option<Ipv4Addr>>,
-    /// How far its changes have been merged.
+    /// Position up to which that machine's changes have been merged.
     position: Cell<ReplicationPosition>,
-    /// What is still to be told of servers.
+    /// Observations of servers that have not been sent.
     observations: RefCell<Vec<ObservationRow>>,
     strong_observation: Notify,
 }
 
 impl Session {
-    /// No session yet.
+    /// Creates a limiter in the starting state, without a session.
     pub fn new(view: Rc<ClusterView>, settings: Rc<ReloadableSettings>, peers: Rc<PeerClients>) -> Rc<Self> {
         Rc::new(Session {
             view,
@@ -87,24 +87,24 @@
         })
     }
 
-    /// Whether it is about to end.
+    /// Whether this limiter is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.state.get() == member_state::LEAVING
     }
 
-    /// Sets its state, one of [`member_state`], and tells it at once. A limiter that leaves does not come back.
+    /// Sets this limiter's state, one of [`member_state`], and sends it at once if it changed. `LEAVING` is final.
     pub fn set_state(&self, state: u32) {
         if !self.is_leaving() && self.state.replace(state) != state {
             self.state_changed.notify_waiters();
         }
     }
 
-    /// Random; it differs between starts.
+    /// Random number above 0 that identifies this start of the process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Tells this of servers: with the next call, and at once if it makes a server suspect by itself.
+    /// Queues observations for the next call. Sends them at once if one of them alone makes a server suspect.
     pub fn report(&self, rows: Vec<ObservationRow>) {
         let has_strong = rows.iter().any(ObservationRow::is_strong);
         self.observations.borrow_mut().extend(rows);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// What is to be told of servers now: the newest of each server.
+    /// Removes the queued observations and returns the newest one for each server.
     fn take_observations(&self) -> Vec<ObservationRow> {
         let mut rows = self.observations.take();
         rows.reverse();
@@ -122,7 +122,7 @@
         rows
     }
 
-    /// These were not received: they are told again, unless newer ones are.
+    /// Puts observations that were not received back in the queue, before newer ones.
     fn requeue_observations(&self, mut rows: Vec<ObservationRow>) {
         rows.append(&mut self.observations.borrow_mut());
         *self.observations.borrow_mut() = rows;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The core machines: the seeds, and those that vote as far as is known.
+    /// Addresses of the core machines: the seeds and the known voters.
     fn core_machines(&self) -> Vec<Ipv4Addr> {
         let mut machines: Vec<Ipv4Addr> =
             self.settings.settings().seeds.iter().map(|seed| *seed.ip()).collect();
@@ -159,7 +159,7 @@
         machines
     }
 
-    /// One call to a core machine: a heartbeat that asks for what is new.
+    /// Calls a core machine: sends a heartbeat and the queued observations, and merges the changes that it returns.
     async fn call(&self, ip: Ipv4Addr, position: &mut ReplicationPosition, hold_ms: u32) -> FollowResult {
         let settings = self.settings.settings();
         let client = self.peers.get(settings.rpc_address_of(ip, REGISTRY));
@@ -173,7 +173,7 @@
         result
     }
 
-    /// Holds a session, for the life of the process.
+    /// Keeps a session with a core machine, for the life of the process.
     pub async fn run(self: Rc<Self>) {
         let (states, observations) = (self.clone(), self.clone());
         tokio::task::spawn_local(async move { observations.send_strong_observations().await });
@@ -183,7 +183,7 @@
         loop {
             if next.is_empty() {
                 next = self.core_machines().into();
-                // Limiters begin with different ones, by their names.
+                // The order depends on the limiter's name, which spreads limiters over the core machines.
                 let name = self.settings.settings().node_name;
                 next.make_contiguous().sort_by_key(|ip| preference(&name, *ip));
             }
@@ -193,14 +193,14 @@
             };
             self.stay_with(ip, positions.entry(ip).or_default(), &mut next).await;
             if self.core_machine.replace(None) == Some(ip) {
-                log::info!("session: {} is left", ip);
+                log::info!("session: closed with {}", ip);
             }
             tokio::time::sleep(FAILOVER_DELAY).await;
         }
     }
 
-    /// Holds the session with one core machine while it answers and is in touch with a majority. If `next` is empty, no other
-    /// is: this one is as good as any.
+    /// Keeps the session with one core machine. Returns when the machine does not answer, is no longer a core machine or is not
+    /// connected to a majority; in the last case after [`RETRY_DELAY`] if `next` holds no other machine.
     async fn stay_with(
         &self,
         ip: Ipv4Addr,
@@ -209,12 +209,12 @@
     ) {
         let mut is_first = true;
         loop {
-            // The first response is not held: it says whether this machine is worth staying with.
+            // The first response is not held: it shows whether the machine is connected to a majority.
             let result = self.call(ip, position, if is_first { 0 } else { HOLD_MS }).await;
             let FollowResult::Updated { confirmed_ago, .. } = result else { return };
             let is_behind = confirmed_ago.is_none_or(|ago| f64::from(ago) > IN_TOUCH);
             if is_first && !is_behind {
-                log::info!("session: with {}, edition {}", ip, self.view.edition());
+                log::info!("session: established with {}, edition {}", ip, self.view.edition());
             }
             self.core_machine.set(Some(ip));
             self.position.set(*position);
@@ -222,7 +222,7 @@
                 return;
             }
             if is_behind {
-                // None is in touch: called again, but not at once.
+                // No machine is connected to a majority: all are called again after a delay.
                 next.clear();
                 tokio::time::sleep(RETRY_DELAY).await;
                 return;
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Tells changes of state besides the call that may be held just now.
+    /// Sends changes of state in separate calls, as the session's call may be held.
     async fn send_state_changes(&self) {
         loop {
             self.state_changed.notified().await;
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Tells what makes a server suspect besides the call that may be held just now.
+    /// Sends observations that make a server suspect in separate calls, as the session's call may be held.
     async fn send_strong_observations(&self) {
         loop {
             self.strong_observation.notified().await;
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Follows a few other limiters, for the life of the process.
+    /// Starts tasks that follow [`FOLLOWED_LIMITERS`] other limiters, for the life of the process.
     pub fn follow_limiters(self: &Rc<Self>) {
         for index in 0..FOLLOWED_LIMITERS {
             let session = self.clone();
@@ -289,7 +289,8 @@
         }
     }
 
-    /// Draws another limiter with a session. Updates come in from afar by one: traffic between regions is expensive.
+    /// Draws the address of another limiter with a session. The task with index 0 follows limiters of its own region
+    /// if there are any: traffic between regions is expensive.
     fn draw_limiter(&self, round: u64, index: u64) -> Option<SocketAddr> {
         let settings = self.settings.settings();
         let (name, region) = (settings.node_name, settings.region);
@@ -306,7 +307,7 @@
     }
 }
 
-/// The order in which a limiter prefers core machines.
+/// Sort key of a core machine in the order in which the named limiter tries them.
 fn preference(name: &str, ip: Ipv4Addr) -> u64 {
     name.bytes().fold(u64::from(u32::from(ip)), |x, byte| {
         (x ^ u64::from(byte)).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31)
--- a/crates/proxy/src/subsetting.rs
+++ b/crates/proxy/src/subsetting.rs
@@ -1,21 +1,21 @@
-//! Subsetting: which servers a limiter sends requests to. All of a small service, a part of a large one.
+//! Subsetting: which servers a limiter sends requests to. These are all servers of a small service and a subset of a large one.
 //!
-//! With all servers in use by each of ninety limiters, each would see every server once in twenty seconds, know none of them,
-//! and open a connection for every second request. So each takes a slice of every zone's servers. The servers of a zone stand
-//! on a ring, in the order of their hashes; limiters at the same distance from the zone (in it, in its region, elsewhere)
-//! take equal slices at equal intervals, so that the slices cover all servers evenly, to within one. A limiter that comes or
-//! goes moves the slices of others by a place or two.
+//! If each of ninety limiters used all servers, it would reach every server once in twenty seconds, too rarely to estimate its
+//! load, and would open a connection for every second request. Therefore each limiter uses a slice of every zone's servers. The
+//! servers of a zone form a ring in the order of their hashes. Limiters at the same distance from the zone (same zone, same
+//! region, elsewhere) use slices of equal length at equal intervals, so that their load on the servers differs by at most one
+//! limiter. Adding or removing a limiter shifts other slices by one or two servers.
 
 use std::collections::BTreeMap;
 
-/// Servers of the own zone that a limiter takes.
+/// Number of servers selected in the limiter's own zone.
 const NEAR_SERVERS: usize = 10;
-/// Servers of the other zones of the region, together.
+/// Number of servers selected in the other zones of the region together.
 const REGION_SERVERS: usize = 6;
-/// Servers of each other region: for routes whose homes are there, and for when the own region fails.
+/// Number of servers selected in each other region, for routes with homes there and for failover.
 const FAR_SERVERS: usize = 6;
 
-/// Where limiters and servers stand.
+/// Zones of this limiter and of all limiters that divide the servers.
 #[derive(Clone, Copy)]
 pub struct Placement<'a> {
     /// Zones with their regions.
@@ -24,11 +24,11 @@
     pub name: &'a str,
     /// Its zone.
     pub zone: &'a str,
-    /// The limiters to divide among, with their zones.
+    /// Names and zones of the limiters that divide the servers.
     pub limiters: &'a [(String, String)],
 }
 
-/// The distance of a limiter from a zone.
+/// Distance between two zones.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
     SameZone,
@@ -36,7 +36,7 @@
     OtherRegion,
 }
 
-/// The place of a limiter among those at the same distance from a zone.
+/// Index of a limiter among those at the same distance from a zone, and their number.
 struct Rank {
     index: usize,
     count: usize,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// This limiter's place among those that are as far from this zone as it is.
+    /// Rank of this limiter among the limiters at its distance from this zone, in hash order.
     fn rank(&self, zone: &str) -> Rank {
         let distance = self.distance(self.zone, zone);
         let is_peer =
@@ -72,7 +72,7 @@
     }
 }
 
-/// A well-mixed hash of a name; the same in each process and version.
+/// A well-mixed hash of a name that is stable across processes and versions.
 pub(crate) fn name_hash(name: &str) -> u64 {
     let x = name
         .bytes()
@@ -80,13 +80,13 @@
     (x ^ (x >> 29)).wrapping_mul(0xd6e8_feb8_6659_fd93)
 }
 
-/// Which of a service's servers, given by id and zone, this limiter sends requests to.
+/// Selects the servers, given by id and zone, that this limiter sends requests to. Returns one flag per server, in order.
 pub fn select_servers(placement: &Placement<'_>, servers: &[(&str, &str)]) -> Vec<bool> {
     let mut by_zone: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
     for (index, (_, zone)) in servers.iter().enumerate() {
         by_zone.entry(zone).or_default().push(index);
     }
-    // The zones of a region share what the region gets; the own zone counts by itself.
+    // The zones of a region share the region's number of servers; the limiter's own zone has a number of its own.
     let group = |zone: &str| (placement.region(zone).unwrap_or_default(), zone == placement.zone);
     let mut zones_of_group: BTreeMap<(&str, bool), usize> = BTreeMap::new();
     for zone in by_zone.keys() {
--- a/crates/proxy/src/tenant_plans.rs
+++ b/crates/proxy/src/tenant_plans.rs
@@ -1,5 +1,4 @@
-//! The quotas of tenants as the decision module sees them: one plan for each tenant, by the part of the quota that is given
-//! out here.
+//! Plans of the decision module for tenants' quotas: one per tenant, for the share of the quota that is given out here.
 
 use crate::config_snapshot::ConfigSnapshot;
 use crate::quota_counter::QuotaCounter;
@@ -13,16 +12,16 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What plans depend on besides the configuration.
+/// Inputs to plans besides the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct PlanBasis {
-    /// Limiters that share what is given out here.
+    /// Number of limiters that share the part given out here.
     limiters: f64,
-    /// The part of each quota that these give out.
+    /// Share of each quota that these limiters give out, from 0 to 1.
     share: f64,
 }
 
-/// How many limiters may be active, as far as is known here; at least this one.
+/// Number of limiters known to be possibly active; at least 1.
 pub(crate) fn active_limiters(view: &ClusterView) -> f64 {
     f64::from(view.with(|table, now| table.active_limiter_count(now))).max(1.0)
 }
@@ -31,14 +30,14 @@
 pub struct TenantPlans {
     view: Rc<ClusterView>,
     counter: Rc<QuotaCounter>,
-    /// Places of tenants' plans, by name; one that is gone keeps its place. Each limiter has its own: what stands for a tenant
-    /// between limiters is [`tenant_number`].
+    /// Indexes of tenants' plans by name; a removed tenant keeps its index. They differ between limiters, which identify a
+    /// tenant to each other by its [`tenant_number`].
     places: RefCell<HashMap<String, usize>>,
     basis: Cell<PlanBasis>,
 }
 
 impl TenantPlans {
-    /// No tenant yet.
+    /// Creates an empty set of plans.
     pub fn new(view: Rc<ClusterView>, counter: Rc<QuotaCounter>) -> Self {
         TenantPlans { view, counter, places: RefCell::default(), basis: Cell::default() }
     }
@@ -49,17 +48,17 @@
         PlanBasis { limiters, share: partition.share() }
     }
 
-    /// The counter of these tenants.
+    /// The quota counter that uses these plans.
     pub fn counter(&self) -> &QuotaCounter {
         &self.counter
     }
 
-    /// Whether plans have to be made again: time alone changes which limiters count together.
+    /// Whether plans have to be updated: which limiters count together can change by time alone.
     pub fn is_outdated(&self) -> bool {
         self.basis.get() != self.current_basis()
     }
 
-    /// Makes the plans of this configuration.
+    /// Sets the plans and bounds of this configuration's tenants at the counter.
     pub fn update(&self, snapshot: &ConfigSnapshot, rules: &Bounds) {
         let mut places = self.places.borrow_mut();
         let customers = snapshot.configuration().customers.as_deref().unwrap_or_default();
@@ -89,10 +88,10 @@
         self.basis.set(basis);
     }
 
-    /// Whether a tenant's request goes on; for a moment it may wait for what an owner says.
+    /// Admits a tenant's request or rejects it; may wait for a counter's owner. A rate of 0 means no quota.
     ///
     /// # Errors
-    /// If its quota is used up: when to come back, ms.
+    /// If the quota is used up or no owner has answered: the time after which to retry, ms.
     pub async fn admit(&self, tenant: &Customer) -> Result<(), Millis> {
         if tenant.rate <= 0.0 {
             return Ok(());
