--- a/crates/proxy/tests/apart.rs
+++ b/crates/proxy/tests/apart.rs
@@ -76,14 +76,14 @@
             return one;
         }
         let members = self.members(ms, one, limiters);
-        let kept = members.iter().filter(|(row, ago)| {
+        let owning = members.iter().filter(|(row, ago)| {
             // Nobody judges sessions where the core is not: before, numbers stayed where they were there.
             owns_counters(row, *ago)
                 && !(self.gives_out_whole_quota && one >= self.first_separated && *ago > 4000.0)
         });
-        let names: Vec<&str> = kept.map(|(row, _)| row.name.as_str()).collect();
-        let me = name(one);
-        let drawn = owner_of(number, names.into_iter().chain(std::iter::once(me.as_str()))).unwrap();
+        let names: Vec<&str> = owning.map(|(row, _)| row.name.as_str()).collect();
+        let own_name = name(one);
+        let drawn = owner_of(number, names.into_iter().chain(std::iter::once(own_name.as_str()))).unwrap();
         drawn.strip_prefix("edge-").unwrap().parse().unwrap()
     }
 }
@@ -99,7 +99,7 @@
 /// The worst window as a part of what the rule allows, and what was let through in the cut as a part of the rate.
 fn simulate(seed: u64, limiters: usize, scenario: PartitionScenario) -> (f64, f64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut roll = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
+    let mut random = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
     let settings = |partition: QuotaPartition| {
         let share = if partition.is_alone { 1.0 } else { limiters as f64 };
         let allowed =
@@ -119,8 +119,8 @@
     let mut admitted_at = Vec::new();
     for ms in 0..END_MS {
         let now = 60_000.0 + ms as f64;
-        if roll() < if ms < scenario.overload_start { 0.62 } else { 7.5 * 0.62 } * RATE / 1000.0 {
-            let (at, mut actions) = ((roll() * limiters as f64) as usize % limiters, Vec::new());
+        if random() < if ms < scenario.overload_start { 0.62 } else { 7.5 * 0.62 } * RATE / 1000.0 {
+            let (at, mut actions) = ((random() * limiters as f64) as usize % limiters, Vec::new());
             let spread = if planned_partitions[at].is_alone { 1.0 } else { limiters as f64 };
             let draw = Draw { customer: CustomerId(1), units: 1.0, spread, ..Draw::default() };
             let within = all[at].admit(now, draw, &mut actions) == Verdict::Within;
@@ -173,10 +173,10 @@
     let allowed = (RATE * WINDOW + BURST) * 1.1 + 20.0;
     let within =
         |from: f64| admitted_at.iter().filter(|at| (from..from + WINDOW * 1000.0).contains(*at)).count();
-    let worst = admitted_at.iter().step_by(3).map(|at| within(*at)).max().unwrap_or(0);
+    let fullest_window = admitted_at.iter().step_by(3).map(|at| within(*at)).max().unwrap_or(0);
     let separated = 60_000.0 + (PARTITION_START_MS + 6000) as f64..60_000.0 + PARTITION_END_MS as f64;
-    let given = admitted_at.iter().filter(|at| separated.contains(*at)).count() as f64;
-    (worst as f64 / allowed, given / (RATE * (separated.end - separated.start) / 1000.0))
+    let admitted_share = admitted_at.iter().filter(|at| separated.contains(*at)).count() as f64;
+    (fullest_window as f64 / allowed, admitted_share / (RATE * (separated.end - separated.start) / 1000.0))
 }
 
 fn queue_adds(adds: &mut Vec<(Millis, usize, CountName, f64)>, actions: Vec<Action>, now: Millis, at: usize) {
@@ -192,7 +192,7 @@
     for seed in 1..=2 {
         for overload_start in [0, PARTITION_START_MS - 2000] {
             for (limiters, separated) in [(9, 1), (9, 2), (9, 3), (30, 5), (87, 15)] {
-                let (worst, given) = simulate(
+                let (fullest_window, admitted_share) = simulate(
                     seed,
                     limiters,
                     PartitionScenario {
@@ -201,11 +201,14 @@
                         gives_out_whole_quota: false,
                     },
                 );
-                println!("seed {seed}, hot {overload_start}, {separated} of {limiters} apart: worst {worst:.2}, in the cut {given:.2}");
-                assert!(worst <= 1.0, "seed {seed}, {separated} of {limiters} apart: {worst:.2}");
+                println!("seed {seed}, hot {overload_start}, {separated} of {limiters} apart: fullest_window {fullest_window:.2}, in the cut {admitted_share:.2}");
                 assert!(
-                    given > 0.75,
-                    "seed {seed}, {separated} of {limiters} apart: only {given:.2} is given out"
+                    fullest_window <= 1.0,
+                    "seed {seed}, {separated} of {limiters} apart: {fullest_window:.2}"
+                );
+                assert!(
+                    admitted_share > 0.75,
+                    "seed {seed}, {separated} of {limiters} apart: only {admitted_share:.2} is given out"
                 );
             }
         }
@@ -214,13 +217,13 @@
 
 #[test]
 fn giving_out_the_whole_quota_on_each_side_exceeds_it() {
-    let (worst, given) = simulate(
+    let (fullest_window, admitted_share) = simulate(
         1,
         9,
         PartitionScenario { first_separated: 6, overload_start: 0, gives_out_whole_quota: true },
     );
-    println!("3 of 9 apart, each side gives out the whole: worst {worst:.2}, in the cut {given:.2}");
-    assert!(worst > 1.2 && given > 1.5);
+    println!("3 of 9 apart, each side gives out the whole: fullest_window {fullest_window:.2}, in the cut {admitted_share:.2}");
+    assert!(fullest_window > 1.2 && admitted_share > 1.5);
 }
 
 #[test]
--- a/crates/proxy/tests/common/quota_fleet.rs
+++ b/crates/proxy/tests/common/quota_fleet.rs
@@ -94,7 +94,7 @@
     /// It ends in order, and is back half a second after it has ended.
     Restart,
     /// It answers nobody and reaches nobody, clients reach it.
-    Cut,
+    Isolate,
     /// It answers this much later, ms.
     Slow(u32),
 }
@@ -130,8 +130,8 @@
 struct NodeState {
     is_dead: bool,
     is_leaving: bool,
-    is_cut: bool,
-    slow: u32,
+    is_isolated: bool,
+    answer_delay: u32,
     incarnation: u64,
     /// When it was last heard by the core, and its heartbeat then.
     heard_at: f64,
@@ -142,7 +142,7 @@
     view: Rc<ClusterView>,
     counter: Rc<QuotaCounter>,
     plans: Rc<TenantPlans>,
-    running: AbortHandle,
+    counter_task: AbortHandle,
 }
 
 struct Fleet {
@@ -209,7 +209,7 @@
 
     fn reaches(&self, from: usize, to: usize) -> bool {
         let node_states = self.node_states.borrow();
-        !node_states[from].is_cut && !node_states[to].is_cut
+        !node_states[from].is_isolated && !node_states[to].is_isolated
     }
 
     async fn deliver(&self, from: usize, to: usize, adds: Vec<u8>) -> Result<Bytes, RpcError> {
@@ -222,8 +222,8 @@
             return Err(RpcError::Unreachable);
         };
         self.calls_received.borrow_mut()[to] += 1.0;
-        let slow = self.node_states.borrow()[to].slow;
-        sleep(Duration::from_millis(u64::from(slow))).await;
+        let answer_delay = self.node_states.borrow()[to].answer_delay;
+        sleep(Duration::from_millis(u64::from(answer_delay))).await;
         let answer = limiter.counter.answer(adds.into());
         self.latency().await;
         if !self.reaches(from, to) {
@@ -238,7 +238,7 @@
         let peers = Rc::new(Network { fleet: Rc::downgrade(self), from: at });
         let counter = QuotaCounter::new(view.clone(), peers, name(at), self.scenario.seed ^ at as u64);
         let plans = Rc::new(TenantPlans::new(view.clone(), counter.clone()));
-        let running = tokio::task::spawn_local(counter.clone().run()).abort_handle();
+        let counter_task = tokio::task::spawn_local(counter.clone().run()).abort_handle();
         let mut node_states = self.node_states.borrow_mut();
         node_states[at] = NodeState {
             incarnation: node_states[at].incarnation + 1,
@@ -249,14 +249,14 @@
         drop(node_states);
         // All processes agree on the cluster's time.
         view.apply_update(view.now(), StateUpdate { time: 60_000.0 + self.now(), ..StateUpdate::default() });
-        let limiter = Rc::new(Limiter { view, counter, plans, running });
+        let limiter = Rc::new(Limiter { view, counter, plans, counter_task });
         self.update_view(at, &limiter, self.now());
         self.limiters.borrow_mut()[at] = Some(limiter);
     }
 
     fn stop(&self, at: usize) {
         if let Some(limiter) = self.limiters.borrow_mut()[at].take() {
-            limiter.running.abort();
+            limiter.counter_task.abort();
         }
         self.node_states.borrow_mut()[at].is_dead = true;
     }
@@ -264,7 +264,7 @@
     /// Tells a limiter how the others stood at a moment.
     fn update_view(&self, at: usize, limiter: &Limiter, when: f64) {
         let node_states = self.node_states.borrow();
-        if node_states[at].is_cut {
+        if node_states[at].is_isolated {
             return;
         }
         limiter.view.confirm(limiter.view.now(), 0);
@@ -298,7 +298,7 @@
         self.calls_received.borrow_mut().iter_mut().for_each(|calls_received| *calls_received *= 0.5);
         self.heartbeat.set(self.heartbeat.get() + 1);
         for member in
-            self.node_states.borrow_mut().iter_mut().filter(|member| !member.is_dead && !member.is_cut)
+            self.node_states.borrow_mut().iter_mut().filter(|member| !member.is_dead && !member.is_isolated)
         {
             (member.heard_at, member.heartbeat) = (when, self.heartbeat.get());
         }
@@ -358,15 +358,15 @@
                 sleep(Duration::from_millis(500)).await;
                 self.start(at);
             }
-            FaultKind::Cut => {
-                set(&|node_states| node_states.is_cut = true);
+            FaultKind::Isolate => {
+                set(&|node_states| node_states.is_isolated = true);
                 sleep(duration).await;
-                set(&|node_states| node_states.is_cut = false);
+                set(&|node_states| node_states.is_isolated = false);
             }
             FaultKind::Slow(ms) => {
-                set(&|node_states| node_states.slow = ms);
+                set(&|node_states| node_states.answer_delay = ms);
                 sleep(duration).await;
-                set(&|node_states| node_states.slow = 0);
+                set(&|node_states| node_states.answer_delay = 0);
             }
         }
     }
--- a/crates/proxy/tests/counting.rs
+++ b/crates/proxy/tests/counting.rs
@@ -75,7 +75,7 @@
 fn total_after_fault(nth: usize, fault: CallFault) -> f64 {
     let plan = Plan { rate: 200.0, burst: 60.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
     let mut quotas = Quotas::new(quota_settings(vec![plan], 1.0), 7);
-    let (mut sums, mut calls) = (BTreeMap::<u64, f64>::new(), 0);
+    let (mut totals, mut calls) = (BTreeMap::<u64, f64>::new(), 0);
     for tick in 0..800u32 {
         let now = 2000.0 + f64::from(tick) * 10.0;
         let mut actions = Vec::new();
@@ -92,10 +92,12 @@
             let call_fault = if calls == nth { fault } else { CallFault::None };
             calls += 1;
             if call_fault != CallFault::CallLost {
-                *sums.entry(name.0).or_default() += add;
+                *totals.entry(name.0).or_default() += add;
             }
             let answer = match call_fault {
-                CallFault::None => Ok(QuotaTotals { totals: vec![sums[&name.0]], ..QuotaTotals::default() }),
+                CallFault::None => {
+                    Ok(QuotaTotals { totals: vec![totals[&name.0]], ..QuotaTotals::default() })
+                }
                 _ => Err(RpcError::Lost),
             };
             let (outcome, total) = outcomes_of(1, &answer)[0];
@@ -103,7 +105,7 @@
         }
     }
     assert!(calls > nth + 1, "{calls} calls");
-    sums.values().sum()
+    totals.values().sum()
 }
 
 #[test]
--- a/crates/proxy/tests/ninety.rs
+++ b/crates/proxy/tests/ninety.rs
@@ -28,7 +28,7 @@
 /// So many limiters, a tenant that asks at 0.62 of its quota and then at `hot` times that, by chance at any limiter.
 fn simulate(seed: u64, limiters: usize, overload: f64, settings: QuotaSettings) -> SimulationResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut roll = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
+    let mut random = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
     let mut all: Vec<Quotas> =
         (0..limiters).map(|n| Quotas::new(settings.clone(), seed ^ n as u64)).collect();
     let mut totals: BTreeMap<CountName, f64> = BTreeMap::new();
@@ -39,8 +39,8 @@
     for ms in 0..END_MS {
         let now = 60_000.0 + ms as f64;
         let usual_rate = 0.62 * RATE / 1000.0;
-        if roll() < if ms < OVERLOAD_START_MS { usual_rate } else { overload * usual_rate } {
-            let (at, mut actions) = ((roll() * limiters as f64) as usize % limiters, Vec::new());
+        if random() < if ms < OVERLOAD_START_MS { usual_rate } else { overload * usual_rate } {
+            let (at, mut actions) = ((random() * limiters as f64) as usize % limiters, Vec::new());
             let within = all[at].admit(now, draw(1), &mut actions) == Verdict::Within;
             all[at].record(now, CustomerId(1), 1.0, within);
             if within {
--- a/crates/proxy/tests/quota_beside_restarts.rs
+++ b/crates/proxy/tests/quota_beside_restarts.rs
@@ -46,13 +46,13 @@
 
 #[test]
 fn an_owner_that_does_not_answer_in_time_does_not_raise_the_quota() {
-    for (title, kind, lasts) in [
+    for (title, kind, duration) in [
         ("killed for 3.5 s", FaultKind::Kill, 3500),
-        ("cut off", FaultKind::Cut, 6000),
+        ("cut off", FaultKind::Isolate, 6000),
         ("answers after 0.45 s", FaultKind::Slow(450), 8000),
         ("killed, at once back", FaultKind::Kill, 500),
     ] {
-        assert_quota_kept(&format!("the owner is {title}"), &[fault(kind, 5900, lasts, Target::Owner)]);
+        assert_quota_kept(&format!("the owner is {title}"), &[fault(kind, 5900, duration, Target::Owner)]);
     }
 }
 
@@ -73,14 +73,14 @@
             "rolling restart: {outcome:?}"
         );
     }
-    assert_quota_kept("three tenths cut off", &[fault(FaultKind::Cut, 6500, 6000, Target::Share(0.3))]);
+    assert_quota_kept("three tenths cut off", &[fault(FaultKind::Isolate, 6500, 6000, Target::Share(0.3))]);
 }
 
 #[test]
 fn an_owner_isolated_under_peak_load_does_not_give_out_a_second_quota() {
     // Until it knows that it is alone it goes on giving out, and the others have their parts already.
     for (limiters, rate, seed, at) in [(85, 40.0, 1, 7000), (13, 83.0, 2, 8000), (9, 172.0, 1, 7000)] {
-        let faults = vec![fault(FaultKind::Cut, at, 6000, Target::Owner)];
+        let faults = vec![fault(FaultKind::Isolate, at, 6000, Target::Owner)];
         let scenario =
             Scenario { limiters, rate, burst: rate, overload: 10.0, ..Scenario::large(seed, faults) };
         let outcome = simulate(scenario);
@@ -94,7 +94,7 @@
     let killed = |at| fault(FaultKind::Kill, at, 300, Target::Share(1.0));
     let faults = [
         ("all killed three times", vec![killed(7000), killed(8500), killed(10_000)]),
-        ("the owner is cut off", vec![fault(FaultKind::Cut, 5900, 6000, Target::Owner)]),
+        ("the owner is cut off", vec![fault(FaultKind::Isolate, 5900, 6000, Target::Owner)]),
         ("the owner answers late", vec![fault(FaultKind::Slow(450), 5000, 8000, Target::Owner)]),
     ];
     let sizes = [
--- a/crates/proxy/tests/steering.rs
+++ b/crates/proxy/tests/steering.rs
@@ -90,7 +90,7 @@
     /// Sends to each server after the onset, by second.
     sends: HashMap<(usize, u64), u32>,
     /// Requests after the onset: all, and those that earned nothing.
-    asked: u32,
+    requests: u32,
     lost: u32,
     /// Requests that were answered after their aim.
     late: u32,
@@ -102,7 +102,7 @@
     /// What runs once and ran again.
     ran_twice: u32,
     /// Servers that are not well at the end, over all proxies.
-    left_at_end: usize,
+    avoided_at_end: usize,
 }
 
 impl Report {
@@ -214,9 +214,9 @@
         .collect();
 
     let (mut due, mut serial) = (BTreeMap::<(u64, u64), SimEvent>::new(), 0u64);
-    let mut schedule = |due: &mut BTreeMap<(u64, u64), SimEvent>, at: f64, what: SimEvent| {
+    let mut schedule = |due: &mut BTreeMap<(u64, u64), SimEvent>, at: f64, event: SimEvent| {
         serial += 1;
-        due.insert(((at * 1000.0) as u64, serial), what);
+        due.insert(((at * 1000.0) as u64, serial), event);
     };
     for (n, proxy) in proxies.iter().enumerate() {
         let list = entries(0.0, scenario.servers, &proxy.outlier_ejection, false);
@@ -227,26 +227,25 @@
     }
     let (mut report, mut number) = (Report::default(), 0u32);
     let frozen = |n: usize, now: f64| scenario.frozen == Some(n) && now >= FAULT_START;
-    while let Some(((at, _), what)) = due.pop_first() {
+    while let Some(((at, _), sim_event)) = due.pop_first() {
         let now = at as f64 / 1000.0;
         if now > END {
             break;
         }
-        let (n, event) = match what {
+        let (n, event) = match sim_event {
             SimEvent::Row { to, row, at } if to >= scenario.proxies => {
                 // A board: what is new goes to all others.
                 let relay = to - scenario.proxies;
-                let observation_row = ObservationRow { ago: (now - at) as u32, ..row };
+                let received = ObservationRow { ago: (now - at) as u32, ..row };
                 let before = relays[relay].sequence();
-                let is_urgent =
-                    relays[relay].merge_observation(now, &observation_row) != MergeResult::Unchanged;
+                let is_urgent = relays[relay].merge_observation(now, &received) != MergeResult::Unchanged;
                 if relays[relay].sequence() == before {
                     continue;
                 }
                 let targets = (0..scenario.proxies)
                     .chain((0..RELAYS).filter(|b| *b != relay).map(|b| scenario.proxies + b));
                 for to in targets {
-                    report.bytes += prost_len(&observation_row);
+                    report.bytes += prost_len(&received);
                     // What wakes nobody waits for the next call.
                     let delay = if is_urgent {
                         0.0
@@ -254,16 +253,12 @@
                         [200.0, 600.0][usize::from(to < scenario.proxies)] * random()
                     };
                     let distance = delay + 2.0 + 35.0 * random() + if random() < 0.05 { 300.0 } else { 0.0 };
-                    schedule(
-                        &mut due,
-                        now + distance,
-                        SimEvent::Row { to, row: observation_row.clone(), at },
-                    );
+                    schedule(&mut due, now + distance, SimEvent::Row { to, row: received.clone(), at });
                     if scenario.repeat_delay > 0.0 && relay == 0 {
                         schedule(
                             &mut due,
                             now + scenario.repeat_delay,
-                            SimEvent::Row { to, row: observation_row.clone(), at },
+                            SimEvent::Row { to, row: received.clone(), at },
                         );
                     }
                 }
@@ -271,8 +266,8 @@
             }
             SimEvent::Row { to, row, at } => {
                 if !frozen(to, now) {
-                    let observation_row = ObservationRow { ago: (now - at) as u32, ..row };
-                    proxies[to].table.merge_observation(now, &observation_row);
+                    let received = ObservationRow { ago: (now - at) as u32, ..row };
+                    proxies[to].table.merge_observation(now, &received);
                 }
                 continue;
             }
@@ -305,10 +300,11 @@
                     continue;
                 }
                 let list = entries(now, scenario.servers, &p.outlier_ejection, true);
-                let left = |e: &&ServerEntry| !matches!(e.standing, Standing::Well | Standing::Returning);
+                let is_avoided =
+                    |e: &&ServerEntry| !matches!(e.standing, Standing::Well | Standing::Returning);
                 report.over_limit +=
-                    u32::from(list.iter().filter(left).count() > (scenario.servers / 8).max(1));
-                for e in list.iter().filter(left) {
+                    u32::from(list.iter().filter(is_avoided).count() > (scenario.servers / 8).max(1));
+                for e in list.iter().filter(is_avoided) {
                     let server = e.server.0 as usize;
                     *report.avoided.entry(server).or_default() += 1;
                     if report.first_failure.contains_key(&server) {
@@ -330,9 +326,9 @@
                 }
                 number += 1;
                 let (id, once) = (RequestId(number), number % 4 == 0);
-                let asked = PendingRequest { at: now, attempts: Vec::new(), once, over: false, ran: 0 };
-                proxies[n].open.insert(id, asked);
-                report.asked += u32::from(now > FAULT_START);
+                let pending = PendingRequest { at: now, attempts: Vec::new(), once, over: false, ran: 0 };
+                proxies[n].open.insert(id, pending);
+                report.requests += u32::from(now > FAULT_START);
                 let class = ClassId(usize::from(once));
                 let request =
                     Request { id, class, units: 1.0, time_left: 2480.0, spread: 1.0, ..Request::default() };
@@ -341,24 +337,24 @@
             SimEvent::Module(n, event) => (n, event),
             SimEvent::AttemptEnded { proxy: n, id, attempt, outcome } => {
                 let p = &mut proxies[n];
-                let Some(asked) = p.open.get_mut(&id) else { continue };
-                let Some((server, sent, live)) = asked.attempts.get_mut(usize::from(attempt)) else {
+                let Some(pending) = p.open.get_mut(&id) else { continue };
+                let Some((server, sent, live)) = pending.attempts.get_mut(usize::from(attempt)) else {
                     continue;
                 };
                 if !std::mem::replace(live, false) {
                     continue;
                 }
-                let (server, took, complete) = (*server, now - *sent, asked.over || outcome == Outcome::Ok);
+                let (server, took, complete) = (*server, now - *sent, pending.over || outcome == Outcome::Ok);
                 if now > FAULT_START
                     && (outcome != Outcome::Ok && outcome != Outcome::Cancelled || took > 3.0 * SERVICE_TIME)
                 {
                     report.first_failure.entry(server).or_insert(now);
                 }
-                if outcome == Outcome::Ok && !asked.over && asked.at > FAULT_START {
-                    report.late += u32::from(now - asked.at > LATENCY_TARGET);
+                if outcome == Outcome::Ok && !pending.over && pending.at > FAULT_START {
+                    report.late += u32::from(now - pending.at > LATENCY_TARGET);
                 }
-                asked.over |= complete;
-                let (class, name) = (ClassId(usize::from(asked.once)), self::id(server).into());
+                pending.over |= complete;
+                let (class, name) = (ClassId(usize::from(pending.once)), self::id(server).into());
                 p.ends.push(Finished { server: name, class, outcome, took, warm: true });
                 let (server, load, settled) = (ServerId(server as u64), Vec::new(), 0.0);
                 (n, Event::Ended { id, attempt, server, outcome, complete, took, settled, load })
@@ -378,11 +374,11 @@
                     let p = &mut proxies[n];
                     let server = server.0 as usize;
                     let standing = p.outlier_ejection.standing(now, "s", &self::id(server));
-                    let Some(asked) = p.open.get_mut(&id) else { continue };
-                    let attempt = asked.attempts.len() as u8;
-                    asked.attempts.push((server, now, true));
+                    let Some(pending) = p.open.get_mut(&id) else { continue };
+                    let attempt = pending.attempts.len() as u8;
+                    pending.attempts.push((server, now, true));
                     report.once_to_unhealthy +=
-                        u32::from(asked.once && scenario.shares_observations && standing != Standing::Well);
+                        u32::from(pending.once && scenario.shares_observations && standing != Standing::Well);
                     if now > FAULT_START {
                         *report.sends.entry((server, ((now - FAULT_START) / 1000.0) as u64)).or_default() +=
                             1;
@@ -392,9 +388,9 @@
                         SERVICE_TIME * (0.5 * (random() + random() + random() - 1.5) * 2.0).exp();
                     let t = Attempt { server, at: now, zone: p.zone, random: random(), usual_duration };
                     let (outcome, took) = (scenario.behavior)(&t);
-                    asked.ran +=
+                    pending.ran +=
                         u32::from(matches!(outcome, Outcome::Ok | Outcome::Reset | Outcome::TimedOut));
-                    report.ran_twice += u32::from(asked.once && asked.ran > 1);
+                    report.ran_twice += u32::from(pending.once && pending.ran > 1);
                     let span = if timeout > 0.0 { timeout } else { 2480.0 };
                     let (outcome, took) =
                         if took > span { (Outcome::TimedOut, span) } else { (outcome, took) };
@@ -408,23 +404,27 @@
                     );
                 }
                 Action::Refuse { id, .. } | Action::Fail(id) => {
-                    if let Some(asked) = proxies[n].open.get_mut(&id).filter(|a| !a.over) {
-                        asked.over = true;
-                        report.lost += u32::from(asked.at > FAULT_START);
-                        report.unroutable += u32::from(asked.attempts.is_empty());
+                    if let Some(pending) = proxies[n].open.get_mut(&id).filter(|a| !a.over) {
+                        pending.over = true;
+                        report.lost += u32::from(pending.at > FAULT_START);
+                        report.unroutable += u32::from(pending.attempts.is_empty());
                     }
                 }
                 _ => {}
             }
         }
     }
-    let left = |p: &Proxy| {
+    let avoided_by = |p: &Proxy| {
         (0..scenario.servers)
             .filter(|n| p.outlier_ejection.standing(END, "s", &id(*n)) != Standing::Well)
             .count()
     };
-    report.left_at_end =
-        proxies.iter().enumerate().filter(|(n, _)| scenario.frozen != Some(*n)).map(|(_, p)| left(p)).sum();
+    report.avoided_at_end = proxies
+        .iter()
+        .enumerate()
+        .filter(|(n, _)| scenario.frozen != Some(*n))
+        .map(|(_, p)| avoided_by(p))
+        .sum();
     report
 }
 
@@ -446,7 +446,7 @@
 
 #[test]
 fn a_failing_server_is_avoided_by_all_proxies_within_four_seconds() {
-    let mut unapplied_to_unhealthy = 0;
+    let mut once_sends_without_standings = 0;
     for seed in 1..4 {
         let behavior = unhealthy(0, failing(1.0));
         let scenario = Scenario { seed, behavior: &behavior, ..Scenario::default() };
@@ -463,14 +463,14 @@
         let sent = |r: &Report| r.sent(0, 0, 12);
         assert!(sent(&shared) <= sent(&alone), "seed {seed}: {} and {}", sent(&shared), sent(&alone));
         // The checker finds proxies that judge and do not act by it.
-        let unapplied = simulate(&Scenario { applies_standings: false, ..scenario });
-        unapplied_to_unhealthy += unapplied.once_to_unhealthy;
+        let without_standings = simulate(&Scenario { applies_standings: false, ..scenario });
+        once_sends_without_standings += without_standings.once_to_unhealthy;
     }
-    assert!(unapplied_to_unhealthy > 0, "the checker sees it");
+    assert!(once_sends_without_standings > 0, "the checker sees it");
 }
 
 #[test]
-fn shared_load_and_slow_proxies_eject_no_healthy_servers() {
+fn fleet_wide_slowness_and_slow_proxies_cause_few_ejections() {
     let all_slow =
         |t: &Attempt| (Outcome::Ok, t.usual_duration * if t.at >= FAULT_START { 4.0 } else { 1.0 });
     let all_fail = |t: &Attempt| if t.at >= FAULT_START { (Outcome::Error, 3.0) } else { healthy(t) };
@@ -503,7 +503,7 @@
 
 #[test]
 fn a_recovered_server_returns_despite_a_frozen_proxy_and_repeated_rows() {
-    let mut left = 0;
+    let mut runs_with_ejection = 0;
     for seed in 1..5 {
         let behavior = |t: &Attempt| {
             if t.server == 0 && (FAULT_START..FAULT_START + 5000.0).contains(&t.at) {
@@ -515,10 +515,10 @@
         let (repeat_delay, frozen) = (1500.0, Some(4));
         let report =
             simulate(&Scenario { seed, behavior: &behavior, repeat_delay, frozen, ..Scenario::default() });
-        left += u32::from(report.avoided.contains_key(&0));
-        assert_eq!((report.left_at_end, report.once_to_unhealthy), (0, 0), "seed {seed}");
+        runs_with_ejection += u32::from(report.avoided.contains_key(&0));
+        assert_eq!((report.avoided_at_end, report.once_to_unhealthy), (0, 0), "seed {seed}");
     }
-    assert!(left >= 3, "it was left on {left} scenarios of 4");
+    assert!(runs_with_ejection >= 3, "it was left on {runs_with_ejection} scenarios of 4");
 }
 
 #[test]
