--- a/crates/proxy/tests/common/quota_fleet.rs
+++ b/crates/proxy/tests/common/quota_fleet.rs
@@ -353,21 +353,21 @@
                 self.start(at);
             }
             FaultKind::Restart => {
-                set(&|node_states| node_states.is_leaving = true);
+                set(&|state| state.is_leaving = true);
                 sleep(duration).await;
                 self.stop(at);
                 sleep(Duration::from_millis(500)).await;
                 self.start(at);
             }
             FaultKind::Isolate => {
-                set(&|node_states| node_states.is_isolated = true);
+                set(&|state| state.is_isolated = true);
                 sleep(duration).await;
-                set(&|node_states| node_states.is_isolated = false);
+                set(&|state| state.is_isolated = false);
             }
             FaultKind::Slow(ms) => {
-                set(&|node_states| node_states.answer_delay = ms);
+                set(&|state| state.answer_delay = ms);
                 sleep(duration).await;
-                set(&|node_states| node_states.answer_delay = 0);
+                set(&|state| state.answer_delay = 0);
             }
         }
     }
