--- a/crates/proxy/src/front_desk.rs
+++ b/crates/proxy/src/front_adapter.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 
 /// Hands requests from the front to the handler.
-pub struct FrontDesk(pub Rc<RequestHandler>);
+pub struct FrontAdapter(pub Rc<RequestHandler>);
 
-impl Desk for FrontDesk {
+impl Desk for FrontAdapter {
     type Ticket = RoutedRequest;
 
     fn now(&self) -> Millis {
--- a/crates/proxy/src/invariants.rs
+++ b/crates/proxy/src/invariants.rs
@@ -1,6 +1,6 @@
 //! Invariants that a running proxy checks itself. The number of violations is logged and shown by `oatbankctl invariants`.
 
-use crate::front_desk::FrontDesk;
+use crate::front_adapter::FrontAdapter;
 use crate::request_handler::RequestHandler;
 use oatbank_cluster_state::admin_query::table;
 use oatbank_cluster_state::messages::Table;
@@ -44,13 +44,13 @@
 /// Checks the invariants of a proxy.
 pub struct InvariantMonitor {
     handler: Rc<RequestHandler>,
-    front: Rc<Front<FrontDesk>>,
+    front: Rc<Front<FrontAdapter>>,
     logged: RefCell<[u64; Invariant::ALL.len()]>,
 }
 
 impl InvariantMonitor {
     /// Creates a monitor of the proxy with this handler and front.
-    pub fn new(handler: Rc<RequestHandler>, front: Rc<Front<FrontDesk>>) -> Rc<Self> {
+    pub fn new(handler: Rc<RequestHandler>, front: Rc<Front<FrontAdapter>>) -> Rc<Self> {
         Rc::new(InvariantMonitor { handler, front, logged: RefCell::default() })
     }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`front_desk`] | hands requests from the engine's HTTP front to the handler |
+//! | [`front_adapter`] | hands requests from the engine's HTTP front to the handler |
 //! | [`request_handler`] | routing, admission and forwarding of requests, and updates of the state that this needs |
 //! | [`rejection`] | answers of the proxy itself |
 //! | [`config_snapshot`] | immutable snapshot of one edition of the configuration |
@@ -20,7 +20,7 @@
 
 pub mod config_snapshot;
 pub mod counter_owner;
-pub mod front_desk;
+pub mod front_adapter;
 pub mod invariants;
 pub mod lease;
 pub mod limiter_settings;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -16,7 +16,7 @@
 use oatbank_node_runtime::rpc::{self, Handler};
 use oatbank_node_runtime::settings::port_offset::PROXY;
 use oatbank_node_runtime::settings::Settings;
-use oatbank_proxy::front_desk::FrontDesk;
+use oatbank_proxy::front_adapter::FrontAdapter;
 use oatbank_proxy::invariants::InvariantMonitor;
 use oatbank_proxy::quota_counter::QuotaCounter;
 use oatbank_proxy::readiness;
@@ -56,7 +56,7 @@
     handler: Rc<RequestHandler>,
     counter: Rc<QuotaCounter>,
     session: Rc<Session>,
-    front: Rc<Front<FrontDesk>>,
+    front: Rc<Front<FrontAdapter>>,
     invariants: Rc<InvariantMonitor>,
 }
 
@@ -96,7 +96,7 @@
             keep_idle: CLIENT_IDLE_MS,
             ..FrontLimits::default()
         };
-        let front = Front::new(FrontDesk(handler.clone()), budget(node), limits);
+        let front = Front::new(FrontAdapter(handler.clone()), budget(node), limits);
         let invariants = InvariantMonitor::new(handler.clone(), front.clone());
         Proxy { view, handler, counter, session, front, invariants }
     }
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -122,9 +122,9 @@
         // Evidence in a server's favour is reported only where others have evidence of more than one failure.
         let mut weight_against: BTreeMap<&str, i32> = BTreeMap::new();
         for (row, _) in table.observations(now).filter(|(row, _)| row.observer != name) {
-            let most = row.failing.iter().chain(&row.slow).max().copied().unwrap_or(0).clamp(0, 3000);
+            let strongest = row.failing.iter().chain(&row.slow).max().copied().unwrap_or(0).clamp(0, 3000);
             let unreached = if row.unreached > 90 { DISPUTED_WEIGHT } else { 0 };
-            *weight_against.entry(&row.server).or_default() += most.max(unreached);
+            *weight_against.entry(&row.server).or_default() += strongest.max(unreached);
         }
         let is_disputed = |id: &str| weight_against.get(id).is_some_and(|w| *w >= DISPUTED_WEIGHT);
         let observations = self.observer.borrow_mut().reports(now, is_disputed);
@@ -168,8 +168,8 @@
             services.entry(row.service.clone()).or_default().push(row.id.clone());
             zones.insert(&row.id, &row.zone);
         }
-        let session = |name: &str| members.iter().any(|row| row.name == name);
-        for change in detector.evaluate(now, &observations, &services, &session) {
+        let has_session = |name: &str| members.iter().any(|row| row.name == name);
+        for change in detector.evaluate(now, &observations, &services, &has_session) {
             if self.log_limit.allow().is_some() {
                 log::info!("outlier: {} is {} ({:.1})", change.server, change.state.text(), change.score);
             }
--- a/crates/proxy/src/quota_backlog.rs
+++ b/crates/proxy/src/quota_backlog.rs
@@ -136,7 +136,7 @@
     }
 
     /// Whether the tenant has a bucket. If not, [`Self::set_owners`] has to be called before [`Self::report`].
-    pub fn has(&self, tenant: CustomerId) -> bool {
+    pub fn contains(&self, tenant: CustomerId) -> bool {
         self.buckets.contains_key(&tenant)
     }
 
--- a/crates/proxy/src/quota_backlog/tests.rs
+++ b/crates/proxy/src/quota_backlog/tests.rs
@@ -106,9 +106,9 @@
     let (with_first, _, _) = names(TENANT);
     let mut owned = backlogs(-10_000.0);
     owned.set_owners(-10_000.0, with_first);
-    assert!(!owned.has(TENANT));
+    assert!(!owned.contains(TENANT));
     assert_eq!(owned.report(0.0, TENANT, wanted(10), &BOUNDS), (600.0, 0));
-    assert!(owned.has(TENANT));
+    assert!(owned.contains(TENANT));
 }
 
 #[test]
--- a/crates/proxy/src/quota_counter.rs
+++ b/crates/proxy/src/quota_counter.rs
@@ -173,7 +173,7 @@
             }
             if !std::mem::replace(&mut has_asked, true) {
                 self.count(|counts| counts.waited += 1);
-                self.with_credit(customer, TenantCredit::want);
+                self.with_credit(customer, TenantCredit::request_grant);
                 self.report_now(customer, URGENT_BATCH_DELAY);
             }
             if tokio::time::timeout_at(deadline, answered).await.is_err() {
@@ -190,15 +190,15 @@
         (next >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Passes a request to the decision module and returns its verdict. If `later` is set, the request is rejected with that
+    /// Passes a request to the decision module and returns its verdict. If `retry_after` is set, the request is rejected with that
     /// retry time whatever the verdict.
-    fn decide(self: &Rc<Self>, draw: Draw, later: Option<Millis>) -> Result<(), Millis> {
+    fn decide(self: &Rc<Self>, draw: Draw, retry_after: Option<Millis>) -> Result<(), Millis> {
         let (now, customer) = (self.view.cluster_time(), draw.customer);
         let mut actions = Vec::new();
         let (result, is_sampled) = {
             let mut quotas = self.quotas.borrow_mut();
             let verdict = quotas.admit(now, draw, &mut actions);
-            let result = match (later, verdict) {
+            let result = match (retry_after, verdict) {
                 (Some(wait), _) | (None, Verdict::Refuse { retry_after: wait }) => Err(wait),
                 _ => Ok(()),
             };
@@ -213,8 +213,8 @@
         result
     }
 
-    fn with_credit<T>(&self, customer: CustomerId, then: impl FnOnce(&mut TenantCredit) -> T) -> Option<T> {
-        self.credits.borrow_mut().of(customer).map(then)
+    fn with_credit<T>(&self, customer: CustomerId, access: impl FnOnce(&mut TenantCredit) -> T) -> Option<T> {
+        self.credits.borrow_mut().of(customer).map(access)
     }
 
     /// Queues a report of a tenant's admissions without waiting for the decision module's next addition.
@@ -350,8 +350,8 @@
                 for add in reports {
                     let report = report_of(add);
                     self.with_credit(CustomerId(add.tenant), |credit| match was_sent {
-                        true => credit.on_lost(report),
-                        false => credit.on_not_sent(report),
+                        true => credit.on_answer_lost(report),
+                        false => credit.on_report_not_received(report),
                     });
                 }
                 return;
@@ -396,7 +396,7 @@
         // A limiter that counted alone until now has to drop its buckets first. Before a first report on a tenant, the owners
         // have to be current, as the limiter may just have become its owner.
         let has_counted_alone = self.owners_fingerprint.get() == Some(ALONE) && self.view.in_touch();
-        if has_counted_alone || !self.backlogs.borrow().has(tenant) {
+        if has_counted_alone || !self.backlogs.borrow().contains(tenant) {
             self.check_owners();
         }
         let (backlog, granted) = self.backlogs.borrow_mut().report(now, tenant, report_of(add), &bounds);
--- a/crates/proxy/src/quota_credit.rs
+++ b/crates/proxy/src/quota_credit.rs
@@ -152,7 +152,7 @@
     }
 
     /// Adds a request that waits for the owner's grant to the next report.
-    pub fn want(&mut self) {
+    pub fn request_grant(&mut self) {
         self.unanswered_since.get_or_insert(self.outstanding_at);
         self.wanted += 1;
     }
@@ -208,12 +208,12 @@
     }
 
     /// Marks a report as in doubt: its answer was lost, so it may have been received.
-    pub fn on_lost(&mut self, report: Report) {
+    pub fn on_answer_lost(&mut self, report: Report) {
         self.in_doubt += f64::from(report.admitted);
     }
 
     /// Returns the still outstanding admissions of a report that certainly was not received to the next report.
-    pub fn on_not_sent(&mut self, report: Report) {
+    pub fn on_report_not_received(&mut self, report: Report) {
         let unreported = self.unreported + f64::from(report.admitted);
         self.unreported = unreported.min(self.outstanding.max(0.0));
     }
--- a/crates/proxy/src/quota_credit/tests.rs
+++ b/crates/proxy/src/quota_credit/tests.rs
@@ -64,12 +64,12 @@
     let mut credit = nearly_exhausted_credit(0.0);
     admitted_at(&mut credit, 0.0, &BOUNDS);
     let lost = credit.take_report(0.0);
-    credit.on_lost(lost);
+    credit.on_answer_lost(lost);
     assert_eq!((credit.outstanding(), credit.take_report(400.0).admitted), (2.0, 0));
     credit.on_answer(500.0, 50.0, report(0), Some(100.0), 0);
     assert_eq!((credit.outstanding(), credit.take_report(500.0).admitted), (2.0, 2));
     // Admissions of a report that certainly was not received are reported again at once.
-    credit.on_not_sent(report(2));
+    credit.on_report_not_received(report(2));
     assert_eq!(credit.take_report(500.0).admitted, 2);
 }
 
@@ -90,8 +90,8 @@
     let bounds = QuotaBounds { credit: 0.0, ..BOUNDS };
     let mut credit = TenantCredit::new(0.0, 0.0, 0.0);
     assert_eq!(credit.check(0.0, &bounds), CreditVerdict::AskOwner);
-    credit.want();
-    credit.want();
+    credit.request_grant();
+    credit.request_grant();
     let asked = credit.take_report(0.0);
     assert_eq!((asked.admitted, asked.wanted), (0, 2));
     credit.on_answer(50.0, 50.0, asked, Some(590.0), 2);
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -296,7 +296,7 @@
             let accepts_warming = |row: &ServerRow| {
                 !is_blind
                     && !removed.contains_key(&row.id)
-                    && warmup.shares.includes(context.active, &row.id, &row.zone)
+                    && warmup.shares.is_sender(context.active, &row.id, &row.zone)
             };
             let mut warmups = pool.warmups.borrow_mut();
             let mut members = Vec::new();
--- a/crates/proxy/src/slow_start.rs
+++ b/crates/proxy/src/slow_start.rs
@@ -51,7 +51,7 @@
 
     /// Whether this limiter is one of the senders of a server. `placement` holds the limiters that may be active, with or
     /// without this one.
-    pub fn includes(&self, placement: &Placement<'_>, id: &str, zone: &str) -> bool {
+    pub fn is_sender(&self, placement: &Placement<'_>, id: &str, zone: &str) -> bool {
         if self.senders > placement.limiters.len() {
             return true;
         }
--- a/crates/proxy/src/tenant_plans.rs
+++ b/crates/proxy/src/tenant_plans.rs
@@ -14,7 +14,7 @@
 
 /// Inputs to plans besides the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct PlanBasis {
+struct PlanInputs {
     /// Number of limiters that share the part given out here.
     limiters: f64,
     /// Share of each quota that these limiters give out, from 0 to 1.
@@ -33,19 +33,19 @@
     /// Indexes of tenants' plans by name; a removed tenant keeps its index. They differ between limiters, which identify a
     /// tenant to each other by its [`tenant_number`].
     places: RefCell<HashMap<String, usize>>,
-    basis: Cell<PlanBasis>,
+    inputs: Cell<PlanInputs>,
 }
 
 impl TenantPlans {
     /// Creates an empty set of plans.
     pub fn new(view: Rc<ClusterView>, counter: Rc<QuotaCounter>) -> Self {
-        TenantPlans { view, counter, places: RefCell::default(), basis: Cell::default() }
+        TenantPlans { view, counter, places: RefCell::default(), inputs: Cell::default() }
     }
 
-    fn current_basis(&self) -> PlanBasis {
+    fn current_inputs(&self) -> PlanInputs {
         let partition = self.counter.partition();
         let limiters = if partition.is_alone { 1.0 } else { active_limiters(&self.view) };
-        PlanBasis { limiters, share: partition.share() }
+        PlanInputs { limiters, share: partition.share() }
     }
 
     /// The quota counter that uses these plans.
@@ -55,7 +55,7 @@
 
     /// Whether plans have to be updated: which limiters count together can change by time alone.
     pub fn is_outdated(&self) -> bool {
-        self.basis.get() != self.current_basis()
+        self.inputs.get() != self.current_inputs()
     }
 
     /// Sets the plans and bounds of this configuration's tenants at the counter.
@@ -66,17 +66,17 @@
             let next = places.len();
             places.entry(customer.name.clone()).or_insert(next);
         }
-        let basis = self.current_basis();
+        let inputs = self.current_inputs();
         let allowance = QuotaAllowance {
             window: rules.quota_window_s,
             over: rules.quota_over,
-            slack: rules.quota_slack * basis.share,
-            limiters: basis.limiters,
+            slack: rules.quota_slack * inputs.share,
+            limiters: inputs.limiters,
         };
         let mut plans = vec![plan(0.0, 0.0, allowance); places.len()];
         let mut tenant_bounds = HashMap::new();
         for customer in customers {
-            let (rate, burst) = (customer.rate * basis.share, customer.burst * basis.share);
+            let (rate, burst) = (customer.rate * inputs.share, customer.burst * inputs.share);
             if let Some(place) = places.get(&customer.name) {
                 plans[*place] = plan(rate, burst, allowance);
             }
@@ -84,8 +84,8 @@
                 tenant_bounds.insert(tenant_number(&customer.name), bounds(rate, burst, allowance));
             }
         }
-        self.counter.set_plans(plans, tenant_bounds, basis.limiters);
-        self.basis.set(basis);
+        self.counter.set_plans(plans, tenant_bounds, inputs.limiters);
+        self.inputs.set(inputs);
     }
 
     /// Admits a tenant's request or rejects it; may wait for a counter's owner. A rate of 0 means no quota.
@@ -97,7 +97,7 @@
             return Ok(());
         }
         let place = self.places.borrow().get(&tenant.name).copied().unwrap_or(0);
-        let limiters = self.basis.get().limiters.max(1.0);
+        let limiters = self.inputs.get().limiters.max(1.0);
         self.counter.admit(tenant_number(&tenant.name), PlanId(place), limiters).await
     }
 }
--- a/crates/proxy/tests/cold.rs
+++ b/crates/proxy/tests/cold.rs
@@ -38,7 +38,7 @@
 ) -> BTreeSet<&'a str> {
     let takes = |(name, zone): &&(String, String)| {
         let placement = Placement { zones: &node.zones, name, zone, limiters: view };
-        shares.includes(&placement, &server.0, &server.1)
+        shares.is_sender(&placement, &server.0, &server.1)
     };
     all.iter().filter(takes).map(|(name, _)| name.as_str()).collect()
 }
@@ -147,7 +147,7 @@
         let selection = select_servers(&view, &places);
         let of = |(server, (id, zone)): (usize, &(&str, &str))| {
             let is_selected = match started > 0.0 && !scenario.knows_no_peers {
-                true => shares.includes(&view, id, zone),
+                true => shares.is_sender(&view, id, zone),
                 false => selection[server],
             };
             let entry = ServerEntry {
