--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -23,7 +23,8 @@
 /// Weight of other limiters' evidence against a server from which on this limiter also reports evidence in its favour, in
 /// hundredths.
 const DISPUTED_WEIGHT: i32 = 400;
-/// Time after a server rejected a request as overloaded during which no server of its service is avoided, ms.
+/// Time after a server rejected a request as overloaded or reset a connection during which no server of its service is
+/// avoided, ms.
 const SATURATION_HOLD: Millis = 5000.0;
 /// FNV-1a prime, used to draw the limiter that probes a server.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
@@ -222,8 +223,8 @@
         table(format!("{} servers are not healthy", rows.len()), &["server", "verdict", "here", "for"], rows)
     }
 
-    /// How a server of a service is to be used. While servers of the service are overloaded, all are used: the others could not
-    /// take the traffic of an avoided one.
+    /// How a server of a service is to be used. While servers of the service are overloaded, all are used: the others could
+    /// not take the traffic of an avoided one.
     pub fn standing(&self, now: Millis, service: &str, id: &str) -> Standing {
         if self.saturated_at.borrow().get(service).is_some_and(|at| now - at < SATURATION_HOLD) {
             return Standing::Well;
--- a/crates/proxy/src/quota_counter.rs
+++ b/crates/proxy/src/quota_counter.rs
@@ -190,8 +190,8 @@
         (next >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Passes a request to the decision module and returns its verdict. If `retry_after` is set, the request is rejected with that
-    /// retry time whatever the verdict.
+    /// Passes a request to the decision module and returns its verdict. If `retry_after` is set, the request is rejected with
+    /// that retry time whatever the verdict.
     fn decide(self: &Rc<Self>, draw: Draw, retry_after: Option<Millis>) -> Result<(), Millis> {
         let (now, customer) = (self.view.cluster_time(), draw.customer);
         let mut actions = Vec::new();
