--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -190,7 +190,7 @@
         };
         let log = self.outcomes.log().borrow();
         let title =
-            format!("{} attempts recorded, {} dropped because the log was full", log.len(), log.dropped());
+            format!("{} attempts recorded, {} dropped because of the log's limits", log.len(), log.dropped());
         table(title, &["service", "out", "kept from"], self.pools.all().iter().map(row).collect())
     }
 
