--- a/crates/proxy/src/front_desk.rs
+++ b/crates/proxy/src/front_adapter.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 
 /// Hands requests from the front to the handler.
-pub struct FrontDesk(pub Rc<RequestHandler>);
+pub struct FrontAdapter(pub Rc<RequestHandler>);
 
-impl Desk for FrontDesk {
+impl Desk for FrontAdapter {
     type Ticket = RoutedRequest;
 
     fn now(&self) -> Millis {
@@ -30,7 +30,7 @@
 
     fn may_overtake(&self, head: &Parts) -> bool {
         let is_plain = matches!(head.method, Method::GET | Method::HEAD);
-        // Before the first edition every request is rejected, and runs nowhere.
+        // Before the first edition every request is rejected and none is executed.
         is_plain && !self.0.is_at_most_once(head).unwrap_or(false)
     }
 
--- a/crates/proxy/src/outlier_ejection/tests.rs
+++ b/crates/proxy/src/outlier_ejection/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_told_is_read_back_alike() {
+fn an_observation_row_round_trips_and_weights_are_clamped() {
     let evidence = Evidence {
         server: "i-1".into(),
         observer: "edge-1".into(),
@@ -23,5 +23,5 @@
         ..ObservationRow::default()
     };
     assert_eq!(observation(&row, 70.0), evidence);
-    assert_eq!(weight(&[i32::MAX]), Weight([30.0, 0.0]), "nonsense is bounded");
+    assert_eq!(weight(&[i32::MAX]), Weight([30.0, 0.0]), "weights out of range are clamped");
 }
--- a/crates/proxy/src/quota_plan/tests.rs
+++ b/crates/proxy/src/quota_plan/tests.rs
@@ -4,8 +4,9 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn a_tenant_has_one_number_at_all_limiters_and_no_other_has_it() {
-    // A limiter that started after a tenant had come and gone counted the rest one place further on.
+fn tenant_numbers_are_stable_and_unique() {
+    // Tenants used to be numbered by index: a limiter that had started after the removal of a tenant numbered the others
+    // differently.
     let numbers: BTreeSet<u64> = (0..5000).map(|i| tenant_number(&format!("t{i}")).0).collect();
     assert_eq!(numbers.len(), 5000);
     assert_eq!(tenant_number("yefi830"), tenant_number("yefi830"));
--- a/crates/proxy/src/tenant_plans.rs
+++ b/crates/proxy/src/tenant_plans.rs
@@ -1,5 +1,4 @@
-//! The quotas of tenants as the decision module sees them: one plan for each tenant, by the part of the quota that is given
-//! out here.
+//! Plans of the decision module for tenants' quotas: one per tenant, for the share of the quota that is given out here.
 
 use crate::config_snapshot::ConfigSnapshot;
 use crate::quota_counter::QuotaCounter;
@@ -13,16 +12,16 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What plans depend on besides the configuration.
+/// Inputs to plans besides the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct PlanBasis {
-    /// Limiters that share what is given out here.
+struct PlanInputs {
+    /// Number of limiters that share the part given out here.
     limiters: f64,
-    /// The part of each quota that these give out.
+    /// Share of each quota that these limiters give out, from 0 to 1.
     share: f64,
 }
 
-/// How many limiters may be active, as far as is known here; at least this one.
+/// Number of limiters known to be possibly active; at least 1.
 pub(crate) fn active_limiters(view: &ClusterView) -> f64 {
     f64::from(view.with(|table, now| table.active_limiter_count(now))).max(1.0)
 }
@@ -31,35 +30,35 @@
 pub struct TenantPlans {
     view: Rc<ClusterView>,
     counter: Rc<QuotaCounter>,
-    /// Places of tenants' plans, by name; one that is gone keeps its place. Each limiter has its own: what stands for a tenant
-    /// between limiters is [`tenant_number`].
+    /// Indexes of tenants' plans by name; a removed tenant keeps its index. They differ between limiters, which identify a
+    /// tenant to each other by its [`tenant_number`].
     places: RefCell<HashMap<String, usize>>,
-    basis: Cell<PlanBasis>,
+    inputs: Cell<PlanInputs>,
 }
 
 impl TenantPlans {
-    /// No tenant yet.
+    /// Creates an empty set of plans.
     pub fn new(view: Rc<ClusterView>, counter: Rc<QuotaCounter>) -> Self {
-        TenantPlans { view, counter, places: RefCell::default(), basis: Cell::default() }
+        TenantPlans { view, counter, places: RefCell::default(), inputs: Cell::default() }
     }
 
-    fn current_basis(&self) -> PlanBasis {
+    fn current_inputs(&self) -> PlanInputs {
         let partition = self.counter.partition();
         let limiters = if partition.is_alone { 1.0 } else { active_limiters(&self.view) };
-        PlanBasis { limiters, share: partition.share() }
+        PlanInputs { limiters, share: partition.share() }
     }
 
-    /// The counter of these tenants.
+    /// The quota counter that uses these plans.
     pub fn counter(&self) -> &QuotaCounter {
         &self.counter
     }
 
-    /// Whether plans have to be made again: time alone changes which limiters count together.
+    /// Whether plans have to be updated: which limiters count together can change by time alone.
     pub fn is_outdated(&self) -> bool {
-        self.basis.get() != self.current_basis()
+        self.inputs.get() != self.current_inputs()
     }
 
-    /// Makes the plans of this configuration.
+    /// Sets the plans and bounds of this configuration's tenants at the counter.
     pub fn update(&self, snapshot: &ConfigSnapshot, rules: &Bounds) {
         let mut places = self.places.borrow_mut();
         let customers = snapshot.configuration().customers.as_deref().unwrap_or_default();
@@ -67,17 +66,17 @@
             let next = places.len();
             places.entry(customer.name.clone()).or_insert(next);
         }
-        let basis = self.current_basis();
+        let inputs = self.current_inputs();
         let allowance = QuotaAllowance {
             window: rules.quota_window_s,
             over: rules.quota_over,
-            slack: rules.quota_slack * basis.share,
-            limiters: basis.limiters,
+            slack: rules.quota_slack * inputs.share,
+            limiters: inputs.limiters,
         };
         let mut plans = vec![plan(0.0, 0.0, allowance); places.len()];
         let mut tenant_bounds = HashMap::new();
         for customer in customers {
-            let (rate, burst) = (customer.rate * basis.share, customer.burst * basis.share);
+            let (rate, burst) = (customer.rate * inputs.share, customer.burst * inputs.share);
             if let Some(place) = places.get(&customer.name) {
                 plans[*place] = plan(rate, burst, allowance);
             }
@@ -85,20 +84,20 @@
                 tenant_bounds.insert(tenant_number(&customer.name), bounds(rate, burst, allowance));
             }
         }
-        self.counter.set_plans(plans, tenant_bounds, basis.limiters);
-        self.basis.set(basis);
+        self.counter.set_plans(plans, tenant_bounds, inputs.limiters);
+        self.inputs.set(inputs);
     }
 
-    /// Whether a tenant's request goes on; for a moment it may wait for what an owner says.
+    /// Admits a tenant's request or rejects it; may wait for a counter's owner. A rate of 0 means no quota.
     ///
     /// # Errors
-    /// If its quota is used up: when to come back, ms.
+    /// If the quota is used up or no owner has answered: the time after which to retry, ms.
     pub async fn admit(&self, tenant: &Customer) -> Result<(), Millis> {
         if tenant.rate <= 0.0 {
             return Ok(());
         }
         let place = self.places.borrow().get(&tenant.name).copied().unwrap_or(0);
-        let limiters = self.basis.get().limiters.max(1.0);
+        let limiters = self.inputs.get().limiters.max(1.0);
         self.counter.admit(tenant_number(&tenant.name), PlanId(place), limiters).await
     }
 }
--- a/crates/proxy/tests/counting.rs
+++ b/crates/proxy/tests/counting.rs
@@ -1,4 +1,5 @@
-//! Adds between limiters: each total goes to its own add, and an add that may have been made is not made again.
+//! Additions to counters between limiters: totals are matched to their additions, and an addition whose answer was lost is
+//! not counted twice.
 
 use oatbank_cluster_state::clock::MonotonicClock;
 use oatbank_cluster_state::cluster_view::ClusterView;
@@ -13,12 +14,12 @@
 use std::rc::Rc;
 
 #[test]
-fn a_keeper_tells_a_total_for_each_add_in_their_order_also_where_one_cannot_be_added() {
+fn an_owner_returns_one_total_per_addition_in_order_and_nan_for_invalid_ones() {
     let view = ClusterView::new(MonotonicClock::start(), 1500.0);
     let counter = QuotaCounter::new(view.clone(), Rc::new(PeerClients::default()), "edge-1".into(), 7);
     let body = QuotaAdds { counts: vec![QuotaAdd { name: 9, add: 1.0, ..QuotaAdd::default() }] };
     let alone = counter.answer(body.encode_to_vec().into());
-    assert!(alone.is_empty(), "one that does not know the core in touch counts for itself alone");
+    assert!(alone.is_empty(), "a limiter that is not connected to the core counts alone and does not answer");
     view.confirm(view.now(), 0);
     let ask = |adds: &[(u64, f64)]| {
         let count = |(name, add): &(u64, f64)| QuotaAdd {
@@ -33,13 +34,16 @@
     assert_eq!(ask(&[(1, 5.0), (2, 7.0), (1, 1.0)]), [5.0, 7.0, 6.0]);
     let totals = ask(&[(1, 1.0), (2, f64::NAN), (2, f64::INFINITY), (2, 2.0)]);
     assert_eq!(totals.len(), 4, "{totals:?}");
-    assert_eq!((totals[0], totals[3]), (7.0, 9.0), "each in its own place");
+    assert_eq!((totals[0], totals[3]), (7.0, 9.0), "totals are in the order of the additions");
     assert!(totals[1].is_nan() && totals[2].is_nan());
-    assert!(counter.answer(b"\xff\xff"[..].into()).is_empty(), "what cannot be read is not answered");
+    assert!(
+        counter.answer(b"\xff\xff"[..].into()).is_empty(),
+        "a request that cannot be decoded is not answered"
+    );
 }
 
 #[test]
-fn what_an_answer_says_of_each_add() {
+fn outcomes_are_derived_from_the_answer_or_its_error() {
     let outcomes_of = |adds, answer: &Result<Vec<f64>, RpcError>| {
         let answer = answer.clone().map(|totals| QuotaTotals { totals, ..QuotaTotals::default() });
         outcomes_of(adds, &answer)
@@ -48,54 +52,65 @@
     assert_eq!(
         outcomes_of(2, &Ok(vec![f64::NAN, 4.0])),
         [(Outcome::Full, 0.0), (Outcome::Ok, 4.0)],
-        "no total is no reading"
+        "NaN means that the owner had no room for the counter"
     );
     for totals in [vec![], vec![3.0], vec![3.0, 4.0, 5.0]] {
-        assert_eq!(outcomes_of(2, &Ok(totals)), [(Outcome::Reset, 0.0); 2], "whose is which is not known");
+        assert_eq!(
+            outcomes_of(2, &Ok(totals)),
+            [(Outcome::Reset, 0.0); 2],
+            "totals cannot be matched to additions"
+        );
     }
     assert_eq!(
         outcomes_of(1, &Err(RpcError::Unreachable)),
         [(Outcome::ConnectFailed, 0.0)],
-        "certainly not added"
+        "the addition certainly was not made"
+    );
+    assert_eq!(
+        outcomes_of(1, &Err(RpcError::Lost)),
+        [(Outcome::TimedOut, 0.0)],
+        "the addition may have been made"
     );
-    assert_eq!(outcomes_of(1, &Err(RpcError::Lost)), [(Outcome::TimedOut, 0.0)], "it may have been added");
 }
 
-/// What a keeper does with one call.
+/// Fault of one call to an owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Does {
-    Answers,
-    /// Adds, and the answer is lost.
-    LosesAnswer,
-    /// The call itself is lost.
-    LosesCall,
+enum CallFault {
+    None,
+    /// The addition is made, and the answer is lost.
+    AnswerLost,
+    /// The call is lost before the addition is made.
+    CallLost,
 }
 
-/// Sixty requests of one tenant within 1.2 s, of whose calls the nth meets this; what the keeper holds at the end.
-fn kept(nth: usize, does: Does) -> f64 {
+/// Simulates sixty requests of one tenant within 1.2 s where the nth call to the owner has a fault. Returns the owner's total at
+/// the end.
+fn total_after_fault(nth: usize, fault: CallFault) -> f64 {
     let plan = Plan { rate: 200.0, burst: 60.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
     let mut quotas = Quotas::new(quota_settings(vec![plan], 1.0), 7);
-    let (mut sums, mut calls) = (BTreeMap::<u64, f64>::new(), 0);
+    let (mut totals, mut calls) = (BTreeMap::<u64, f64>::new(), 0);
     for tick in 0..800u32 {
         let now = 2000.0 + f64::from(tick) * 10.0;
-        let mut wait_until_applied = Vec::new();
+        let mut actions = Vec::new();
         if tick % 2 == 0 && tick < 120 {
             let draw = Draw { customer: CustomerId(1), units: 1.0, spread: 1.0, ..Draw::default() };
-            assert!(!matches!(quotas.admit(now, draw, &mut wait_until_applied), Verdict::Refuse { .. }));
+            assert!(!matches!(quotas.admit(now, draw, &mut actions), Verdict::Refuse { .. }));
             quotas.record(now, CustomerId(1), 1.0, true);
         }
         if tick % 5 == 0 {
-            quotas.tick(now, &mut wait_until_applied);
+            quotas.tick(now, &mut actions);
         }
-        for act in wait_until_applied {
-            let Action::Count { name, add, .. } = act else { continue };
-            let how = if calls == nth { does } else { Does::Answers };
+        for action in actions {
+            let Action::Count { name, add, .. } = action else { continue };
+            let call_fault = if calls == nth { fault } else { CallFault::None };
             calls += 1;
-            if how != Does::LosesCall {
-                *sums.entry(name.0).or_default() += add;
+            if call_fault != CallFault::CallLost {
+                *totals.entry(name.0).or_default() += add;
             }
-            let answer = match how {
-                Does::Answers => Ok(QuotaTotals { totals: vec![sums[&name.0]], ..QuotaTotals::default() }),
+            let answer = match call_fault {
+                CallFault::None => {
+                    Ok(QuotaTotals { totals: vec![totals[&name.0]], ..QuotaTotals::default() })
+                }
                 _ => Err(RpcError::Lost),
             };
             let (outcome, total) = outcomes_of(1, &answer)[0];
@@ -103,14 +118,14 @@
         }
     }
     assert!(calls > nth + 1, "{calls} calls");
-    sums.values().sum()
+    totals.values().sum()
 }
 
 #[test]
-fn an_add_whose_answer_is_lost_is_not_made_twice_and_one_that_never_arrived_is_made_once_more() {
-    for does in [Does::Answers, Does::LosesAnswer, Does::LosesCall] {
+fn each_addition_is_counted_exactly_once_when_a_call_or_its_answer_is_lost() {
+    for fault in [CallFault::None, CallFault::AnswerLost, CallFault::CallLost] {
         for nth in 0..4 {
-            assert_eq!(kept(nth, does), 60.0, "{does:?}, call {nth}");
+            assert_eq!(total_after_fault(nth, fault), 60.0, "{fault:?}, call {nth}");
         }
     }
 }
