--- a/crates/daemon/src/fleet/apply.rs
+++ b/crates/daemon/src/fleet/apply.rs
@@ -8,8 +8,8 @@
 use oatbank_fleet::member::ActiveRules;
 use oatbank_fleet::strict::{stricter, Rules};
 use oatbank_limiter_core::interface::ServerState;
-use oatbank_zones::zones::Cold;
-use oatbank_zones::{By, Left};
+use oatbank_zones::zones::ColdStart;
+use oatbank_zones::{ReducedZone, ReductionCause};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -34,14 +34,14 @@
     }
 
     /// The zones of which a revision uses less than all.
-    pub(super) fn left(&mut self, revision: &Revision) -> Vec<Left> {
+    pub(super) fn left(&mut self, revision: &Revision) -> Vec<ReducedZone> {
         self.config(revision).map(|config| config.left.clone()).unwrap_or_default()
     }
 
     /// What a revision spares cold servers.
-    pub(super) fn cold(&mut self, revision: &Revision) -> Cold {
+    pub(super) fn cold(&mut self, revision: &Revision) -> ColdStart {
         let settings = self.config(revision).map(|config| &config.setup.settings);
-        settings.map_or(Cold { share: 1.0, warm_after: 0 }, |s| Cold {
+        settings.map_or(ColdStart { share: 1.0, warm_after: 0 }, |s| ColdStart {
             share: s.cold_start,
             warm_after: s.warm_after as u64,
         })
@@ -127,7 +127,8 @@
     config.members.retain(|m| both.servers.contains(&m.id));
     config.suspended = both.suspended;
     let left = both.left.into_iter();
-    config.left = left.map(|(zone, share)| Left { zone, share, by: By::Evidence }).collect();
+    config.left =
+        left.map(|(zone, share)| ReducedZone { zone, share, by: ReductionCause::Evidence }).collect();
     config
 }
 
--- a/crates/daemon/src/fleet/edit.rs
+++ b/crates/daemon/src/fleet/edit.rs
@@ -1,6 +1,6 @@
 //! Changes to a revision's text that touch one key, so that an operator need not send the whole.
 
-use oatbank_zones::Left;
+use oatbank_zones::ReducedZone;
 use toml::{Table, Value};
 
 const SUSPENDED: &str = "suspended";
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// As [`with_line`].
-pub(super) fn left(text: &str, left: &[Left]) -> Result<String, String> {
+pub(super) fn left(text: &str, left: &[ReducedZone]) -> Result<String, String> {
     let rows = left.iter().map(Value::try_from).collect::<Result<Vec<_>, _>>();
     with_line(text, LEFT, Value::Array(rows.map_err(|e| e.to_string())?))
 }
--- a/crates/daemon/src/fleet/edit/tests.rs
+++ b/crates/daemon/src/fleet/edit/tests.rs
@@ -21,10 +21,10 @@
 #[test]
 fn zones_are_left_beside_what_is_suspended() {
     let out = suspend(TEXT, &ids(&["a"]), true).expect("changed");
-    let a = Left { zone: "a".into(), share: 1.0 / 24.0, by: oatbank_zones::By::Evidence };
+    let a = ReducedZone { zone: "a".into(), share: 1.0 / 24.0, by: oatbank_zones::ReductionCause::Evidence };
     let both = left(&out, std::slice::from_ref(&a)).expect("changed");
     let read = read(&both).expect("toml");
-    assert_eq!(read["left"].clone().try_into::<Vec<Left>>().expect("zones"), [a]);
+    assert_eq!(read["left"].clone().try_into::<Vec<ReducedZone>>().expect("zones"), [a]);
     assert_eq!(listed(&read), ["a"]);
     assert_eq!(left(&both, &[]).expect("changed"), format!("left = []\n{out}"));
 }
--- a/crates/daemon/src/fleet/zones.rs
+++ b/crates/daemon/src/fleet/zones.rs
@@ -8,10 +8,10 @@
 use oatbank_fleet::document::Id;
 use oatbank_fleet::message::Message;
 use oatbank_fleet::{Millis, Peer};
-use oatbank_zones::course::Order;
 use oatbank_zones::evidence::Report;
-use oatbank_zones::zones::{NotPossible, Zones};
-use oatbank_zones::Left;
+use oatbank_zones::failover::Order;
+use oatbank_zones::zones::{OrderError, Zones};
+use oatbank_zones::ReducedZone;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     /// Where this limiter decides.
     zones: RefCell<Option<Zones>>,
     /// What the revision in force leaves.
-    left: RefCell<(Id, Vec<Left>)>,
+    left: RefCell<(Id, Vec<ReducedZone>)>,
     /// A change is being decided.
     busy: Cell<bool>,
 }
@@ -141,11 +141,11 @@
                 };
                 (StatusCode::OK, json!({"result": "ordered", "say": say}).to_string() + "\n")
             }
-            Err(NotPossible::NoZone(known)) => {
+            Err(OrderError::UnknownZone(known)) => {
                 let say = format!("{zone:?} is not known; {} are", known.join(", "));
                 (StatusCode::NOT_FOUND, json!({"result": "no zone", "say": say}).to_string() + "\n")
             }
-            Err(NotPossible::LastOne) => {
+            Err(OrderError::LastFullZone) => {
                 let say = format!("{zone} is the last one that is wholly used; return another one first");
                 (StatusCode::CONFLICT, json!({"result": "last zone", "say": say}).to_string() + "\n")
             }
--- a/crates/engine/src/config/file.rs
+++ b/crates/engine/src/config/file.rs
@@ -7,7 +7,7 @@
 use crate::engine::{Names, Setup};
 use crate::ports::membership::Member;
 use oatbank_limiter_core::interface::{Class, Group, Plan, Repeat, ServerState, Settings};
-use oatbank_zones::{By, Left};
+use oatbank_zones::{ReducedZone, ReductionCause};
 use schemars::generate::SchemaSettings;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -87,11 +87,11 @@
     Evidence,
 }
 
-impl From<LeftBy> for By {
-    fn from(by: LeftBy) -> By {
+impl From<LeftBy> for ReductionCause {
+    fn from(by: LeftBy) -> ReductionCause {
         match by {
-            LeftBy::Staff => By::Staff,
-            LeftBy::Evidence => By::Evidence,
+            LeftBy::Staff => ReductionCause::Staff,
+            LeftBy::Evidence => ReductionCause::Evidence,
         }
     }
 }
@@ -404,7 +404,7 @@
             left: self
                 .left
                 .into_iter()
-                .map(|l| Left { zone: l.zone, share: l.share, by: l.by.into() })
+                .map(|l| ReducedZone { zone: l.zone, share: l.share, by: l.by.into() })
                 .collect(),
             zookeeper: self.members,
             fleet,
--- a/crates/engine/src/config/mod.rs
+++ b/crates/engine/src/config/mod.rs
@@ -43,7 +43,7 @@
 use crate::engine::Setup;
 use crate::ports::membership::Member;
 use oatbank_limiter_core::interface::Millis;
-use oatbank_zones::Left;
+use oatbank_zones::ReducedZone;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -122,7 +122,7 @@
     /// Servers that get nothing new, wherever the list comes from.
     pub suspended: BTreeSet<String>,
     /// Zones of which less than all is used.
-    pub left: Vec<Left>,
+    pub left: Vec<ReducedZone>,
     /// Where the list of servers comes from, if not from here.
     pub zookeeper: Option<ZooKeeper>,
     /// The fleet that this limiter is one of.
--- a/crates/zones/src/course.rs
+++ b/crates/zones/src/failover.rs
@@ -1,6 +1,6 @@
 //! One zone's way out and back.
 
-use crate::{By, Millis};
+use crate::{Millis, ReductionCause};
 
 /// Between two steps out, ms: a decision, and what comes of it seen.
 pub const STEP_OUT: Millis = 1500;
@@ -66,9 +66,9 @@
     pub others_well: bool,
 }
 
-/// One zone's course. What it wants used is [`Course::share`]; the fleet decides it.
+/// One zone's course. What it wants used is [`ZoneFailover::share`]; the fleet decides it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Course {
+pub struct ZoneFailover {
     phase: Phase,
     share: f64,
     order: Option<(Order, Millis, f64)>,
@@ -84,11 +84,11 @@
     seed: u64,
 }
 
-impl Course {
+impl ZoneFailover {
     /// Of a zone that is wholly used, in a fleet of so many limiters: the first step back lets one of them to each server.
-    pub fn new(limiters: usize, seed: u64) -> Course {
+    pub fn new(limiters: usize, seed: u64) -> ZoneFailover {
         let first = (1.0 / limiters.max(1) as f64).min(0.25);
-        Course {
+        ZoneFailover {
             phase: Phase::Used,
             share: 1.0,
             order: None,
@@ -102,11 +102,11 @@
     }
 
     /// Of one of which the fleet uses less already, as another limiter has led it so far.
-    pub fn taken_over(mut self, now: Millis, share: f64, by: By) -> Course {
+    pub fn taken_over(mut self, now: Millis, share: f64, by: ReductionCause) -> ZoneFailover {
         (self.share, self.stepped) = (share, now);
         match by {
-            By::Staff => self.order = Some((Order::Hold, now, share)),
-            By::Evidence => {
+            ReductionCause::Staff => self.order = Some((Order::Hold, now, share)),
+            ReductionCause::Evidence => {
                 // It may have been left just now.
                 let until = now + self.hold();
                 self.phase = if share <= 0.0 { Phase::Out(until) } else { Phase::Returning };
@@ -136,10 +136,10 @@
     }
 
     /// Why less than all of it is used.
-    pub fn by(&self) -> By {
+    pub fn by(&self) -> ReductionCause {
         match self.order {
-            Some(_) => By::Staff,
-            None => By::Evidence,
+            Some(_) => ReductionCause::Staff,
+            None => ReductionCause::Evidence,
         }
     }
 
--- a/crates/zones/src/course/tests.rs
+++ b/crates/zones/src/failover/tests.rs
@@ -15,7 +15,7 @@
 
 /// The shares that a course goes through, with when each began.
 fn play(
-    course: &mut Course,
+    course: &mut ZoneFailover,
     from: Millis,
     to: Millis,
     sight: impl Fn(Millis, f64) -> Sight,
@@ -31,7 +31,7 @@
 
 #[test]
 fn it_is_left_at_once_held_out_and_comes_back_in_steps() {
-    let mut course = Course::new(24, 1);
+    let mut course = ZoneFailover::new(24, 1);
     let shares = play(&mut course, 0, 60_000, |now, share| match now {
         0..1000 => GOOD,
         _ if share == 1.0 && now < 4000 => BAD,
@@ -48,7 +48,7 @@
 
 #[test]
 fn one_that_stays_bad_is_tried_less_and_less_often() {
-    let mut course = Course::new(6, 2);
+    let mut course = ZoneFailover::new(6, 2);
     let shares = play(&mut course, 0, 900_000, |_, share| if share > 0.0 { BAD } else { GOOD });
     let tried: Vec<Millis> = shares.iter().filter(|s| s.1 > 0.0).map(|s| s.0).collect();
     let gaps: Vec<Millis> = tried.windows(2).map(|w| w[1] - w[0]).collect();
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_step_that_breaks_goes_back_one_and_waits_longer() {
-    let mut course = Course::new(4, 3).taken_over(0, 0.5, By::Evidence);
+    let mut course = ZoneFailover::new(4, 3).taken_over(0, 0.5, ReductionCause::Evidence);
     let broken = Sight { fails: false, bad: 30.0, ..GOOD };
     assert!(course.next(2000, &broken) && course.share() == 0.25);
     assert!(!course.next(4250, &GOOD), "not as soon as after a good one");
@@ -74,7 +74,7 @@
 
 #[test]
 fn what_the_others_do_not_bear_stays_and_more_is_moved_only_while_they_serve_well() {
-    let mut course = Course::new(6, 4);
+    let mut course = ZoneFailover::new(6, 4);
     let some = Sight { stays: 0.4, ..BAD };
     assert!(course.next(0, &some) && course.share() == 0.4);
     assert!(!course.next(2000, &Sight { stays: 0.1, others_well: false, ..BAD }));
@@ -86,7 +86,7 @@
 
 #[test]
 fn cold_servers_are_spared_until_they_are_warm() {
-    let mut course = Course::new(6, 8).taken_over(0, 0.0, By::Evidence);
+    let mut course = ZoneFailover::new(6, 8).taken_over(0, 0.0, ReductionCause::Evidence);
     let shares = play(&mut course, 0, 60_000, |now, _| Sight {
         cold_most: if now < 30_000 { 0.3 } else { 1.0 },
         ..GOOD
@@ -97,7 +97,7 @@
 
 #[test]
 fn where_the_others_fail_too_it_is_not_held_out() {
-    let mut course = Course::new(6, 7);
+    let mut course = ZoneFailover::new(6, 7);
     assert!(course.next(0, &BAD) && course.share() == 0.0);
     assert!(!course.next(1000, &GOOD));
     let all = Sight { others_well: false, sound: 0.6, bad: 60.0, ..GOOD };
@@ -112,7 +112,7 @@
 
 #[test]
 fn what_staff_order_goes_before_what_is_seen_until_they_end_it() {
-    let mut course = Course::new(6, 5);
+    let mut course = ZoneFailover::new(6, 5);
     course.ordered(0, Some(Order::Leave(4000)));
     let shares = play(&mut course, 0, 10_000, |_, _| GOOD);
     assert_eq!(shares, [(1000, 0.75), (2000, 0.5), (3000, 0.25), (4000, 0.0)]);
@@ -126,7 +126,7 @@
         0.0,
         "once it is whole the order is carried out, and what is seen counts"
     );
-    let mut held = Course::new(6, 6);
+    let mut held = ZoneFailover::new(6, 6);
     held.ordered(0, Some(Order::Hold));
     assert!(play(&mut held, 0, 9000, |_, _| BAD).is_empty());
 }
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,10 +1,10 @@
 //! All zones of a fleet: reports and orders in, what the fleet should decide next out.
 
 use crate::bears::{Bears, Load};
-use crate::course::{Course, Order, Phase, Sight};
 use crate::evidence::{Board, Report};
+use crate::failover::{Order, Phase, Sight, ZoneFailover};
 use crate::verdict::{judge, sound_rate, Test, Verdict};
-use crate::{Left, Millis};
+use crate::{Millis, ReducedZone};
 use std::collections::BTreeMap;
 
 /// What servers bear is the largest of many figures that are a few percent off each: of a bound so much is used.
@@ -12,11 +12,11 @@
 
 /// An order that cannot be carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NotPossible {
+pub enum OrderError {
     /// No limiter knows of this zone; these are known.
-    NoZone(Vec<String>),
+    UnknownZone(Vec<String>),
     /// No other zone is wholly used: to leave this one would leave nothing.
-    LastOne,
+    LastFullZone,
 }
 
 /// A zone as operators are shown it.
@@ -54,21 +54,21 @@
     board: Board,
     test: Test,
     bears: Bears,
-    courses: BTreeMap<String, Course>,
+    courses: BTreeMap<String, ZoneFailover>,
     /// Attempts since each zone's last step: all, and those that failed.
     since: BTreeMap<String, (f64, f64)>,
     /// What is decided, once that is known.
-    decided: Option<Vec<Left>>,
+    decided: Option<Vec<ReducedZone>>,
     /// The rate of failures outside each zone, as of the last tick.
     sound: BTreeMap<String, f64>,
-    cold: Cold,
+    cold: ColdStart,
     /// Attempts a second that a zone had before it was left.
     usual: BTreeMap<String, f64>,
 }
 
 /// What a server that has just started is spared.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// It bears this part of what it will.
     pub share: f64,
     /// Until it has served for so long, ms.
@@ -77,7 +77,7 @@
 
 impl Zones {
     /// Of a fleet of so many limiters.
-    pub fn new(limiters: usize, cold: Cold, seed: u64) -> Zones {
+    pub fn new(limiters: usize, cold: ColdStart, seed: u64) -> Zones {
         let (board, test, bears) = Default::default();
         let (courses, since, decided) = Default::default();
         let (sound, usual) = Default::default();
@@ -95,7 +95,7 @@
     }
 
     /// What the fleet has decided. Where another limiter has led it so far, that is gone on from.
-    pub fn decided(&mut self, now: Millis, left: &[Left]) {
+    pub fn decided(&mut self, now: Millis, left: &[ReducedZone]) {
         if self.decided.is_none() {
             for left in left {
                 let course = self.fresh(&left.zone).taken_over(now, left.share, left.by);
@@ -105,23 +105,23 @@
         self.decided = Some(left.to_vec());
     }
 
-    fn fresh(&self, zone: &str) -> Course {
+    fn fresh(&self, zone: &str) -> ZoneFailover {
         let seed = zone.bytes().fold(self.seed, |x, b| (x ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-        Course::new(self.limiters, seed)
+        ZoneFailover::new(self.limiters, seed)
     }
 
     /// Staff order something, or end their order.
     ///
     /// # Errors
     /// When there is no such zone, or nothing would be left.
-    pub fn order(&mut self, now: Millis, zone: &str, order: Option<Order>) -> Result<(), NotPossible> {
+    pub fn order(&mut self, now: Millis, zone: &str, order: Option<Order>) -> Result<(), OrderError> {
         let known = self.known();
         if !known.iter().any(|z| z == zone) {
-            return Err(NotPossible::NoZone(known));
+            return Err(OrderError::UnknownZone(known));
         }
         let whole = |z: &String| z != zone && self.courses.get(z).is_none_or(|c| c.share() >= 1.0);
         if matches!(order, Some(Order::Leave(_))) && !known.iter().any(whole) {
-            return Err(NotPossible::LastOne);
+            return Err(OrderError::LastFullZone);
         }
         let fresh = self.fresh(zone);
         self.courses.entry(zone.to_owned()).or_insert(fresh).ordered(now, order);
@@ -140,7 +140,7 @@
         let load = |zone: String| {
             let seen = self.board.sum(now, &zone);
             let well = self.test.sum(&zone) < Test::sure() / 2.0;
-            let share = self.courses.get(&zone).map_or(1.0, Course::share);
+            let share = self.courses.get(&zone).map_or(1.0, ZoneFailover::share);
             (zone, Load { rate: seen.rate, servers: seen.servers, share, well })
         };
         self.board.zones().into_iter().map(load).collect()
@@ -162,7 +162,7 @@
     /// As much of a zone as its servers bear should they all be cold, until it has been used for as long as they need.
     fn cold_most(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> f64 {
         let course = self.courses.get(zone);
-        let used_for = course.and_then(Course::back_since).map_or(0, |since| now.saturating_sub(since));
+        let used_for = course.and_then(ZoneFailover::back_since).map_or(0, |since| now.saturating_sub(since));
         let usual = self.usual.get(zone).copied().unwrap_or(0.0);
         if used_for >= self.cold.warm_after || usual <= 0.0 {
             return 1.0;
@@ -177,7 +177,7 @@
     }
 
     /// Time has passed; what the fleet should decide, where that is not what it has decided.
-    pub fn tick(&mut self, now: Millis) -> Option<Vec<Left>> {
+    pub fn tick(&mut self, now: Millis) -> Option<Vec<ReducedZone>> {
         self.decided.as_ref()?;
         let loads = self.loads(now);
         for (zone, load) in &loads {
@@ -197,7 +197,7 @@
                 self.test.forget(&zone);
             }
         }
-        let wanted: Vec<Left> =
+        let wanted: Vec<ReducedZone> =
             self.courses.iter().filter(|(_, c)| c.share() < 1.0 || c.order().is_some()).map(left).collect();
         (self.decided.as_ref() != Some(&wanted)).then_some(wanted)
     }
@@ -212,9 +212,9 @@
                 verdict: judge(&self.board, &self.test, now, &zone),
                 evidence: self.test.sum(&zone),
                 sure: Test::sure(),
-                share: course.map_or(1.0, Course::share),
-                phase: course.map_or(Phase::Used, Course::phase),
-                order: course.and_then(Course::order),
+                share: course.map_or(1.0, ZoneFailover::share),
+                phase: course.map_or(Phase::Used, ZoneFailover::phase),
+                order: course.and_then(ZoneFailover::order),
                 rate: seen.rate,
                 failing: if seen.tries() > 0.0 { seen.bad / seen.tries() } else { 0.0 },
                 stays: self.bears.stays(&zone, &loads),
@@ -231,6 +231,6 @@
     }
 }
 
-fn left((zone, course): (&String, &Course)) -> Left {
-    Left { zone: zone.clone(), share: course.share(), by: course.by() }
+fn left((zone, course): (&String, &ZoneFailover)) -> ReducedZone {
+    ReducedZone { zone: zone.clone(), share: course.share(), by: course.by() }
 }
--- a/crates/zones/tests/schedules.rs
+++ b/crates/zones/tests/schedules.rs
@@ -2,8 +2,8 @@
 //! wholly, once or again and again, comes back warm or cold. A checker of its own looks at what came to the servers.
 
 use oatbank_zones::evidence::{Counts, Report, Row};
-use oatbank_zones::zones::{Cold, Zones};
-use oatbank_zones::Left;
+use oatbank_zones::zones::{ColdStart, Zones};
+use oatbank_zones::ReducedZone;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -79,14 +79,14 @@
 
 fn play(plan: &Plan) -> Seen {
     let mut dice = Dice(Pcg64Mcg::seed_from_u64(plan.seed));
-    let mut zones = Zones::new(plan.limiters, Cold { share: COLD, warm_after: WARM_AFTER }, plan.seed);
+    let mut zones = Zones::new(plan.limiters, ColdStart { share: COLD, warm_after: WARM_AFTER }, plan.seed);
     zones.decided(0, &[]);
-    let (mut decided, mut on_way): (Vec<Left>, Option<(u64, Vec<Left>)>) = Default::default();
+    let (mut decided, mut on_way): (Vec<ReducedZone>, Option<(u64, Vec<ReducedZone>)>) = Default::default();
     let mut totals = vec![[Counts::default(); 3]; plan.limiters];
     let (mut seen, mut served_since_ill, mut late) = (Seen::default(), 0, (0.0, 0.0));
     for now in (0..plan.until).step_by(STEP as usize) {
         if let Some((_, left)) = on_way.take_if(|(at, _)| *at <= now) {
-            let part = |left: &[Left]| left.iter().find(|l| l.zone == "a").map_or(1.0, |l| l.share);
+            let part = |left: &[ReducedZone]| left.iter().find(|l| l.zone == "a").map_or(1.0, |l| l.share);
             let (before, after) = (part(&decided), part(&left));
             if after < before && before == 1.0 {
                 seen.leaves += 1;
