--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -29,7 +29,7 @@
     pub fn source(self: &Rc<Self>, rank: usize) -> Told {
         let feed = self.clone();
         Rc::new(move |news| {
-            let news = feed.intake.borrow_mut().told(feed.clock.now(), rank, news);
+            let news = feed.intake.borrow_mut().update(feed.clock.now(), rank, news);
             feed.pass(news);
             feed.sooner.notify_one();
         })
@@ -55,7 +55,7 @@
                 Some(at) => tokio::select! {
                     () = self.sooner.notified() => {}
                     () = self.clock.until(at) => {
-                        let news = self.intake.borrow_mut().due(self.clock.now());
+                        let news = self.intake.borrow_mut().release_due(self.clock.now());
                         self.pass(news);
                     }
                 },
--- a/crates/daemon/src/fleet/zones.rs
+++ b/crates/daemon/src/fleet/zones.rs
@@ -76,7 +76,7 @@
                 Zones::new(self.settings.peers.len(), cold, self.life)
             });
             zones.report(now, self.settings.me.0, report);
-            zones.decided(now, &self.led.left.borrow().1);
+            zones.set_decision(now, &self.led.left.borrow().1);
             zones.tick(now)
         };
         let Some(wanted) = wanted.filter(|_| !self.led.busy.get()) else { return };
@@ -110,7 +110,7 @@
         let order = match call {
             [] | ["status"] if !post => {
                 let names = |n: u16| self.name(Peer(n)).to_owned();
-                let mut shown = json!(zones.shown(now));
+                let mut shown = json!(zones.status(now));
                 for zone in shown.as_array_mut().into_iter().flatten() {
                     let rows = zone["limiters"].as_array().cloned().unwrap_or_default();
                     let named = rows.iter().map(|row| {
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -103,8 +103,8 @@
     let rows = feed.look(Intake::rows);
     for (row, standing) in &rows {
         let standing = match standing {
-            Standing::Told => String::new(),
-            Standing::Covered => ", left out: a source of higher rank has its id or address".into(),
+            Standing::Announced => String::new(),
+            Standing::Shadowed => ", left out: a source of higher rank has its id or address".into(),
             Standing::HeldUntil(at) => {
                 format!(", held back for {:.1} s: it comes and goes", (at - now) / 1000.0)
             }
@@ -117,7 +117,7 @@
             state.current_at().map_or("never read whole".into(), |at| format!("{:.0} ms old", now - at));
         println!(
             "{} members; the folder's list is {age}",
-            rows.iter().filter(|r| r.1 == Standing::Told).count()
+            rows.iter().filter(|r| r.1 == Standing::Announced).count()
         );
     }
 }
--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -13,7 +13,7 @@
 use oatbank_engine::respond::ComeBack;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::Http1;
-use oatbank_membership::register::{Life, Place};
+use oatbank_membership::register::{Incarnation, Place};
 use oatbank_operations::budget::Limits;
 use oatbank_zookeeper::register::Registrar;
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -104,7 +104,7 @@
     let config = oatbank_zookeeper::Config { path, ..members::source(folder) };
     // The standard library's seed of hash maps, which is random.
     let instance = RandomState::new().build_hasher().finish();
-    let life = Life { started_ms: clock.now() as u64, instance };
+    let life = Incarnation { started_ms: clock.now() as u64, instance };
     let placed = |place: Place| {
         let (number, count) = (place.number, place.count);
         tracing::info!(number, count, "register: this is limiter {} of {count}", number + 1);
--- a/crates/membership/src/damping.rs
+++ b/crates/membership/src/damping.rs
@@ -57,7 +57,7 @@
     }
 
     /// Takes in news, and gives what passes.
-    pub fn told(&mut self, now: Millis, news: News) -> Option<News> {
+    pub fn update(&mut self, now: Millis, news: News) -> Option<News> {
         match news {
             News::Remembered(members) => Some(News::Remembered(members)),
             News::Complete(members) => {
@@ -78,7 +78,7 @@
     }
 
     /// Lets in what has been held for long enough.
-    pub fn due(&mut self, now: Millis) -> Option<News> {
+    pub fn release_due(&mut self, now: Millis) -> Option<News> {
         let free: Vec<String> = self.held.keys().filter(|id| now >= self.free_at(id)).cloned().collect();
         let passed: Vec<Member> = free.iter().filter_map(|id| self.release(id)).collect();
         let settings = self.settings;
@@ -86,7 +86,7 @@
         (!passed.is_empty()).then_some(News::Changes(passed))
     }
 
-    /// When [`Damping::due`] is to be called, if nothing comes before.
+    /// When [`Damping::release_due`] is to be called, if nothing comes before.
     pub fn next_due(&self) -> Option<Millis> {
         self.held.keys().map(|id| self.free_at(id)).min_by(f64::total_cmp)
     }
--- a/crates/membership/src/intake.rs
+++ b/crates/membership/src/intake.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Standing {
     /// The engine has it.
-    Told,
+    Announced,
     /// Another source owns its id or its address.
-    Covered,
+    Shadowed,
     /// It came and went too often; it is let in at this time at the latest.
     HeldUntil(Millis),
 }
@@ -30,20 +30,20 @@
     }
 
     /// Takes in news from the source of this rank, and gives what the engine is told, at once.
-    pub fn told(&mut self, now: Millis, rank: usize, news: News) -> Option<News> {
-        let news = self.sources.told(rank, news)?;
+    pub fn update(&mut self, now: Millis, rank: usize, news: News) -> Option<News> {
+        let news = self.sources.update(rank, news)?;
         match &mut self.damping {
-            Some(damping) => damping.told(now, news),
+            Some(damping) => damping.update(now, news),
             None => Some(news),
         }
     }
 
     /// [`Intake::next_due`] has come.
-    pub fn due(&mut self, now: Millis) -> Option<News> {
-        self.damping.as_mut().and_then(|d| d.due(now))
+    pub fn release_due(&mut self, now: Millis) -> Option<News> {
+        self.damping.as_mut().and_then(|d| d.release_due(now))
     }
 
-    /// When [`Intake::due`] is to be called, if nothing comes before.
+    /// When [`Intake::release_due`] is to be called, if nothing comes before.
     pub fn next_due(&self) -> Option<Millis> {
         self.damping.as_ref().and_then(Damping::next_due)
     }
@@ -53,9 +53,9 @@
         let held = self.damping.as_ref().map(Damping::held).unwrap_or_default();
         let held_until = |m: &Member| held.iter().find(|(h, _)| h.id == m.id).map(|(_, until)| *until);
         let standing = |row: &Row| match (row.covered, held_until(&row.member)) {
-            (true, _) => Standing::Covered,
+            (true, _) => Standing::Shadowed,
             (false, Some(until)) => Standing::HeldUntil(until),
-            (false, None) => Standing::Told,
+            (false, None) => Standing::Announced,
         };
         self.sources.rows().into_iter().map(|row| (row.clone(), standing(&row))).collect()
     }
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -1,6 +1,6 @@
 //! From reads and watches to a list of servers.
 //!
-//! The caller keeps a session and carries out what [`Step::wants`] asks for, each read with a one-shot watch. It tells
+//! The caller keeps a session and carries out what [`Step::reads`] asks for, each read with a one-shot watch. It tells
 //! the reconciler, in the order of its connection: answers, fired watches, and what becomes of the session.
 //!
 //! Guarantees, for any order, loss and repetition of events:
@@ -38,7 +38,7 @@
 
 /// What to read, with a watch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Want {
+pub enum ReadRequest {
     /// The names in the folder.
     Children,
     /// One node.
@@ -78,9 +78,9 @@
         zxid: i64,
     },
     /// A read has failed; nothing is known by it.
-    Failed(Want),
+    Failed(ReadRequest),
     /// A watch has fired: what was read may have changed.
-    Fired(Want),
+    Fired(ReadRequest),
     /// [`Step::due`] has come.
     Due,
 }
@@ -89,7 +89,7 @@
 #[derive(Debug, Default)]
 pub struct Step {
     /// What to read.
-    pub wants: Vec<Want>,
+    pub reads: Vec<ReadRequest>,
     /// What to tell the engine.
     pub news: Option<News>,
     /// When [`Event::Due`] is to be told, if nothing comes before.
@@ -201,8 +201,8 @@
             Event::Data { name, zxid, created, bytes } => self.data(now, &name, zxid, created, &bytes),
             Event::NoNode { name, zxid } => self.no_node(now, &name, zxid),
             Event::Failed(want) => self.failed(now, want),
-            Event::Fired(Want::Children) => self.folder_dirty = true,
-            Event::Fired(Want::Data(name)) => self.soil(&name),
+            Event::Fired(ReadRequest::Children) => self.folder_dirty = true,
+            Event::Fired(ReadRequest::Data(name)) => self.soil(&name),
             Event::Due => self.due(now),
         }
         self.step(now)
@@ -344,14 +344,14 @@
         self.folder_dirty = true;
     }
 
-    fn failed(&mut self, now: Millis, want: Want) {
+    fn failed(&mut self, now: Millis, want: ReadRequest) {
         match want {
-            Want::Children => {
+            ReadRequest::Children => {
                 if std::mem::take(&mut self.folder_reading) {
                     self.folder_dirty = true;
                 }
             }
-            Want::Data(name) => {
+            ReadRequest::Data(name) => {
                 if self.answered(&name).is_some() {
                     self.soil(&name);
                 }
@@ -472,7 +472,7 @@
     fn step(&mut self, now: Millis) -> Step {
         let mut step = Step::default();
         if self.connected && self.retry_at.is_none() {
-            self.ask(&mut step.wants);
+            self.ask(&mut step.reads);
         }
         let clean = self.connected && !self.folder_dirty && !self.folder_reading;
         let idle = clean && self.reading == 0 && self.queue.is_empty();
@@ -495,10 +495,10 @@
         step
     }
 
-    fn ask(&mut self, wants: &mut Vec<Want>) {
+    fn ask(&mut self, reads: &mut Vec<ReadRequest>) {
         if self.folder_dirty && !self.folder_reading {
             (self.folder_dirty, self.folder_reading) = (false, true);
-            wants.push(Want::Children);
+            reads.push(ReadRequest::Children);
         }
         while self.reading < WINDOW {
             let Some(name) = self.queue.pop_front() else { break };
@@ -510,7 +510,7 @@
             }
             (node.dirty, node.reading) = (false, true);
             self.reading += 1;
-            wants.push(Want::Data(name));
+            reads.push(ReadRequest::Data(name));
         }
     }
 }
--- a/crates/membership/src/register.rs
+++ b/crates/membership/src/register.rs
@@ -1,7 +1,7 @@
 //! A limiter's own node: made, kept, made anew, removed; and from the folder of all limiters this one's number and how
 //! many there are.
 //!
-//! The caller keeps a session and carries out what [`Step::wants`] asks for, one after the other, and tells what came of
+//! The caller keeps a session and carries out what [`Step::actions`] asks for, one after the other, and tells what came of
 //! each and which watch fired.
 //!
 //! Guarantees, for any order, loss and repetition of events:
@@ -29,7 +29,7 @@
 
 /// Which process this is. Of two with one name the greater one is the newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// When the process started, Unix ms.
     pub started_ms: u64,
     /// A random number, should two have started in one millisecond.
@@ -38,7 +38,7 @@
 
 /// What is to be done, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Action {
     /// Make the folder, and those above it.
     Folder,
     /// Make the node, ephemeral.
@@ -70,7 +70,7 @@
     /// The connection is lost, or the session has expired; what is out will not be answered.
     Lost,
     /// What was wanted is done. A folder that is there already is made, a node that is gone is removed.
-    Done(Want),
+    Done(Action),
     /// The node could not be made: there is one.
     Taken,
     /// The node could not be made, or the names not read: there is no folder.
@@ -89,9 +89,9 @@
     /// The folder was read.
     Names(Vec<String>),
     /// What was wanted could not be done; nothing is known by it.
-    Failed(Want),
+    Failed(Action),
     /// The watch that this set has fired.
-    Fired(Want),
+    Fired(Action),
     /// [`Step::due`] has come.
     Due,
     /// The process is to end.
@@ -106,7 +106,7 @@
     /// The node is there and this session's.
     Registered,
     /// A process of the same name that started later has the node.
-    Superseded(Life),
+    Superseded(Incarnation),
     /// The node is removed, for good.
     Left,
 }
@@ -124,7 +124,7 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Step {
     /// What is to be done.
-    pub wants: Vec<Want>,
+    pub actions: Vec<Action>,
     /// The place, if it has changed.
     pub place: Option<Place>,
     /// When [`Event::Due`] is to be told, if nothing comes before.
@@ -136,14 +136,14 @@
 pub struct Registration {
     settings: Settings,
     name: String,
-    life: Life,
+    life: Incarnation,
     session: Option<i64>,
     state: State,
     leaving: bool,
     /// The version of our own node.
     version: i32,
     /// What failed, to be tried again at this time.
-    again: Vec<Want>,
+    again: Vec<Action>,
     again_at: Option<Millis>,
     names: Vec<String>,
     /// The count that is told, and since when fewer have been seen.
@@ -154,7 +154,7 @@
 
 impl Registration {
     /// A registration of `name`, which [`is_plain`] and without `/`.
-    pub fn new(settings: Settings, name: &str, life: Life) -> Self {
+    pub fn new(settings: Settings, name: &str, life: Incarnation) -> Self {
         Registration {
             settings,
             name: name.to_owned(),
@@ -190,7 +190,7 @@
 
     /// Takes in what has happened.
     pub fn handle(&mut self, now: Millis, event: Event) -> Step {
-        let mut wants = Vec::new();
+        let mut actions = Vec::new();
         match event {
             Event::Connected { session } => {
                 // A new session owns nothing; of a kept one the watches are gone.
@@ -199,45 +199,48 @@
                     self.state = State::Out;
                 }
                 (self.again, self.again_at) = (Vec::new(), None);
-                wants.extend([if kept || self.leaving { Want::Read } else { Want::Create }, Want::Names]);
+                actions.extend([
+                    if kept || self.leaving { Action::Read } else { Action::Create },
+                    Action::Names,
+                ]);
             }
             Event::Lost => (self.again, self.again_at) = (Vec::new(), None),
-            Event::Done(Want::Folder) => wants.extend([Want::Create, Want::Names]),
-            Event::Done(Want::Remove { .. }) => self.state = State::Left,
-            Event::Done(_) | Event::Taken | Event::Fired(Want::Read) => wants.push(Want::Read),
-            Event::NoFolder => wants.push(Want::Folder),
-            Event::Node { owner, version, bytes } => wants.extend(self.node(owner, version, &bytes)),
+            Event::Done(Action::Folder) => actions.extend([Action::Create, Action::Names]),
+            Event::Done(Action::Remove { .. }) => self.state = State::Left,
+            Event::Done(_) | Event::Taken | Event::Fired(Action::Read) => actions.push(Action::Read),
+            Event::NoFolder => actions.push(Action::Folder),
+            Event::Node { owner, version, bytes } => actions.extend(self.node(owner, version, &bytes)),
             Event::NoNode => {
                 self.state = if self.leaving { State::Left } else { State::Out };
-                wants.push(Want::Create);
+                actions.push(Action::Create);
             }
             Event::Names(names) => self.names = names,
             Event::Failed(want) => self.retry(now, want),
-            Event::Fired(_) => wants.push(Want::Names),
+            Event::Fired(_) => actions.push(Action::Names),
             Event::Due => {
                 if self.again_at.is_some_and(|at| now >= at) {
                     self.again_at = None;
-                    wants.append(&mut self.again);
+                    actions.append(&mut self.again);
                 }
             }
             Event::Leave => {
                 self.leaving = true;
-                wants.push(Want::Read);
+                actions.push(Action::Read);
             }
         }
         if self.leaving {
-            wants.retain(|w| matches!(w, Want::Read | Want::Remove { .. }));
+            actions.retain(|w| matches!(w, Action::Read | Action::Remove { .. }));
         }
         if self.state == State::Left || self.session.is_none() {
-            wants.clear();
+            actions.clear();
         }
-        Step { wants, place: self.place_now(now), due: self.due() }
+        Step { actions, place: self.place_now(now), due: self.due() }
     }
 
-    fn retry(&mut self, now: Millis, want: Want) {
+    fn retry(&mut self, now: Millis, want: Action) {
         // What a version says may be old by now: it is read again.
         let want = match want {
-            Want::Replace { .. } | Want::Remove { .. } => Want::Read,
+            Action::Replace { .. } | Action::Remove { .. } => Action::Read,
             other => other,
         };
         if !self.again.contains(&want) {
@@ -246,11 +249,11 @@
         self.again_at.get_or_insert(now + RETRY);
     }
 
-    fn node(&mut self, owner: i64, version: i32, bytes: &[u8]) -> Option<Want> {
-        let theirs = serde_json::from_slice::<Life>(bytes).ok();
+    fn node(&mut self, owner: i64, version: i32, bytes: &[u8]) -> Option<Action> {
+        let theirs = serde_json::from_slice::<Incarnation>(bytes).ok();
         if self.session == Some(owner) && theirs == Some(self.life) {
             (self.state, self.version) = (State::Registered, version);
-            return self.leaving.then_some(Want::Remove { version });
+            return self.leaving.then_some(Action::Remove { version });
         }
         if let Some(newer) = theirs.filter(|theirs| *theirs > self.life) {
             self.state = if self.leaving { State::Left } else { State::Superseded(newer) };
@@ -262,7 +265,7 @@
             return None;
         }
         self.state = State::Out;
-        Some(Want::Replace { version })
+        Some(Action::Replace { version })
     }
 
     fn place_now(&mut self, now: Millis) -> Option<Place> {
--- a/crates/membership/src/sources.rs
+++ b/crates/membership/src/sources.rs
@@ -51,7 +51,7 @@
     }
 
     /// Takes in what the source of this rank (0: the highest) tells, and gives what is news of the whole.
-    pub fn told(&mut self, rank: usize, news: News) -> Option<News> {
+    pub fn update(&mut self, rank: usize, news: News) -> Option<News> {
         let source = self.sources.get_mut(rank)?;
         match news {
             News::Complete(members) => {
--- a/crates/membership/tests/convergence.rs
+++ b/crates/membership/tests/convergence.rs
@@ -6,7 +6,7 @@
 use oatbank_engine::ports::membership::{Member, News};
 use oatbank_limiter_core::interface::ServerState;
 use oatbank_membership::payload;
-use oatbank_membership::reconcile::{Event, Reconciler, Settings, Step, Want};
+use oatbank_membership::reconcile::{Event, ReadRequest, Reconciler, Settings, Step};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -24,7 +24,7 @@
     /// What the server that is asked has heard of.
     view: usize,
     connected: bool,
-    requests: VecDeque<Want>,
+    requests: VecDeque<ReadRequest>,
     answers: VecDeque<Event>,
     folder_watch: bool,
     data_watches: BTreeSet<String>,
@@ -96,13 +96,13 @@
         let (old, new) = (&self.history[self.view], &self.history[self.view + 1]);
         if self.folder_watch && !old.keys().eq(new.keys()) {
             self.folder_watch = false;
-            self.answers.push_back(Event::Fired(Want::Children));
+            self.answers.push_back(Event::Fired(ReadRequest::Children));
         }
         let changed: Vec<String> =
             self.data_watches.iter().filter(|n| old.get(*n) != new.get(*n)).cloned().collect();
         for name in changed {
             self.data_watches.remove(&name);
-            self.answers.push_back(Event::Fired(Want::Data(name)));
+            self.answers.push_back(Event::Fired(ReadRequest::Data(name)));
         }
         self.view += 1;
     }
@@ -115,11 +115,11 @@
         }
         let (zxid, tree) = (self.view as i64, &self.history[self.view]);
         self.answers.push_back(match want {
-            Want::Children => {
+            ReadRequest::Children => {
                 self.folder_watch = true;
                 Event::Children { zxid, names: tree.keys().cloned().collect() }
             }
-            Want::Data(name) => match tree.get(&name) {
+            ReadRequest::Data(name) => match tree.get(&name) {
                 Some((created, text)) => {
                     self.data_watches.insert(name.clone());
                     let (created, bytes) = (*created, text.clone().into_bytes());
@@ -142,8 +142,8 @@
     }
 
     fn tell(&mut self, event: Event) {
-        let Step { wants, news, due } = self.reconciler.handle(self.now, event);
-        self.requests.extend(wants);
+        let Step { reads, news, due } = self.reconciler.handle(self.now, event);
+        self.requests.extend(reads);
         self.due = due;
         if let Some(news) = news {
             self.hear(news);
@@ -282,20 +282,20 @@
     step: Step,
 ) -> Vec<News> {
     let mut news: Vec<News> = step.news.into_iter().collect();
-    let mut wants: VecDeque<Want> = step.wants.into();
-    while let Some(want) = wants.pop_front() {
+    let mut reads: VecDeque<ReadRequest> = step.reads.into();
+    while let Some(want) = reads.pop_front() {
         let event = match want {
-            Want::Children => {
+            ReadRequest::Children => {
                 Event::Children { zxid, names: members.iter().map(|(name, _)| (*name).to_owned()).collect() }
             }
-            Want::Data(name) => match members.iter().find(|(n, _)| *n == name) {
+            ReadRequest::Data(name) => match members.iter().find(|(n, _)| *n == name) {
                 Some((_, port)) => Event::Data { name, zxid, created: 1, bytes: node(*port) },
                 None => Event::NoNode { name, zxid },
             },
         };
         let step = reconciler.handle(now, event);
         news.extend(step.news);
-        wants.extend(step.wants);
+        reads.extend(step.reads);
     }
     news
 }
@@ -315,12 +315,12 @@
 #[test]
 fn a_deleted_node_is_announced_gone_in_the_step_that_reads_it() {
     let mut reconciler = standing(&[("a", 1), ("b", 2)]);
-    let step = reconciler.handle(50.0, Event::Fired(Want::Children));
+    let step = reconciler.handle(50.0, Event::Fired(ReadRequest::Children));
     let news = answer(&mut reconciler, 50.0, 11, &[("b", 2)], step);
     assert!(matches!(&news[..], [News::Changes(c)] if c.len() == 1 && c[0].state == ServerState::Gone));
     // By a data read alone, before the folder is read.
-    let step = reconciler.handle(60.0, Event::Fired(Want::Data("b".into())));
-    assert_eq!(step.wants, [Want::Data("b".into())]);
+    let step = reconciler.handle(60.0, Event::Fired(ReadRequest::Data("b".into())));
+    assert_eq!(step.reads, [ReadRequest::Data("b".into())]);
     let step = reconciler.handle(60.0, Event::NoNode { name: "b".into(), zxid: 12 });
     assert!(matches!(step.news, Some(News::Changes(c)) if c[0].state == ServerState::Gone));
 }
@@ -335,11 +335,11 @@
     // Back with an empty tree: all sessions have expired, and members register anew.
     let step = reconciler.handle(1e6, Event::Connected);
     assert!(answer(&mut reconciler, 1e6, 20, &[], step).is_empty() && names(&reconciler) == ["a", "b"]);
-    let step = reconciler.handle(1e6 + 500.0, Event::Fired(Want::Children));
+    let step = reconciler.handle(1e6 + 500.0, Event::Fired(ReadRequest::Children));
     answer(&mut reconciler, 1e6 + 500.0, 21, &[("b", 2)], step);
     assert_eq!(names(&reconciler), ["a", "b"]);
     // One that came back and goes again is gone at once.
-    let step = reconciler.handle(1e6 + 900.0, Event::Fired(Want::Children));
+    let step = reconciler.handle(1e6 + 900.0, Event::Fired(ReadRequest::Children));
     answer(&mut reconciler, 1e6 + 900.0, 22, &[], step);
     // Who has not come back by the end of the time is gone.
     let step = reconciler.handle(1e6 + SETTLE, Event::Due);
@@ -382,14 +382,14 @@
     let mut reconciler = standing(&[("a", 1)]);
     for round in 0..100 {
         let now = 1000.0 + f64::from(round) * 600.0;
-        let step = reconciler.handle(now, Event::Fired(Want::Children));
+        let step = reconciler.handle(now, Event::Fired(ReadRequest::Children));
         answer(&mut reconciler, now, 20 + i64::from(round) * 2, &[], step);
         assert!(names(&reconciler).is_empty(), "told, so honoured");
-        let step = reconciler.handle(now + 300.0, Event::Fired(Want::Children));
+        let step = reconciler.handle(now + 300.0, Event::Fired(ReadRequest::Children));
         answer(&mut reconciler, now + 300.0, 21 + i64::from(round) * 2, &[("a", 1)], step);
         assert_eq!(reconciler.list()["a"].started, 0.0, "not taken for one that has just started");
     }
-    let step = reconciler.handle(100_000.0, Event::Fired(Want::Children));
+    let step = reconciler.handle(100_000.0, Event::Fired(ReadRequest::Children));
     answer(&mut reconciler, 100_000.0, 1000, &[("a", 1), ("n", 9)], step);
     assert_eq!(reconciler.list()["n"].started, 100_000.0, "may be cold");
 }
@@ -400,13 +400,13 @@
     reconciler.handle(0.0, Event::Connected);
     let names: Vec<String> = (0..2000).map(|n| format!("m{n:04}")).collect();
     let step = reconciler.handle(1.0, Event::Children { zxid: 1, names });
-    let mut wants: VecDeque<Want> = step.wants.into();
-    let (mut most, mut lists) = (wants.len(), 0);
-    while let Some(Want::Data(name)) = wants.pop_front() {
+    let mut reads: VecDeque<ReadRequest> = step.reads.into();
+    let (mut most, mut lists) = (reads.len(), 0);
+    while let Some(ReadRequest::Data(name)) = reads.pop_front() {
         let port = 1 + name[1..].parse::<u16>().expect("a number");
         let step = reconciler.handle(2.0, Event::Data { name, zxid: 1, created: 1, bytes: node(port) });
-        wants.extend(step.wants);
-        most = most.max(wants.len());
+        reads.extend(step.reads);
+        most = most.max(reads.len());
         lists += usize::from(step.news.is_some());
     }
     assert_eq!((most, lists, reconciler.list().len()), (64, 1, 2000));
@@ -415,8 +415,8 @@
 #[test]
 fn the_newest_node_holds_an_id_and_an_address_and_the_older_takes_them_back() {
     let mut reconciler = standing(&[("a", 1)]);
-    let step = reconciler.handle(10.0, Event::Fired(Want::Children));
-    assert_eq!(step.wants, [Want::Children]);
+    let step = reconciler.handle(10.0, Event::Fired(ReadRequest::Children));
+    assert_eq!(step.reads, [ReadRequest::Children]);
     reconciler.handle(10.0, Event::Children { zxid: 11, names: vec!["a".into(), "b".into()] });
     // Another id at the address of a: an address taken over.
     let step =
@@ -425,7 +425,7 @@
     assert_eq!(changes.len(), 2, "{changes:?}");
     assert_eq!(names(&reconciler), ["b"]);
     assert_eq!(reconciler.left_out().len(), 1);
-    let step = reconciler.handle(20.0, Event::Fired(Want::Children));
+    let step = reconciler.handle(20.0, Event::Fired(ReadRequest::Children));
     answer(&mut reconciler, 20.0, 12, &[("a", 1)], step);
     assert_eq!(names(&reconciler), ["a"]);
 }
--- a/crates/membership/tests/intake.rs
+++ b/crates/membership/tests/intake.rs
@@ -47,30 +47,30 @@
 #[test]
 fn the_owner_says_when_a_server_is_gone_though_a_lower_list_still_names_it() {
     let (mut sources, mut told) = (Sources::new(&["tree", "file"]), Told::default());
-    told.take(sources.told(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
+    told.take(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
     assert_eq!(told.ready(), ids(&["a", "b", "c"]), "the file alone");
     // The same id, and the same address under another id.
-    told.take(sources.told(0, News::Complete(vec![member("a", 1), member("tree-b", 2)])));
+    told.take(sources.update(0, News::Complete(vec![member("a", 1), member("tree-b", 2)])));
     assert_eq!(told.ready(), ids(&["a", "c", "tree-b"]));
-    told.take(sources.told(0, News::Changes(vec![gone("a"), gone("tree-b")])));
+    told.take(sources.update(0, News::Changes(vec![gone("a"), gone("tree-b")])));
     assert_eq!(told.ready(), ids(&["c"]), "nobody is brought back by a list that was left behind");
     // The same list anew is no new word; one without and then one with them is.
-    told.take(sources.told(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
+    told.take(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
     assert_eq!(told.ready(), ids(&["c"]));
-    told.take(sources.told(1, News::Complete(vec![member("c", 3)])));
-    told.take(sources.told(1, News::Complete(vec![member("a", 1), member("c", 3)])));
+    told.take(sources.update(1, News::Complete(vec![member("c", 3)])));
+    told.take(sources.update(1, News::Complete(vec![member("a", 1), member("c", 3)])));
     assert_eq!(told.ready(), ids(&["a", "c"]));
 }
 
 #[test]
 fn a_drain_by_the_owner_holds_and_a_lower_sources_drain_of_its_own_too() {
     let (mut sources, mut told) = (Sources::new(&["tree", "file"]), Told::default());
-    told.take(sources.told(1, News::Complete(vec![member("a", 1), member("b", 2)])));
+    told.take(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2)])));
     let draining = Member { state: ServerState::Draining, ..member("a", 1) };
-    told.take(sources.told(0, News::Complete(vec![draining])));
+    told.take(sources.update(0, News::Complete(vec![draining])));
     assert_eq!(told.ready(), ids(&["b"]));
     let draining = Member { state: ServerState::Draining, ..member("b", 2) };
-    told.take(sources.told(1, News::Changes(vec![draining, member("a", 1)])));
+    told.take(sources.update(1, News::Changes(vec![draining, member("a", 1)])));
     assert_eq!((told.ready(), told.0.len()), (ids(&[]), 2));
 }
 
@@ -78,13 +78,13 @@
 fn what_is_remembered_counts_until_the_first_whole_list_and_makes_nothing_ready() {
     let mut sources = Sources::new(&["tree", "file"]);
     assert!(
-        matches!(sources.told(1, News::Remembered(vec![member("a", 1)])), Some(News::Remembered(m)) if m.len() == 1)
+        matches!(sources.update(1, News::Remembered(vec![member("a", 1)])), Some(News::Remembered(m)) if m.len() == 1)
     );
     assert!(
-        matches!(sources.told(0, News::Complete(vec![member("b", 2)])), Some(News::Complete(m)) if m.len() == 2)
+        matches!(sources.update(0, News::Complete(vec![member("b", 2)])), Some(News::Complete(m)) if m.len() == 2)
     );
-    assert_eq!(sources.told(0, News::Remembered(vec![])), None, "older than what it has told");
-    assert_eq!(sources.told(0, News::Complete(vec![member("b", 2)])), None, "no news");
+    assert_eq!(sources.update(0, News::Remembered(vec![])), None, "older than what it has told");
+    assert_eq!(sources.update(0, News::Complete(vec![member("b", 2)])), None, "no news");
 }
 
 #[test]
@@ -94,16 +94,16 @@
         let mut roll = |n: u64| (rng.next_u64() % n) as usize;
         let (mut sources, mut told) = (Sources::new(&["x", "y", "z"]), Told::default());
         let mut lists = [const { BTreeMap::<String, Member>::new() }; 3];
-        (0..3).for_each(|rank| told.take(sources.told(rank, News::Complete(Vec::new()))));
+        (0..3).for_each(|rank| told.take(sources.update(rank, News::Complete(Vec::new()))));
         for _ in 0..60 {
             let (rank, which) = (roll(3), roll(6));
             let m = member(&format!("s{which}"), 1 + roll(6) as u16);
             if roll(2) == 0 {
                 lists[rank].remove(&m.id);
-                told.take(sources.told(rank, News::Changes(vec![gone(&m.id)])));
+                told.take(sources.update(rank, News::Changes(vec![gone(&m.id)])));
             } else {
                 lists[rank].insert(m.id.clone(), m.clone());
-                told.take(sources.told(rank, News::Changes(vec![m])));
+                told.take(sources.update(rank, News::Changes(vec![m])));
             }
             // The highest source's list holds as it is, and no id or address is told that no source names.
             for (id, m) in &lists[0] {
@@ -122,7 +122,7 @@
     for i in 0..times {
         let at = from + 500.0 * i as f64;
         for (now, m) in [(at, gone("a")), (at + 100.0, member("a", 1))] {
-            let news = damping.told(now, News::Changes(vec![m.clone()]));
+            let news = damping.update(now, News::Changes(vec![m.clone()]));
             passed += usize::from(news.is_some());
             told.take(news);
             assert!(m.state == ServerState::Ready || !told.ready().contains("a"), "gone at once");
@@ -134,7 +134,7 @@
 fn four() -> (Damping, Told) {
     let (mut damping, mut told) = (Damping::new(Settings::default()), Told::default());
     let all = ["a", "b", "c", "d"].iter().enumerate().map(|(i, id)| member(id, 1 + i as u16)).collect();
-    told.take(damping.told(0.0, News::Complete(all)));
+    told.take(damping.update(0.0, News::Complete(all)));
     (damping, told)
 }
 
@@ -148,8 +148,8 @@
     assert_eq!(told.ready(), ids(&["b", "c", "d"]));
     let until = damping.next_due().expect("a time");
     assert!((67_000.0..77_500.0).contains(&until), "let in after its last flap at 61.6 s: {until}");
-    assert_eq!(damping.due(until - 1.0), None);
-    told.take(damping.due(until));
+    assert_eq!(damping.release_due(until - 1.0), None);
+    told.take(damping.release_due(until));
     assert!(told.ready().contains("a") && damping.next_due().is_none());
 }
 
@@ -159,10 +159,10 @@
     let all = ["a", "b", "c", "d"];
     for i in 0..40 {
         let at = 1000.0 + 500.0 * f64::from(i);
-        told.take(damping.told(at, News::Changes(all.iter().map(|id| gone(id)).collect())));
+        told.take(damping.update(at, News::Changes(all.iter().map(|id| gone(id)).collect())));
         assert_eq!(told.ready().len(), 0, "told is told");
         let back = all.iter().enumerate().map(|(n, id)| member(id, 1 + n as u16)).collect();
-        told.take(damping.told(at + 100.0, News::Changes(back)));
+        told.take(damping.update(at + 100.0, News::Changes(back)));
         assert!(told.ready().len() >= 2, "half of them at least: {:?}", told.ready());
     }
 }
@@ -170,23 +170,25 @@
 #[test]
 fn rows_tell_who_owns_what_and_who_is_held() {
     let mut intake = Intake::new(&["tree", "file"], Some(Settings::default()));
-    intake.told(0.0, 1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)]));
-    intake.told(0.0, 0, News::Complete(vec![member("a", 1), member("d", 4)]));
+    intake.update(0.0, 1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)]));
+    intake.update(0.0, 0, News::Complete(vec![member("a", 1), member("d", 4)]));
     for i in 0..4 {
         let at = 100.0 * f64::from(i);
-        intake.told(at, 0, News::Changes(vec![gone("d")]));
-        intake.told(at + 50.0, 0, News::Changes(vec![member("d", 4)]));
+        intake.update(at, 0, News::Changes(vec![gone("d")]));
+        intake.update(at + 50.0, 0, News::Changes(vec![member("d", 4)]));
     }
     let rows: Vec<(String, String, Standing)> =
         intake.rows().into_iter().map(|(row, standing)| (row.source, row.member.id, standing)).collect();
     let has = |source: &str, id: &str, is: fn(&Standing) -> bool| {
         rows.iter().any(|(s, i, standing)| s == source && i == id && is(standing))
     };
-    assert!(has("tree", "a", |s| *s == Standing::Told) && has("file", "a", |s| *s == Standing::Covered));
     assert!(
-        has("file", "b", |s| *s == Standing::Told)
+        has("tree", "a", |s| *s == Standing::Announced) && has("file", "a", |s| *s == Standing::Shadowed)
+    );
+    assert!(
+        has("file", "b", |s| *s == Standing::Announced)
             && has("tree", "d", |s| matches!(s, Standing::HeldUntil(_)))
     );
     let until = intake.next_due().expect("a time");
-    assert!(matches!(intake.due(until), Some(News::Changes(m)) if m[0].id == "d"));
+    assert!(matches!(intake.release_due(until), Some(News::Changes(m)) if m[0].id == "d"));
 }
--- a/crates/membership/tests/register.rs
+++ b/crates/membership/tests/register.rs
@@ -1,7 +1,7 @@
 //! Registrations against a model of the tree: whatever is lost, expires or starts anew, each name has one node in the end,
 //! of the process that lives, and all agree on who is who.
 
-use oatbank_membership::register::{Event, Life, Place, Registration, Settings, State, Want};
+use oatbank_membership::register::{Action, Event, Incarnation, Place, Registration, Settings, State};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -20,8 +20,8 @@
     registration: Registration,
     session: Option<i64>,
     connected: bool,
-    out: Vec<Want>,
-    watches: Vec<Want>,
+    out: Vec<Action>,
+    watches: Vec<Action>,
     due: Option<f64>,
     /// Each place that was told, with its time.
     places: Vec<(f64, Place)>,
@@ -46,7 +46,7 @@
 
     fn start(&mut self, name: &str) {
         self.next_life += 1;
-        let life = Life { started_ms: self.next_life, instance: 0 };
+        let life = Incarnation { started_ms: self.next_life, instance: 0 };
         let registration = Registration::new(Settings { settle: SETTLE }, name, life);
         self.processes.push(Process {
             name: name.to_owned(),
@@ -64,7 +64,7 @@
         let now = self.now;
         let process = &mut self.processes[who];
         let step = process.registration.handle(now, event);
-        process.out.extend(step.wants);
+        process.out.extend(step.actions);
         process.due = step.due;
         process.places.extend(step.place.map(|place| (now, place)));
     }
@@ -111,11 +111,11 @@
 
     fn changed(&mut self, name: &str) {
         for who in 0..self.processes.len() {
-            let fired: Vec<Want> = {
+            let fired: Vec<Action> = {
                 let process = &mut self.processes[who];
                 let own = process.name == name;
                 let (fired, kept) =
-                    process.watches.drain(..).partition(|w| *w == Want::Names || *w == Want::Read && own);
+                    process.watches.drain(..).partition(|w| *w == Action::Names || *w == Action::Read && own);
                 process.watches = kept;
                 fired
             };
@@ -132,30 +132,30 @@
     }
 
     /// Does one thing at the service, and gives what is answered.
-    fn carry_out(&mut self, who: usize, want: Want) -> Event {
+    fn carry_out(&mut self, who: usize, want: Action) -> Event {
         let name = self.processes[who].name.clone();
         let version = self.nodes.get(&name).map(|n| n.version);
         match want {
-            Want::Folder => self.folder = true,
-            Want::Create if !self.folder => return Event::NoFolder,
-            Want::Create if version.is_some() => return Event::Taken,
-            Want::Create => self.make(who),
-            Want::Replace { version: v } | Want::Remove { version: v } if version != Some(v) => {
+            Action::Folder => self.folder = true,
+            Action::Create if !self.folder => return Event::NoFolder,
+            Action::Create if version.is_some() => return Event::Taken,
+            Action::Create => self.make(who),
+            Action::Replace { version: v } | Action::Remove { version: v } if version != Some(v) => {
                 return Event::Failed(want);
             }
-            Want::Replace { .. } => {
+            Action::Replace { .. } => {
                 self.remove(&name);
                 self.make(who);
             }
-            Want::Remove { .. } => self.remove(&name),
-            Want::Read => {
+            Action::Remove { .. } => self.remove(&name),
+            Action::Read => {
                 let Some(node) = self.nodes.get(&name) else { return Event::NoNode };
                 let event =
                     Event::Node { owner: node.owner, version: node.version, bytes: node.bytes.clone() };
                 self.processes[who].watches.push(want);
                 return event;
             }
-            Want::Names => {
+            Action::Names => {
                 if !self.folder {
                     return Event::Failed(want);
                 }
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -235,7 +235,7 @@
     }
 
     /// Nothing is known against anybody.
-    pub fn is_calm(&self) -> bool {
+    pub fn has_no_cases(&self) -> bool {
         self.cases.is_empty()
     }
 }
--- a/crates/outlier-detection/src/detector/tests.rs
+++ b/crates/outlier-detection/src/detector/tests.rs
@@ -37,11 +37,11 @@
     let everybody: Vec<Evidence> = (0..12).map(|n| evidence_of("a", &format!("i-{n}"), 20.0, 0.0)).collect();
     let mut detector = Detector::default();
     detector.evaluate(10.0, &everybody, &services(30), &|_| true);
-    assert!(detector.is_calm());
+    assert!(detector.has_no_cases());
     detector.evaluate(10.0, &everybody[..1], &services(30), &|_| false);
-    assert!(detector.is_calm());
+    assert!(detector.has_no_cases());
     detector.evaluate(10.0, &everybody[..1], &services(30), &|_| true);
-    assert!(!detector.is_calm(), "the same of one server by who has a session");
+    assert!(!detector.has_no_cases(), "the same of one server by who has a session");
 }
 
 #[test]
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -150,7 +150,7 @@
         let mut detector = self.detector.borrow_mut();
         let observations: Vec<Evidence> =
             table.observations(now).map(|(row, ago)| observation(row, now - ago)).collect();
-        if observations.is_empty() && detector.is_calm() {
+        if observations.is_empty() && detector.has_no_cases() {
             return !self.standings.take().is_empty();
         }
         let members: Vec<_> = table.members(now).map(|(row, _)| row).filter(|row| !row.expired).collect();
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -21,7 +21,7 @@
 
 /// A zone as operators are shown it.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Shown {
+pub struct ZoneStatus {
     /// Its name.
     pub zone: String,
     /// What is found of it.
@@ -95,7 +95,7 @@
     }
 
     /// What the fleet has decided. Where another limiter has led it so far, that is gone on from.
-    pub fn decided(&mut self, now: Millis, left: &[ReducedZone]) {
+    pub fn set_decision(&mut self, now: Millis, left: &[ReducedZone]) {
         if self.decided.is_none() {
             for left in left {
                 let course = self.fresh(&left.zone).taken_over(now, left.share, left.by);
@@ -203,12 +203,12 @@
     }
 
     /// The zones as they stand.
-    pub fn shown(&self, now: Millis) -> Vec<Shown> {
+    pub fn status(&self, now: Millis) -> Vec<ZoneStatus> {
         let loads = self.loads(now);
         let show = |zone: String| {
             let seen = self.board.sum(now, &zone);
             let course = self.courses.get(&zone);
-            Shown {
+            ZoneStatus {
                 verdict: judge(&self.board, &self.test, now, &zone),
                 evidence: self.test.sum(&zone),
                 sure: Test::sure(),
--- a/crates/zones/tests/schedules.rs
+++ b/crates/zones/tests/schedules.rs
@@ -80,7 +80,7 @@
 fn play(plan: &Plan) -> Seen {
     let mut dice = Dice(Pcg64Mcg::seed_from_u64(plan.seed));
     let mut zones = Zones::new(plan.limiters, ColdStart { share: COLD, warm_after: WARM_AFTER }, plan.seed);
-    zones.decided(0, &[]);
+    zones.set_decision(0, &[]);
     let (mut decided, mut on_way): (Vec<ReducedZone>, Option<(u64, Vec<ReducedZone>)>) = Default::default();
     let mut totals = vec![[Counts::default(); 3]; plan.limiters];
     let (mut seen, mut served_since_ill, mut late) = (Seen::default(), 0, (0.0, 0.0));
@@ -96,7 +96,7 @@
                 seen.steps.push((now, after));
             }
             decided = left;
-            zones.decided(now, &decided);
+            zones.set_decision(now, &decided);
         }
         let used: BTreeMap<String, f64> = decided.iter().map(|l| (l.zone.clone(), l.share)).collect();
         let used = match plan.rush {
--- a/crates/zookeeper/src/lib.rs
+++ b/crates/zookeeper/src/lib.rs
@@ -8,7 +8,7 @@
 use oatbank_engine::ports::membership::Told;
 use oatbank_engine::ports::Local;
 use oatbank_limiter_core::interface::Millis;
-use oatbank_membership::reconcile::{Event, Reconciler, Settings, Want};
+use oatbank_membership::reconcile::{Event, ReadRequest, Reconciler, Settings};
 use std::cell::{Cell, RefCell};
 use std::future::pending;
 use std::rc::Rc;
@@ -173,7 +173,7 @@
         if let Some(news) = step.news {
             (self.told)(news);
         }
-        for want in step.wants {
+        for want in step.reads {
             self.reads.spawn_local(self.reader.clone().read(want));
         }
         self.due = step.due;
@@ -187,10 +187,10 @@
     }
 
     /// Makes a read, which must be answered in time, and then waits for its watch, however long.
-    async fn read(self, want: Want) {
+    async fn read(self, want: ReadRequest) {
         let done = match &want {
-            Want::Children => self.children().await,
-            Want::Data(name) => self.data(name).await,
+            ReadRequest::Children => self.children().await,
+            ReadRequest::Data(name) => self.data(name).await,
         };
         if let Err(e) = done {
             tracing::debug!("members: {want:?}: {e}");
@@ -204,15 +204,15 @@
             Ok((names, stat, watcher)) => {
                 self.newest.set(self.newest.get().max(stat.pzxid));
                 self.say(Event::Children { zxid: stat.pzxid, names });
-                self.fired(watcher.changed().await.event_type, Want::Children);
+                self.fired(watcher.changed().await.event_type, ReadRequest::Children);
             }
             Err(Error::NoNode) => {
                 let (found, watcher) = within(self.client.check_and_watch_stat(&self.path)).await?;
                 if found.is_none() {
                     self.say(Event::Children { zxid: self.newest.get(), names: Vec::new() });
-                    self.fired(watcher.changed().await.event_type, Want::Children);
+                    self.fired(watcher.changed().await.event_type, ReadRequest::Children);
                 } else {
-                    self.say(Event::Failed(Want::Children));
+                    self.say(Event::Failed(ReadRequest::Children));
                 }
             }
             Err(e) => return Err(e),
@@ -226,7 +226,7 @@
             Ok((bytes, stat, watcher)) => {
                 let (zxid, created) = (stat.mzxid, stat.czxid);
                 self.say(Event::Data { name: name.to_owned(), zxid, created, bytes });
-                self.fired(watcher.changed().await.event_type, Want::Data(name.to_owned()));
+                self.fired(watcher.changed().await.event_type, ReadRequest::Data(name.to_owned()));
             }
             // The client never goes back to an address that has seen less than it has, so this is the newest.
             Err(Error::NoNode) => self.say(Event::NoNode { name: name.to_owned(), zxid: i64::MAX }),
@@ -236,7 +236,7 @@
     }
 
     /// A watch has fired; one that ended with its session tells nothing.
-    fn fired(&self, kind: EventType, want: Want) {
+    fn fired(&self, kind: EventType, want: ReadRequest) {
         if kind != EventType::Session {
             self.say(Event::Fired(want));
         }
--- a/crates/zookeeper/src/register.rs
+++ b/crates/zookeeper/src/register.rs
@@ -8,7 +8,7 @@
 use oatbank_engine::ports::clock::Clock;
 use oatbank_engine::ports::Local;
 use oatbank_limiter_core::interface::Millis;
-use oatbank_membership::register::{Event, Life, Place, Registration, Settings, State, Want};
+use oatbank_membership::register::{Action, Event, Incarnation, Place, Registration, Settings, State};
 use std::cell::RefCell;
 use std::future::pending;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
     pub fn new(
         config: Config,
         name: &str,
-        life: Life,
+        life: Incarnation,
         clock: Rc<dyn Clock>,
         placed: impl Fn(Place) + 'static,
     ) -> Rc<Self> {
@@ -159,7 +159,7 @@
         if let Some(place) = step.place {
             (registrar.placed)(place);
         }
-        for want in step.wants {
+        for want in step.actions {
             let work = Work {
                 client: self.client.clone(),
                 registrar: registrar.clone(),
@@ -185,39 +185,39 @@
         let _ = self.tell.send((self.connection, event));
     }
 
-    async fn carry_out(self, want: Want) {
+    async fn carry_out(self, want: Action) {
         if let Err(e) = self.attempt(want).await {
             tracing::debug!(reason = %e, "register: {want:?}: {e}");
             self.say(Event::Failed(want));
         }
     }
 
-    async fn attempt(&self, want: Want) -> Result<(), Error> {
+    async fn attempt(&self, want: Action) -> Result<(), Error> {
         let (client, node) = (&self.client, self.registrar.node.as_str());
         let ephemeral = CreateMode::Ephemeral.with_acls(Acls::anyone_all());
         let payload = self.registrar.registration.borrow().payload();
         let done = match want {
-            Want::Folder => {
+            Action::Folder => {
                 let persistent = CreateMode::Persistent.with_acls(Acls::anyone_all());
                 within(client.mkdir(&self.registrar.config.path, &persistent)).await
             }
-            Want::Create => within(client.create(node, &payload, &ephemeral)).await.map(drop),
-            Want::Replace { version } => {
+            Action::Create => within(client.create(node, &payload, &ephemeral)).await.map(drop),
+            Action::Replace { version } => {
                 let mut both = client.new_multi_writer();
                 both.add_delete(node, Some(version))?;
                 both.add_create(node, &payload, &ephemeral)?;
                 let both = tokio::time::timeout(PATIENCE, both.commit()).await;
                 both.map_err(|_| Error::Timeout)?.map(drop).map_err(|_| Error::BadVersion)
             }
-            Want::Remove { version } => within(client.delete(node, Some(version))).await,
-            Want::Read => return self.read(node).await,
-            Want::Names => return self.names().await,
+            Action::Remove { version } => within(client.delete(node, Some(version))).await,
+            Action::Read => return self.read(node).await,
+            Action::Names => return self.names().await,
         };
         match (want, done) {
-            (_, Ok(())) | (Want::Folder, Err(Error::NodeExists)) => self.say(Event::Done(want)),
-            (Want::Remove { .. }, Err(Error::NoNode)) => self.say(Event::Done(want)),
+            (_, Ok(())) | (Action::Folder, Err(Error::NodeExists)) => self.say(Event::Done(want)),
+            (Action::Remove { .. }, Err(Error::NoNode)) => self.say(Event::Done(want)),
             (_, Err(Error::NodeExists)) => self.say(Event::Taken),
-            (Want::Create, Err(Error::NoNode)) => self.say(Event::NoFolder),
+            (Action::Create, Err(Error::NoNode)) => self.say(Event::NoFolder),
             (_, Err(e)) => return Err(e),
         }
         Ok(())
@@ -235,7 +235,7 @@
             }
             Err(e) => return Err(e),
         };
-        self.fired(watcher.changed().await.event_type, Want::Read);
+        self.fired(watcher.changed().await.event_type, Action::Read);
         Ok(())
     }
 
@@ -243,7 +243,7 @@
         match within(self.client.get_and_watch_children(&self.registrar.config.path)).await {
             Ok((names, _, watcher)) => {
                 self.say(Event::Names(names));
-                self.fired(watcher.changed().await.event_type, Want::Names);
+                self.fired(watcher.changed().await.event_type, Action::Names);
                 Ok(())
             }
             // Whoever makes the node makes the folder too, and asks again then.
@@ -253,7 +253,7 @@
     }
 
     /// A watch has fired; one that ended with its session tells nothing.
-    fn fired(&self, kind: EventType, want: Want) {
+    fn fired(&self, kind: EventType, want: Action) {
         if kind != EventType::Session {
             self.say(Event::Fired(want));
         }
--- a/crates/zookeeper/tests/register.rs
+++ b/crates/zookeeper/tests/register.rs
@@ -1,7 +1,7 @@
 //! Registration against the stand-in coordinator.
 
 use oatbank_engine::ports::clock::{Clock, SystemClock};
-use oatbank_membership::register::{Life, Place, State};
+use oatbank_membership::register::{Incarnation, Place, State};
 use oatbank_testkit::conformance::{on_local_set, until};
 use oatbank_testkit::zookeeper::Coordinator;
 use oatbank_zookeeper::register::Registrar;
@@ -26,7 +26,7 @@
     };
     let (place, clock) = (Rc::new(Cell::new(None)), Rc::new(SystemClock::new()) as Rc<dyn Clock>);
     let placed = place.clone();
-    let life = Life { started_ms, instance: 7 };
+    let life = Incarnation { started_ms, instance: 7 };
     let registrar = Registrar::new(config, name, life, clock, move |told| placed.set(Some(told)));
     tokio::task::spawn_local(registrar.clone().run());
     Limiter { registrar, place }
