--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -1,7 +1,7 @@
 //! The verdict, from all that proxies have told. Each proxy judges for itself by the same rules; their rows
 //! merge, so they come to the same within the way between them.
 
-use crate::observer::MAX_GOODS;
+use crate::observer::MAX_SUCCESSES;
 use crate::{
     Evidence, Millis, Weight, CLEAR_THRESHOLD, EJECT_THRESHOLD, EVIDENCE_LIFETIME, RELAPSE_THRESHOLD,
     SUSPECT_THRESHOLD,
@@ -72,7 +72,7 @@
 }
 
 impl ServerCase {
-    fn wait(&self) -> Millis {
+    fn probe_interval(&self) -> Millis {
         match self.state {
             HealthState::Ejected => {
                 PROBE_EJECTED_AFTER * f64::from(1 << self.ejections.saturating_sub(1).min(MAX_DOUBLINGS))
@@ -109,17 +109,17 @@
 }
 
 /// What speaks against each server that notices name.
-fn scores(now: Millis, notices: &[Evidence], session: &dyn Fn(&str) -> bool) -> BTreeMap<String, f64> {
-    let fresh = || notices.iter().filter(|n| now - n.at < EVIDENCE_LIFETIME);
+fn scores(now: Millis, evidence: &[Evidence], session: &dyn Fn(&str) -> bool) -> BTreeMap<String, f64> {
+    let fresh = || evidence.iter().filter(|n| now - n.at < EVIDENCE_LIFETIME);
     let strength = |n: &Evidence| {
         let span = now - n.at;
-        n.failing.decayed(span).most().max(n.slow.decayed(span).most())
+        n.failing.decayed(span).strongest_against().max(n.slow.decayed(span).strongest_against())
     };
     let mut complaints: BTreeMap<&str, f64> = BTreeMap::new();
     for n in fresh().filter(|n| strength(n) >= 2.0 || n.unreached > 0.9) {
         *complaints.entry(&n.observer).or_default() += 1.0;
     }
-    let belief = |observer: &str| {
+    let credibility = |observer: &str| {
         let many = complaints.get(observer).copied().unwrap_or(0.0);
         (CREDIBLE_COMPLAINTS / many.max(1.0)).min(1.0)
             * if session(observer) { 1.0 } else { NO_SESSION_CREDIBILITY }
@@ -127,28 +127,30 @@
     let mut by_server: BTreeMap<&str, Vec<&Evidence>> = BTreeMap::new();
     fresh().for_each(|n| by_server.entry(&n.server).or_default().push(n));
     let score = |reported: Vec<&Evidence>| {
-        let goods = |n: &Evidence| -> u32 { reported.iter().filter(|o| o.at > n.at).map(|o| o.goods).sum() };
+        let later_successes =
+            |n: &Evidence| -> u32 { reported.iter().filter(|o| o.at > n.at).map(|o| o.goods).sum() };
         let (mut failing, mut slow, mut unreached) = (Weight::default(), Weight::default(), 0.0);
-        let mut deaf = BTreeSet::new();
+        let mut disconnected = BTreeSet::new();
         for n in &reported {
-            let (belief, span) = (belief(&n.observer), now - n.at);
-            let overcome = SUCCESS_DISCOUNT.powi(goods(n).min(MAX_GOODS) as i32);
+            let (credibility, span) = (credibility(&n.observer), now - n.at);
+            let discount = SUCCESS_DISCOUNT.powi(later_successes(n).min(MAX_SUCCESSES) as i32);
             let part =
-                |w: f64| belief * (if w > 0.0 { w * overcome } else { w }).clamp(-MAX_FOR, MAX_AGAINST);
+                |w: f64| credibility * (if w > 0.0 { w * discount } else { w }).clamp(-MAX_FOR, MAX_AGAINST);
             for (sum, of) in [(&mut failing, n.failing), (&mut slow, n.slow)] {
                 let of = of.decayed(span);
                 (0..2).for_each(|at| sum.0[at] += part(of.0[at]));
             }
-            let lost = n.unreached * (-span.max(0.0) / crate::DECAY[1]).exp() * overcome;
-            if lost > 0.5 {
-                deaf.insert(n.observer.as_str());
-                unreached += belief * UNREACHED_WEIGHT;
+            let unreached_attempts = n.unreached * (-span.max(0.0) / crate::DECAY[1]).exp() * discount;
+            if unreached_attempts > 0.5 {
+                disconnected.insert(n.observer.as_str());
+                unreached += credibility * UNREACHED_WEIGHT;
             }
         }
         // One that cannot reach a server may be cut off itself: two have to say so, and what others praise
         // speaks against it.
-        let unreached = if deaf.len() > 1 { unreached + failing.least().min(0.0) } else { 0.0 };
-        failing.most().max(slow.most()).max(unreached)
+        let unreached =
+            if disconnected.len() > 1 { unreached + failing.strongest_in_favour().min(0.0) } else { 0.0 };
+        failing.strongest_against().max(slow.strongest_against()).max(unreached)
     };
     by_server.into_iter().map(|(id, reported)| (id.to_owned(), score(reported))).collect()
 }
@@ -159,35 +161,35 @@
     pub fn evaluate(
         &mut self,
         now: Millis,
-        notices: &[Evidence],
+        evidence: &[Evidence],
         services: &BTreeMap<String, Vec<String>>,
         session: &dyn Fn(&str) -> bool,
     ) -> Vec<StateChange> {
-        let scores = scores(now, notices, session);
+        let scores = scores(now, evidence, session);
         for (id, score) in &scores {
             if *score >= SUSPECT_THRESHOLD {
                 self.cases.entry(id.clone()).or_default();
             }
         }
-        let mut turns = Vec::new();
+        let mut changes = Vec::new();
         for (id, case) in &mut self.cases {
             case.score = scores.get(id).copied().unwrap_or(0.0);
-            let (score, stood) = (case.score, now - case.since);
+            let (score, elapsed) = (case.score, now - case.since);
             let next = match case.state {
                 HealthState::Healthy if score >= EJECT_THRESHOLD => HealthState::Ejected,
                 HealthState::Healthy if score >= SUSPECT_THRESHOLD => HealthState::Suspect,
                 HealthState::Suspect if score >= EJECT_THRESHOLD => HealthState::Ejected,
                 HealthState::Suspect if score < CLEAR_THRESHOLD => HealthState::Healthy,
-                HealthState::Ejected if score < CLEAR_THRESHOLD && stood >= case.wait() => {
+                HealthState::Ejected if score < CLEAR_THRESHOLD && elapsed >= case.probe_interval() => {
                     HealthState::Returning
                 }
                 HealthState::Returning if score >= RELAPSE_THRESHOLD => HealthState::Ejected,
-                HealthState::Returning if stood >= RETURN_PERIOD => HealthState::Healthy,
+                HealthState::Returning if elapsed >= RETURN_PERIOD => HealthState::Healthy,
                 state => state,
             };
             if next != case.state {
                 case.set_state(now, next);
-                turns.push(StateChange { server: id.clone(), state: next, score });
+                changes.push(StateChange { server: id.clone(), state: next, score });
             }
         }
         self.cases.retain(|_, case| {
@@ -203,8 +205,8 @@
             if 2 * unhealthy.len() > ids.len() {
                 continue;
             }
-            let badness = |id: &String| self.cases.get(id).map_or(0.0, |c| c.score);
-            unhealthy.sort_by(|a, b| badness(b).total_cmp(&badness(a)).then(a.cmp(b)));
+            let score_of = |id: &String| self.cases.get(id).map_or(0.0, |c| c.score);
+            unhealthy.sort_by(|a, b| score_of(b).total_cmp(&score_of(a)).then(a.cmp(b)));
             unhealthy.truncate((ids.len() / EJECT_ONE_IN).max(usize::from(ids.len() > 2)));
             for id in unhealthy {
                 if let Some(case) = self.cases.get_mut(&id) {
@@ -212,7 +214,7 @@
                 }
             }
         }
-        turns
+        changes
     }
 
     /// How a server is to be used. Where the bound does not let it be left, as one that is well.
@@ -225,7 +227,7 @@
     /// Whether it is time that somebody tries this server.
     pub fn is_due(&self, now: Millis, id: &str) -> bool {
         let unhealthy = self.cases.get(id).filter(|c| c.may_eject && c.state >= HealthState::Suspect);
-        unhealthy.is_some_and(|c| now - c.since >= c.wait())
+        unhealthy.is_some_and(|c| now - c.since >= c.probe_interval())
     }
 
     /// Those that are not well, and since when.
--- a/crates/outlier-detection/src/detector/tests.rs
+++ b/crates/outlier-detection/src/detector/tests.rs
@@ -11,15 +11,15 @@
     [("s".to_owned(), (0..count).map(|n| format!("i-{n}")).collect())].into()
 }
 
-fn left(detector: &Detector, count: usize) -> usize {
+fn avoided(detector: &Detector, count: usize) -> usize {
     (0..count).filter(|n| detector.state(&format!("i-{n}")) >= HealthState::Suspect).count()
 }
 
 #[test]
 fn two_make_shunned_what_one_alone_makes_doubtful_and_one_who_sees_it_well_holds_that_up() {
-    let evaluate = |notices: &[Evidence]| {
+    let evaluate = |evidence: &[Evidence]| {
         let mut detector = Detector::default();
-        detector.evaluate(100.0, notices, &services(6), &|_| true);
+        detector.evaluate(100.0, evidence, &services(6), &|_| true);
         detector.state("i-1")
     };
     let (a, b) = (evidence_of("a", "i-1", 30.0, 100.0), evidence_of("b", "i-1", 9.0, 100.0));
@@ -50,24 +50,27 @@
         [(1, 9, 1), (3, 9, 1), (4, 9, 1), (5, 9, 0), (9, 9, 0), (1, 2, 0), (1, 3, 1)]
     {
         let reported = |n: usize| ["a", "b", "c"].map(|who| evidence_of(who, &format!("i-{n}"), 8.0, 0.0));
-        let notices: Vec<Evidence> = (0..unhealthy).flat_map(reported).collect();
+        let evidence: Vec<Evidence> = (0..unhealthy).flat_map(reported).collect();
         let mut detector = Detector::default();
-        detector.evaluate(1.0, &notices, &services(of), &|_| true);
-        assert_eq!(left(&detector, of), expected, "{unhealthy} of {of}");
+        detector.evaluate(1.0, &evidence, &services(of), &|_| true);
+        assert_eq!(avoided(&detector, of), expected, "{unhealthy} of {of}");
     }
 }
 
 #[test]
 fn who_cannot_reach_a_server_needs_a_second_that_cannot() {
-    let deaf = |who: &str| Evidence { unreached: 2.0, ..evidence_of(who, "i-1", 0.0, 0.0) };
-    let evaluate = |notices: &[Evidence]| {
+    let unreached = |who: &str| Evidence { unreached: 2.0, ..evidence_of(who, "i-1", 0.0, 0.0) };
+    let evaluate = |evidence: &[Evidence]| {
         let mut detector = Detector::default();
-        detector.evaluate(1.0, notices, &services(6), &|_| true);
+        detector.evaluate(1.0, evidence, &services(6), &|_| true);
         detector.state("i-1")
     };
-    assert_eq!(evaluate(&[deaf("a")]), HealthState::Healthy);
-    assert_eq!(evaluate(&[deaf("a"), deaf("b")]), HealthState::Suspect);
-    assert_eq!(evaluate(&[deaf("a"), deaf("b"), evidence_of("c", "i-1", -4.0, 0.0)]), HealthState::Healthy);
+    assert_eq!(evaluate(&[unreached("a")]), HealthState::Healthy);
+    assert_eq!(evaluate(&[unreached("a"), unreached("b")]), HealthState::Suspect);
+    assert_eq!(
+        evaluate(&[unreached("a"), unreached("b"), evidence_of("c", "i-1", -4.0, 0.0)]),
+        HealthState::Healthy
+    );
 }
 
 #[test]
@@ -79,12 +82,12 @@
         let unhealthy = [evidence_of("a", "i-1", 8.0, now), evidence_of("b", "i-1", 8.0, now)];
         detector.evaluate(now, &unhealthy, &all, &|_| true);
         assert_eq!(detector.state("i-1"), HealthState::Ejected);
-        let shunned = now;
+        let ejected_at = now;
         while !detector.is_due(now, "i-1") {
             now += 50.0;
             detector.evaluate(now, &unhealthy, &all, &|_| true);
         }
-        waits.push(now - shunned);
+        waits.push(now - ejected_at);
         let goods = Evidence { goods: 5, ..evidence_of("c", "i-1", -1.0, now) };
         detector.evaluate(now, &[unhealthy[0].clone(), unhealthy[1].clone(), goods.clone()], &all, &|_| true);
         assert_eq!(detector.state("i-1"), HealthState::Returning);
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -58,12 +58,12 @@
     }
 
     /// What speaks most for illness.
-    pub fn most(self) -> f64 {
+    pub fn strongest_against(self) -> f64 {
         self.0[0].max(self.0[1])
     }
 
     /// What speaks most against it.
-    pub fn least(self) -> f64 {
+    pub fn strongest_in_favour(self) -> f64 {
         self.0[0].min(self.0[1])
     }
 
@@ -72,7 +72,7 @@
     }
 
     fn differs_from(self, other: Weight) -> bool {
-        (0..2).any(|at| (self.0[at] - other.0[at]).abs() >= observer::MATERIAL)
+        (0..2).any(|at| (self.0[at] - other.0[at]).abs() >= observer::REPORT_DELTA)
     }
 }
 
--- a/crates/outlier-detection/src/observer.rs
+++ b/crates/outlier-detection/src/observer.rs
@@ -31,20 +31,20 @@
 const MIN_SLOW_SHARE: f64 = 0.03;
 const MAX_SLOW_SHARE: f64 = 0.3;
 /// So many good answers in a row count at most.
-pub(crate) const MAX_GOODS: u32 = 20;
+pub(crate) const MAX_SUCCESSES: u32 = 20;
 /// Steps by which the median, the usual share of slow answers and a server's own pace follow.
 const MEDIAN_STEP: f64 = 0.05;
 const SHARE_STEP: f64 = 0.02;
 const PACE_STEP: f64 = 0.05;
 /// What is told is told anew once it is so far off, and one server not more often than this, ms.
-pub const MATERIAL: f64 = 2.0;
+pub const REPORT_DELTA: f64 = 2.0;
 const REPORT_INTERVAL: Millis = 700.0;
 /// Who knows so much good of a server that others complain of says so.
 const FAVOURABLE_EVIDENCE: f64 = -1.5;
 /// A server that was not met for this long, ms, is forgotten.
-const FORGET: Millis = 60_000.0;
+const RECORD_LIFETIME: Millis = 60_000.0;
 /// A server was met of late within this, ms.
-const RECENTLY: Millis = 4000.0;
+const RECENT_USE: Millis = 4000.0;
 
 /// The usual of one class of requests at one service.
 #[derive(Clone, Copy, Debug)]
@@ -99,7 +99,7 @@
 }
 
 impl ServerRecord {
-    fn bring_to(&mut self, now: Millis) {
+    fn decay_to(&mut self, now: Millis) {
         let span = now - self.at;
         (self.failing, self.slow) = (self.failing.decayed(span), self.slow.decayed(span));
         self.unreached *= (-span.max(0.0) / DECAY[1]).exp();
@@ -109,11 +109,11 @@
     /// How much speaks against it, from here.
     fn evidence_against(&self) -> f64 {
         let unreached = if self.unreached > 0.9 { REPORT_THRESHOLD } else { 0.0 };
-        self.failing.most().max(self.slow.most()).max(unreached)
+        self.failing.strongest_against().max(self.slow.strongest_against()).max(unreached)
     }
 
     fn evidence_for(&self) -> f64 {
-        self.failing.least().min(self.slow.least())
+        self.failing.strongest_in_favour().min(self.slow.strongest_in_favour())
     }
 
     /// Whether what was told of it is too far off.
@@ -187,7 +187,7 @@
         }
         // What is usual is learnt from servers that nothing speaks against, as far as there are such: under
         // load all are slow, and that is usual then.
-        let suspect = self.slow.most() >= CLEAR_THRESHOLD;
+        let suspect = self.slow.strongest_against() >= CLEAR_THRESHOLD;
         let before = baseline.slow.clamp(MIN_SLOW_SHARE, MAX_SLOW_SHARE);
         baseline.median += MEDIAN_STEP * (took - baseline.median).signum();
         if !suspect {
@@ -203,7 +203,7 @@
         if slow {
             self.goods = 0;
         } else if self.unhealthy_since.is_some_and(|since| now - seen.took > since) {
-            self.goods = (self.goods + 1).min(MAX_GOODS);
+            self.goods = (self.goods + 1).min(MAX_SUCCESSES);
         }
     }
 }
@@ -221,14 +221,14 @@
             self.records.insert(seen.server.to_owned(), record);
         }
         let Some(record) = self.records.get_mut(seen.server) else { return };
-        record.bring_to(now);
+        record.decay_to(now);
         record.last_seen = now;
-        let ends_well = seen.end == EndKind::Success;
-        let of_all = self.shares.entry(seen.service.to_owned()).or_default();
-        let others = of_all.without(now, &record.share).min(MAX_OTHERS_RATE);
-        if ends_well || seen.end == EndKind::Failure {
-            record.share.add(now, !ends_well);
-            of_all.add(now, !ends_well);
+        let succeeded = seen.end == EndKind::Success;
+        let service_share = self.shares.entry(seen.service.to_owned()).or_default();
+        let others = service_share.without(now, &record.share).min(MAX_OTHERS_RATE);
+        if succeeded || seen.end == EndKind::Failure {
+            record.share.add(now, !succeeded);
+            service_share.add(now, !succeeded);
         }
         record.add_end(seen.end, HEALTHY_FAILURE_RATE.max(others));
         if matches!(seen.end, EndKind::Success | EndKind::Cancelled) {
@@ -241,75 +241,77 @@
 
     /// What the detector says now: these are not well, since then.
     pub fn set_unhealthy(&mut self, unhealthy: &BTreeMap<String, Millis>) {
-        for (id, records) in &mut self.records {
+        for (id, record) in &mut self.records {
             let since = unhealthy.get(id).copied();
-            if since.is_none() || records.unhealthy_since.is_none() {
-                records.goods = 0;
+            if since.is_none() || record.unhealthy_since.is_none() {
+                record.goods = 0;
             }
-            records.unhealthy_since = since;
+            record.unhealthy_since = since;
         }
     }
 
     /// What is to be told now, worst first. `contested`: somebody else complains of that server.
     pub fn reports(&mut self, now: Millis, contested: impl Fn(&str) -> bool) -> Vec<Evidence> {
-        self.records.retain(|_, records| now - records.last_seen < FORGET);
+        self.records.retain(|_, record| now - record.last_seen < RECORD_LIFETIME);
         let mut last_seen: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for records in self.records.values_mut() {
-            records.bring_to(now);
+        for record in self.records.values_mut() {
+            record.decay_to(now);
         }
-        for records in self.records.values().filter(|records| now - records.last_seen < RECENTLY) {
-            let of = last_seen.entry(&records.service).or_default();
+        for record in self.records.values().filter(|record| now - record.last_seen < RECENT_USE) {
+            let of = last_seen.entry(&record.service).or_default();
             of.0 += 1;
-            of.1 += usize::from(records.evidence_against() >= REPORT_THRESHOLD);
+            of.1 += usize::from(record.evidence_against() >= REPORT_THRESHOLD);
         }
         // Most of a service is no server's illness: it is load, or the way there.
         let loaded =
             |service: &str| last_seen.get(service).is_some_and(|(all, bad)| *bad > 2 && 2 * bad > *all);
         let reported =
-            |records: &ServerRecord| records.reported.as_ref().is_some_and(|t| now - t.at < 2.0 * DECAY[1]);
-        let mut want: Vec<(f64, String)> = Vec::new();
-        let mut standing = 0;
-        for (id, records) in &self.records {
-            let said = reported(records);
-            standing += usize::from(said);
-            let complains = records.evidence_against() >= REPORT_THRESHOLD && !loaded(&records.service);
-            let speaks_for = (contested(id) || records.unhealthy_since.is_some())
-                && (records.evidence_for() <= FAVOURABLE_EVIDENCE || records.goods > 0);
-            let takes_back =
-                said && records.evidence_against() < REPORT_THRESHOLD && records.unhealthy_since.is_some();
+            |record: &ServerRecord| record.reported.as_ref().is_some_and(|t| now - t.at < 2.0 * DECAY[1]);
+        let mut due: Vec<(f64, String)> = Vec::new();
+        let mut reported_count = 0;
+        for (id, record) in &self.records {
+            let was_reported = reported(record);
+            reported_count += usize::from(was_reported);
+            let complains = record.evidence_against() >= REPORT_THRESHOLD && !loaded(&record.service);
+            let contradicts = (contested(id) || record.unhealthy_since.is_some())
+                && (record.evidence_for() <= FAVOURABLE_EVIDENCE || record.goods > 0);
+            let retracts = was_reported
+                && record.evidence_against() < REPORT_THRESHOLD
+                && record.unhealthy_since.is_some();
             // What has become grave is told at once.
-            let grave = |t: &Evidence| {
-                records.evidence_against() >= SUSPECT_THRESHOLD
-                    && t.failing.most().max(t.slow.most()) < SUSPECT_THRESHOLD
+            let becomes_suspect = |t: &Evidence| {
+                record.evidence_against() >= SUSPECT_THRESHOLD
+                    && t.failing.strongest_against().max(t.slow.strongest_against()) < SUSPECT_THRESHOLD
             };
-            let rested = records.reported.as_ref().is_none_or(|t| now - t.at >= REPORT_INTERVAL || grave(t));
-            if (complains || speaks_for || takes_back) && records.has_moved(now) && rested {
-                want.push((records.evidence_against(), id.clone()));
+            let is_due =
+                record.reported.as_ref().is_none_or(|t| now - t.at >= REPORT_INTERVAL || becomes_suspect(t));
+            if (complains || contradicts || retracts) && record.has_moved(now) && is_due {
+                due.push((record.evidence_against(), id.clone()));
             }
         }
-        want.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let mut notices = Vec::new();
-        for (_, id) in want {
-            let Some(records) = self.records.get_mut(&id) else { continue };
-            if !reported(records) {
-                if standing >= MAX_REPORTED {
+        due.sort_by(|a, b| b.0.total_cmp(&a.0));
+        let mut reports = Vec::new();
+        for (_, id) in due {
+            let Some(record) = self.records.get_mut(&id) else { continue };
+            if !reported(record) {
+                if reported_count >= MAX_REPORTED {
                     continue;
                 }
-                standing += 1;
+                reported_count += 1;
             }
             let evidence = Evidence {
                 server: id,
                 observer: String::new(),
-                failing: records.failing,
-                slow: records.slow,
-                unreached: records.unreached,
-                goods: records.goods,
+                failing: record.failing,
+                slow: record.slow,
+                unreached: record.unreached,
+                goods: record.goods,
                 at: now,
             };
-            records.reported = Some(evidence.clone());
-            notices.push(evidence);
+            record.reported = Some(evidence.clone());
+            reports.push(evidence);
         }
-        notices
+        reports
     }
 }
 
--- a/crates/outlier-detection/src/observer/tests.rs
+++ b/crates/outlier-detection/src/observer/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-fn see(observer: &mut Observer, now: Millis, server: &str, end: EndKind, took: Millis) {
+fn record(observer: &mut Observer, now: Millis, server: &str, end: EndKind, took: Millis) {
     let (service, class) = ("s", "c");
     observer.record(now, &AttemptResult { service, class, server, end, took, warm: true });
 }
 
-fn healthy(observer: &mut Observer, until: Millis) {
+fn record_healthy_history(observer: &mut Observer, until: Millis) {
     for n in 0..200 {
-        see(
+        record(
             observer,
             until - 20_000.0 + f64::from(n) * 100.0,
             &format!("i-{}", n % 8),
@@ -22,10 +22,10 @@
 #[test]
 fn one_failure_of_a_server_known_well_is_kept_and_two_are_told_at_once() {
     let mut observer = Observer::default();
-    healthy(&mut observer, 20_000.0);
-    see(&mut observer, 20_001.0, "i-1", EndKind::Failure, 2.0);
+    record_healthy_history(&mut observer, 20_000.0);
+    record(&mut observer, 20_001.0, "i-1", EndKind::Failure, 2.0);
     assert_eq!(observer.reports(20_001.0, |_| false), []);
-    see(&mut observer, 20_300.0, "i-1", EndKind::Failure, 2.0);
+    record(&mut observer, 20_300.0, "i-1", EndKind::Failure, 2.0);
     let reported = observer.reports(20_300.0, |_| false);
     assert_eq!(reported.iter().map(|n| n.server.as_str()).collect::<Vec<_>>(), ["i-1"]);
     assert_eq!(observer.reports(20_350.0, |_| false), [], "it was told");
@@ -35,13 +35,13 @@
 #[test]
 fn load_cold_and_full_servers_are_no_evidence() {
     let mut observer = Observer::default();
-    healthy(&mut observer, 20_000.0);
+    record_healthy_history(&mut observer, 20_000.0);
     for n in 0..400 {
         let (now, server) = (20_000.0 + f64::from(n) * 50.0, format!("i-{}", n % 8));
         // All take four times as long, from one moment to the next.
-        see(&mut observer, now, &server, EndKind::Success, 400.0);
+        record(&mut observer, now, &server, EndKind::Success, 400.0);
         assert_eq!(observer.reports(now, |_| false), [], "at {n}");
-        see(&mut observer, now, &server, EndKind::Ignored, 1.0);
+        record(&mut observer, now, &server, EndKind::Ignored, 1.0);
         let (service, class) = ("s", "c");
         observer.record(
             now,
@@ -64,7 +64,7 @@
     for n in 0..600u32 {
         let (now, server) = (f64::from(n) * 50.0, n % 8);
         let took = [200.0, if n > 400 { 400.0 } else { 100.0 }, 100.0][server.min(2) as usize];
-        see(&mut observer, now, &format!("i-{server}"), EndKind::Success, took);
+        record(&mut observer, now, &format!("i-{server}"), EndKind::Success, took);
         for evidence in observer.reports(now, |_| false) {
             assert_eq!(evidence.server, "i-1");
             first = first.or(Some(n));
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 
 /// Counts fade by this, ms: what was a few seconds ago still tells, what was half a minute ago does not.
-pub const FADE: f64 = 3000.0;
+pub const DECAY_MS: f64 = 3000.0;
 /// Rates fade by this, ms: they say what zones carry now.
-const RATE_FADE: f64 = 2000.0;
+const RATE_DECAY_MS: f64 = 2000.0;
 /// A limiter that has said nothing for this long, ms, tells nothing any more.
-pub const STALE: Millis = 3000;
+pub const STALE_AFTER_MS: Millis = 3000;
 /// Zones of one report: more do not fit into a message, and those with the most failures come first.
-pub const MOST_ROWS: usize = 24;
+pub const MAX_ROWS: usize = 24;
 
 /// How attempts in a zone ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -83,13 +83,13 @@
 
 impl View {
     /// Attempts that tell something.
-    pub fn tries(&self) -> f64 {
+    pub fn attempts(&self) -> f64 {
         self.bad + self.ok
     }
 }
 
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct LimiterState {
     life: u64,
     own: Option<String>,
     at: Millis,
@@ -99,7 +99,7 @@
 
 /// What came to a zone from one limiter since its last report: the increments of a sequential test.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct Increment {
     /// The zone.
     pub zone: String,
     /// Attempts that failed.
@@ -110,28 +110,28 @@
 
 /// All limiters' reports. Limiters are numbers here, as the caller has them.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
-    limiters: BTreeMap<u16, Seen>,
+pub struct LimiterReports {
+    limiters: BTreeMap<u16, LimiterState>,
 }
 
-impl Board {
+impl LimiterReports {
     /// Takes in a report; what is new in it. The first of a process is where its counting begins.
-    pub fn report(&mut self, now: Millis, from: u16, report: &Report) -> Vec<News> {
+    pub fn record(&mut self, now: Millis, from: u16, report: &Report) -> Vec<Increment> {
         let seen = self.limiters.entry(from).or_default();
         let first = seen.life != report.life;
         if first {
-            *seen = Seen { life: report.life, at: now, ..Seen::default() };
+            *seen = LimiterState { life: report.life, at: now, ..LimiterState::default() };
         }
-        let past = (now - seen.at) as f64;
-        let (keep, keep_rate) = ((-past / FADE).exp(), (-past / RATE_FADE).exp());
+        let elapsed = (now - seen.at) as f64;
+        let (keep, keep_rate) = ((-elapsed / DECAY_MS).exp(), (-elapsed / RATE_DECAY_MS).exp());
         (seen.at, seen.own) = (now, report.own.clone());
-        let mut news = Vec::new();
-        for row in report.rows.iter().take(MOST_ROWS) {
+        let mut increments = Vec::new();
+        for row in report.rows.iter().take(MAX_ROWS) {
             let before = seen.totals.insert(row.zone.clone(), row.counts);
             let base = before.unwrap_or(if first { row.counts } else { Counts::default() });
             let (bad, ok, _) = row.counts.since(&base);
             let view = seen.views.entry(row.zone.clone()).or_default();
-            let rate = (bad + ok) * 1000.0 / past.max(1.0);
+            let rate = (bad + ok) * 1000.0 / elapsed.max(1.0);
             *view = View {
                 bad: view.bad * keep + bad,
                 ok: view.ok * keep + ok,
@@ -139,10 +139,10 @@
                 servers: row.servers,
             };
             if bad + ok > 0.0 {
-                news.push(News { zone: row.zone.clone(), bad, ok });
+                increments.push(Increment { zone: row.zone.clone(), bad, ok });
             }
         }
-        news
+        increments
     }
 
     /// All zones that some limiter tells of.
@@ -155,7 +155,7 @@
 
     /// Each limiter's view of a zone, where it is fresh, with the zone that the limiter stands in.
     pub fn views(&self, now: Millis, zone: &str) -> Vec<(u16, Option<&str>, View)> {
-        let fresh = self.limiters.iter().filter(|(_, s)| now.saturating_sub(s.at) < STALE);
+        let fresh = self.limiters.iter().filter(|(_, s)| now.saturating_sub(s.at) < STALE_AFTER_MS);
         fresh.filter_map(|(n, s)| s.views.get(zone).map(|v| (*n, s.own.as_deref(), *v))).collect()
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// All zones but one together.
-    pub fn elsewhere(&self, now: Millis, zone: &str) -> View {
+    pub fn sum_others(&self, now: Millis, zone: &str) -> View {
         let others = self.zones().into_iter().filter(|z| z != zone);
         others.map(|z| self.sum(now, &z)).fold(View::default(), |a, v| View {
             bad: a.bad + v.bad,
--- a/crates/zones/src/evidence/tests.rs
+++ b/crates/zones/src/evidence/tests.rs
@@ -9,26 +9,26 @@
 
 #[test]
 fn totals_are_told_apart_whatever_is_lost_and_whoever_restarts() {
-    let mut board = Board::default();
-    assert!(board.report(0, 1, &report(7, 1000, 10)).is_empty(), "from before this was looked at");
-    let news = board.report(500, 1, &report(7, 1040, 20));
-    assert_eq!(news, [News { zone: "a".into(), bad: 10.0, ok: 40.0 }]);
+    let mut board = LimiterReports::default();
+    assert!(board.record(0, 1, &report(7, 1000, 10)).is_empty(), "from before this was looked at");
+    let increments = board.record(500, 1, &report(7, 1040, 20));
+    assert_eq!(increments, [Increment { zone: "a".into(), bad: 10.0, ok: 40.0 }]);
     // Two reports were lost.
-    let news = board.report(2000, 1, &report(7, 1100, 30));
-    assert_eq!((news[0].bad, news[0].ok), (10.0, 60.0));
+    let increments = board.record(2000, 1, &report(7, 1100, 30));
+    assert_eq!((increments[0].bad, increments[0].ok), (10.0, 60.0));
     // A new process counts from nothing.
-    assert!(board.report(2500, 1, &report(8, 5, 0)).is_empty());
-    assert_eq!(board.report(3000, 1, &report(8, 9, 1))[0].ok, 4.0);
+    assert!(board.record(2500, 1, &report(8, 5, 0)).is_empty());
+    assert_eq!(board.record(3000, 1, &report(8, 9, 1))[0].ok, 4.0);
 }
 
 #[test]
 fn what_is_old_fades_and_who_is_silent_tells_nothing() {
-    let mut board = Board::default();
-    board.report(0, 1, &report(1, 0, 0));
-    board.report(500, 1, &report(1, 100, 0));
+    let mut board = LimiterReports::default();
+    board.record(0, 1, &report(1, 0, 0));
+    board.record(500, 1, &report(1, 100, 0));
     assert!((board.sum(500, "a").ok - 100.0).abs() < 1e-9);
-    let later = 500 + FADE as Millis;
-    board.report(later, 1, &report(1, 100, 0));
+    let later = 500 + DECAY_MS as Millis;
+    board.record(later, 1, &report(1, 100, 0));
     assert!((board.sum(later, "a").ok - 100.0 / std::f64::consts::E).abs() < 1e-6);
-    assert_eq!(board.sum(later + STALE, "a"), View::default());
+    assert_eq!(board.sum(later + STALE_AFTER_MS, "a"), View::default());
 }
--- a/crates/zones/src/failover.rs
+++ b/crates/zones/src/failover.rs
@@ -3,23 +3,23 @@
 use crate::{Millis, ReductionCause};
 
 /// Between two steps out, ms: a decision, and what comes of it seen.
-pub const STEP_OUT: Millis = 1500;
+pub const LEAVE_STEP_MS: Millis = 1500;
 /// Between two steps back, ms.
-pub const STEP_BACK: Millis = 2000;
+pub const RETURN_STEP_MS: Millis = 2000;
 /// A zone that was left is not tried for this long, ms; twice as long after each return that failed, up to the other.
-pub const HOLD: Millis = 5000;
+pub const MIN_HOLD_MS: Millis = 5000;
 /// See [`HOLD`].
-pub const MOST_HOLD: Millis = 300_000;
+pub const MAX_HOLD_MS: Millis = 300_000;
 /// A zone that has been whole for this long, ms, has its failed returns forgotten.
-const FORGIVEN: Millis = 60_000;
+const BACKOFF_RESET_MS: Millis = 60_000;
 /// Each step back uses so much more.
-const GROW: f64 = 2.0;
+const STEP_FACTOR: f64 = 2.0;
 /// A step is judged by so many attempts at least.
-const ENOUGH: f64 = 10.0;
+const MIN_STEP_ATTEMPTS: f64 = 10.0;
 /// Standard deviations by which a step must be worse than what is no matter.
-const DOUBT: f64 = 1.96;
+const CONFIDENCE_Z: f64 = 1.96;
 /// Without them, and without a failure, it goes on after so many steps' time: whoever sends nothing risks nothing.
-const PATIENCE: Millis = 5;
+const IDLE_STEP_FACTOR: Millis = 5;
 
 /// What staff want.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
@@ -49,21 +49,21 @@
 
 /// What is seen of it, and of the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sight {
+pub struct Observation {
     /// It fails.
-    pub fails: bool,
+    pub failing: bool,
     /// Attempts since the last step, and the part of them that failed.
-    pub tries: f64,
+    pub attempts: f64,
     /// See `tries`.
     pub bad: f64,
     /// Failures up to this part are no matter.
-    pub sound: f64,
+    pub baseline: f64,
     /// What the others do not bear, as a part of this zone.
-    pub stays: f64,
+    pub required_share: f64,
     /// As much of it as its servers bear should they be cold still; 1 once they are warm.
-    pub cold_most: f64,
+    pub cold_limit: f64,
     /// The others serve well.
-    pub others_well: bool,
+    pub others_healthy: bool,
 }
 
 /// One zone's course. What it wants used is [`ZoneFailover::share`]; the fleet decides it.
@@ -72,43 +72,43 @@
     phase: Phase,
     share: f64,
     order: Option<(Order, Millis, f64)>,
-    stepped: Millis,
+    stepped_at: Millis,
     /// Returns that failed in a row.
-    failed: u32,
+    failed_returns: u32,
     /// Its last step was one back.
-    sinking: bool,
+    stepping_back: bool,
     /// Since when it is used again.
-    back_since: Option<Millis>,
+    in_use_since: Option<Millis>,
     /// The first step back.
-    first: f64,
+    first_step: f64,
     seed: u64,
 }
 
 impl ZoneFailover {
     /// Of a zone that is wholly used, in a fleet of so many limiters: the first step back lets one of them to each server.
     pub fn new(limiters: usize, seed: u64) -> ZoneFailover {
-        let first = (1.0 / limiters.max(1) as f64).min(0.25);
+        let first_step = (1.0 / limiters.max(1) as f64).min(0.25);
         ZoneFailover {
             phase: Phase::Used,
             share: 1.0,
             order: None,
-            stepped: 0,
-            failed: 0,
-            sinking: false,
-            back_since: None,
-            first,
+            stepped_at: 0,
+            failed_returns: 0,
+            stepping_back: false,
+            in_use_since: None,
+            first_step,
             seed,
         }
     }
 
     /// Of one of which the fleet uses less already, as another limiter has led it so far.
-    pub fn taken_over(mut self, now: Millis, share: f64, by: ReductionCause) -> ZoneFailover {
-        (self.share, self.stepped) = (share, now);
+    pub fn resume(mut self, now: Millis, share: f64, by: ReductionCause) -> ZoneFailover {
+        (self.share, self.stepped_at) = (share, now);
         match by {
             ReductionCause::Staff => self.order = Some((Order::Hold, now, share)),
             ReductionCause::Evidence => {
                 // It may have been left just now.
-                let until = now + self.hold();
+                let until = now + self.hold_time();
                 self.phase = if share <= 0.0 { Phase::Out(until) } else { Phase::Returning };
             }
         }
@@ -121,8 +121,8 @@
     }
 
     /// Since when it is used again, while it comes back.
-    pub(crate) fn back_since(&self) -> Option<Millis> {
-        self.back_since
+    pub(crate) fn in_use_since(&self) -> Option<Millis> {
+        self.in_use_since
     }
 
     /// How much of it is to be used.
@@ -144,121 +144,126 @@
     }
 
     /// Staff order something; nothing: their order is over, and what is seen counts again.
-    pub fn ordered(&mut self, now: Millis, order: Option<Order>) {
+    pub fn set_order(&mut self, now: Millis, order: Option<Order>) {
         self.order = order.map(|order| (order, now, self.share));
-        self.stepped = now;
+        self.stepped_at = now;
         if order.is_none() && self.share < 1.0 {
             self.phase = if self.share <= 0.0 { Phase::Out(now) } else { Phase::Returning };
         }
     }
 
     /// How long it is held out: longer after each return that failed, and not the same for all zones.
-    fn hold(&self) -> Millis {
-        let long = HOLD.saturating_mul(1 << self.failed.min(16)).min(MOST_HOLD);
-        let mut x = self.seed ^ u64::from(self.failed).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    fn hold_time(&self) -> Millis {
+        let long = MIN_HOLD_MS.saturating_mul(1 << self.failed_returns.min(16)).min(MAX_HOLD_MS);
+        let mut x = self.seed ^ u64::from(self.failed_returns).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         x = (x ^ x >> 32).wrapping_mul(0xd6e8_feb8_6659_fd93);
         long * 4 / 5 + (x >> 33) % (long * 2 / 5).max(1)
     }
 
-    fn step(&mut self, now: Millis, share: f64) -> bool {
+    fn set_share(&mut self, now: Millis, share: f64) -> bool {
         let changed = share != self.share;
-        self.back_since = match share > 0.0 {
+        self.in_use_since = match share > 0.0 {
             true if self.share <= 0.0 => Some(now),
-            true => self.back_since,
+            true => self.in_use_since,
             false => None,
         };
-        (self.share, self.stepped) = (share, now);
+        (self.share, self.stepped_at) = (share, now);
         changed
     }
 
     /// Time has passed, and this is seen; whether another share is wanted.
-    pub fn next(&mut self, now: Millis, sight: &Sight) -> bool {
+    pub fn update(&mut self, now: Millis, observation: &Observation) -> bool {
         if let Some((order, since, from)) = self.order {
-            return self.obey(now, order, since, from);
+            return self.follow_order(now, order, since, from);
         }
         match self.phase {
-            Phase::Used if sight.fails => self.leave(now, sight),
+            Phase::Used if observation.failing => self.start_leaving(now, observation),
             Phase::Used => {
-                if self.failed > 0 && now.saturating_sub(self.stepped) >= FORGIVEN {
-                    self.failed = 0;
+                if self.failed_returns > 0 && now.saturating_sub(self.stepped_at) >= BACKOFF_RESET_MS {
+                    self.failed_returns = 0;
                 }
                 false
             }
-            Phase::Leaving => self.leaving(now, sight),
+            Phase::Leaving => self.continue_leaving(now, observation),
             // Where the others fail too there is nothing to wait for.
-            Phase::Out(until) if now >= until || !sight.others_well => {
-                self.sinking = false;
+            Phase::Out(until) if now >= until || !observation.others_healthy => {
+                self.stepping_back = false;
                 self.phase = Phase::Returning;
-                self.step(now, self.first)
+                self.set_share(now, self.first_step)
             }
             Phase::Out(_) => false,
-            Phase::Returning => self.returning(now, sight),
+            Phase::Returning => self.continue_returning(now, observation),
         }
     }
 
-    fn leave(&mut self, now: Millis, sight: &Sight) -> bool {
+    fn start_leaving(&mut self, now: Millis, observation: &Observation) -> bool {
         self.phase = Phase::Leaving;
-        let share = sight.stays.min(self.share);
+        let share = observation.required_share.min(self.share);
         if share <= 0.0 {
-            self.phase = Phase::Out(now + self.hold());
+            self.phase = Phase::Out(now + self.hold_time());
         }
-        self.step(now, share)
+        self.set_share(now, share)
     }
 
-    fn leaving(&mut self, now: Millis, sight: &Sight) -> bool {
-        if now.saturating_sub(self.stepped) < STEP_OUT {
+    fn continue_leaving(&mut self, now: Millis, observation: &Observation) -> bool {
+        if now.saturating_sub(self.stepped_at) < LEAVE_STEP_MS {
             return false;
         }
-        if !sight.fails && sight.tries >= ENOUGH && fine(sight) {
+        if !observation.failing && observation.attempts >= MIN_STEP_ATTEMPTS && is_tolerated(observation) {
             // It is back in the middle of it.
             self.phase = Phase::Returning;
             return false;
         }
         // Where the others topple nothing more is moved.
-        sight.fails && sight.others_well && sight.stays < self.share && self.leave(now, sight)
+        observation.failing
+            && observation.others_healthy
+            && observation.required_share < self.share
+            && self.start_leaving(now, observation)
     }
 
-    fn returning(&mut self, now: Millis, sight: &Sight) -> bool {
-        let tried = sight.tries >= ENOUGH && fine(sight);
-        if sight.fails || broken(sight) {
+    fn continue_returning(&mut self, now: Millis, observation: &Observation) -> bool {
+        let tried = observation.attempts >= MIN_STEP_ATTEMPTS && is_tolerated(observation);
+        if observation.failing || exceeds_tolerance(observation) {
             // Steps back in a row are one return that failed.
-            self.failed += u32::from(!std::mem::replace(&mut self.sinking, true));
-            let back = self.share / GROW;
-            if sight.fails || back < self.first {
-                self.phase = Phase::Out(now + self.hold());
-                return self.step(now, 0.0);
+            self.failed_returns += u32::from(!std::mem::replace(&mut self.stepping_back, true));
+            let back = self.share / STEP_FACTOR;
+            if observation.failing || back < self.first_step {
+                self.phase = Phase::Out(now + self.hold_time());
+                return self.set_share(now, 0.0);
             }
             // One step, and a longer look.
-            let changed = self.step(now, back);
-            self.stepped = now + self.hold() / 2;
+            let changed = self.set_share(now, back);
+            self.stepped_at = now + self.hold_time() / 2;
             return changed;
         }
-        let past = now.saturating_sub(self.stepped);
-        if past < STEP_BACK || !tried && (sight.bad > 0.0 || past < PATIENCE * STEP_BACK) {
+        let elapsed = now.saturating_sub(self.stepped_at);
+        if elapsed < RETURN_STEP_MS
+            || !tried && (observation.bad > 0.0 || elapsed < IDLE_STEP_FACTOR * RETURN_STEP_MS)
+        {
             return false;
         }
         // A server that has just started is spared, whoever lets it be used.
-        let share = (self.share * GROW).min(1.0).min(sight.cold_most.max(self.first));
+        let share = (self.share * STEP_FACTOR).min(1.0).min(observation.cold_limit.max(self.first_step));
         if share <= self.share {
             return false;
         }
-        self.sinking = false;
+        self.stepping_back = false;
         if share >= 1.0 {
             self.phase = Phase::Used;
         }
-        self.step(now, share)
+        self.set_share(now, share)
     }
 
-    fn obey(&mut self, now: Millis, order: Order, since: Millis, from: f64) -> bool {
-        let past = now.saturating_sub(since);
+    fn follow_order(&mut self, now: Millis, order: Order, since: Millis, from: f64) -> bool {
+        let elapsed = now.saturating_sub(since);
         match order {
             Order::Hold => false,
             Order::Leave(over) => {
                 self.phase = Phase::Leaving;
                 // In quarters: each is a change that all limiters take.
-                let part = if over == 0 { 1.0 } else { (past as f64 / over as f64).min(1.0) };
+                let part = if over == 0 { 1.0 } else { (elapsed as f64 / over as f64).min(1.0) };
                 let share = from * (1.0 - (part * 4.0).floor() / 4.0);
-                share < self.share && self.step(now, share)
+                share < self.share && self.set_share(now, share)
             }
             Order::Return if self.share >= 1.0 => {
                 (self.phase, self.order) = (Phase::Used, None);
@@ -266,30 +271,30 @@
             }
             Order::Return => {
                 self.phase = Phase::Returning;
-                let waits = now.saturating_sub(self.stepped) < STEP_BACK && self.share > 0.0;
-                let share = (self.share * GROW).max(self.first).min(1.0);
-                !waits && self.step(now, share)
+                let waits = now.saturating_sub(self.stepped_at) < RETURN_STEP_MS && self.share > 0.0;
+                let share = (self.share * STEP_FACTOR).max(self.first_step).min(1.0);
+                !waits && self.set_share(now, share)
             }
         }
     }
 }
 
-fn limit(sight: &Sight) -> f64 {
-    (2.0 * sight.sound).max(0.05)
+fn tolerated_rate(observation: &Observation) -> f64 {
+    (2.0 * observation.baseline).max(0.05)
 }
 
-fn fine(sight: &Sight) -> bool {
-    sight.bad / sight.tries.max(1.0) <= limit(sight)
+fn is_tolerated(observation: &Observation) -> bool {
+    observation.bad / observation.attempts.max(1.0) <= tolerated_rate(observation)
 }
 
 /// More fails than an accident explains: the lower end of Wilson's interval, so that few tries tell little, and many soon.
 /// Limiters send little to servers that failed them, so that many may never come.
-fn broken(sight: &Sight) -> bool {
-    let (n, p) = (sight.tries.max(1.0), sight.bad / sight.tries.max(1.0));
-    let z2 = DOUBT * DOUBT;
+fn exceeds_tolerance(observation: &Observation) -> bool {
+    let (n, p) = (observation.attempts.max(1.0), observation.bad / observation.attempts.max(1.0));
+    let z2 = CONFIDENCE_Z * CONFIDENCE_Z;
     let middle = p + z2 / (2.0 * n);
-    let wide = DOUBT * (p * (1.0 - p) / n + z2 / (4.0 * n * n)).sqrt();
-    sight.bad >= 2.0 && (middle - wide) / (1.0 + z2 / n) > limit(sight)
+    let wide = CONFIDENCE_Z * (p * (1.0 - p) / n + z2 / (4.0 * n * n)).sqrt();
+    observation.bad >= 2.0 && (middle - wide) / (1.0 + z2 / n) > tolerated_rate(observation)
 }
 
 #[cfg(test)]
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -11,7 +11,7 @@
 //! | `failover` | one zone's way out and back: steps, gates, spans that grow |
 //! | `zones` | all zones: what the fleet should decide next |
 
-pub mod bears;
+pub mod capacity;
 pub mod evidence;
 pub mod failover;
 pub mod verdict;
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,14 +1,14 @@
 //! All zones of a fleet: reports and orders in, what the fleet should decide next out.
 
-use crate::bears::{Bears, Load};
-use crate::evidence::{Board, Report};
-use crate::failover::{Order, Phase, Sight, ZoneFailover};
-use crate::verdict::{judge, sound_rate, Test, Verdict};
+use crate::capacity::{CapacityEstimator, Load};
+use crate::evidence::{LimiterReports, Report};
+use crate::failover::{Observation, Order, Phase, ZoneFailover};
+use crate::verdict::{assess, baseline_rate, SequentialTest, Verdict};
 use crate::{Millis, ReducedZone};
 use std::collections::BTreeMap;
 
 /// What servers bear is the largest of many figures that are a few percent off each: of a bound so much is used.
-const SURELY: f64 = 0.8;
+const CAPACITY_SAFETY_FACTOR: f64 = 0.8;
 
 /// An order that cannot be carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,19 +51,19 @@
 pub struct Zones {
     limiters: usize,
     seed: u64,
-    board: Board,
-    test: Test,
-    bears: Bears,
-    courses: BTreeMap<String, ZoneFailover>,
+    board: LimiterReports,
+    test: SequentialTest,
+    capacity: CapacityEstimator,
+    failovers: BTreeMap<String, ZoneFailover>,
     /// Attempts since each zone's last step: all, and those that failed.
-    since: BTreeMap<String, (f64, f64)>,
+    since_step: BTreeMap<String, (f64, f64)>,
     /// What is decided, once that is known.
     decided: Option<Vec<ReducedZone>>,
     /// The rate of failures outside each zone, as of the last tick.
-    sound: BTreeMap<String, f64>,
+    baseline: BTreeMap<String, f64>,
     cold: ColdStart,
     /// Attempts a second that a zone had before it was left.
-    usual: BTreeMap<String, f64>,
+    normal_rates: BTreeMap<String, f64>,
 }
 
 /// What a server that has just started is spared.
@@ -78,19 +78,31 @@
 impl Zones {
     /// Of a fleet of so many limiters.
     pub fn new(limiters: usize, cold: ColdStart, seed: u64) -> Zones {
-        let (board, test, bears) = Default::default();
-        let (courses, since, decided) = Default::default();
-        let (sound, usual) = Default::default();
-        Zones { limiters, seed, board, test, bears, courses, since, decided, sound, cold, usual }
+        let (board, test, capacity) = Default::default();
+        let (failovers, since_step, decided) = Default::default();
+        let (baseline, normal_rates) = Default::default();
+        Zones {
+            limiters,
+            seed,
+            board,
+            test,
+            capacity,
+            failovers,
+            since_step,
+            decided,
+            baseline,
+            cold,
+            normal_rates,
+        }
     }
 
     /// Takes in a limiter's report.
     pub fn report(&mut self, now: Millis, from: u16, report: &Report) {
-        for news in self.board.report(now, from, report) {
-            let sound = self.sound.get(&news.zone).copied().unwrap_or(0.0);
-            self.test.take(from, &news, sound);
-            let (tries, bad) = self.since.entry(news.zone).or_default();
-            (*tries, *bad) = (*tries + news.bad + news.ok, *bad + news.bad);
+        for increment in self.board.record(now, from, report) {
+            let baseline = self.baseline.get(&increment.zone).copied().unwrap_or(0.0);
+            self.test.add(from, &increment, baseline);
+            let (attempts, bad) = self.since_step.entry(increment.zone).or_default();
+            (*attempts, *bad) = (*attempts + increment.bad + increment.ok, *bad + increment.bad);
         }
     }
 
@@ -98,14 +110,14 @@
     pub fn set_decision(&mut self, now: Millis, left: &[ReducedZone]) {
         if self.decided.is_none() {
             for left in left {
-                let course = self.fresh(&left.zone).taken_over(now, left.share, left.by);
-                self.courses.insert(left.zone.clone(), course);
+                let failover = self.new_failover(&left.zone).resume(now, left.share, left.by);
+                self.failovers.insert(left.zone.clone(), failover);
             }
         }
         self.decided = Some(left.to_vec());
     }
 
-    fn fresh(&self, zone: &str) -> ZoneFailover {
+    fn new_failover(&self, zone: &str) -> ZoneFailover {
         let seed = zone.bytes().fold(self.seed, |x, b| (x ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
         ZoneFailover::new(self.limiters, seed)
     }
@@ -115,22 +127,22 @@
     /// # Errors
     /// When there is no such zone, or nothing would be left.
     pub fn order(&mut self, now: Millis, zone: &str, order: Option<Order>) -> Result<(), OrderError> {
-        let known = self.known();
+        let known = self.known_zones();
         if !known.iter().any(|z| z == zone) {
             return Err(OrderError::UnknownZone(known));
         }
-        let whole = |z: &String| z != zone && self.courses.get(z).is_none_or(|c| c.share() >= 1.0);
+        let whole = |z: &String| z != zone && self.failovers.get(z).is_none_or(|c| c.share() >= 1.0);
         if matches!(order, Some(Order::Leave(_))) && !known.iter().any(whole) {
             return Err(OrderError::LastFullZone);
         }
-        let fresh = self.fresh(zone);
-        self.courses.entry(zone.to_owned()).or_insert(fresh).ordered(now, order);
+        let fresh = self.new_failover(zone);
+        self.failovers.entry(zone.to_owned()).or_insert(fresh).set_order(now, order);
         Ok(())
     }
 
-    fn known(&self) -> Vec<String> {
+    fn known_zones(&self) -> Vec<String> {
         let mut known = self.board.zones();
-        known.extend(self.courses.keys().cloned());
+        known.extend(self.failovers.keys().cloned());
         known.sort();
         known.dedup();
         known
@@ -139,38 +151,40 @@
     fn loads(&self, now: Millis) -> BTreeMap<String, Load> {
         let load = |zone: String| {
             let seen = self.board.sum(now, &zone);
-            let well = self.test.sum(&zone) < Test::sure() / 2.0;
-            let share = self.courses.get(&zone).map_or(1.0, ZoneFailover::share);
-            (zone, Load { rate: seen.rate, servers: seen.servers, share, well })
+            let healthy = self.test.sum(&zone) < SequentialTest::threshold() / 2.0;
+            let share = self.failovers.get(&zone).map_or(1.0, ZoneFailover::share);
+            (zone, Load { rate: seen.rate, servers: seen.servers, share, healthy })
         };
         self.board.zones().into_iter().map(load).collect()
     }
 
-    fn sight(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> Sight {
-        let (tries, bad) = self.since.get(zone).copied().unwrap_or_default();
-        Sight {
-            fails: judge(&self.board, &self.test, now, zone) == Verdict::Fails,
-            tries,
+    fn observe(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> Observation {
+        let (attempts, bad) = self.since_step.get(zone).copied().unwrap_or_default();
+        Observation {
+            failing: assess(&self.board, &self.test, now, zone) == Verdict::Fails,
+            attempts,
             bad,
-            sound: self.sound.get(zone).copied().unwrap_or(0.0),
-            stays: self.bears.stays(zone, loads),
-            cold_most: self.cold_most(now, zone, loads),
-            others_well: loads.iter().all(|(z, l)| z == zone || l.share < 1.0 || l.well),
+            baseline: self.baseline.get(zone).copied().unwrap_or(0.0),
+            required_share: self.capacity.required_share(zone, loads),
+            cold_limit: self.cold_limit(now, zone, loads),
+            others_healthy: loads.iter().all(|(z, l)| z == zone || l.share < 1.0 || l.healthy),
         }
     }
 
     /// As much of a zone as its servers bear should they all be cold, until it has been used for as long as they need.
-    fn cold_most(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> f64 {
-        let course = self.courses.get(zone);
-        let used_for = course.and_then(ZoneFailover::back_since).map_or(0, |since| now.saturating_sub(since));
-        let usual = self.usual.get(zone).copied().unwrap_or(0.0);
-        if used_for >= self.cold.warm_after || usual <= 0.0 {
+    fn cold_limit(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> f64 {
+        let failover = self.failovers.get(zone);
+        let used_for =
+            failover.and_then(ZoneFailover::in_use_since).map_or(0, |since| now.saturating_sub(since));
+        let normal_rate = self.normal_rates.get(zone).copied().unwrap_or(0.0);
+        if used_for >= self.cold.warm_after || normal_rate <= 0.0 {
             return 1.0;
         }
         let servers = loads.get(zone).map_or(0, |l| l.servers);
-        match self.bears.each() {
-            Some(each) if servers > 0 => {
-                (SURELY * self.cold.share * each * f64::from(servers) / usual).min(1.0)
+        match self.capacity.per_server() {
+            Some(per_server) if servers > 0 => {
+                (CAPACITY_SAFETY_FACTOR * self.cold.share * per_server * f64::from(servers) / normal_rate)
+                    .min(1.0)
             }
             _ => 1.0,
         }
@@ -181,24 +195,28 @@
         self.decided.as_ref()?;
         let loads = self.loads(now);
         for (zone, load) in &loads {
-            self.sound.insert(zone.clone(), sound_rate(&self.board, now, zone));
-            self.bears.saw(now, zone, *load);
-            if load.share >= 1.0 && load.well {
-                self.usual.insert(zone.clone(), load.rate);
+            self.baseline.insert(zone.clone(), baseline_rate(&self.board, now, zone));
+            self.capacity.observe(now, zone, *load);
+            if load.share >= 1.0 && load.healthy {
+                self.normal_rates.insert(zone.clone(), load.rate);
             }
         }
-        for zone in self.known() {
-            let sight = self.sight(now, &zone, &loads);
-            let fresh = self.fresh(&zone);
-            let course = self.courses.entry(zone.clone()).or_insert(fresh);
-            if course.next(now, &sight) {
+        for zone in self.known_zones() {
+            let observation = self.observe(now, &zone, &loads);
+            let fresh = self.new_failover(&zone);
+            let failover = self.failovers.entry(zone.clone()).or_insert(fresh);
+            if failover.update(now, &observation) {
                 // From now on it is looked at as it is then.
-                self.since.remove(&zone);
-                self.test.forget(&zone);
+                self.since_step.remove(&zone);
+                self.test.reset(&zone);
             }
         }
-        let wanted: Vec<ReducedZone> =
-            self.courses.iter().filter(|(_, c)| c.share() < 1.0 || c.order().is_some()).map(left).collect();
+        let wanted: Vec<ReducedZone> = self
+            .failovers
+            .iter()
+            .filter(|(_, c)| c.share() < 1.0 || c.order().is_some())
+            .map(reduced_zone)
+            .collect();
         (self.decided.as_ref() != Some(&wanted)).then_some(wanted)
     }
 
@@ -207,30 +225,30 @@
         let loads = self.loads(now);
         let show = |zone: String| {
             let seen = self.board.sum(now, &zone);
-            let course = self.courses.get(&zone);
+            let failover = self.failovers.get(&zone);
             ZoneStatus {
-                verdict: judge(&self.board, &self.test, now, &zone),
+                verdict: assess(&self.board, &self.test, now, &zone),
                 evidence: self.test.sum(&zone),
-                sure: Test::sure(),
-                share: course.map_or(1.0, ZoneFailover::share),
-                phase: course.map_or(Phase::Used, ZoneFailover::phase),
-                order: course.and_then(ZoneFailover::order),
+                sure: SequentialTest::threshold(),
+                share: failover.map_or(1.0, ZoneFailover::share),
+                phase: failover.map_or(Phase::Used, ZoneFailover::phase),
+                order: failover.and_then(ZoneFailover::order),
                 rate: seen.rate,
-                failing: if seen.tries() > 0.0 { seen.bad / seen.tries() } else { 0.0 },
-                stays: self.bears.stays(&zone, &loads),
+                failing: if seen.attempts() > 0.0 { seen.bad / seen.attempts() } else { 0.0 },
+                stays: self.capacity.required_share(&zone, &loads),
                 limiters: self
                     .board
                     .views(now, &zone)
                     .iter()
-                    .map(|(n, _, v)| (*n, v.tries(), v.bad))
+                    .map(|(n, _, v)| (*n, v.attempts(), v.bad))
                     .collect(),
                 zone,
             }
         };
-        self.known().into_iter().map(show).collect()
+        self.known_zones().into_iter().map(show).collect()
     }
 }
 
-fn left((zone, course): (&String, &ZoneFailover)) -> ReducedZone {
-    ReducedZone { zone: zone.clone(), share: course.share(), by: course.by() }
+fn reduced_zone((zone, failover): (&String, &ZoneFailover)) -> ReducedZone {
+    ReducedZone { zone: zone.clone(), share: failover.share(), by: failover.by() }
 }
