--- a/crates/attempt-state/src/attempt.rs
+++ b/crates/attempt-state/src/attempt.rs
@@ -1,6 +1,6 @@
-//! The states of one request and its attempts, and what each of them allows.
+//! The states of one request and its attempts, and the actions that each state permits.
 //!
-//! | state | another server | a promise that it has not run |
+//! | state | another server | assertion that it has not run |
 //! | --- | --- | --- |
 //! | [`RequestState::NotSent`], [`RequestState::NotExecuted`] | yes | yes |
 //! | [`RequestState::Sending`]: its body is still being sent | no | no: it may be complete in a moment |
@@ -10,87 +10,87 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It runs at most once.
+    /// The request must run at most once.
     AtMostOnce,
-    /// It may be repeated, by whatever rules its sender has: nothing is guarded here.
+    /// The request may be repeated under the sender's own rules; no restriction is enforced here.
     #[default]
     Repeatable,
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// Nothing of it was sent to any server.
+    /// No part of the request was sent to any server.
     NotSent,
-    /// Its body is being sent to a server, and not complete there.
+    /// The body is being sent to a server and is not complete there.
     Sending,
-    /// A server has all of it, or had: nothing proves that it did not run.
+    /// A server has received the whole request, and nothing proves that it did not run.
     MayHaveRun,
-    /// A server has said what came of it.
+    /// A server has reported the result.
     Answered,
-    /// No server that it was sent to has run it or ever will.
+    /// No server that received the request has run it or will run it.
     NotExecuted,
-    /// Its client has an answer.
+    /// The client has received an answer.
     Ended,
 }
 
-/// How an attempt has ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It ran, and was answered with a success.
+    /// The request ran and the server answered with success.
     Succeeded,
-    /// It ran, and was answered with a failure.
+    /// The request ran and the server answered with a failure.
     Failed,
-    /// It certainly has not run and never will.
+    /// The request has certainly not run and never will.
     NotExecuted,
-    /// Given up from this side.
+    /// Cancelled by the proxy.
     Cancelled,
-    /// Anything else: it may have run.
+    /// Any other end: the request may have run.
     Lost,
 }
 
-/// What a client is answered.
+/// The kind of answer that the client receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
-    /// A server's own answer.
+    /// The answer of a server.
     Served,
-    /// A promise: it has not run and never will.
+    /// An assertion that the request has not run and never will.
     Rejected,
-    /// No promise.
+    /// A failure that leaves open whether the request ran.
     Failed,
 }
 
-/// A decision that was not carried out, because it would have broken the at-most-once rule.
+/// An action that was refused because it would have violated at-most-once execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvariantViolation {
-    /// A second server, for a request that may have run.
+    /// Sending a request that may have run to a second server.
     SecondServer,
-    /// A promise that it has not run, for a request that may have run.
+    /// Asserting that a request has not run although it may have run.
     FalsePromise,
 }
 
 impl InvariantViolation {
-    /// A sentence for logs.
+    /// A description for logs.
     pub fn text(self) -> &'static str {
         match self {
             InvariantViolation::SecondServer => {
-                "a second server was asked for a try that may have run; it was not sent"
+                "refused to send an attempt to a second server: the request may have run"
             }
             InvariantViolation::FalsePromise => {
-                "a promise was asked for a try that may have run; told as failed"
+                "refused to assert that a request has not run, since it may have run; answered as failed"
             }
         }
     }
 }
 
-/// Where one attempt stands.
+/// The state of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
-    /// Nothing of it was sent.
+    /// No part of the attempt was sent.
     Queued,
-    /// Its body is being sent.
+    /// The body is being sent.
     Sending,
-    /// All of it was sent.
+    /// The whole attempt was sent.
     Sent,
     Succeeded,
     Failed,
@@ -125,12 +125,12 @@
         RequestAttempts { idempotency, states: Vec::new(), is_answered: false }
     }
 
-    /// Whether it runs at most once.
+    /// Whether the request must run at most once.
     pub fn is_at_most_once(&self) -> bool {
         self.idempotency == Idempotency::AtMostOnce
     }
 
-    /// Where the request stands.
+    /// The state of the request, derived from its attempts.
     pub fn state(&self) -> RequestState {
         let any = |state| self.states.contains(&state);
         if self.is_answered {
@@ -148,17 +148,17 @@
         }
     }
 
-    /// Whether nothing proves that it has not run.
+    /// Whether the request may have run: it was sent completely, answered or lost at least once.
     pub fn may_have_run(&self) -> bool {
         self.states.iter().any(|state| state.may_have_run())
     }
 
-    /// Whether an attempt is in flight that may yet run it.
+    /// Whether an attempt is in flight that may still run the request.
     pub fn is_in_flight(&self) -> bool {
         self.states.iter().any(|state| state.is_live())
     }
 
-    /// Whether a server has all of it and has not answered.
+    /// Whether a server has received the whole request and has not answered.
     pub fn is_executing(&self) -> bool {
         self.states.contains(&AttemptState::Sent)
     }
@@ -168,16 +168,16 @@
         self.states.get(attempt) == Some(&AttemptState::Sent)
     }
 
-    /// Begins the next attempt and returns its number; nothing of it is sent before [`RequestAttempts::send`] allows it.
+    /// Begins the next attempt and returns its number. It must not be sent before [`RequestAttempts::send`] permits it.
     pub fn begin(&mut self) -> usize {
         self.states.push(AttemptState::Queued);
         self.states.len() - 1
     }
 
-    /// Asks to send an attempt that was begun; `complete`: with all of its body.
+    /// Requests permission to send an attempt; `complete` if its whole body is sent at once.
     ///
     /// # Errors
-    /// When the request might run a second time by that.
+    /// When the request could run a second time.
     pub fn send(&mut self, attempt: usize, complete: bool) -> Result<(), InvariantViolation> {
         let blocks = |state: &AttemptState| state.may_have_run() || state.is_live();
         if self.is_at_most_once() && self.states.iter().any(blocks) {
@@ -189,14 +189,14 @@
         Ok(())
     }
 
-    /// The last byte of an attempt's body is sent.
+    /// Records that the last byte of an attempt's body was sent.
     pub fn mark_fully_sent(&mut self, attempt: usize) {
         if let Some(state) = self.states.get_mut(attempt).filter(|state| **state == AttemptState::Sending) {
             *state = AttemptState::Sent;
         }
     }
 
-    /// An attempt has ended. Only its first end counts.
+    /// Records the end of an attempt. Only the first end counts.
     pub fn end(&mut self, attempt: usize, end: AttemptEnd) {
         use AttemptState::{Failed, Lost, NotExecuted, Queued, Sending, Sent, Succeeded};
         let Some(state) = self.states.get_mut(attempt) else { return };
@@ -210,8 +210,8 @@
         };
     }
 
-    /// Asks to answer the client; returns what it may be answered, and the violation if that differs. To be called once:
-    /// with the answer the request has ended.
+    /// Ends the request with an answer to the client, and is to be called once. Returns the permitted answer, and the
+    /// violation if it differs from `answer`.
     pub fn answer_client(&mut self, answer: ClientAnswer) -> (ClientAnswer, Option<InvariantViolation>) {
         self.is_answered = true;
         let in_doubt = self.may_have_run() || self.is_in_flight();
--- a/crates/attempt-state/src/attempt/tests.rs
+++ b/crates/attempt-state/src/attempt/tests.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-fn sent(whole: bool) -> RequestAttempts {
+fn sent(complete: bool) -> RequestAttempts {
     let mut attempts = RequestAttempts::new(Idempotency::AtMostOnce);
-    assert_eq!((attempts.begin(), attempts.send(0, whole)), (0, Ok(())));
+    assert_eq!((attempts.begin(), attempts.send(0, complete)), (0, Ok(())));
     attempts
 }
 
-/// What each end of a first attempt allows: the state, a second server, and a promise.
+/// For each end of the first attempt: checks the state, whether a second server is permitted, and the permitted answer.
 #[test]
-fn only_what_certainly_has_not_run_goes_on_or_is_promised() {
+fn only_requests_that_certainly_have_not_run_may_be_retried_or_rejected() {
     use AttemptEnd::*;
-    for (whole, how, state, free) in [
+    for (complete, end, state, may_retry) in [
         (true, Succeeded, RequestState::Answered, false),
         (true, Failed, RequestState::Answered, false),
         (true, Lost, RequestState::MayHaveRun, false),
@@ -21,30 +21,30 @@
         (false, Cancelled, RequestState::NotExecuted, true),
         (false, Lost, RequestState::MayHaveRun, false),
     ] {
-        let mut attempts = sent(whole);
-        assert_eq!(attempts.state(), if whole { RequestState::MayHaveRun } else { RequestState::Sending });
+        let mut attempts = sent(complete);
+        assert_eq!(attempts.state(), if complete { RequestState::MayHaveRun } else { RequestState::Sending });
         assert_eq!(
             attempts.clone().answer_client(ClientAnswer::Rejected).0,
             ClientAnswer::Failed,
-            "while it is out there is no promise"
+            "no rejection while the attempt is in flight"
         );
-        attempts.end(0, how);
+        attempts.end(0, end);
         attempts.end(0, NotExecuted);
-        assert_eq!(attempts.state(), state, "{how:?}: the first end counts");
+        assert_eq!(attempts.state(), state, "{end:?}: the first end counts");
         let second = attempts.begin();
-        assert_eq!(attempts.clone().send(second, true).is_ok(), free, "{how:?}");
+        assert_eq!(attempts.clone().send(second, true).is_ok(), may_retry, "{end:?}");
         let answered = attempts.answer_client(ClientAnswer::Rejected);
-        let want = if free {
+        let expected = if may_retry {
             (ClientAnswer::Rejected, None)
         } else {
             (ClientAnswer::Failed, Some(InvariantViolation::FalsePromise))
         };
-        assert_eq!((answered, attempts.state()), (want, RequestState::Ended), "{how:?}");
+        assert_eq!((answered, attempts.state()), (expected, RequestState::Ended), "{end:?}");
     }
 }
 
 #[test]
-fn a_body_that_has_gone_out_whole_may_have_run_and_one_that_is_kept_has_not() {
+fn a_fully_sent_body_may_have_run_and_an_unsent_attempt_has_not() {
     let mut attempts = sent(false);
     attempts.mark_fully_sent(0);
     attempts.end(0, AttemptEnd::Cancelled);
@@ -55,12 +55,12 @@
     assert_eq!(
         attempts.states,
         [AttemptState::Lost, AttemptState::NotExecuted],
-        "what was not sent did not run, however it ends"
+        "an unsent attempt did not run, however it ends"
     );
 }
 
 #[test]
-fn what_is_repeatable_is_left_to_its_sender() {
+fn repeatable_requests_are_not_restricted() {
     let mut attempts = RequestAttempts::new(Idempotency::Repeatable);
     for attempt in 0..3 {
         assert_eq!((attempts.begin(), attempts.send(attempt, true)), (attempt, Ok(())));
--- a/crates/attempt-state/src/lib.rs
+++ b/crates/attempt-state/src/lib.rs
@@ -1,8 +1,8 @@
-//! Exactly-once bookkeeping of a request: what may still be done with it, and what became of it.
+//! State of requests that may run at most once, and their outcomes.
 //!
-//! Pure: no clock, no I/O, no other crate of the system. [`attempt`] is the one place that allows a second server or a promise
-//! that a request has not run; [`outcome_log`] keeps the outcomes of requests that may run at most once, and merges what
-//! several proxies know.
+//! No clock, no I/O and no dependency on other crates of the workspace. [`attempt`] is the only place that permits a second
+//! server, or the assertion to the client that a request has not run. [`outcome_log`] stores the outcomes of at-most-once
+//! requests and merges the outcomes known to several proxies.
 
 pub mod attempt;
 pub mod outcome_log;
--- a/crates/attempt-state/src/outcome_log.rs
+++ b/crates/attempt-state/src/outcome_log.rs
@@ -1,31 +1,31 @@
-//! Outcomes of requests that may run at most once: kept for a while by the proxy that handled them, and merged when somebody
-//! asks.
+//! Outcomes of requests that may run at most once: stored for a limited time by the proxy that handled the request, and
+//! merged across proxies for a query.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// A point in time or a duration on the caller's own clock, ms.
+/// A point in time or a duration in ms, on the caller's clock.
 pub type Millis = f64;
 
-/// What became of a request, by rising weight: where several proxies know of it, the heaviest counts.
+/// The outcome of a request, in ascending precedence: if several proxies report a request, the highest counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ExecutionOutcome {
-    /// It has not run and never will.
+    /// The request has not run and never will.
     NotExecuted,
-    /// Nobody can tell any more whether it ran.
+    /// It can no longer be determined whether the request ran.
     Unknown,
-    /// A server has it.
+    /// A server has received the request and has not answered.
     Running,
-    /// It ran, and was answered with a failure.
+    /// The request ran and the server answered with a failure.
     Failed,
-    /// It ran, and a success was received completely.
+    /// The request ran and a successful answer was received completely.
     Succeeded,
 }
 
-/// How an outcome appears outside.
+/// External representation of an outcome.
 struct Description {
     outcome: ExecutionOutcome,
-    /// Its number in messages between processes.
+    /// Number in messages between processes.
     number: u32,
     text: &'static str,
 }
@@ -34,7 +34,7 @@
     Description { outcome, number, text }
 }
 
-/// All outcomes. Numbers are part of the protocol between processes, texts of `oatbankctl`'s output.
+/// All outcomes. The numbers are part of the protocol between processes, the texts part of the output of `oatbankctl`.
 const OUTCOMES: [Description; 5] = [
     describe(ExecutionOutcome::NotExecuted, 1, "did not run"),
     describe(ExecutionOutcome::Unknown, 2, "unknown"),
@@ -48,28 +48,28 @@
         OUTCOMES.iter().find(|description| description.outcome == self)
     }
 
-    /// Its text.
+    /// The text in the output of `oatbankctl`.
     pub fn text(self) -> &'static str {
         self.description().map_or("unknown", |description| description.text)
     }
 
-    /// Its number in messages between processes.
+    /// The number in messages between processes.
     pub fn number(self) -> u32 {
         self.description().map_or(0, |description| description.number)
     }
 
-    /// The outcome of a number; `None` for one that this version does not know.
+    /// The outcome with this number; `None` if this version does not know it.
     pub fn from_number(number: u32) -> Option<ExecutionOutcome> {
         OUTCOMES.iter().find(|description| description.number == number).map(|found| found.outcome)
     }
 
-    /// Whether it ran for certain.
+    /// Whether the request certainly ran.
     pub fn ran(self) -> bool {
         self >= ExecutionOutcome::Failed
     }
 
-    /// Whether a later outcome of the same proxy replaces this one. That it ran is never taken back; neither is that nobody
-    /// can tell, unless by an answer that came late.
+    /// Whether a later outcome of the same proxy replaces this one. An outcome that proves execution is final; `Unknown` is
+    /// replaced only by a late answer that proves execution.
     fn is_superseded_by(self, later: ExecutionOutcome) -> bool {
         match self {
             ExecutionOutcome::Succeeded | ExecutionOutcome::Failed => false,
@@ -80,32 +80,32 @@
     }
 }
 
-/// What one proxy knows of a request.
+/// The outcome of a request as known to one proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownOutcome {
-    /// What became of it.
+    /// The outcome.
     pub outcome: ExecutionOutcome,
-    /// Why, in few words.
+    /// A short reason.
     pub why: &'static str,
-    /// The server's id; empty if it was sent to none.
+    /// Id of the server; empty if the request was sent to none.
     pub server: Arc<str>,
-    /// Since when this is known.
+    /// Time of the last update.
     pub at: Millis,
 }
 
-/// How much is kept.
+/// Limits of an [`OutcomeLog`].
 #[derive(Clone, Copy, Debug)]
 pub struct OutcomeLogLimits {
-    /// Requests.
+    /// Maximum number of requests.
     pub max_entries: usize,
-    /// For how long, ms, from a request's last outcome.
+    /// Retention in ms from a request's last update.
     pub retention: Millis,
-    /// A request or server with a longer name, in bytes, is not kept.
+    /// Maximum length in bytes of a request id or server id; longer ones are not stored.
     pub max_name_bytes: usize,
 }
 
 impl Default for OutcomeLogLimits {
-    /// 4,096 requests of a minute; with names of 128 bytes at most that is 1.6 MB if all are the longest.
+    /// 4,096 requests, kept for one minute; at most 1.6 MB if all names have the maximum of 128 bytes.
     fn default() -> Self {
         OutcomeLogLimits { max_entries: 4096, retention: 60_000.0, max_name_bytes: 128 }
     }
@@ -113,49 +113,49 @@
 
 struct Entry {
     known: KnownOutcome,
-    /// The number of its last update: ages with an older number are skipped.
+    /// Number of the last update; entries in the age queue with a lower number are outdated.
     update: u64,
 }
 
-/// When a request was updated.
+/// An update in the age queue.
 struct Age {
     at: Millis,
     update: u64,
     id: Arc<str>,
 }
 
-/// Outcomes of requests, by id.
+/// A bounded log of request outcomes by request id.
 pub struct OutcomeLog {
     limits: OutcomeLogLimits,
     entries: HashMap<Arc<str>, Entry>,
-    /// Updates, the oldest first. Invariant: holds the last update of each entry.
+    /// Updates, oldest first. Invariant: contains the last update of each entry.
     ages: VecDeque<Age>,
     updates: u64,
     dropped: u64,
 }
 
 impl OutcomeLog {
-    /// Nothing is known yet.
+    /// Creates an empty log.
     pub fn new(limits: OutcomeLogLimits) -> Self {
         OutcomeLog { limits, entries: HashMap::new(), ages: VecDeque::new(), updates: 0, dropped: 0 }
     }
 
-    /// How many requests are kept.
+    /// Number of requests in the log.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is.
+    /// Whether the log is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Outcomes that were not kept, or not for their whole time, for want of room.
+    /// Number of outcomes that were not stored, or evicted early, because of the limits.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Records what became of a request.
+    /// Records the outcome of a request, unless the known outcome takes precedence or a limit is exceeded.
     pub fn record(
         &mut self,
         now: Millis,
@@ -172,7 +172,7 @@
         let name: Arc<str> = match self.entries.get_key_value(id) {
             Some((_, entry)) if !entry.known.outcome.is_superseded_by(outcome) => return,
             Some((name, _)) => name.clone(),
-            // A flood of rejected requests must not push out what may have run.
+            // A flood of rejected requests must not evict requests that may have run.
             None if outcome == ExecutionOutcome::NotExecuted
                 && 2 * self.entries.len() >= self.limits.max_entries =>
             {
@@ -190,13 +190,13 @@
                 self.dropped += 1;
             }
         }
-        // Each request has a few updates at most; their list is bounded all the same.
+        // A request has only a few updates; the queue is bounded nevertheless.
         while self.ages.len() > 4 * self.limits.max_entries {
             self.drop_oldest();
         }
     }
 
-    /// What is known of a request.
+    /// The known outcome of a request; `None` if it is unknown or has expired.
     pub fn get(&mut self, now: Millis, id: &str) -> Option<&KnownOutcome> {
         self.expire(now);
         self.entries.get(id).map(|entry| &entry.known)
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Drops the oldest update; whether a request was dropped with it.
+    /// Drops the oldest update; returns whether its request was dropped as well.
     fn drop_oldest(&mut self) -> bool {
         let Some(Age { update, id, .. }) = self.ages.pop_front() else { return false };
         let is_last = self.entries.get(&id).is_some_and(|entry| entry.update == update);
@@ -219,33 +219,33 @@
     }
 }
 
-/// What a proxy reports of a request.
+/// One proxy's report on a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutcomeReport {
-    /// The proxy.
+    /// Name of the proxy.
     pub proxy: String,
-    /// What became of the request there.
+    /// The outcome known to this proxy.
     pub outcome: ExecutionOutcome,
-    /// Why.
+    /// A short reason.
     pub why: String,
-    /// The server's id.
+    /// Id of the server; empty if the request was sent to none.
     pub server: String,
-    /// For how long that has been known, ms.
+    /// Time since the last update, in ms.
     pub age: Millis,
 }
 
-/// What all proxies that were asked report together.
+/// The merged reports of all proxies that were queried.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MergedOutcome {
-    /// The heaviest outcome; `None` if nobody knows the request.
+    /// The outcome of highest precedence; `None` if no proxy knows the request.
     pub outcome: Option<ExecutionOutcome>,
-    /// It ran at more than one proxy: what must never be.
+    /// Whether the request ran through more than one proxy, which violates at-most-once execution.
     pub ran_twice: bool,
-    /// One report for each proxy, the heaviest first.
+    /// One report per proxy, highest precedence first.
     pub reports: Vec<OutcomeReport>,
 }
 
-/// Merges what proxies report: the result does not depend on the order of the reports, nor on how often each comes.
+/// Merges the reports of proxies. The result does not depend on their order, nor on repetitions.
 pub fn merge(reports: impl IntoIterator<Item = OutcomeReport>) -> MergedOutcome {
     let mut by_proxy: Vec<OutcomeReport> = Vec::new();
     for report in reports {
@@ -261,7 +261,7 @@
     MergedOutcome { outcome, ran_twice, reports: by_proxy }
 }
 
-/// Orders the reports of one proxy: the heavier, and of equal ones the younger.
+/// Precedence of a report: by outcome, then the most recent.
 fn rank(report: &OutcomeReport) -> (ExecutionOutcome, std::cmp::Reverse<u64>, &str, &str) {
     let age = std::cmp::Reverse(report.age.max(0.0) as u64);
     (report.outcome, age, &report.server, &report.why)
--- a/crates/attempt-state/src/outcome_log/tests.rs
+++ b/crates/attempt-state/src/outcome_log/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_late_answer_settles_what_was_unknown_and_nothing_takes_it_back() {
+fn a_late_answer_replaces_an_unknown_outcome_and_is_final() {
     let mut log = OutcomeLog::new(OutcomeLogLimits::default());
     let mut outcome_after = |outcome| {
         log.record(1.0, "a", outcome, "", &server());
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded_in_time_and_number_and_refusals_push_nothing_out() {
+fn entries_are_bounded_in_time_and_number_and_rejections_evict_nothing() {
     let limits = OutcomeLogLimits { max_entries: 100, retention: 1000.0, max_name_bytes: 8 };
     let mut log = OutcomeLog::new(limits);
     log.record(0.0, "first", ExecutionOutcome::Running, "", &server());
     log.record(900.0, "first", ExecutionOutcome::Succeeded, "", &server());
-    assert!(log.get(1500.0, "first").is_some(), "its time runs from its last word");
+    assert!(log.get(1500.0, "first").is_some(), "retention starts at the last update");
     assert!(log.get(1901.0, "first").is_none());
     (0..90).for_each(|n| log.record(2000.0, &format!("r{n}"), ExecutionOutcome::Running, "", &server()));
     (0..5000)
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn words_of_proxies_merge_alike_in_any_order_and_two_that_ran_it_are_an_alarm() {
+fn merging_is_independent_of_order_and_reports_a_request_that_ran_twice() {
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut reports: Vec<OutcomeReport> = (0..6)
@@ -70,7 +70,7 @@
             })
             .collect();
         let merged = merge(reports.clone());
-        // By another way: the heaviest of all, and how many proxies have one that ran.
+        // Independent calculation: the highest outcome, and the number of proxies with an outcome that proves execution.
         let heaviest = reports.iter().map(|s| s.outcome.number()).max();
         let proxies: std::collections::BTreeSet<&str> =
             reports.iter().filter(|s| s.outcome.number() >= 4).map(|s| s.proxy.as_str()).collect();
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -1,5 +1,7 @@
-//! The verdict, from all that proxies have told. Each proxy judges for itself by the same rules; their rows
-//! merge, so they come to the same within the way between them.
+//! Derives the health state of servers from the evidence of all proxies.
+//!
+//! Each proxy evaluates the same rules on replicated evidence, so all proxies reach the same result within the replication
+//! delay.
 
 use crate::observer::MAX_SUCCESSES;
 use crate::{
@@ -8,47 +10,48 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One observer's word counts so much at most: alone it makes a server suspect and never ejected.
+/// Maximum weight of one observer's evidence against a server: alone it makes a server suspect but never ejected.
 const MAX_AGAINST: f64 = 8.0;
-/// And so much in a server's favour.
+/// Maximum weight of one observer's evidence in favour of a server.
 const MAX_FOR: f64 = 6.0;
-/// Who complains of more servers than this at once is believed the less for each.
+/// An observer that reports more servers than this at once is weighted down in proportion.
 const CREDIBLE_COMPLAINTS: f64 = 4.0;
-/// Who has no session is believed so much.
+/// Weight of an observer without a session.
 const NO_SESSION_CREDIBILITY: f64 = 0.1;
-/// What was said before a good answer to one that tries it counts so much of itself, for each of these.
+/// Factor by which evidence is discounted for each good answer that a probe has received since.
 const SUCCESS_DISCOUNT: f64 = 0.6;
-/// A doubtful server is tried after this, ms, a shunned one after that, doubled each time up to eight times
-/// it.
+/// Time in ms after which a suspect server is probed.
 const PROBE_SUSPECT_AFTER: Millis = 300.0;
+/// Time in ms after which an ejected server is probed for the first time; doubles with each repeated ejection.
 const PROBE_EJECTED_AFTER: Millis = 1500.0;
+/// Maximum number of doublings of [`PROBE_EJECTED_AFTER`].
 const MAX_DOUBLINGS: u32 = 3;
-/// A returning server is well after this, ms.
+/// Time in ms after which a returning server counts as healthy.
 const RETURN_PERIOD: Millis = 2000.0;
-/// A server that was not shunned for this long, ms, waits as at first.
+/// Time in ms without an ejection after which earlier ejections no longer lengthen the probe interval.
 const FORGET_EJECTIONS_AFTER: Millis = 60_000.0;
-/// At most one in so many of a service's servers is left, and one of three.
+/// At most one in this many of a service's servers is ejected, but always one of three or more.
 const EJECT_ONE_IN: usize = 8;
 
-/// So much it counts that one observer does not reach a server.
+/// Evidence that one observer contributes by not reaching a server.
 const UNREACHED_WEIGHT: f64 = 4.0;
 
-/// How a server stands.
+/// The health state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthState {
-    /// Well.
+    /// Used normally.
     #[default]
     Healthy,
-    /// It was unhealthy, and is used again a little.
+    /// Was unhealthy and receives a little traffic again.
     Returning,
-    /// Reads leave it.
+    /// Receives no reads.
     Suspect,
-    /// All leave it.
+    /// Receives no traffic except probes.
     Ejected,
 }
 
 impl HealthState {
-    /// Its name in logs and in the tables of `oatbankctl`.
+    /// The name in logs and in the output of `oatbankctl`.
     pub fn text(self) -> &'static str {
         match self {
             HealthState::Healthy => "well",
@@ -63,11 +66,12 @@
 struct ServerCase {
     state: HealthState,
     since: Millis,
-    /// How often it was shunned of late, and when last.
+    /// Number of recent ejections.
     ejections: u32,
+    /// Time of the last ejection, ms.
     ejected_at: Millis,
     score: f64,
-    /// The bound lets it be left.
+    /// Whether the limit on ejected servers permits avoiding this one.
     may_eject: bool,
 }
 
@@ -94,21 +98,21 @@
 /// A change of state, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StateChange {
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// Its state now.
+    /// The new state.
     pub state: HealthState,
-    /// What speaks against it.
+    /// Evidence against the server at the change.
     pub score: f64,
 }
 
-/// The states of servers that are not simply healthy.
+/// Health states of all servers that are, or recently were, unhealthy.
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
     cases: BTreeMap<String, ServerCase>,
 }
 
-/// What speaks against each server that notices name.
+/// The summed evidence against each server in `notices`.
 fn scores(now: Millis, evidence: &[Evidence], session: &dyn Fn(&str) -> bool) -> BTreeMap<String, f64> {
     let fresh = || evidence.iter().filter(|n| now - n.at < EVIDENCE_LIFETIME);
     let strength = |n: &Evidence| {
@@ -146,8 +150,8 @@
                 unreached += credibility * UNREACHED_WEIGHT;
             }
         }
-        // One that cannot reach a server may be cut off itself: two have to say so, and what others praise
-        // speaks against it.
+        // An observer that cannot reach a server may itself be disconnected: two must report it, and good results of others
+        // count against it.
         let unreached =
             if disconnected.len() > 1 { unreached + failing.strongest_in_favour().min(0.0) } else { 0.0 };
         failing.strongest_against().max(slow.strongest_against()).max(unreached)
@@ -156,8 +160,8 @@
 }
 
 impl Detector {
-    /// Judges anew. `services`: the ids of each one's servers that may be sent something. `session`: whether
-    /// an observer's session stands. What has changed.
+    /// Re-evaluates all servers and returns the changes of state. `services` holds the ids of each service's usable servers;
+    /// `session` tells whether an observer has a session.
     pub fn evaluate(
         &mut self,
         now: Millis,
@@ -195,8 +199,8 @@
         self.cases.retain(|_, case| {
             case.state != HealthState::Healthy || now - case.ejected_at < FORGET_EJECTIONS_AFTER
         });
-        // No more are left than the rest bears, the worst first. Where most are unhealthy, leaving some helps
-        // nobody.
+        // Limits the servers that are avoided to what the rest can replace, the worst first. If more than half are
+        // unhealthy, avoiding some does not help.
         self.cases.values_mut().for_each(|case| case.may_eject = false);
         for ids in services.values() {
             let unhealthy =
@@ -217,26 +221,26 @@
         changes
     }
 
-    /// How a server is to be used. Where the bound does not let it be left, as one that is well.
+    /// The effective state of a server: healthy if the limit on ejected servers does not permit avoiding it.
     pub fn state(&self, id: &str) -> HealthState {
         let case = self.cases.get(id);
         let case = case.filter(|c| c.may_eject || c.state == HealthState::Returning);
         case.map_or(HealthState::Healthy, |c| c.state)
     }
 
-    /// Whether it is time that somebody tries this server.
+    /// Whether a probe of this server is due.
     pub fn is_due(&self, now: Millis, id: &str) -> bool {
         let unhealthy = self.cases.get(id).filter(|c| c.may_eject && c.state >= HealthState::Suspect);
         unhealthy.is_some_and(|c| now - c.since >= c.probe_interval())
     }
 
-    /// Those that are not well, and since when.
+    /// The ids of servers that are not healthy, each with the time of its last state change.
     pub fn unhealthy(&self) -> BTreeMap<String, Millis> {
         let unhealthy = self.cases.iter().filter(|(_, c)| c.state != HealthState::Healthy);
         unhealthy.map(|(id, c)| (id.clone(), c.since)).collect()
     }
 
-    /// Nothing is known against anybody.
+    /// Whether no server is, or recently was, unhealthy.
     pub fn has_no_cases(&self) -> bool {
         self.cases.is_empty()
     }
--- a/crates/outlier-detection/src/detector/tests.rs
+++ b/crates/outlier-detection/src/detector/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn two_make_shunned_what_one_alone_makes_doubtful_and_one_who_sees_it_well_holds_that_up() {
+fn two_observers_eject_a_server_one_makes_it_suspect_and_a_dissenter_prevents_both() {
     let evaluate = |evidence: &[Evidence]| {
         let mut detector = Detector::default();
         detector.evaluate(100.0, evidence, &services(6), &|_| true);
@@ -28,12 +28,12 @@
     assert_eq!(
         evaluate(&[a, evidence_of("b", "i-1", -2.0, 100.0)]),
         HealthState::Healthy,
-        "ill for some callers only"
+        "unhealthy for some callers only"
     );
 }
 
 #[test]
-fn who_complains_of_the_world_or_has_no_session_condemns_nobody() {
+fn an_observer_without_session_or_with_many_complaints_has_little_weight() {
     let everybody: Vec<Evidence> = (0..12).map(|n| evidence_of("a", &format!("i-{n}"), 20.0, 0.0)).collect();
     let mut detector = Detector::default();
     detector.evaluate(10.0, &everybody, &services(30), &|_| true);
@@ -41,11 +41,11 @@
     detector.evaluate(10.0, &everybody[..1], &services(30), &|_| false);
     assert!(detector.has_no_cases());
     detector.evaluate(10.0, &everybody[..1], &services(30), &|_| true);
-    assert!(!detector.has_no_cases(), "the same of one server by who has a session");
+    assert!(!detector.has_no_cases(), "the same evidence from an observer with a session");
 }
 
 #[test]
-fn no_more_are_left_than_an_eighth_and_none_where_most_are_ill() {
+fn at_most_an_eighth_is_avoided_and_none_if_most_are_unhealthy() {
     for (unhealthy, of, expected) in
         [(1, 9, 1), (3, 9, 1), (4, 9, 1), (5, 9, 0), (9, 9, 0), (1, 2, 0), (1, 3, 1)]
     {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn who_cannot_reach_a_server_needs_a_second_that_cannot() {
+fn an_unreachable_server_is_suspect_only_if_two_observers_report_it() {
     let unreached = |who: &str| Evidence { unreached: 2.0, ..evidence_of(who, "i-1", 0.0, 0.0) };
     let evaluate = |evidence: &[Evidence]| {
         let mut detector = Detector::default();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn good_answers_bring_it_back_and_a_relapse_lengthens_the_wait() {
+fn good_answers_return_a_server_and_a_relapse_lengthens_the_probe_interval() {
     let (mut detector, all) = (Detector::default(), services(6));
     let mut now = 0.0;
     let mut waits = Vec::new();
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,68 +1,70 @@
-//! Which servers are unhealthy, by what all proxies have observed together. Pure: events go in with their time.
+//! Outlier detection: finds unhealthy servers from the observations of all proxies. No I/O and no clock; each call passes
+//! the time.
 //!
-//! An [`observer::Observer`] holds one proxy's own evidence: how attempts at a server ended, as the logarithm of how much
-//! likelier that end is of an unhealthy server than of a healthy one. Such numbers of several proxies add up, so an
-//! [`Evidence`] carries nothing else, and a [`detector::Detector`] adds those that it knows. All proxies run the same
-//! detector, over rows that merge.
+//! An [`observer::Observer`] accumulates one proxy's evidence on each server as a log-likelihood ratio: how much more likely
+//! the observed attempts are for an unhealthy server than for a healthy one. Log-likelihood ratios of several proxies add
+//! up, so proxies exchange them as [`Evidence`], and a [`detector::Detector`] sums them. All proxies run the same detector
+//! on replicated evidence.
 
 pub mod detector;
 pub mod observer;
 
-/// A point in time or a span on the caller's monotonic clock, ms.
+/// A point in time or a duration in ms, on the caller's monotonic clock.
 pub type Millis = f64;
 
-/// Evidence fades by these, ms. The quick one sees a server that was healthy until now, the long one a server
-/// that is met rarely.
+/// Time constants in ms by which evidence decays. The short one detects a server that was healthy until now, the long one a
+/// server with few attempts.
 pub const DECAY: [Millis; 2] = [2000.0, 8000.0];
-/// What is told at all: two failures next to each other. One is an accident, and to tell each costs more bytes between
-/// regions than it earns.
+/// Evidence from which a server is reported: two consecutive failures. Reporting single failures, which occur by chance,
+/// would cost more traffic between regions than it gains.
 pub const REPORT_THRESHOLD: f64 = 4.0;
-/// From here on a server is suspect: three failures next to each other. A server that is healthy gets here by
-/// less than one attempt in e^7, 1,100, by Wald's bound.
+/// Evidence from which a server is suspect: three consecutive failures. By Wald's bound, fewer than one in e^7 = 1,100
+/// attempts at a healthy server lead here.
 pub const SUSPECT_THRESHOLD: f64 = 7.0;
-/// From here on it is ejected: less than one in 160,000.
+/// Evidence from which a server is ejected. By Wald's bound, fewer than one in e^12 = 160,000 attempts at a healthy server
+/// lead here.
 pub const EJECT_THRESHOLD: f64 = 12.0;
-/// One that returns and gets here is ejected again.
+/// Evidence from which a returning server is ejected again.
 pub const RELAPSE_THRESHOLD: f64 = 5.0;
-/// Below this there is nothing against it.
+/// Evidence below which a server counts as healthy again.
 pub const CLEAR_THRESHOLD: f64 = 3.0;
-/// An observation older than this, ms, says nothing: its evidence is a hundredth.
+/// Age in ms from which evidence is ignored; by then it has decayed to less than a hundredth.
 pub const EVIDENCE_LIFETIME: Millis = 40_000.0;
-/// So many servers one proxy tells of at most, the worst first.
+/// Maximum number of servers that one proxy reports, the worst first.
 pub const MAX_REPORTED: usize = 16;
 
-/// How an attempt ended, as far as it says something of its server.
+/// The result of an attempt as evidence on its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// Served.
+    /// Served successfully.
     Success,
-    /// Answered with an error, not at all in time, or with something broken.
+    /// Answered with an error or an invalid response, or timed out.
     Failure,
-    /// No connection: the server, or the way there.
+    /// No connection: the server or the network path failed.
     NotConnected,
-    /// Called off: says something only if it took too long.
+    /// Cancelled; counts as evidence only if it was slow.
     Cancelled,
-    /// Turned away as full, or never sent: busy is not ill.
+    /// Rejected because the server was full, or never sent; an overloaded server is not unhealthy.
     Ignored,
 }
 
-/// Evidence that adds up: natural logarithms of likelihood ratios, by [`DECAY`].
+/// Additive evidence: natural logarithms of likelihood ratios, one for each time constant in [`DECAY`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Weight(pub [f64; 2]);
 
 impl Weight {
-    /// As it is after so long.
+    /// The evidence after decaying for `span` ms.
     pub fn decayed(self, span: Millis) -> Weight {
         let keep = |at: usize| self.0[at] * (-span.max(0.0) / DECAY[at]).exp();
         Weight([keep(0), keep(1)])
     }
 
-    /// What speaks most for illness.
+    /// The larger of the two values: the strongest evidence that the server is unhealthy.
     pub fn strongest_against(self) -> f64 {
         self.0[0].max(self.0[1])
     }
 
-    /// What speaks most against it.
+    /// The smaller of the two values: the strongest evidence that the server is healthy.
     pub fn strongest_in_favour(self) -> f64 {
         self.0[0].min(self.0[1])
     }
@@ -76,21 +78,21 @@
     }
 }
 
-/// What one proxy says of one server.
+/// One proxy's evidence on one server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evidence {
-    /// The server's id: a life of its own.
+    /// Id of the server; changes with each start of its process.
     pub server: String,
-    /// Who says so.
+    /// Name of the proxy that reports.
     pub observer: String,
-    /// Failing, as of `at`.
+    /// Evidence of failures, as of `at`.
     pub failing: Weight,
-    /// Slow, as of `at`.
+    /// Evidence of slowness, as of `at`.
     pub slow: Weight,
-    /// Attempts that found no connection, fading by the long span.
+    /// Attempts without a connection, decayed by the long time constant.
     pub unreached: f64,
-    /// Good answers in a row since the server stopped being well, by this proxy.
+    /// Consecutive good answers to this proxy since the server became unhealthy.
     pub goods: u32,
-    /// When, on the reader's clock.
+    /// Time of the report on the reader's clock.
     pub at: Millis,
 }
--- a/crates/outlier-detection/src/observer.rs
+++ b/crates/outlier-detection/src/observer.rs
@@ -1,4 +1,4 @@
-//! What one proxy sees of servers, and what of it the others should know.
+//! Collects one proxy's evidence on servers and selects the evidence to report to the other proxies.
 
 use crate::{
     EndKind, Evidence, Millis, Weight, CLEAR_THRESHOLD, DECAY, MAX_REPORTED, REPORT_THRESHOLD,
@@ -6,47 +6,55 @@
 };
 use std::collections::BTreeMap;
 
-/// Of a well server at most this share of attempts fails, of one that has to be left at least that share, and
-/// so many times the share that fails at the other servers of the service: what fails everywhere is load, or
-/// the way there.
+/// Maximum failure rate of a healthy server.
 const HEALTHY_FAILURE_RATE: f64 = 0.02;
+/// Minimum failure rate of an unhealthy server.
 const UNHEALTHY_FAILURE_RATE: f64 = 0.4;
+/// Minimum ratio of an unhealthy server's failure rate to that of the other servers of its service: failures of all
+/// servers are caused by load or by the network path.
 const UNHEALTHY_FAILURE_FACTOR: f64 = 2.5;
-/// The others' share counts up to this, from attempts of the last so many ms, and as if so many more had been
-/// served.
+/// Upper limit of the failure rate of the other servers.
 const MAX_OTHERS_RATE: f64 = 0.34;
+/// Time constant in ms by which the attempts of the other servers decay.
 const OTHERS_DECAY: Millis = 5000.0;
+/// Served attempts that are added to those of the other servers as a prior.
 const OTHERS_PRIOR_ATTEMPTS: f64 = 4.0;
-/// So many failures of others are accidents.
+/// Failures of the other servers that are disregarded as chance.
 const OTHERS_ACCIDENTS: f64 = 1.5;
-/// An answer is slow beyond so many medians of its class over all servers of the service, and so many ms.
+/// An answer is slow if it takes longer than this many medians of its class over all servers of the service.
 const SLOW_FACTOR: f64 = 3.5;
+/// An answer is slow only if it exceeds the median by this time, in ms.
 const MIN_SLOW_EXCESS: Millis = 40.0;
-/// A server that has always been slower than others is measured by itself, up to this.
+/// Maximum factor by which a server that has always been slower is compared with its own pace instead of the median.
 const MAX_OWN_PACE: f64 = 2.0;
-/// A slow server gives so much larger a share of slow answers than is usual for the class.
+/// A slow server's share of slow answers exceeds that of its class by this much.
 const SLOW_SHARE_EXCESS: f64 = 0.6;
-/// The usual share of slow answers of a class: as it begins, and the least and most that it counts as.
+/// Initial share of slow answers of a class.
 const INITIAL_SLOW_SHARE: f64 = 0.08;
+/// Lower limit of a class's share of slow answers.
 const MIN_SLOW_SHARE: f64 = 0.03;
+/// Upper limit of a class's share of slow answers.
 const MAX_SLOW_SHARE: f64 = 0.3;
-/// So many good answers in a row count at most.
+/// Maximum number of consecutive good answers that is counted.
 pub(crate) const MAX_SUCCESSES: u32 = 20;
-/// Steps by which the median, the usual share of slow answers and a server's own pace follow.
+/// Step by which the logarithm of a class's median follows each answer.
 const MEDIAN_STEP: f64 = 0.05;
+/// Weight of each answer in the share of slow answers of a class.
 const SHARE_STEP: f64 = 0.02;
+/// Weight of each answer in a server's own pace.
 const PACE_STEP: f64 = 0.05;
-/// What is told is told anew once it is so far off, and one server not more often than this, ms.
+/// Change of the evidence from which a server is reported again.
 pub const REPORT_DELTA: f64 = 2.0;
+/// Minimum time between two reports on a server, in ms.
 const REPORT_INTERVAL: Millis = 700.0;
-/// Who knows so much good of a server that others complain of says so.
+/// Evidence in favour of a server, from which it is reported if other proxies report the server as unhealthy.
 const FAVOURABLE_EVIDENCE: f64 = -1.5;
-/// A server that was not met for this long, ms, is forgotten.
+/// Time in ms without attempts after which a server's record is dropped.
 const RECORD_LIFETIME: Millis = 60_000.0;
-/// A server was met of late within this, ms.
+/// Time in ms within which a server counts as recently used.
 const RECENT_USE: Millis = 4000.0;
 
-/// The usual of one class of requests at one service.
+/// Normal latency of one class of requests to one service.
 #[derive(Clone, Copy, Debug)]
 struct Baseline {
     /// Logarithm of the median answer time.
@@ -55,7 +63,7 @@
     slow: f64,
 }
 
-/// Attempts and failures among them, fading.
+/// Attempts and failures with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Share {
     attempts: f64,
@@ -70,7 +78,7 @@
         *self = Share { attempts: self.attempts * keep + 1.0, bad: self.bad * keep + bad, at: now };
     }
 
-    /// What of this is not of `one`, as a share.
+    /// The failure rate excluding the attempts in `one`, less chance failures and with the prior.
     fn without(&self, now: Millis, one: &Share) -> f64 {
         let keep = |s: &Share| (-(now - s.at).max(0.0) / OTHERS_DECAY).exp();
         let bad = (self.bad * keep(self) - one.bad * keep(one) - OTHERS_ACCIDENTS).max(0.0);
@@ -79,7 +87,7 @@
     }
 }
 
-/// One server, as seen from here.
+/// This proxy's record of one server.
 #[derive(Clone, Debug, Default)]
 struct ServerRecord {
     service: String,
@@ -87,12 +95,12 @@
     failing: Weight,
     slow: Weight,
     unreached: f64,
-    /// What the weights are as of.
+    /// Time up to which the weights are decayed, ms.
     at: Millis,
     last_seen: Millis,
-    /// Logarithm of how much slower than others it is when it is well.
+    /// Logarithm of its latency relative to other servers while healthy.
     pace: f64,
-    /// It is not well since then, as the detector says.
+    /// When the detector found the server unhealthy, ms.
     unhealthy_since: Option<Millis>,
     goods: u32,
     reported: Option<Evidence>,
@@ -106,7 +114,7 @@
         self.at = now;
     }
 
-    /// How much speaks against it, from here.
+    /// Strength of this proxy's evidence against the server.
     fn evidence_against(&self) -> f64 {
         let unreached = if self.unreached > 0.9 { REPORT_THRESHOLD } else { 0.0 };
         self.failing.strongest_against().max(self.slow.strongest_against()).max(unreached)
@@ -116,7 +124,7 @@
         self.failing.strongest_in_favour().min(self.slow.strongest_in_favour())
     }
 
-    /// Whether what was told of it is too far off.
+    /// Whether the evidence differs materially from the last report.
     fn has_moved(&self, now: Millis) -> bool {
         let Some(reported) = &self.reported else { return true };
         let span = now - reported.at;
@@ -132,24 +140,24 @@
 pub struct Observer {
     baseline: BTreeMap<(String, String), Baseline>,
     records: BTreeMap<String, ServerRecord>,
-    /// By service.
+    /// Attempts of all servers, by service.
     shares: BTreeMap<String, Share>,
 }
 
-/// What is seen of an attempt.
+/// The observed result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult<'a> {
-    /// Its service.
+    /// Name of the service.
     pub service: &'a str,
-    /// Its class.
+    /// Request class.
     pub class: &'a str,
-    /// Its server.
+    /// Id of the server.
     pub server: &'a str,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: EndKind,
-    /// How long it took.
+    /// Duration of the attempt, ms.
     pub took: Millis,
-    /// The server was warm.
+    /// Whether the server was warm.
     pub warm: bool,
 }
 
@@ -185,8 +193,8 @@
         if !slow && seen.end == EndKind::Cancelled {
             return;
         }
-        // What is usual is learnt from servers that nothing speaks against, as far as there are such: under
-        // load all are slow, and that is usual then.
+        // The share of slow answers and the pace are learnt only from servers without evidence of slowness. The median
+        // follows all servers: under load all are slow, and that is normal then.
         let suspect = self.slow.strongest_against() >= CLEAR_THRESHOLD;
         let before = baseline.slow.clamp(MIN_SLOW_SHARE, MAX_SLOW_SHARE);
         baseline.median += MEDIAN_STEP * (took - baseline.median).signum();
@@ -209,9 +217,9 @@
 }
 
 impl Observer {
-    /// Takes in the end of an attempt.
+    /// Records the end of an attempt.
     pub fn record(&mut self, now: Millis, seen: &AttemptResult<'_>) {
-        // One that is cold is slow for that, and may fall over for that; who is full has work.
+        // A cold server may be slow or fail because it is cold, and a full server is not unhealthy.
         if !seen.warm || seen.end == EndKind::Ignored {
             return;
         }
@@ -239,7 +247,7 @@
         }
     }
 
-    /// What the detector says now: these are not well, since then.
+    /// Sets the servers that the detector finds unhealthy, each with its start time.
     pub fn set_unhealthy(&mut self, unhealthy: &BTreeMap<String, Millis>) {
         for (id, record) in &mut self.records {
             let since = unhealthy.get(id).copied();
@@ -250,7 +258,7 @@
         }
     }
 
-    /// What is to be told now, worst first. `contested`: somebody else complains of that server.
+    /// The evidence to report now, worst first. `contested` tells whether another proxy reports a server as unhealthy.
     pub fn reports(&mut self, now: Millis, contested: impl Fn(&str) -> bool) -> Vec<Evidence> {
         self.records.retain(|_, record| now - record.last_seen < RECORD_LIFETIME);
         let mut last_seen: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
@@ -262,7 +270,7 @@
             of.0 += 1;
             of.1 += usize::from(record.evidence_against() >= REPORT_THRESHOLD);
         }
-        // Most of a service is no server's illness: it is load, or the way there.
+        // If most servers of a service are affected, the cause is load or the network path, not a server.
         let loaded =
             |service: &str| last_seen.get(service).is_some_and(|(all, bad)| *bad > 2 && 2 * bad > *all);
         let reported =
@@ -278,7 +286,7 @@
             let retracts = was_reported
                 && record.evidence_against() < REPORT_THRESHOLD
                 && record.unhealthy_since.is_some();
-            // What has become grave is told at once.
+            // A server that crosses the suspect threshold is reported at once.
             let becomes_suspect = |t: &Evidence| {
                 record.evidence_against() >= SUSPECT_THRESHOLD
                     && t.failing.strongest_against().max(t.slow.strongest_against()) < SUSPECT_THRESHOLD
--- a/crates/outlier-detection/src/observer/tests.rs
+++ b/crates/outlier-detection/src/observer/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn one_failure_of_a_server_known_well_is_kept_and_two_are_told_at_once() {
+fn one_failure_is_not_reported_and_two_are_reported_at_once() {
     let mut observer = Observer::default();
     record_healthy_history(&mut observer, 20_000.0);
     record(&mut observer, 20_001.0, "i-1", EndKind::Failure, 2.0);
@@ -28,17 +28,21 @@
     record(&mut observer, 20_300.0, "i-1", EndKind::Failure, 2.0);
     let reported = observer.reports(20_300.0, |_| false);
     assert_eq!(reported.iter().map(|n| n.server.as_str()).collect::<Vec<_>>(), ["i-1"]);
-    assert_eq!(observer.reports(20_350.0, |_| false), [], "it was told");
-    assert_eq!(observer.reports(20_350.0, |id| id == "i-2").len(), 1, "who knows better of another says so");
+    assert_eq!(observer.reports(20_350.0, |_| false), [], "already reported");
+    assert_eq!(
+        observer.reports(20_350.0, |id| id == "i-2").len(),
+        1,
+        "favourable evidence on a contested server is reported"
+    );
 }
 
 #[test]
-fn load_cold_and_full_servers_are_no_evidence() {
+fn general_slowness_and_cold_or_full_servers_are_not_reported() {
     let mut observer = Observer::default();
     record_healthy_history(&mut observer, 20_000.0);
     for n in 0..400 {
         let (now, server) = (20_000.0 + f64::from(n) * 50.0, format!("i-{}", n % 8));
-        // All take four times as long, from one moment to the next.
+        // All servers suddenly take four times as long.
         record(&mut observer, now, &server, EndKind::Success, 400.0);
         assert_eq!(observer.reports(now, |_| false), [], "at {n}");
         record(&mut observer, now, &server, EndKind::Ignored, 1.0);
@@ -58,7 +62,7 @@
 }
 
 #[test]
-fn a_server_slower_than_it_was_and_than_others_is_told_and_one_that_always_was_is_not() {
+fn a_server_that_becomes_slow_is_reported_and_one_that_always_was_slow_is_not() {
     let mut observer = Observer::default();
     let mut first = None;
     for n in 0..600u32 {
--- a/crates/zones/src/capacity.rs
+++ b/crates/zones/src/capacity.rs
@@ -1,35 +1,37 @@
-//! What zones bear: from the most that their servers were seen to serve well. A server nobody has tried hard is taken to bear
-//! what the best of the others has, and the next step may go half beyond: that is how more is found out.
+//! Estimates the capacity of zones from the highest rate that their servers were observed to serve without failures.
+//!
+//! Every server is assumed to have the capacity of the best one observed. A step may exceed this by half, which is how a
+//! higher capacity is discovered.
 
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// A step may ask of servers so much more than they were seen to serve.
+/// Factor by which a step may exceed the observed rate per server.
 const CAPACITY_HEADROOM: f64 = 1.5;
-/// What was seen fades by this, ms: servers are replaced, and night is not noon.
+/// Time constant in ms by which observed rates decay: servers are replaced, and load varies over the day.
 const DECAY_MS: f64 = 600_000.0;
 
-/// A zone now.
+/// The current load of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Attempts a second.
+    /// Attempts per second.
     pub rate: f64,
-    /// Its servers.
+    /// Number of servers.
     pub servers: u32,
-    /// The part of it that is used.
+    /// Share of the zone in use, 0 to 1.
     pub share: f64,
-    /// It serves well.
+    /// Whether it serves without significant failures.
     pub healthy: bool,
 }
 
-/// What servers of zones have served well, a second and server.
+/// The highest rate per server that each zone has served without failures, with its time.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityEstimator {
     best: BTreeMap<String, (Millis, f64)>,
 }
 
 impl CapacityEstimator {
-    /// Takes in what a zone serves now.
+    /// Records the current load of a zone; ignored if the zone is unhealthy or not in use.
     pub fn observe(&mut self, now: Millis, zone: &str, load: Load) {
         let used = f64::from(load.servers) * load.share;
         if !load.healthy || used <= 0.0 {
@@ -40,12 +42,12 @@
         self.best.insert(zone.to_owned(), (now, decayed.max(load.rate / used)));
     }
 
-    /// What one server bears, a second; nothing where nobody has served anything.
+    /// Estimated capacity of one server in attempts per second; `None` if no zone has served anything.
     pub(crate) fn per_server(&self) -> Option<f64> {
         self.best.values().map(|(_, best)| *best).max_by(f64::total_cmp).filter(|best| *best > 0.0)
     }
 
-    /// The part of a zone that has to stay in use as the others do not bear it, 0 to its present share.
+    /// The share of a zone that must stay in use because the other zones lack the capacity, 0 to its present share.
     pub fn required_share(&self, zone: &str, loads: &BTreeMap<String, Load>) -> f64 {
         let Some(own) = loads.get(zone).filter(|l| l.rate > 0.0) else { return 0.0 };
         let others: Vec<&Load> =
--- a/crates/zones/src/capacity/tests.rs
+++ b/crates/zones/src/capacity/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn idle_zones_bear_what_the_busy_one_did_and_even_ones_half_as_much_again() {
+fn idle_zones_take_the_full_load_and_evenly_loaded_zones_half_as_much_again() {
     let idle = loads(240.0, 0.0, 0.0);
     assert_eq!(seen(&idle).required_share("a", &idle), 0.0);
     let even = loads(80.0, 80.0, 80.0);
@@ -22,21 +22,21 @@
 }
 
 #[test]
-fn what_the_others_do_not_bear_stays() {
+fn load_beyond_the_capacity_of_the_other_zones_stays() {
     let usual = loads(100.0, 100.0, 100.0);
     let capacity = seen(&usual);
-    // They have taken 120 each meanwhile: room for 60 of 100.
+    // The other zones serve 120 each by now, of an estimated 150: there is room for 60 of the 100.
     let full = loads(100.0, 120.0, 120.0);
     assert!((capacity.required_share("a", &full) - 0.4).abs() < 1e-9);
-    // A second zone fails while the first is left: only what is used and serves well counts.
+    // A second zone fails while the first is out of use: only zones that are healthy and fully used have room.
     let mut two = loads(0.0, 100.0, 150.0);
     two.get_mut("a").expect("a").share = 0.0;
     assert_eq!(capacity.required_share("b", &two), 1.0);
     assert_eq!(
         CapacityEstimator::default().required_share("a", &loads(1.0, 0.0, 0.0)),
         0.0,
-        "nothing is known: try"
+        "without a capacity estimate everything may move"
     );
     let alone = loads(5.0, 0.0, 0.0).into_iter().take(1).collect();
-    assert_eq!(capacity.required_share("a", &alone), 1.0, "there is nowhere to go");
+    assert_eq!(capacity.required_share("a", &alone), 1.0, "there is no other zone");
 }
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -1,33 +1,34 @@
-//! What limiters count by zone, as totals since their start, so that a lost report loses nothing; here they are faded and put
-//! side by side.
+//! Attempt counts that limiters report by zone, and their decayed sums.
+//!
+//! Reports hold totals since the limiter's start, so that a lost report loses no data.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Counts fade by this, ms: what was a few seconds ago still tells, what was half a minute ago does not.
+/// Time constant in ms by which counts decay: a few seconds still count, half a minute does not.
 pub const DECAY_MS: f64 = 3000.0;
-/// Rates fade by this, ms: they say what zones carry now.
+/// Time constant in ms by which rates decay: shorter, since they measure the current load of zones.
 const RATE_DECAY_MS: f64 = 2000.0;
-/// A limiter that has said nothing for this long, ms, tells nothing any more.
+/// Age in ms from which a limiter's last report is ignored.
 pub const STALE_AFTER_MS: Millis = 3000;
-/// Zones of one report: more do not fit into a message, and those with the most failures come first.
+/// Maximum number of zones in one report, so that it fits into a message; those with the most failures come first.
 pub const MAX_ROWS: usize = 24;
 
-/// How attempts in a zone ended.
+/// Attempts in a zone, counted by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Served.
+    /// Served successfully.
     pub ok: u64,
     /// Answered with an error.
     pub failed: u64,
-    /// No answer in time.
+    /// Timed out without an answer.
     pub silent: u64,
-    /// No connection.
+    /// The connection was not established.
     pub refused: u64,
-    /// The connection broke.
+    /// The connection broke during the attempt.
     pub broken: u64,
-    /// Turned away unseen: busy, not failing.
+    /// Rejected without processing because the server was full; does not count as a failure.
     pub full: u64,
 }
 
@@ -36,7 +37,7 @@
         self.failed + self.silent + self.refused + self.broken
     }
 
-    /// What has come since `before`; all of it where the totals fell, as after a restart.
+    /// Failed, served and rejected attempts since `before`; the full totals if they fell, as after a restart.
     fn since(&self, before: &Counts) -> (f64, f64, f64) {
         let (bad, ok, full) = (self.bad(), self.ok, self.full);
         if bad < before.bad() || ok < before.ok || full < before.full {
@@ -46,43 +47,43 @@
     }
 }
 
-/// A limiter's totals of a zone.
+/// A limiter's totals for one zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Since the limiter's start.
+    /// Totals since the limiter's start.
     pub counts: Counts,
-    /// Servers that it knows there, and may use.
+    /// Number of servers in the zone that the limiter may use.
     pub servers: u32,
 }
 
-/// What a limiter says of all zones.
+/// A limiter's report on all zones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Tells its process from others of its name.
+    /// Identifies the process among earlier ones of the same limiter.
     pub life: u64,
-    /// Where it stands itself.
+    /// The zone in which the limiter itself runs.
     pub own: Option<String>,
-    /// The zones.
+    /// One row for each zone.
     pub rows: Vec<Row>,
 }
 
-/// One limiter's view of one zone, faded.
+/// One limiter's view of one zone, with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct View {
-    /// Attempts that failed.
+    /// Failed attempts.
     pub bad: f64,
-    /// Attempts that were served.
+    /// Served attempts.
     pub ok: f64,
-    /// What each is a second, from the same counts.
+    /// Failed and served attempts per second.
     pub rate: f64,
-    /// Servers there.
+    /// Number of servers in the zone.
     pub servers: u32,
 }
 
 impl View {
-    /// Attempts that tell something.
+    /// Attempts that count as evidence: failed and served ones.
     pub fn attempts(&self) -> f64 {
         self.bad + self.ok
     }
@@ -97,25 +98,26 @@
     views: BTreeMap<String, View>,
 }
 
-/// What came to a zone from one limiter since its last report: the increments of a sequential test.
+/// Attempts of one limiter in a zone since its last report: the input of the sequential test.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Increment {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Attempts that failed.
+    /// Failed attempts.
     pub bad: f64,
-    /// Attempts that were served.
+    /// Served attempts.
     pub ok: f64,
 }
 
-/// All limiters' reports. Limiters are numbers here, as the caller has them.
+/// The reports of all limiters, by the number that the caller assigns to each limiter.
 #[derive(Clone, Debug, Default)]
 pub struct LimiterReports {
     limiters: BTreeMap<u16, LimiterState>,
 }
 
 impl LimiterReports {
-    /// Takes in a report; what is new in it. The first of a process is where its counting begins.
+    /// Records a report and returns the attempts since the previous one. The first report of a process only sets the
+    /// baseline.
     pub fn record(&mut self, now: Millis, from: u16, report: &Report) -> Vec<Increment> {
         let seen = self.limiters.entry(from).or_default();
         let first = seen.life != report.life;
@@ -145,7 +147,7 @@
         increments
     }
 
-    /// All zones that some limiter tells of.
+    /// The sorted names of all zones that any limiter has reported.
     pub fn zones(&self) -> Vec<String> {
         let mut names: Vec<String> = self.limiters.values().flat_map(|s| s.views.keys().cloned()).collect();
         names.sort();
@@ -153,13 +155,13 @@
         names
     }
 
-    /// Each limiter's view of a zone, where it is fresh, with the zone that the limiter stands in.
+    /// The views of a zone that are not stale: the limiter, the limiter's own zone, and the view.
     pub fn views(&self, now: Millis, zone: &str) -> Vec<(u16, Option<&str>, View)> {
         let fresh = self.limiters.iter().filter(|(_, s)| now.saturating_sub(s.at) < STALE_AFTER_MS);
         fresh.filter_map(|(n, s)| s.views.get(zone).map(|v| (*n, s.own.as_deref(), *v))).collect()
     }
 
-    /// All of them together.
+    /// Sum of the views of all limiters that are not stale, with the largest server count.
     pub fn sum(&self, now: Millis, zone: &str) -> View {
         self.views(now, zone).iter().fold(View::default(), |a, (_, _, v)| View {
             bad: a.bad + v.bad,
@@ -169,7 +171,7 @@
         })
     }
 
-    /// All zones but one together.
+    /// Sum of all zones except `zone`.
     pub fn sum_others(&self, now: Millis, zone: &str) -> View {
         let others = self.zones().into_iter().filter(|z| z != zone);
         others.map(|z| self.sum(now, &z)).fold(View::default(), |a, v| View {
--- a/crates/zones/src/evidence/tests.rs
+++ b/crates/zones/src/evidence/tests.rs
@@ -8,21 +8,21 @@
 }
 
 #[test]
-fn totals_are_told_apart_whatever_is_lost_and_whoever_restarts() {
+fn increments_are_correct_after_lost_reports_and_restarts() {
     let mut board = LimiterReports::default();
-    assert!(board.record(0, 1, &report(7, 1000, 10)).is_empty(), "from before this was looked at");
+    assert!(board.record(0, 1, &report(7, 1000, 10)).is_empty(), "the first report only sets the baseline");
     let increments = board.record(500, 1, &report(7, 1040, 20));
     assert_eq!(increments, [Increment { zone: "a".into(), bad: 10.0, ok: 40.0 }]);
     // Two reports were lost.
     let increments = board.record(2000, 1, &report(7, 1100, 30));
     assert_eq!((increments[0].bad, increments[0].ok), (10.0, 60.0));
-    // A new process counts from nothing.
+    // A new process starts its totals from zero.
     assert!(board.record(2500, 1, &report(8, 5, 0)).is_empty());
     assert_eq!(board.record(3000, 1, &report(8, 9, 1))[0].ok, 4.0);
 }
 
 #[test]
-fn what_is_old_fades_and_who_is_silent_tells_nothing() {
+fn counts_decay_and_stale_reports_are_ignored() {
     let mut board = LimiterReports::default();
     board.record(0, 1, &report(1, 0, 0));
     board.record(500, 1, &report(1, 100, 0));
--- a/crates/zones/src/failover.rs
+++ b/crates/zones/src/failover.rs
@@ -1,91 +1,91 @@
-//! One zone's way out and back.
+//! State machine of one zone: leaving it, holding it out of use, and returning to it in steps.
 
 use crate::{Millis, ReductionCause};
 
-/// Between two steps out, ms: a decision, and what comes of it seen.
+/// Time between two steps of leaving, in ms: enough for a decision and for its effect to be observed.
 pub const LEAVE_STEP_MS: Millis = 1500;
-/// Between two steps back, ms.
+/// Minimum time between two steps of a return, in ms.
 pub const RETURN_STEP_MS: Millis = 2000;
-/// A zone that was left is not tried for this long, ms; twice as long after each return that failed, up to the other.
+/// Time in ms for which a zone that was left is not retried; doubles after each failed return, up to [`MAX_HOLD_MS`].
 pub const MIN_HOLD_MS: Millis = 5000;
-/// See [`HOLD`].
+/// Upper bound of the hold time, in ms; see [`MIN_HOLD_MS`].
 pub const MAX_HOLD_MS: Millis = 300_000;
-/// A zone that has been whole for this long, ms, has its failed returns forgotten.
+/// Time in ms of full use after which the count of failed returns is reset.
 const BACKOFF_RESET_MS: Millis = 60_000;
-/// Each step back uses so much more.
+/// Factor by which each step of a return increases the share.
 const STEP_FACTOR: f64 = 2.0;
-/// A step is judged by so many attempts at least.
+/// Minimum number of attempts by which a step is assessed.
 const MIN_STEP_ATTEMPTS: f64 = 10.0;
-/// Standard deviations by which a step must be worse than what is no matter.
+/// Standard score of the confidence interval by which a step must exceed the tolerated failure rate.
 const CONFIDENCE_Z: f64 = 1.96;
-/// Without them, and without a failure, it goes on after so many steps' time: whoever sends nothing risks nothing.
+/// With too few attempts and no failure, the return proceeds after this many step times: without traffic there is no risk.
 const IDLE_STEP_FACTOR: Millis = 5;
 
-/// What staff want.
+/// An operator's order for a zone.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// To leave it, evenly over this, ms.
+    /// Leave the zone, in equal steps over this time in ms.
     Leave(Millis),
-    /// To use it wholly again, step by step, whatever is seen.
+    /// Return to full use step by step, regardless of failures.
     Return,
-    /// To use as much as now.
+    /// Keep the current share.
     Hold,
 }
 
-/// Where a zone stands.
+/// The phase of a zone's failover.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Wholly used.
+    /// Fully used.
     Used,
-    /// Less and less is used.
+    /// The share in use is being reduced.
     Leaving,
-    /// Nothing is used before this.
+    /// Not used before this time.
     Out(Millis),
-    /// More and more is used.
+    /// The share in use is being increased.
     Returning,
 }
 
-/// What is seen of it, and of the others.
+/// Observations of a zone and of the other zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// It fails.
+    /// Whether the zone is found to be failing.
     pub failing: bool,
-    /// Attempts since the last step, and the part of them that failed.
+    /// Attempts since the last step.
     pub attempts: f64,
-    /// See `tries`.
+    /// Failed attempts since the last step.
     pub bad: f64,
-    /// Failures up to this part are no matter.
+    /// Failure rate of the other zones.
     pub baseline: f64,
-    /// What the others do not bear, as a part of this zone.
+    /// Share of this zone that exceeds the capacity of the other zones.
     pub required_share: f64,
-    /// As much of it as its servers bear should they be cold still; 1 once they are warm.
+    /// Largest share that its servers can serve while cold; 1 once they are warm.
     pub cold_limit: f64,
-    /// The others serve well.
+    /// Whether the other zones are healthy.
     pub others_healthy: bool,
 }
 
-/// One zone's course. What it wants used is [`ZoneFailover::share`]; the fleet decides it.
+/// Failover state of one zone. It proposes [`ZoneFailover::share`]; the fleet decides.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneFailover {
     phase: Phase,
     share: f64,
     order: Option<(Order, Millis, f64)>,
     stepped_at: Millis,
-    /// Returns that failed in a row.
+    /// Consecutive failed returns.
     failed_returns: u32,
-    /// Its last step was one back.
+    /// Whether the last step reduced the share during a return.
     stepping_back: bool,
-    /// Since when it is used again.
+    /// Start of the current use after a time out of use.
     in_use_since: Option<Millis>,
-    /// The first step back.
+    /// Share of the first step of a return.
     first_step: f64,
     seed: u64,
 }
 
 impl ZoneFailover {
-    /// Of a zone that is wholly used, in a fleet of so many limiters: the first step back lets one of them to each server.
+    /// A fully used zone, in a fleet of `limiters` limiters. The first step of a return lets one limiter use each server.
     pub fn new(limiters: usize, seed: u64) -> ZoneFailover {
         let first_step = (1.0 / limiters.max(1) as f64).min(0.25);
         ZoneFailover {
@@ -101,13 +101,13 @@
         }
     }
 
-    /// Of one of which the fleet uses less already, as another limiter has led it so far.
+    /// Continues from a share that the fleet has already decided under another leader.
     pub fn resume(mut self, now: Millis, share: f64, by: ReductionCause) -> ZoneFailover {
         (self.share, self.stepped_at) = (share, now);
         match by {
             ReductionCause::Staff => self.order = Some((Order::Hold, now, share)),
             ReductionCause::Evidence => {
-                // It may have been left just now.
+                // The zone may have been left only just now.
                 let until = now + self.hold_time();
                 self.phase = if share <= 0.0 { Phase::Out(until) } else { Phase::Returning };
             }
@@ -115,27 +115,27 @@
         self
     }
 
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Since when it is used again, while it comes back.
+    /// Start of the current use; `None` if the zone was never out of use, or is now.
     pub(crate) fn in_use_since(&self) -> Option<Millis> {
         self.in_use_since
     }
 
-    /// How much of it is to be used.
+    /// The proposed share, 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// What staff want of it.
+    /// The operator's order in force, if any.
     pub fn order(&self) -> Option<Order> {
         self.order.map(|(order, ..)| order)
     }
 
-    /// Why less than all of it is used.
+    /// The reason for the present share.
     pub fn by(&self) -> ReductionCause {
         match self.order {
             Some(_) => ReductionCause::Staff,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Staff order something; nothing: their order is over, and what is seen counts again.
+    /// Sets the operator's order. `None` ends it: observations decide again.
     pub fn set_order(&mut self, now: Millis, order: Option<Order>) {
         self.order = order.map(|order| (order, now, self.share));
         self.stepped_at = now;
@@ -152,7 +152,8 @@
         }
     }
 
-    /// How long it is held out: longer after each return that failed, and not the same for all zones.
+    /// Hold time in ms: doubles after each failed return, with a deterministic jitter of up to 20% either way so that zones
+    /// do not return at the same time.
     fn hold_time(&self) -> Millis {
         let long = MIN_HOLD_MS.saturating_mul(1 << self.failed_returns.min(16)).min(MAX_HOLD_MS);
         let mut x = self.seed ^ u64::from(self.failed_returns).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -171,7 +172,7 @@
         changed
     }
 
-    /// Time has passed, and this is seen; whether another share is wanted.
+    /// Advances the state machine; returns whether the proposed share has changed.
     pub fn update(&mut self, now: Millis, observation: &Observation) -> bool {
         if let Some((order, since, from)) = self.order {
             return self.follow_order(now, order, since, from);
@@ -185,7 +186,7 @@
                 false
             }
             Phase::Leaving => self.continue_leaving(now, observation),
-            // Where the others fail too there is nothing to wait for.
+            // If the other zones fail too, holding this one out gains nothing.
             Phase::Out(until) if now >= until || !observation.others_healthy => {
                 self.stepping_back = false;
                 self.phase = Phase::Returning;
@@ -210,11 +211,11 @@
             return false;
         }
         if !observation.failing && observation.attempts >= MIN_STEP_ATTEMPTS && is_tolerated(observation) {
-            // It is back in the middle of it.
+            // The zone has recovered while it was being left.
             self.phase = Phase::Returning;
             return false;
         }
-        // Where the others topple nothing more is moved.
+        // No more load is moved while the other zones are failing.
         observation.failing
             && observation.others_healthy
             && observation.required_share < self.share
@@ -224,14 +225,14 @@
     fn continue_returning(&mut self, now: Millis, observation: &Observation) -> bool {
         let tried = observation.attempts >= MIN_STEP_ATTEMPTS && is_tolerated(observation);
         if observation.failing || exceeds_tolerance(observation) {
-            // Steps back in a row are one return that failed.
+            // Consecutive reductions count as one failed return.
             self.failed_returns += u32::from(!std::mem::replace(&mut self.stepping_back, true));
             let back = self.share / STEP_FACTOR;
             if observation.failing || back < self.first_step {
                 self.phase = Phase::Out(now + self.hold_time());
                 return self.set_share(now, 0.0);
             }
-            // One step, and a longer look.
+            // Goes back one step and waits longer before the next.
             let changed = self.set_share(now, back);
             self.stepped_at = now + self.hold_time() / 2;
             return changed;
@@ -242,7 +243,7 @@
         {
             return false;
         }
-        // A server that has just started is spared, whoever lets it be used.
+        // The share is limited while servers may still be cold, whatever the evidence.
         let share = (self.share * STEP_FACTOR).min(1.0).min(observation.cold_limit.max(self.first_step));
         if share <= self.share {
             return false;
@@ -260,7 +261,7 @@
             Order::Hold => false,
             Order::Leave(over) => {
                 self.phase = Phase::Leaving;
-                // In quarters: each is a change that all limiters take.
+                // Four steps only: each one is a configuration change on every limiter.
                 let part = if over == 0 { 1.0 } else { (elapsed as f64 / over as f64).min(1.0) };
                 let share = from * (1.0 - (part * 4.0).floor() / 4.0);
                 share < self.share && self.set_share(now, share)
@@ -279,16 +280,19 @@
     }
 }
 
+/// The failure rate that is tolerated during a return.
 fn tolerated_rate(observation: &Observation) -> f64 {
     (2.0 * observation.baseline).max(0.05)
 }
 
+/// Whether the failure rate since the last step is tolerated.
 fn is_tolerated(observation: &Observation) -> bool {
     observation.bad / observation.attempts.max(1.0) <= tolerated_rate(observation)
 }
 
-/// More fails than an accident explains: the lower end of Wilson's interval, so that few tries tell little, and many soon.
-/// Limiters send little to servers that failed them, so that many may never come.
+/// Whether significantly more attempts fail than tolerated, by the lower bound of the Wilson score interval, which needs a
+/// higher failure rate the fewer attempts there are. A fixed minimum of attempts would not do: limiters avoid servers that
+/// failed, so it might never be reached.
 fn exceeds_tolerance(observation: &Observation) -> bool {
     let (n, p) = (observation.attempts.max(1.0), observation.bad / observation.attempts.max(1.0));
     let z2 = CONFIDENCE_Z * CONFIDENCE_Z;
--- a/crates/zones/src/failover/tests.rs
+++ b/crates/zones/src/failover/tests.rs
@@ -13,7 +13,7 @@
 };
 const BAD: Observation = Observation { failing: true, bad: 30.0, ..GOOD };
 
-/// The shares that a course goes through, with when each began.
+/// Runs a failover in steps of 250 ms and returns each change of the share with its time.
 fn run(
     failover: &mut ZoneFailover,
     from: Millis,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn it_is_left_at_once_held_out_and_comes_back_in_steps() {
+fn a_failing_zone_is_left_at_once_held_out_and_returned_in_steps() {
     let mut failover = ZoneFailover::new(24, 1);
     let shares = run(&mut failover, 0, 60_000, |now, share| match now {
         0..1000 => GOOD,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn one_that_stays_bad_is_tried_less_and_less_often() {
+fn a_zone_that_keeps_failing_is_retried_with_growing_intervals() {
     let mut failover = ZoneFailover::new(6, 2);
     let shares = run(&mut failover, 0, 900_000, |_, share| if share > 0.0 { BAD } else { GOOD });
     let tried: Vec<Millis> = shares.iter().filter(|s| s.1 > 0.0).map(|s| s.0).collect();
@@ -57,35 +57,35 @@
 }
 
 #[test]
-fn two_failures_of_three_tries_break_a_step_and_one_of_many_does_not() {
+fn two_failures_of_three_attempts_are_significant_and_five_of_a_hundred_are_not() {
     let observation = |attempts: f64, bad: f64| Observation { attempts, bad, ..GOOD };
     assert!(exceeds_tolerance(&observation(3.0, 2.0)) && exceeds_tolerance(&observation(100.0, 15.0)));
     assert!(!exceeds_tolerance(&observation(1.0, 1.0)) && !exceeds_tolerance(&observation(100.0, 5.0)));
 }
 
 #[test]
-fn a_step_that_breaks_goes_back_one_and_waits_longer() {
+fn a_failed_step_is_reverted_and_the_next_one_waits_longer() {
     let mut failover = ZoneFailover::new(4, 3).resume(0, 0.5, ReductionCause::Evidence);
     let broken = Observation { failing: false, bad: 30.0, ..GOOD };
     assert!(failover.update(2000, &broken) && failover.share() == 0.25);
-    assert!(!failover.update(4250, &GOOD), "not as soon as after a good one");
+    assert!(!failover.update(4250, &GOOD), "the wait is longer than after a successful step");
     assert!(failover.update(2000 + MIN_HOLD_MS * 6 / 5 + RETURN_STEP_MS, &GOOD) && failover.share() == 0.5);
 }
 
 #[test]
-fn what_the_others_do_not_bear_stays_and_more_is_moved_only_while_they_serve_well() {
+fn load_beyond_the_others_capacity_stays_and_more_moves_only_while_they_are_healthy() {
     let mut failover = ZoneFailover::new(6, 4);
     let some = Observation { required_share: 0.4, ..BAD };
     assert!(failover.update(0, &some) && failover.share() == 0.4);
     assert!(!failover.update(2000, &Observation { required_share: 0.1, others_healthy: false, ..BAD }));
     assert!(failover.update(2250, &Observation { required_share: 0.1, ..BAD }) && failover.share() == 0.1);
-    // Back in the middle of leaving.
+    // The zone recovers while it is being left.
     assert!(!failover.update(4000, &GOOD) && failover.phase() == Phase::Returning);
     assert!(failover.update(4250, &GOOD) && failover.share() == 0.2);
 }
 
 #[test]
-fn cold_servers_are_spared_until_they_are_warm() {
+fn the_share_is_limited_until_servers_are_warm() {
     let mut failover = ZoneFailover::new(6, 8).resume(0, 0.0, ReductionCause::Evidence);
     let shares = run(&mut failover, 0, 60_000, |now, _| Observation {
         cold_limit: if now < 30_000 { 0.3 } else { 1.0 },
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn where_the_others_fail_too_it_is_not_held_out() {
+fn a_zone_is_not_held_out_while_the_other_zones_fail_too() {
     let mut failover = ZoneFailover::new(6, 7);
     assert!(failover.update(0, &BAD) && failover.share() == 0.0);
     assert!(!failover.update(1000, &GOOD));
@@ -106,25 +106,25 @@
     assert_eq!(
         shares.last().map(|s| s.1),
         Some(1.0),
-        "no worse than the others, it is wholly used: {shares:?}"
+        "a zone no worse than the others is fully used: {shares:?}"
     );
 }
 
 #[test]
-fn what_staff_order_goes_before_what_is_seen_until_they_end_it() {
+fn an_operator_order_overrides_observations_until_it_is_carried_out() {
     let mut failover = ZoneFailover::new(6, 5);
     failover.set_order(0, Some(Order::Leave(4000)));
     let shares = run(&mut failover, 0, 10_000, |_, _| GOOD);
     assert_eq!(shares, [(1000, 0.75), (2000, 0.5), (3000, 0.25), (4000, 0.0)]);
     failover.set_order(10_000, Some(Order::Return));
-    // It is bad still, and comes back all the same.
+    // The zone still fails and returns nevertheless.
     let shares = run(&mut failover, 10_000, 30_000, |_, _| BAD);
-    let whole = shares.iter().position(|s| s.1 == 1.0).expect("whole");
+    let whole = shares.iter().position(|s| s.1 == 1.0).expect("full use");
     assert!(shares[whole].0 <= 10_000 + 4 * RETURN_STEP_MS, "{shares:?}");
     assert_eq!(
         shares[whole + 1].1,
         0.0,
-        "once it is whole the order is carried out, and what is seen counts"
+        "once the zone is fully used the order is done, and observations decide again"
     );
     let mut held = ZoneFailover::new(6, 6);
     held.set_order(0, Some(Order::Hold));
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,15 +1,15 @@
-//! Leaving a zone that fails as a fleet, and coming back at a pace that its servers bear.
+//! Fleet-wide failover away from a failing zone, and a gradual return limited by the capacity of its servers.
 //!
-//! No I/O and no clock: limiters' counts, the fleet's decided [`ReducedZone`] zones, orders of operators and the time come in;
-//! what the fleet should decide next comes out. `docs/design/zones.md` has the argument.
+//! No I/O and no clock. Inputs: the limiters' counts, the [`ReducedZone`] list that the fleet has decided, operator orders
+//! and the time. Output: the list that the fleet should decide next. `docs/design/zones.md` has the argument.
 //!
 //! | module | does |
 //! | --- | --- |
-//! | `evidence` | limiters' counts by zone, dated, faded and put side by side |
-//! | `verdict` | does the zone fail, or one limiter's way to it, or everything? |
-//! | `bears` | what the other zones bear, and so how much of a zone can be left |
-//! | `failover` | one zone's way out and back: steps, gates, spans that grow |
-//! | `zones` | all zones: what the fleet should decide next |
+//! | `evidence` | per-limiter, per-zone attempt counts with exponential decay |
+//! | `verdict` | classifies a failure: the zone, one limiter's path, a link, or all zones |
+//! | `capacity` | estimates the capacity of the other zones, and so how much traffic can leave a zone |
+//! | `failover` | the state machine of one zone: leaving, hold time with backoff, return in steps |
+//! | `zones` | combines all zones into the list that the fleet should decide next |
 
 pub mod capacity;
 pub mod evidence;
@@ -17,26 +17,26 @@
 pub mod verdict;
 pub mod zones;
 
-/// A point in time or a span, ms, on a monotonic clock of the caller's.
+/// A point in time or a duration in ms, on the caller's monotonic clock.
 pub type Millis = u64;
 
-/// Why less than all of a zone is used.
+/// The reason why only a part of a zone is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReductionCause {
-    /// What limiters saw.
+    /// The failures that limiters observed.
     Evidence,
-    /// An operator's order, until they end it.
+    /// An operator order, in force until the operator ends it.
     Staff,
 }
 
-/// A zone of which less than all is used, as the fleet decides it.
+/// A zone of which the fleet has decided to use only a part.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct ReducedZone {
-    /// Its name.
+    /// Name of the zone.
     pub zone: String,
-    /// The part of its servers that each limiter may use, 0 to 1.
+    /// Share of the zone's servers that each limiter may use, 0 to 1.
     pub share: f64,
-    /// Why.
+    /// Reason for the reduction.
     pub by: ReductionCause,
 }
--- a/crates/zones/src/verdict.rs
+++ b/crates/zones/src/verdict.rs
@@ -1,67 +1,67 @@
-//! Does a zone fail, or one limiter's way to it, or the link between two zones, or everything?
+//! Decides whether a zone fails, one limiter's path to it, the link between two zones, or everything.
 //!
-//! A sequential test (CUSUM) over all limiters' new attempts says *that* something fails and how soon; who sees it says *what*.
-//! A quorum of limiters alone would be slow where each sees little, and a quorum of evidence alone would let one limiter
-//! that is cut off, and tries a lot, take the zone from all.
+//! A sequential test (CUSUM) over the new attempts of all limiters detects that something fails; the set of limiters that
+//! observe the failures tells which part fails. A quorum of limiters alone would be slow where each limiter has little
+//! traffic. Evidence alone would let one limiter with a broken path and many attempts remove the zone for the whole fleet.
 
 use crate::evidence::{Increment, LimiterReports};
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// The rate of failures that is nobody's fault, at least.
+/// Lower bound of the failure rate that counts as healthy.
 const MIN_HEALTHY_RATE: f64 = 0.02;
-/// The rate that is worth leaving for is so much more than what the other zones have.
+/// A zone counts as failing if its failure rate exceeds that of the other zones by this much.
 const FAILURE_RATE_EXCESS: f64 = 0.10;
-/// The evidence at which the test says that it fails: the odds of e^12 against an accident.
+/// Log-likelihood ratio at which the test reports a failure: odds of e^12 against chance.
 const FAILURE_THRESHOLD: f64 = 12.0;
-/// A limiter's report counts for so many attempts at most in one go, so that none outvotes the rest.
+/// Maximum number of attempts that one report adds to the test, so that no limiter outweighs the others.
 const MAX_ATTEMPTS_PER_REPORT: f64 = 20.0;
-/// The part of the limiters with tries there that must have seen failures of their own.
+/// Share of the limiters with attempts in the zone that must have observed failures themselves.
 const OBSERVER_QUORUM: f64 = 0.5;
-/// A limiter with fewer tries in its view is not asked.
+/// A limiter with fewer attempts in the zone is not counted.
 const MIN_ATTEMPTS: f64 = 2.0;
-/// Where so much of all attempts outside fail too, there is nowhere to go.
+/// At this failure rate in the other zones, failing over does not help.
 const GLOBAL_FAILURE_RATE: f64 = 0.5;
 
-/// What is found of a zone.
+/// The assessment of a zone.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Nothing that could not be an accident.
+    /// No failures beyond chance.
     Sound,
-    /// It fails, for most that try.
+    /// The zone fails for most limiters that use it.
     Fails,
-    /// These limiters alone see it fail: it is their way there.
+    /// Only these limiters observe failures: their path to the zone is broken.
     CutOff(Vec<u16>),
-    /// Those that stand in this zone see it fail, and no others: the link between the two.
+    /// Exactly the limiters located in this other zone observe failures: the link between the two zones is broken.
     Link(String),
-    /// It fails, and so do the others: nothing is won by leaving.
+    /// The other zones fail as well: failing over does not help.
     Everything,
 }
 
-/// The test's sums, by zone.
+/// Sequential failure test (CUSUM) of each zone.
 #[derive(Clone, Debug, Default)]
 pub struct SequentialTest {
     by_zone: BTreeMap<String, ZoneEvidence>,
 }
 
-/// A zone's evidence since it last came to nothing.
+/// Evidence against a zone since the sum was last zero.
 #[derive(Clone, Debug, Default)]
 struct ZoneEvidence {
     sum: f64,
-    /// What each limiter tried since, and how much of it failed. Limiters leave what fails by themselves within a second, so
-    /// that nothing else tells who has seen it.
+    /// Attempts and failed attempts of each limiter in this time. A limiter avoids failing servers by itself within a
+    /// second, so its later attempts no longer show who has observed the failure.
     by_limiter: BTreeMap<u16, (f64, f64)>,
 }
 
 impl SequentialTest {
-    /// Takes in what is new; `sound` is the rate of failures in the other zones.
+    /// Adds the new attempts of a limiter; `baseline` is the failure rate of the other zones.
     pub fn add(&mut self, from: u16, increment: &Increment, baseline: f64) {
         let (p0, p1) = rates(baseline);
         let part = (MAX_ATTEMPTS_PER_REPORT / (increment.bad + increment.ok)).min(1.0);
         let step = part * (increment.bad * (p1 / p0).ln() + increment.ok * ((1.0 - p1) / (1.0 - p0)).ln());
         let run = self.by_zone.entry(increment.zone.clone()).or_default();
-        // Bounded above as well: what was sure for long must not take as long to be doubted.
+        // Capped, so that a long failure does not take equally long to be cleared.
         run.sum = (run.sum + step).clamp(0.0, 2.0 * FAILURE_THRESHOLD);
         if run.sum <= 0.0 {
             return run.by_limiter.clear();
@@ -70,29 +70,29 @@
         (*attempts, *bad) = (*attempts + increment.bad + increment.ok, *bad + increment.bad);
     }
 
-    /// The evidence against a zone, of [`Test::sure`].
+    /// The log-likelihood ratio against a zone, to compare with [`SequentialTest::threshold`].
     pub fn sum(&self, zone: &str) -> f64 {
         self.by_zone.get(zone).map_or(0.0, |run| run.sum)
     }
 
-    /// Where it is sure.
+    /// The log-likelihood ratio at which a zone counts as failing.
     pub const fn threshold() -> f64 {
         FAILURE_THRESHOLD
     }
 
-    /// A zone is looked at anew: it was left, or begins to be used again.
+    /// Discards the evidence against a zone, when its share in use has changed.
     pub fn reset(&mut self, zone: &str) {
         self.by_zone.remove(zone);
     }
 }
 
-/// The rates between which the test tells.
+/// The failure rates of a healthy and of a failing zone, between which the test distinguishes.
 fn rates(baseline: f64) -> (f64, f64) {
     let p0 = baseline.clamp(MIN_HEALTHY_RATE, 0.8);
     (p0, (p0 + FAILURE_RATE_EXCESS).max(2.0 * p0).min(0.95))
 }
 
-/// The rate of failures outside a zone, as a limit for what is sound.
+/// The failure rate of the other zones; `MIN_HEALTHY_RATE` if they have too few attempts.
 pub fn baseline_rate(board: &LimiterReports, now: Millis, zone: &str) -> f64 {
     let others = board.sum_others(now, zone);
     if others.attempts() < MIN_ATTEMPTS {
@@ -101,7 +101,7 @@
     others.bad / others.attempts()
 }
 
-/// What is found of a zone now.
+/// Assesses a zone by its accumulated evidence and the limiters that observed it.
 pub fn assess(board: &LimiterReports, test: &SequentialTest, now: Millis, zone: &str) -> Verdict {
     let Some(run) = test.by_zone.get(zone).filter(|run| run.sum >= FAILURE_THRESHOLD) else {
         return Verdict::Sound;
@@ -110,10 +110,10 @@
     let baseline = baseline_rate(board, now, zone);
     let (_, p1) = rates(baseline);
     let tally = |n: &u16| run.by_limiter.get(n).copied().unwrap_or_default();
-    // Also those that have not reported since the run began: they may see nothing.
+    // Includes limiters that have not reported since the run began: they may observe no failures.
     let active: Vec<_> =
         views.iter().filter(|(n, _, v)| tally(n).0.max(v.attempts()) >= MIN_ATTEMPTS).collect();
-    // It has seen failures of its own, and more than the rate between sound and not.
+    // The limiter has observed failures itself, at more than half the rate of a failing zone.
     let observes_failures = |n: &u16| tally(n).1 >= 1.0 && tally(n).1 / tally(n).0 > p1 / 2.0;
     let observers: Vec<_> = active.iter().filter(|(n, ..)| observes_failures(n)).collect();
     if active.is_empty() {
--- a/crates/zones/src/verdict/tests.rs
+++ b/crates/zones/src/verdict/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::evidence::{Counts, Report, Row};
 
-/// Reports of limiters that see these rates of failures in zones a, b and c, `tries` each a report, until `a` is judged
-/// other than sound or so many reports are over.
+/// Feeds reports from limiters that observe these failure rates in zones a, b and c, with `tries` attempts per zone and
+/// report. Returns the first verdict on zone a other than `Sound` with its time in ms, or `Sound` after `reports` rounds.
 fn first_verdict(limiters: &[[f64; 3]], attempts: u64, reports: u64) -> (Verdict, u64) {
     let (mut board, mut test) = (LimiterReports::default(), SequentialTest::default());
     for round in 0..=reports {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_quarter_that_fails_is_found_within_two_seconds_by_few_and_by_many() {
+fn a_failure_rate_of_25_percent_is_detected_within_two_seconds_by_small_and_large_fleets() {
     for (limiters, attempts) in [(6, 7), (24, 2)] {
         let (verdict, after) = first_verdict(&vec![[0.25, 0.0, 0.0]; limiters], attempts, 60);
         assert_eq!(verdict, Verdict::Fails, "{limiters} limiters");
@@ -40,18 +40,18 @@
 }
 
 #[test]
-fn accidents_are_none_and_what_fails_everywhere_is_not_left() {
+fn sporadic_failures_are_ignored_and_failures_of_all_zones_are_told_apart() {
     assert_eq!(first_verdict(&[[0.02, 0.01, 0.0]; 6], 100, 7200).0, Verdict::Sound);
-    assert_eq!(first_verdict(&[[0.2, 0.2, 0.2]; 6], 20, 200).0, Verdict::Sound, "all alike");
+    assert_eq!(first_verdict(&[[0.2, 0.2, 0.2]; 6], 20, 200).0, Verdict::Sound, "all zones fail alike");
     assert_eq!(first_verdict(&[[1.0, 0.9, 0.9]; 6], 20, 200).0, Verdict::Everything);
 }
 
 #[test]
-fn one_that_is_cut_off_does_not_take_the_zone_from_the_rest() {
+fn a_broken_path_of_one_limiter_or_of_one_zone_is_not_a_zone_failure() {
     let mut all = vec![[0.0, 0.0, 0.0]; 6];
     all[4] = [1.0, 0.0, 0.0];
     assert_eq!(first_verdict(&all, 20, 200).0, Verdict::CutOff(vec![4]));
-    // All that stand in one zone.
+    // All limiters of zone b lose their link to zone a.
     let by_link: Vec<_> = (0..9).map(|n| if n % 3 == 1 { [1.0, 0.0, 0.0] } else { [0.0; 3] }).collect();
     assert_eq!(first_verdict(&by_link, 20, 200).0, Verdict::Link("b".into()));
 }
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,4 +1,4 @@
-//! All zones of a fleet: reports and orders in, what the fleet should decide next out.
+//! Controller of all zones of a fleet: takes reports and orders, and proposes what the fleet should decide next.
 
 use crate::capacity::{CapacityEstimator, Load};
 use crate::evidence::{LimiterReports, Report};
@@ -7,46 +7,46 @@
 use crate::{Millis, ReducedZone};
 use std::collections::BTreeMap;
 
-/// What servers bear is the largest of many figures that are a few percent off each: of a bound so much is used.
+/// Part of the estimated capacity that is relied on: the estimate is the maximum of many rates that are a few percent off.
 const CAPACITY_SAFETY_FACTOR: f64 = 0.8;
 
 /// An order that cannot be carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderError {
-    /// No limiter knows of this zone; these are known.
+    /// No limiter has reported this zone; holds the known zones.
     UnknownZone(Vec<String>),
-    /// No other zone is wholly used: to leave this one would leave nothing.
+    /// No other zone is fully used, so this one must not be left.
     LastFullZone,
 }
 
-/// A zone as operators are shown it.
+/// The status of a zone as shown to operators.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct ZoneStatus {
-    /// Its name.
+    /// Name of the zone.
     pub zone: String,
-    /// What is found of it.
+    /// Current assessment.
     pub verdict: Verdict,
-    /// The evidence that it fails, and where that is sure.
+    /// Log-likelihood ratio that the zone is failing.
     pub evidence: f64,
-    /// See `evidence`.
+    /// Value of `evidence` at which the zone counts as failing.
     pub sure: f64,
-    /// How much of it is used, and is to be.
+    /// Proposed share, 0 to 1.
     pub share: f64,
-    /// Where it stands.
+    /// Phase of its failover.
     pub phase: Phase,
-    /// What staff ordered.
+    /// Operator order in force.
     pub order: Option<Order>,
-    /// Attempts a second, and the part of them that fails.
+    /// Attempts per second.
     pub rate: f64,
-    /// See `rate`.
+    /// Share of attempts that fail, 0 to 1.
     pub failing: f64,
-    /// What would have to stay in use if it were to be left now.
+    /// Share that would have to stay in use if the zone were left now.
     pub stays: f64,
-    /// Each limiter's attempts there of the last seconds, and how many failed.
+    /// For each limiter: its number, its recent attempts in the zone, and the failed ones among them.
     pub limiters: Vec<(u16, f64, f64)>,
 }
 
-/// The zones of a fleet, at the limiter that decides.
+/// The zones of a fleet, held by the limiter that leads it.
 #[derive(Clone, Debug)]
 pub struct Zones {
     limiters: usize,
@@ -55,28 +55,28 @@
     test: SequentialTest,
     capacity: CapacityEstimator,
     failovers: BTreeMap<String, ZoneFailover>,
-    /// Attempts since each zone's last step: all, and those that failed.
+    /// Attempts and failed attempts since each zone's last step.
     since_step: BTreeMap<String, (f64, f64)>,
-    /// What is decided, once that is known.
+    /// The fleet's last decision; `None` until it is known.
     decided: Option<Vec<ReducedZone>>,
-    /// The rate of failures outside each zone, as of the last tick.
+    /// Failure rate of the other zones for each zone, as of the last tick.
     baseline: BTreeMap<String, f64>,
     cold: ColdStart,
-    /// Attempts a second that a zone had before it was left.
+    /// Attempts per second of each zone while it was last healthy and fully used.
     normal_rates: BTreeMap<String, f64>,
 }
 
-/// What a server that has just started is spared.
+/// Reduced capacity of a server that has just started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// It bears this part of what it will.
+    /// Capacity of a cold server as a share of that of a warm one.
     pub share: f64,
-    /// Until it has served for so long, ms.
+    /// Serving time in ms after which a server is warm.
     pub warm_after: Millis,
 }
 
 impl Zones {
-    /// Of a fleet of so many limiters.
+    /// Zones of a fleet of `limiters` limiters; `seed` varies the hold times.
     pub fn new(limiters: usize, cold: ColdStart, seed: u64) -> Zones {
         let (board, test, capacity) = Default::default();
         let (failovers, since_step, decided) = Default::default();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes in a limiter's report.
+    /// Records a limiter's report.
     pub fn report(&mut self, now: Millis, from: u16, report: &Report) {
         for increment in self.board.record(now, from, report) {
             let baseline = self.baseline.get(&increment.zone).copied().unwrap_or(0.0);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// What the fleet has decided. Where another limiter has led it so far, that is gone on from.
+    /// Sets the fleet's decision. The first call continues from the state left by the previous leader.
     pub fn set_decision(&mut self, now: Millis, left: &[ReducedZone]) {
         if self.decided.is_none() {
             for left in left {
@@ -122,10 +122,10 @@
         ZoneFailover::new(self.limiters, seed)
     }
 
-    /// Staff order something, or end their order.
+    /// Sets or, with `None`, ends an operator's order for a zone.
     ///
     /// # Errors
-    /// When there is no such zone, or nothing would be left.
+    /// When the zone is unknown, or when an order to leave would leave no fully used zone.
     pub fn order(&mut self, now: Millis, zone: &str, order: Option<Order>) -> Result<(), OrderError> {
         let known = self.known_zones();
         if !known.iter().any(|z| z == zone) {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// As much of a zone as its servers bear should they all be cold, until it has been used for as long as they need.
+    /// Largest share of a zone that its servers can serve if all are cold; 1 once it has been in use for the warm-up time.
     fn cold_limit(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> f64 {
         let failover = self.failovers.get(zone);
         let used_for =
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Time has passed; what the fleet should decide, where that is not what it has decided.
+    /// Advances all zones; returns the list that the fleet should decide if it differs from its last decision.
     pub fn tick(&mut self, now: Millis) -> Option<Vec<ReducedZone>> {
         self.decided.as_ref()?;
         let loads = self.loads(now);
@@ -206,7 +206,7 @@
             let fresh = self.new_failover(&zone);
             let failover = self.failovers.entry(zone.clone()).or_insert(fresh);
             if failover.update(now, &observation) {
-                // From now on it is looked at as it is then.
+                // Evidence from before the step does not apply to the new share.
                 self.since_step.remove(&zone);
                 self.test.reset(&zone);
             }
@@ -220,7 +220,7 @@
         (self.decided.as_ref() != Some(&wanted)).then_some(wanted)
     }
 
-    /// The zones as they stand.
+    /// The status of all known zones.
     pub fn status(&self, now: Millis) -> Vec<ZoneStatus> {
         let loads = self.loads(now);
         let show = |zone: String| {
--- a/crates/zones/tests/schedules.rs
+++ b/crates/zones/tests/schedules.rs
@@ -1,5 +1,7 @@
-//! Fleets of 3 to 300 limiters before three zones of three servers, in virtual time from printed seeds: a zone fails in part or
-//! wholly, once or again and again, comes back warm or cold. A checker of its own looks at what came to the servers.
+//! Simulates fleets of 3 to 300 limiters in front of three zones of three servers, in virtual time and from printed seeds.
+//!
+//! One zone fails partly or fully, once or twice, and recovers with warm or cold servers. An independent checker
+//! verifies the load that reached the servers.
 
 use oatbank_zones::evidence::{Counts, Report, Row};
 use oatbank_zones::zones::{ColdStart, Zones};
@@ -8,15 +10,18 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// A report, and a step of the world, ms.
+/// Interval of reports and of simulation steps, in ms.
 const STEP: u64 = 250;
-/// From what is wanted to what all act by, ms.
+/// Delay from a proposal to its effect on all limiters, in ms.
 const DECISION: u64 = 500;
-/// A server bears so many attempts a second; a cold one this part of them, until it has served for so long, ms.
+/// Attempts per second that a server can serve.
 const SERVER_CAPACITY: f64 = 100.0;
+/// Capacity of a cold server as a share of that of a warm one.
 const COLD_CAPACITY: f64 = 0.3;
+/// Serving time in ms after which a server is warm.
 const WARM_AFTER: u64 = 6000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
+/// Servers in each zone.
 const SERVERS_PER_ZONE: f64 = 3.0;
 
 struct Random(Pcg64Mcg);
@@ -26,51 +31,54 @@
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// How many of `n` happen, each with this probability.
+    /// Draws how many of `n` events occur, each with probability `p`.
     fn binomial(&mut self, n: f64, p: f64) -> u64 {
         let whole = n.floor() as u64 + u64::from(self.uniform() < n.fract());
         (0..whole).filter(|_| self.uniform() < p).count() as u64
     }
 }
 
-/// What happens to zone a.
+/// One simulated schedule: zone a fails and recovers.
 #[derive(Clone, Debug)]
 struct Plan {
     limiters: usize,
     seed: u64,
-    /// Attempts a second over all.
+    /// Attempts per second in all zones together.
     demand: f64,
-    /// From when to when it fails, and how much of its answers.
+    /// Failures of zone a: start and end in ms, and the share of attempts that fail.
     failures: Vec<(u64, u64, f64)>,
-    /// Its servers start anew when it is well again.
+    /// Whether its servers restart, and so are cold, when it recovers.
     cold: bool,
-    /// A fault of the program: the first step back is the whole.
+    /// Injected defect: the first step of the return is the full share.
     skip_steps: bool,
-    /// Failures everywhere that are nobody's fault.
+    /// Background failure rate in all zones.
     noise: f64,
     until: u64,
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    /// The part that went to zone a from 3 s after it fell ill until it was well, over all of that time.
+    /// Share of all traffic that went to zone a from 3 s after a failure began until it ended.
     late_share: f64,
-    /// The largest load of a server, as a part of what it then bore, in zone a after its illness, and in the others.
+    /// Largest utilization of a server in zone a after a failure.
+    /// It is the load as a share of the server's capacity at that time.
     peak_a: f64,
+    /// Largest utilization of a server in the other zones.
     peak_others: f64,
-    /// When it was wholly used again after its last illness.
+    /// When zone a was fully used again after its last failure, in ms.
     full_at: Option<u64>,
-    /// Steps back, each with its time.
+    /// Steps of the return: time in ms and share.
     steps: Vec<(u64, f64)>,
+    /// How often zone a was left.
     leaves: usize,
-    /// When it was left first.
+    /// When zone a was first left, in ms.
     left_at: Option<u64>,
 }
 
-/// How attempts are divided: zone a is preferred, as far as it is used; the others share the rest.
+/// Divides the demand among the zones: up to half goes to zone a, by its share in use; the others share the rest.
 fn divide(demand: f64, left: &BTreeMap<String, f64>) -> [f64; 3] {
     let part = |zone: &str| left.get(zone).copied().unwrap_or(1.0);
-    // One limiter lets a server have its usual load.
+    // Zone a normally serves half of the demand.
     let a = 0.5 * demand * part("a");
     let others = part("b") + part("c");
     let rest = |zone: &str| if others > 0.0 { (demand - a) * part(zone) / others } else { 0.0 };
@@ -107,7 +115,7 @@
         let loads = divide(plan.demand, &used);
         let failure = plan.failures.iter().find(|(from, to, _)| (*from..*to).contains(&now));
         let last_failure_end = plan.failures.iter().map(|(_, to, _)| *to).max().unwrap_or(0);
-        // What each server bears now, and how much too much it gets.
+        // The present capacity of a server in each zone, and its utilization.
         let recovered = plan.failures.iter().any(|(_, to, _)| now >= *to) && failure.is_none();
         let cold = plan.cold && recovered && served_since_failure < WARM_AFTER;
         served_since_failure =
@@ -153,7 +161,7 @@
     outcome
 }
 
-/// A schedule with one illness or several, from its seed.
+/// Generates a schedule with one or two failures from a seed.
 fn schedule(seed: u64) -> Plan {
     let mut random = Random(Pcg64Mcg::seed_from_u64(seed ^ 0x5a5a));
     let limiters = if seed % 28 == 6 { 300 } else { [3, 6, 12, 24, 60, 100, 30][(seed % 7) as usize] };
@@ -181,7 +189,8 @@
     }
 }
 
-/// What the bound allows: held out, then from the first step to the whole, two seconds and a decision each.
+/// Allowed time of a return in ms: the hold time, then each step from the first to full use with two seconds and a
+/// decision, and the warm-up time.
 fn allowed(plan: &Plan) -> u64 {
     let first = (1.0 / plan.limiters as f64).min(0.25);
     let steps = (1.0 / first).log2().ceil() as u64 + 1;
@@ -189,7 +198,7 @@
 }
 
 #[test]
-fn in_two_hundred_schedules_it_is_left_in_time_and_its_return_makes_no_second_outage() {
+fn a_failing_zone_is_left_in_time_and_its_return_overloads_no_server() {
     let (mut latest, mut worst_a, mut worst_others) = (0.0, 0.0f64, 0.0f64);
     for seed in 1..=200 {
         let plan = schedule(seed);
@@ -206,7 +215,7 @@
         );
         let after = outcome.full_at.map(|at| at - plan.failures.last().map_or(0, |i| i.1));
         if plan.failures.len() == 1 {
-            // It was tried while it was ill, and waits longer for each time.
+            // Each return that fails during the failure lengthens the hold time.
             let duration = plan.failures[0].1 - plan.failures[0].0;
             let held = 2 * duration;
             assert!(after.is_some_and(|after| after <= 2 * allowed(&plan) + held), "{}", context());
@@ -216,13 +225,13 @@
         (worst_a, worst_others) = (worst_a.max(outcome.peak_a), worst_others.max(outcome.peak_others));
     }
     println!(
-        "at most {latest:.3} to the zone from 3 s on; servers at most at {worst_a:.2} of what they bear in its return, at \
-         {worst_others:.2} in the other zones"
+        "traffic to the failing zone after 3 s: at most {latest:.3}; peak utilization of a server: {worst_a:.2} in the \
+         returning zone, {worst_others:.2} in the other zones"
     );
 }
 
 #[test]
-fn a_return_in_one_step_is_found_by_the_checker() {
+fn the_checker_detects_a_return_in_a_single_step() {
     let found = (1..=20).filter(|seed| {
         let outcome = simulate(&Plan { skip_steps: true, cold: true, ..schedule(*seed) });
         outcome.peak_a > 1.0
@@ -231,22 +240,24 @@
 }
 
 #[test]
-fn a_calm_hour_leaves_nothing() {
+fn background_failures_of_one_hour_trigger_no_failover() {
     let plan = Plan { limiters: 10, failures: Vec::new(), noise: 0.01, until: 3_600_000, ..schedule(10) };
     assert_eq!(simulate(&plan).leaves, 0);
 }
 
 #[test]
-#[ignore = "a minute: cargo test --profile tested -p oatbank-zones --test schedules -- --ignored --nocapture"]
-fn a_calm_hour_of_a_hundred_limiters_leaves_nothing() {
+#[ignore = "takes a minute: cargo test --profile tested -p oatbank-zones --test schedules -- --ignored --nocapture"]
+fn background_failures_of_one_hour_trigger_no_failover_with_a_hundred_limiters() {
     let plan = Plan { limiters: 100, failures: Vec::new(), noise: 0.01, until: 3_600_000, ..schedule(100) };
     assert_eq!(simulate(&plan).leaves, 0);
 }
 
 #[test]
-#[ignore = "a measurement: cargo test --profile tested -p oatbank-zones --test schedules -- --ignored --nocapture"]
-fn table() {
-    println!("rate of failures: how often of 20 a minute of it has the zone left, and after how long (mean, worst)");
+#[ignore = "measurement only: cargo test --profile tested -p oatbank-zones --test schedules -- --ignored --nocapture"]
+fn print_detection_delay_by_failure_rate() {
+    println!(
+        "failure rate for one minute: runs out of 20 in which the zone was left, and the delay (mean, worst)"
+    );
     for rate in [0.02, 0.05, 0.08, 0.12, 0.25, 0.5, 1.0] {
         for limiters in [10, 100] {
             let mut delays = Vec::new();
