--- a/crates/membership/src/damping.rs
+++ b/crates/membership/src/damping.rs
@@ -24,18 +24,18 @@
     /// Below so many it is let in.
     pub reuse: f64,
     /// The most points that are kept.
-    pub most: f64,
+    pub max_penalty: f64,
 }
 
 impl Default for Settings {
     /// The third flap within some seconds is held back, for 5 to 8 s; one that goes on for a minute, for 15 s at most.
     fn default() -> Self {
-        Settings { half_life: 5000.0, suppress: 2.5, reuse: 1.0, most: 8.0 }
+        Settings { half_life: 5000.0, suppress: 2.5, reuse: 1.0, max_penalty: 8.0 }
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Mark {
+struct Penalty {
     points: f64,
     at: Millis,
     suppressed: bool,
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 pub struct Damping {
     settings: Settings,
-    marks: HashMap<String, Mark>,
+    penalties: HashMap<String, Penalty>,
     ready: BTreeSet<String>,
     held: BTreeMap<String, Member>,
 }
@@ -64,14 +64,14 @@
                 let named: BTreeSet<&String> = members.iter().map(|m| &m.id).collect();
                 let known = self.ready.iter().chain(self.held.keys());
                 let gone: Vec<String> = known.filter(|id| !named.contains(id)).cloned().collect();
-                gone.iter().for_each(|id| self.withdraw(now, id));
-                let mut passed = self.pass(now, members);
-                passed.extend(self.balance(now));
+                gone.iter().for_each(|id| self.record_removal(now, id));
+                let mut passed = self.filter(now, members);
+                passed.extend(self.release_excess(now));
                 Some(News::Complete(passed))
             }
             News::Changes(members) => {
-                let mut passed = self.pass(now, members);
-                passed.extend(self.balance(now));
+                let mut passed = self.filter(now, members);
+                passed.extend(self.release_excess(now));
                 (!passed.is_empty()).then_some(News::Changes(passed))
             }
         }
@@ -79,29 +79,29 @@
 
     /// Lets in what has been held for long enough.
     pub fn release_due(&mut self, now: Millis) -> Option<News> {
-        let free: Vec<String> = self.held.keys().filter(|id| now >= self.free_at(id)).cloned().collect();
-        let passed: Vec<Member> = free.iter().filter_map(|id| self.release(id)).collect();
+        let due: Vec<String> = self.held.keys().filter(|id| now >= self.release_at(id)).cloned().collect();
+        let passed: Vec<Member> = due.iter().filter_map(|id| self.release(id)).collect();
         let settings = self.settings;
-        self.marks.retain(|_, mark| mark.now(now, settings) > 0.05);
+        self.penalties.retain(|_, penalty| penalty.decayed(now, settings) > 0.05);
         (!passed.is_empty()).then_some(News::Changes(passed))
     }
 
     /// When [`Damping::release_due`] is to be called, if nothing comes before.
     pub fn next_due(&self) -> Option<Millis> {
-        self.held.keys().map(|id| self.free_at(id)).min_by(f64::total_cmp)
+        self.held.keys().map(|id| self.release_at(id)).min_by(f64::total_cmp)
     }
 
     /// The servers that are held back, and until when at most.
     pub fn held(&self) -> Vec<(&Member, Millis)> {
-        self.held.iter().map(|(id, member)| (member, self.free_at(id))).collect()
+        self.held.iter().map(|(id, member)| (member, self.release_at(id))).collect()
     }
 
-    fn pass(&mut self, now: Millis, members: Vec<Member>) -> Vec<Member> {
+    fn filter(&mut self, now: Millis, members: Vec<Member>) -> Vec<Member> {
         let mut passed = Vec::new();
         for member in members {
             if member.state != ServerState::Ready {
                 let held = self.held.contains_key(&member.id);
-                self.withdraw(now, &member.id);
+                self.record_removal(now, &member.id);
                 // Of one that is held only its coming was kept back: that it goes is no news to anybody.
                 if !held || member.state == ServerState::Draining {
                     passed.push(member);
@@ -117,46 +117,47 @@
         passed
     }
 
-    fn withdraw(&mut self, now: Millis, id: &str) {
+    fn record_removal(&mut self, now: Millis, id: &str) {
         let held = self.held.remove(id).is_some();
         if !self.ready.remove(id) && !held {
             return;
         }
         let settings = self.settings;
-        let mark = self.marks.entry(id.to_owned()).or_default();
-        mark.points = (mark.now(now, settings) + 1.0).min(settings.most);
-        mark.at = now;
-        mark.suppressed |= mark.points > settings.suppress;
+        let penalty = self.penalties.entry(id.to_owned()).or_default();
+        penalty.points = (penalty.decayed(now, settings) + 1.0).min(settings.max_penalty);
+        penalty.at = now;
+        penalty.suppressed |= penalty.points > settings.suppress;
     }
 
     fn is_suppressed(&mut self, now: Millis, id: &str) -> bool {
         let settings = self.settings;
-        let Some(mark) = self.marks.get_mut(id) else { return false };
-        mark.suppressed &= mark.now(now, settings) > settings.reuse;
-        mark.suppressed
+        let Some(penalty) = self.penalties.get_mut(id) else { return false };
+        penalty.suppressed &= penalty.decayed(now, settings) > settings.reuse;
+        penalty.suppressed
     }
 
-    fn free_at(&self, id: &str) -> Millis {
+    fn release_at(&self, id: &str) -> Millis {
         let settings = self.settings;
-        let mark = self.marks.get(id).copied().unwrap_or_default();
-        mark.at + settings.half_life * (mark.points / settings.reuse).max(1.0).log2()
+        let penalty = self.penalties.get(id).copied().unwrap_or_default();
+        penalty.at + settings.half_life * (penalty.points / settings.reuse).max(1.0).log2()
     }
 
     fn release(&mut self, id: &str) -> Option<Member> {
         let member = self.held.remove(id)?;
-        if let Some(mark) = self.marks.get_mut(id) {
-            mark.suppressed = false;
+        if let Some(penalty) = self.penalties.get_mut(id) {
+            penalty.suppressed = false;
         }
         self.ready.insert(id.to_owned());
         Some(member)
     }
 
     /// Lets in servers until no more are held than are ready.
-    fn balance(&mut self, now: Millis) -> Vec<Member> {
+    fn release_excess(&mut self, now: Millis) -> Vec<Member> {
         let mut passed = Vec::new();
         while self.held.len() > self.ready.len() {
-            let points = |id: &String| self.marks.get(id).map_or(0.0, |m| m.now(now, self.settings));
-            let least = self.held.keys().min_by(|a, b| points(a).total_cmp(&points(b))).cloned();
+            let penalty_of =
+                |id: &String| self.penalties.get(id).map_or(0.0, |m| m.decayed(now, self.settings));
+            let least = self.held.keys().min_by(|a, b| penalty_of(a).total_cmp(&penalty_of(b))).cloned();
             let Some(member) = least.and_then(|id| self.release(&id)) else { break };
             passed.push(member);
         }
@@ -164,8 +165,8 @@
     }
 }
 
-impl Mark {
-    fn now(&self, now: Millis, settings: Settings) -> f64 {
+impl Penalty {
+    fn decayed(&self, now: Millis, settings: Settings) -> f64 {
         self.points * (-(now - self.at).max(0.0) / settings.half_life).exp2()
     }
 }
--- a/crates/membership/src/payload.rs
+++ b/crates/membership/src/payload.rs
@@ -19,14 +19,14 @@
 use std::net::{IpAddr, SocketAddr};
 
 /// Longest payload that is read, bytes: what is longer is no member's.
-pub const MOST_BYTES: usize = 16 * 1024;
+pub const MAX_BYTES: usize = 16 * 1024;
 /// Longest id or zone name, bytes.
-pub const MOST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// Why a node is left out of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The payload is longer than [`MOST_BYTES`].
+    /// The payload is longer than [`MAX_BYTES`].
     TooLong(usize),
     /// It is no JSON object of either form.
     Unreadable(String),
@@ -45,11 +45,11 @@
 impl std::fmt::Display for Reason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Reason::TooLong(n) => write!(f, "{n} bytes, where {MOST_BYTES} are allowed"),
+            Reason::TooLong(n) => write!(f, "{n} bytes, where {MAX_BYTES} are allowed"),
             Reason::Unreadable(e) => write!(f, "neither Curator's nor Finagle's JSON: {e}"),
             Reason::NoAddress(e) => write!(f, "no address that can be used: {e}"),
             Reason::Field(name) => write!(f, "{name} is out of range or of the wrong type"),
-            Reason::Name => write!(f, "a name that is empty, over {MOST_NAME} bytes, or not plain text"),
+            Reason::Name => write!(f, "a name that is empty, over {MAX_NAME_BYTES} bytes, or not plain text"),
             Reason::SameId => write!(f, "a newer node has the same id"),
             Reason::SameAddress => write!(f, "a newer node has the same address"),
         }
@@ -58,7 +58,7 @@
 
 /// A name that may be logged, compared and put on a line.
 pub fn is_plain(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MOST_NAME && name.bytes().all(|b| b.is_ascii_graphic())
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(|b| b.is_ascii_graphic())
 }
 
 /// Reads the payload of the node `name`. A start time that is not told comes back as none.
@@ -66,7 +66,7 @@
 /// # Errors
 /// Why this member is left out; no payload can do more than that.
 pub fn read(name: &str, bytes: &[u8]) -> Result<(Member, Option<f64>), Reason> {
-    if bytes.len() > MOST_BYTES {
+    if bytes.len() > MAX_BYTES {
         return Err(Reason::TooLong(bytes.len()));
     }
     if !is_plain(name) {
@@ -74,23 +74,23 @@
     }
     let value: Value = serde_json::from_slice(bytes).map_err(|e| Reason::Unreadable(e.to_string()))?;
     let object = value.as_object().ok_or_else(|| Reason::Unreadable("no object".into()))?;
-    let (id, host, port, more) = match object.get("serviceEndpoint") {
+    let (id, host, port, metadata) = match object.get("serviceEndpoint") {
         Some(endpoint) => (name, &endpoint["host"], &endpoint["port"], object.get("metadata")),
         None => (curator_id(name, object)?, &value["address"], &value["port"], object.get("payload")),
     };
     let empty = Map::new();
-    let more = match more {
+    let metadata = match metadata {
         None | Some(Value::Null) => &empty,
-        Some(more) => more.as_object().ok_or(Reason::Field("payload"))?,
+        Some(metadata) => metadata.as_object().ok_or(Reason::Field("payload"))?,
     };
-    let own = status(object.get("status"))?;
-    let asked = status(more.get("status"))?;
-    let state = if own == ServerState::Ready { asked } else { own };
-    let started = number(more, "started_ms", 0.0, 1e15)?;
+    let top_level = status(object.get("status"))?;
+    let nested = status(metadata.get("status"))?;
+    let state = if top_level == ServerState::Ready { nested } else { top_level };
+    let started = number(metadata, "started_ms", 0.0, 1e15)?;
     let member = Member {
-        zone: zone(more)?,
-        cell: number(more, "cell", 0.0, 65_535.0)?.unwrap_or(0.0) as u16,
-        weight: number(more, "weight", 0.001, 1000.0)?.unwrap_or(1.0),
+        zone: zone(metadata)?,
+        cell: number(metadata, "cell", 0.0, 65_535.0)?.unwrap_or(0.0) as u16,
+        weight: number(metadata, "weight", 0.001, 1000.0)?.unwrap_or(1.0),
         started: started.unwrap_or(0.0),
         state,
         ..Member::ready(id, address(host, port)?)
@@ -109,8 +109,9 @@
 fn address(host: &Value, port: &Value) -> Result<SocketAddr, Reason> {
     let host = host.as_str().ok_or_else(|| Reason::NoAddress("none is named".into()))?;
     let plain = host.trim_start_matches('[').trim_end_matches(']');
-    let short: String = host.chars().take(MOST_NAME).collect();
-    let ip: IpAddr = plain.parse().map_err(|_| Reason::NoAddress(format!("{short:?} is no IP address")))?;
+    let shortened: String = host.chars().take(MAX_NAME_BYTES).collect();
+    let ip: IpAddr =
+        plain.parse().map_err(|_| Reason::NoAddress(format!("{shortened:?} is no IP address")))?;
     if ip.is_unspecified() || ip.is_multicast() {
         return Err(Reason::NoAddress(format!("{ip} is no server's")));
     }
@@ -132,8 +133,8 @@
     }
 }
 
-fn zone(more: &Map<String, Value>) -> Result<String, Reason> {
-    match more.get("zone") {
+fn zone(metadata: &Map<String, Value>) -> Result<String, Reason> {
+    match metadata.get("zone") {
         None | Some(Value::Null) => Ok(String::new()),
         Some(zone) => {
             let zone = zone.as_str().filter(|z| z.is_empty() || is_plain(z));
@@ -144,18 +145,18 @@
 
 /// A number, or one as text, as Finagle's metadata holds it.
 fn number(
-    more: &Map<String, Value>,
+    metadata: &Map<String, Value>,
     key: &'static str,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 ) -> Result<Option<f64>, Reason> {
-    let value = match more.get(key) {
+    let value = match metadata.get(key) {
         None | Some(Value::Null) => return Ok(None),
         Some(Value::Number(n)) => n.as_f64(),
         Some(Value::String(s)) => s.parse().ok(),
         Some(_) => None,
     };
-    value.filter(|v| (least..=most).contains(v)).map(Some).ok_or(Reason::Field(key))
+    value.filter(|v| (min..=max).contains(v)).map(Some).ok_or(Reason::Field(key))
 }
 
 #[cfg(test)]
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -21,13 +21,13 @@
 use std::net::SocketAddr;
 
 /// Reads of nodes that are out at once: a herd of members is read in a bounded number of steps.
-const WINDOW: usize = 64;
+const MAX_CONCURRENT_READS: usize = 64;
 /// A read that failed or was too old is made again after this, ms.
-const RETRY: Millis = 50.0;
+const RETRY_DELAY: Millis = 50.0;
 /// The first list is told after this, ms, though some node has not been read.
-const FIRST_WAIT: Millis = 1000.0;
+const FIRST_LIST_DELAY: Millis = 1000.0;
 /// A server that comes back within this, ms, at its address and without a start time is the same process.
-const SAME_PROCESS: Millis = 60_000.0;
+const SAME_PROCESS_WINDOW: Millis = 60_000.0;
 
 /// What the reconciler goes by.
 #[derive(Clone, Copy, Debug)]
@@ -102,12 +102,12 @@
     dirty: bool,
     reading: bool,
     /// The connection on which it was last named by the folder.
-    seen_on: u64,
+    listed_on: u64,
     /// The read of the folder that last named it.
-    named_by: u64,
+    listed_by_read: u64,
     read_at: i64,
     created: i64,
-    held: Option<Result<Member, Reason>>,
+    content: Option<Result<Member, Reason>>,
 }
 
 /// A node that claims an id or an address, and the transaction that created it; the newest holds it.
@@ -126,7 +126,7 @@
     /// Counts reads of the folder.
     folder_reads: u64,
     /// Since when reads have been older than what was seen.
-    old_since: Option<Millis>,
+    outdated_since: Option<Millis>,
     lost_at: Option<Millis>,
     settling_until: Millis,
     retry_at: Option<Millis>,
@@ -135,11 +135,11 @@
     reading: usize,
     by_id: HashMap<String, BTreeSet<Claim>>,
     by_address: HashMap<SocketAddr, BTreeSet<Claim>>,
-    told: BTreeMap<String, Member>,
+    announced: BTreeMap<String, Member>,
     first_due: Option<Millis>,
     started: bool,
     /// Servers that went: address, start, and when.
-    past: HashMap<String, (Option<SocketAddr>, Millis, Millis)>,
+    removed: HashMap<String, (Option<SocketAddr>, Millis, Millis)>,
     current_at: Option<Millis>,
     changes: BTreeMap<String, Member>,
 }
@@ -155,7 +155,7 @@
             folder_reading: false,
             folder_read_at: i64::MIN,
             folder_reads: 0,
-            old_since: None,
+            outdated_since: None,
             lost_at: None,
             settling_until: f64::NEG_INFINITY,
             retry_at: None,
@@ -164,10 +164,10 @@
             reading: 0,
             by_id: HashMap::new(),
             by_address: HashMap::new(),
-            told: BTreeMap::new(),
+            announced: BTreeMap::new(),
             first_due: None,
             started: false,
-            past: HashMap::new(),
+            removed: HashMap::new(),
             current_at: None,
             changes: BTreeMap::new(),
         }
@@ -175,14 +175,14 @@
 
     /// The list as it was told, by id.
     pub fn list(&self) -> &BTreeMap<String, Member> {
-        &self.told
+        &self.announced
     }
 
     /// Nodes that are left out, and why.
     pub fn left_out(&self) -> Vec<(&str, Reason)> {
-        let reason = |(name, node): (&'_ String, &Node)| match node.held.as_ref()? {
+        let reason = |(name, node): (&'_ String, &Node)| match node.content.as_ref()? {
             Err(reason) => Some(reason.clone()),
-            Ok(member) => self.beaten(name, node, member),
+            Ok(member) => self.conflict(name, node, member),
         };
         self.nodes.iter().filter_map(|(name, node)| Some((name.as_str(), reason((name, node))?))).collect()
     }
@@ -196,14 +196,14 @@
     pub fn handle(&mut self, now: Millis, event: Event) -> Step {
         match event {
             Event::Connected => self.connect(now),
-            Event::Lost => self.lose(now),
-            Event::Children { zxid, names } => self.children(now, zxid, names),
-            Event::Data { name, zxid, created, bytes } => self.data(now, &name, zxid, created, &bytes),
-            Event::NoNode { name, zxid } => self.no_node(now, &name, zxid),
-            Event::Failed(want) => self.failed(now, want),
+            Event::Lost => self.disconnect(now),
+            Event::Children { zxid, names } => self.handle_children(now, zxid, names),
+            Event::Data { name, zxid, created, bytes } => self.handle_data(now, &name, zxid, created, &bytes),
+            Event::NoNode { name, zxid } => self.handle_no_node(now, &name, zxid),
+            Event::Failed(read) => self.handle_failed(now, read),
             Event::Fired(ReadRequest::Children) => self.folder_dirty = true,
-            Event::Fired(ReadRequest::Data(name)) => self.soil(&name),
-            Event::Due => self.due(now),
+            Event::Fired(ReadRequest::Data(name)) => self.mark_dirty(&name),
+            Event::Due => self.handle_due(now),
         }
         self.step(now)
     }
@@ -222,16 +222,16 @@
         }
     }
 
-    fn lose(&mut self, now: Millis) {
+    fn disconnect(&mut self, now: Millis) {
         self.connected = false;
         self.lost_at.get_or_insert(now);
         (self.folder_reading, self.reading, self.retry_at) = (false, 0, None);
         self.nodes.values_mut().for_each(|node| node.reading = false);
-        self.old_since = None;
+        self.outdated_since = None;
     }
 
     /// A node is to be read.
-    fn soil(&mut self, name: &str) {
+    fn mark_dirty(&mut self, name: &str) {
         let Some(node) = self.nodes.get_mut(name) else { return };
         if !node.dirty {
             node.dirty = true;
@@ -240,127 +240,128 @@
     }
 
     fn retry(&mut self, now: Millis) {
-        self.retry_at.get_or_insert(now + RETRY);
+        self.retry_at.get_or_insert(now + RETRY_DELAY);
     }
 
     /// Whether a read is older than what was seen. One that stays so is believed in the end: the service's own
     /// history may have been set back.
-    fn is_old(&mut self, now: Millis, zxid: i64, seen: i64) -> bool {
+    fn is_outdated(&mut self, now: Millis, zxid: i64, seen: i64) -> bool {
         if zxid >= seen {
-            self.old_since = None;
+            self.outdated_since = None;
             return false;
         }
-        let since = *self.old_since.get_or_insert(now);
+        let since = *self.outdated_since.get_or_insert(now);
         if now - since < self.settings.settle {
             return true;
         }
         // Nothing that was seen before can be compared with what comes from now on.
-        self.old_since = None;
+        self.outdated_since = None;
         self.folder_read_at = i64::MIN;
         self.nodes.values_mut().for_each(|node| node.read_at = i64::MIN);
         false
     }
 
-    fn children(&mut self, now: Millis, zxid: i64, names: Vec<String>) {
+    fn handle_children(&mut self, now: Millis, zxid: i64, names: Vec<String>) {
         if !std::mem::take(&mut self.folder_reading) {
             return;
         }
-        if self.is_old(now, zxid, self.folder_read_at) {
+        if self.is_outdated(now, zxid, self.folder_read_at) {
             self.folder_dirty = true;
             return self.retry(now);
         }
         self.folder_read_at = zxid;
         if !self.started && self.first_due.is_none() {
-            self.first_due = Some(now + FIRST_WAIT);
+            self.first_due = Some(now + FIRST_LIST_DELAY);
         }
         self.folder_reads += 1;
         for name in names {
             let node = self.nodes.entry(name.clone()).or_insert_with(|| {
-                let fine = payload::is_plain(&name);
-                if fine {
+                let valid = payload::is_plain(&name);
+                if valid {
                     self.queue.push_back(name);
                 }
-                let held = if fine { None } else { Some(Err(Reason::Name)) };
+                let content = if valid { None } else { Some(Err(Reason::Name)) };
                 Node {
-                    dirty: fine,
+                    dirty: valid,
                     reading: false,
-                    seen_on: 0,
-                    named_by: 0,
+                    listed_on: 0,
+                    listed_by_read: 0,
                     read_at: i64::MIN,
                     created: 0,
-                    held,
+                    content,
                 }
             });
-            (node.seen_on, node.named_by) = (self.connection, self.folder_reads);
+            (node.listed_on, node.listed_by_read) = (self.connection, self.folder_reads);
         }
-        self.remove_unnamed(now);
+        self.remove_unlisted(now);
     }
 
     /// Removes the nodes that the folder's last read, which was just made, did not name.
-    fn remove_unnamed(&mut self, now: Millis) {
+    fn remove_unlisted(&mut self, now: Millis) {
         let settling = now < self.settling_until;
         let gone = self.nodes.iter().filter(|(_, node)| {
             // While members come back, one that has not been seen on this connection yet may still do so.
-            node.named_by != self.folder_reads && (!settling || node.seen_on == self.connection)
+            node.listed_by_read != self.folder_reads && (!settling || node.listed_on == self.connection)
         });
         let gone: Vec<String> = gone.map(|(name, _)| name.clone()).collect();
         gone.iter().for_each(|name| self.remove(now, name));
     }
 
-    fn data(&mut self, now: Millis, name: &str, zxid: i64, created: i64, bytes: &[u8]) {
-        let Some(seen) = self.answered(name) else { return };
-        if self.is_old(now, zxid, seen) {
-            self.soil(name);
+    fn handle_data(&mut self, now: Millis, name: &str, zxid: i64, created: i64, bytes: &[u8]) {
+        let Some(seen) = self.take_pending_read(name) else { return };
+        if self.is_outdated(now, zxid, seen) {
+            self.mark_dirty(name);
             return self.retry(now);
         }
         let held = payload::read(name, bytes).map(|(member, started)| self.with_start(now, member, started));
         self.index(name, false);
         if let Some(node) = self.nodes.get_mut(name) {
             (node.read_at, node.created) = (zxid, created);
-            let before = node.held.replace(held);
+            let before = node.content.replace(held);
             self.index(name, true);
-            self.evaluate_around(now, name, before.and_then(Result::ok));
+            self.evaluate_change(now, name, before.and_then(Result::ok));
         }
     }
 
     /// A read of this node was out; what it has seen of it.
-    fn answered(&mut self, name: &str) -> Option<i64> {
+    fn take_pending_read(&mut self, name: &str) -> Option<i64> {
         let node = self.nodes.get_mut(name).filter(|node| node.reading)?;
         node.reading = false;
         self.reading = self.reading.saturating_sub(1);
         Some(node.read_at)
     }
 
-    fn no_node(&mut self, now: Millis, name: &str, zxid: i64) {
-        let Some(seen) = self.answered(name) else { return };
-        if self.is_old(now, zxid, seen.max(self.folder_read_at)) {
-            self.soil(name);
+    fn handle_no_node(&mut self, now: Millis, name: &str, zxid: i64) {
+        let Some(seen) = self.take_pending_read(name) else { return };
+        if self.is_outdated(now, zxid, seen.max(self.folder_read_at)) {
+            self.mark_dirty(name);
             return self.retry(now);
         }
         // The folder's watch tells of it too, but later; and it is not yet back where members come back.
-        if now >= self.settling_until || self.nodes.get(name).is_some_and(|n| n.seen_on == self.connection) {
+        if now >= self.settling_until || self.nodes.get(name).is_some_and(|n| n.listed_on == self.connection)
+        {
             self.remove(now, name);
         }
         self.folder_dirty = true;
     }
 
-    fn failed(&mut self, now: Millis, want: ReadRequest) {
-        match want {
+    fn handle_failed(&mut self, now: Millis, read: ReadRequest) {
+        match read {
             ReadRequest::Children => {
                 if std::mem::take(&mut self.folder_reading) {
                     self.folder_dirty = true;
                 }
             }
             ReadRequest::Data(name) => {
-                if self.answered(&name).is_some() {
-                    self.soil(&name);
+                if self.take_pending_read(&name).is_some() {
+                    self.mark_dirty(&name);
                 }
             }
         }
         self.retry(now);
     }
 
-    fn due(&mut self, now: Millis) {
+    fn handle_due(&mut self, now: Millis) {
         if self.retry_at.is_some_and(|at| now >= at) {
             self.retry_at = None;
         }
@@ -377,9 +378,10 @@
         if started.is_some() || !self.started {
             return member;
         }
-        let known = self.told.get(&member.id).filter(|m| m.address == member.address).map(|m| m.started);
-        let past = self.past.get(&member.id);
-        let past = past.filter(|(address, _, at)| *address == member.address && now - at < SAME_PROCESS);
+        let known = self.announced.get(&member.id).filter(|m| m.address == member.address).map(|m| m.started);
+        let past = self.removed.get(&member.id);
+        let past =
+            past.filter(|(address, _, at)| *address == member.address && now - at < SAME_PROCESS_WINDOW);
         // One that was never here has just come, and may be cold.
         let started = known.or(past.map(|(_, started, _)| *started)).unwrap_or(now);
         Member { started, ..member }
@@ -391,8 +393,8 @@
             if node.reading {
                 self.reading = self.reading.saturating_sub(1);
             }
-            if let Some(Ok(member)) = node.held {
-                self.evaluate_with(now, &member);
+            if let Some(Ok(member)) = node.content {
+                self.evaluate_sharing(now, &member);
             }
         }
     }
@@ -401,15 +403,15 @@
 
     fn index(&mut self, name: &str, add: bool) {
         let Some(node) = self.nodes.get(name) else { return };
-        let Some(Ok(member)) = &node.held else { return };
+        let Some(Ok(member)) = &node.content else { return };
         let claim = (node.created, name.to_owned());
         if let Some(address) = member.address {
-            put(&mut self.by_address, address, claim.clone(), add);
+            update_claim(&mut self.by_address, address, claim.clone(), add);
         }
-        put(&mut self.by_id, member.id.clone(), claim, add);
+        update_claim(&mut self.by_id, member.id.clone(), claim, add);
     }
 
-    fn beaten(&self, name: &str, node: &Node, member: &Member) -> Option<Reason> {
+    fn conflict(&self, name: &str, node: &Node, member: &Member) -> Option<Reason> {
         let key = (node.created, name.to_owned());
         let last = |set: Option<&BTreeSet<Claim>>| set.and_then(BTreeSet::last) == Some(&key);
         if !last(self.by_id.get(&member.id)) {
@@ -419,23 +421,23 @@
         (!last(address)).then_some(Reason::SameAddress)
     }
 
-    fn evaluate_around(&mut self, now: Millis, name: &str, before: Option<Member>) {
+    fn evaluate_change(&mut self, now: Millis, name: &str, before: Option<Member>) {
         if let Some(before) = before {
-            self.evaluate_with(now, &before);
+            self.evaluate_sharing(now, &before);
         }
-        let after = self.nodes.get(name).and_then(|n| n.held.clone()).and_then(Result::ok);
+        let after = self.nodes.get(name).and_then(|n| n.content.clone()).and_then(Result::ok);
         if let Some(after) = after {
-            self.evaluate_with(now, &after);
+            self.evaluate_sharing(now, &after);
         }
     }
 
     /// Looks anew at all ids that this member's id and address bear on.
-    fn evaluate_with(&mut self, now: Millis, member: &Member) {
+    fn evaluate_sharing(&mut self, now: Millis, member: &Member) {
         let sharing = member.address.and_then(|a| self.by_address.get(&a));
         let mut ids: BTreeSet<String> = sharing
             .into_iter()
             .flatten()
-            .filter_map(|(_, name)| Some(self.nodes.get(name)?.held.as_ref()?.as_ref().ok()?.id.clone()))
+            .filter_map(|(_, name)| Some(self.nodes.get(name)?.content.as_ref()?.as_ref().ok()?.id.clone()))
             .collect();
         ids.insert(member.id.clone());
         ids.iter().for_each(|id| self.evaluate(now, id));
@@ -445,21 +447,21 @@
     fn evaluate(&mut self, now: Millis, id: &str) {
         let holder =
             self.by_id.get(id).and_then(BTreeSet::last).and_then(|(_, name)| self.nodes.get_key_value(name));
-        let holds = holder.and_then(|(name, node)| match &node.held {
-            Some(Ok(member)) if self.beaten(name, node, member).is_none() => Some(member.clone()),
+        let holds = holder.and_then(|(name, node)| match &node.content {
+            Some(Ok(member)) if self.conflict(name, node, member).is_none() => Some(member.clone()),
             _ => None,
         });
         match holds {
             Some(member) => {
-                if self.told.get(id) != Some(&member) {
+                if self.announced.get(id) != Some(&member) {
                     self.changes.insert(id.to_owned(), member.clone());
-                    self.told.insert(id.to_owned(), member);
+                    self.announced.insert(id.to_owned(), member);
                 }
             }
             None => {
-                if let Some(member) = self.told.remove(id) {
-                    self.past.retain(|_, (_, _, at)| now - *at < SAME_PROCESS);
-                    self.past.insert(id.to_owned(), (member.address, member.started, now));
+                if let Some(member) = self.announced.remove(id) {
+                    self.removed.retain(|_, (_, _, at)| now - *at < SAME_PROCESS_WINDOW);
+                    self.removed.insert(id.to_owned(), (member.address, member.started, now));
                     let gone = Member { state: ServerState::Gone, ..member };
                     self.changes.insert(id.to_owned(), gone);
                 }
@@ -472,7 +474,7 @@
     fn step(&mut self, now: Millis) -> Step {
         let mut step = Step::default();
         if self.connected && self.retry_at.is_none() {
-            self.ask(&mut step.reads);
+            self.issue_reads(&mut step.reads);
         }
         let clean = self.connected && !self.folder_dirty && !self.folder_reading;
         let idle = clean && self.reading == 0 && self.queue.is_empty();
@@ -483,24 +485,24 @@
         if first {
             self.started = true;
             self.changes.clear();
-            step.news = Some(News::Complete(self.told.values().cloned().collect()));
+            step.news = Some(News::Complete(self.announced.values().cloned().collect()));
         } else if self.started && !self.changes.is_empty() {
             let changes = std::mem::take(&mut self.changes);
             step.news = Some(News::Changes(changes.into_values().collect()));
         }
         let settling = Some(self.settling_until).filter(|at| at.is_finite());
         let first = self.first_due.filter(|_| !self.started);
-        let dues = [self.retry_at, settling, first];
-        step.due = dues.into_iter().flatten().min_by(f64::total_cmp);
+        let timers = [self.retry_at, settling, first];
+        step.due = timers.into_iter().flatten().min_by(f64::total_cmp);
         step
     }
 
-    fn ask(&mut self, reads: &mut Vec<ReadRequest>) {
+    fn issue_reads(&mut self, reads: &mut Vec<ReadRequest>) {
         if self.folder_dirty && !self.folder_reading {
             (self.folder_dirty, self.folder_reading) = (false, true);
             reads.push(ReadRequest::Children);
         }
-        while self.reading < WINDOW {
+        while self.reading < MAX_CONCURRENT_READS {
             let Some(name) = self.queue.pop_front() else { break };
             let Some(node) = self.nodes.get_mut(&name).filter(|n| n.dirty) else { continue };
             if node.reading {
@@ -516,7 +518,7 @@
 }
 
 /// Adds a node's claim to what it claims, or takes it away.
-fn put<K: Eq + Hash>(claims: &mut HashMap<K, BTreeSet<Claim>>, key: K, claim: Claim, add: bool) {
+fn update_claim<K: Eq + Hash>(claims: &mut HashMap<K, BTreeSet<Claim>>, key: K, claim: Claim, add: bool) {
     if add {
         claims.entry(key).or_default().insert(claim);
     } else if let Entry::Occupied(mut held) = claims.entry(key) {
--- a/crates/membership/src/register.rs
+++ b/crates/membership/src/register.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 /// What could not be done is tried again after this, ms.
-const RETRY: Millis = 100.0;
+const RETRY_DELAY: Millis = 100.0;
 
 /// What the registration goes by.
 #[derive(Clone, Copy, Debug)]
@@ -136,46 +136,46 @@
 pub struct Registration {
     settings: Settings,
     name: String,
-    life: Incarnation,
+    incarnation: Incarnation,
     session: Option<i64>,
     state: State,
     leaving: bool,
     /// The version of our own node.
     version: i32,
     /// What failed, to be tried again at this time.
-    again: Vec<Action>,
-    again_at: Option<Millis>,
+    retries: Vec<Action>,
+    retry_at: Option<Millis>,
     names: Vec<String>,
     /// The count that is told, and since when fewer have been seen.
     count: usize,
     fewer_since: Option<Millis>,
-    told: Option<Place>,
+    announced: Option<Place>,
 }
 
 impl Registration {
     /// A registration of `name`, which [`is_plain`] and without `/`.
-    pub fn new(settings: Settings, name: &str, life: Incarnation) -> Self {
+    pub fn new(settings: Settings, name: &str, incarnation: Incarnation) -> Self {
         Registration {
             settings,
             name: name.to_owned(),
-            life,
+            incarnation,
             session: None,
             state: State::Out,
             leaving: false,
             version: 0,
-            again: Vec::new(),
-            again_at: None,
+            retries: Vec::new(),
+            retry_at: None,
             names: Vec::new(),
             count: 0,
             fewer_since: None,
-            told: None,
+            announced: None,
         }
     }
 
     /// What the node holds.
     pub fn payload(&self) -> Vec<u8> {
         // A struct of two numbers has a form in JSON.
-        serde_json::to_vec(&self.life).unwrap_or_default()
+        serde_json::to_vec(&self.incarnation).unwrap_or_default()
     }
 
     /// Where it stands.
@@ -185,7 +185,7 @@
 
     /// This limiter's place as it was last told.
     pub fn place(&self) -> Option<Place> {
-        self.told
+        self.announced
     }
 
     /// Takes in what has happened.
@@ -194,33 +194,33 @@
         match event {
             Event::Connected { session } => {
                 // A new session owns nothing; of a kept one the watches are gone.
-                let kept = self.session.replace(session) == Some(session);
-                if !kept && self.state == State::Registered {
+                let resumed = self.session.replace(session) == Some(session);
+                if !resumed && self.state == State::Registered {
                     self.state = State::Out;
                 }
-                (self.again, self.again_at) = (Vec::new(), None);
+                (self.retries, self.retry_at) = (Vec::new(), None);
                 actions.extend([
-                    if kept || self.leaving { Action::Read } else { Action::Create },
+                    if resumed || self.leaving { Action::Read } else { Action::Create },
                     Action::Names,
                 ]);
             }
-            Event::Lost => (self.again, self.again_at) = (Vec::new(), None),
+            Event::Lost => (self.retries, self.retry_at) = (Vec::new(), None),
             Event::Done(Action::Folder) => actions.extend([Action::Create, Action::Names]),
             Event::Done(Action::Remove { .. }) => self.state = State::Left,
             Event::Done(_) | Event::Taken | Event::Fired(Action::Read) => actions.push(Action::Read),
             Event::NoFolder => actions.push(Action::Folder),
-            Event::Node { owner, version, bytes } => actions.extend(self.node(owner, version, &bytes)),
+            Event::Node { owner, version, bytes } => actions.extend(self.handle_node(owner, version, &bytes)),
             Event::NoNode => {
                 self.state = if self.leaving { State::Left } else { State::Out };
                 actions.push(Action::Create);
             }
             Event::Names(names) => self.names = names,
-            Event::Failed(want) => self.retry(now, want),
+            Event::Failed(action) => self.retry(now, action),
             Event::Fired(_) => actions.push(Action::Names),
             Event::Due => {
-                if self.again_at.is_some_and(|at| now >= at) {
-                    self.again_at = None;
-                    actions.append(&mut self.again);
+                if self.retry_at.is_some_and(|at| now >= at) {
+                    self.retry_at = None;
+                    actions.append(&mut self.retries);
                 }
             }
             Event::Leave => {
@@ -234,28 +234,28 @@
         if self.state == State::Left || self.session.is_none() {
             actions.clear();
         }
-        Step { actions, place: self.place_now(now), due: self.due() }
+        Step { actions, place: self.update_place(now), due: self.due() }
     }
 
-    fn retry(&mut self, now: Millis, want: Action) {
+    fn retry(&mut self, now: Millis, action: Action) {
         // What a version says may be old by now: it is read again.
-        let want = match want {
+        let action = match action {
             Action::Replace { .. } | Action::Remove { .. } => Action::Read,
             other => other,
         };
-        if !self.again.contains(&want) {
-            self.again.push(want);
+        if !self.retries.contains(&action) {
+            self.retries.push(action);
         }
-        self.again_at.get_or_insert(now + RETRY);
+        self.retry_at.get_or_insert(now + RETRY_DELAY);
     }
 
-    fn node(&mut self, owner: i64, version: i32, bytes: &[u8]) -> Option<Action> {
-        let theirs = serde_json::from_slice::<Incarnation>(bytes).ok();
-        if self.session == Some(owner) && theirs == Some(self.life) {
+    fn handle_node(&mut self, owner: i64, version: i32, bytes: &[u8]) -> Option<Action> {
+        let holder = serde_json::from_slice::<Incarnation>(bytes).ok();
+        if self.session == Some(owner) && holder == Some(self.incarnation) {
             (self.state, self.version) = (State::Registered, version);
             return self.leaving.then_some(Action::Remove { version });
         }
-        if let Some(newer) = theirs.filter(|theirs| *theirs > self.life) {
+        if let Some(newer) = holder.filter(|holder| *holder > self.incarnation) {
             self.state = if self.leaving { State::Left } else { State::Superseded(newer) };
             return None;
         }
@@ -268,7 +268,7 @@
         Some(Action::Replace { version })
     }
 
-    fn place_now(&mut self, now: Millis) -> Option<Place> {
+    fn update_place(&mut self, now: Millis) -> Option<Place> {
         let mut names: Vec<&String> = self.names.iter().filter(|name| is_plain(name)).collect();
         names.sort_unstable();
         let since = *self.fewer_since.get_or_insert(now);
@@ -277,15 +277,15 @@
         }
         let number = names.iter().position(|name| **name == self.name)?;
         let place = Place { number, count: self.count };
-        let news = self.state == State::Registered && self.told != Some(place);
-        if news {
-            self.told = Some(place);
+        let changed = self.state == State::Registered && self.announced != Some(place);
+        if changed {
+            self.announced = Some(place);
         }
-        news.then_some(place)
+        changed.then_some(place)
     }
 
     fn due(&self) -> Option<Millis> {
-        let falls = self.fewer_since.map(|since| since + self.settings.settle);
-        [self.again_at, falls].into_iter().flatten().min_by(f64::total_cmp)
+        let count_falls_at = self.fewer_since.map(|since| since + self.settings.settle);
+        [self.retry_at, count_falls_at].into_iter().flatten().min_by(f64::total_cmp)
     }
 }
--- a/crates/membership/src/sources.rs
+++ b/crates/membership/src/sources.rs
@@ -21,7 +21,7 @@
     /// Members of this list that a source of higher rank owns, or has owned since they were named here.
     covered: BTreeSet<String>,
     /// A whole list was told.
-    whole: bool,
+    complete: bool,
 }
 
 /// What a source says of a server, and what came of it.
@@ -39,8 +39,8 @@
 #[derive(Debug, Default)]
 pub struct Sources {
     sources: Vec<Source>,
-    told: BTreeMap<String, Member>,
-    whole: bool,
+    announced: BTreeMap<String, Member>,
+    complete: bool,
 }
 
 impl Sources {
@@ -55,15 +55,15 @@
         let source = self.sources.get_mut(rank)?;
         match news {
             News::Complete(members) => {
-                source.whole = true;
+                source.complete = true;
                 source.replace(members);
             }
-            News::Remembered(members) if !source.whole => source.replace(members),
+            News::Remembered(members) if !source.complete => source.replace(members),
             News::Remembered(_) => return None,
             News::Changes(members) => members.into_iter().for_each(|m| source.change(m)),
         }
-        self.cover();
-        self.news()
+        self.mark_covered();
+        self.take_changes()
     }
 
     /// All that the sources say.
@@ -79,7 +79,7 @@
     }
 
     /// Marks what a source of higher rank names too. Marks are kept: they go with the member they stand on.
-    fn cover(&mut self) {
+    fn mark_covered(&mut self) {
         let mut ids: HashSet<String> = HashSet::new();
         let mut addresses: HashSet<SocketAddr> = HashSet::new();
         for source in &mut self.sources {
@@ -96,23 +96,23 @@
     }
 
     /// What differs from what was told.
-    fn news(&mut self) -> Option<News> {
+    fn take_changes(&mut self) -> Option<News> {
         let mut now: BTreeMap<String, Member> = BTreeMap::new();
         for source in &self.sources {
             let own = source.list.values().filter(|m| !source.covered.contains(&m.id));
             now.extend(own.map(|m| (m.id.clone(), m.clone())));
         }
-        let before = std::mem::replace(&mut self.told, now);
-        let whole = self.sources.iter().any(|s| s.whole);
-        if !whole {
-            return Some(News::Remembered(self.told.values().cloned().collect()));
+        let before = std::mem::replace(&mut self.announced, now);
+        let complete = self.sources.iter().any(|s| s.complete);
+        if !complete {
+            return Some(News::Remembered(self.announced.values().cloned().collect()));
         }
-        if !std::mem::replace(&mut self.whole, true) {
-            return Some(News::Complete(self.told.values().cloned().collect()));
+        if !std::mem::replace(&mut self.complete, true) {
+            return Some(News::Complete(self.announced.values().cloned().collect()));
         }
-        let gone = before.values().filter(|m| !self.told.contains_key(&m.id));
+        let gone = before.values().filter(|m| !self.announced.contains_key(&m.id));
         let gone = gone.map(|m| Member { state: ServerState::Gone, ..m.clone() });
-        let new = self.told.values().filter(|m| before.get(&m.id) != Some(m)).cloned();
+        let new = self.announced.values().filter(|m| before.get(&m.id) != Some(m)).cloned();
         // Those that go first: one that takes over an address comes behind its predecessor.
         let changes: Vec<Member> = gone.chain(new).collect();
         (!changes.is_empty()).then_some(News::Changes(changes))
--- a/crates/membership/tests/convergence.rs
+++ b/crates/membership/tests/convergence.rs
@@ -16,13 +16,13 @@
 
 const SETTLE: f64 = 10_000.0;
 
-struct World {
+struct Model {
     rng: Pcg64Mcg,
     now: f64,
     /// The tree after each transaction; the index is the transaction.
     history: Vec<Tree>,
     /// What the server that is asked has heard of.
-    view: usize,
+    server_view: usize,
     connected: bool,
     requests: VecDeque<ReadRequest>,
     answers: VecDeque<Event>,
@@ -31,18 +31,18 @@
     reconciler: Reconciler,
     due: Option<f64>,
     /// The list as an engine that hears the news has it.
-    heard: Option<BTreeMap<String, Member>>,
+    applied: Option<BTreeMap<String, Member>>,
     /// What each node held at its last read that was delivered.
     read: BTreeMap<String, String>,
 }
 
-impl World {
+impl Model {
     fn new(seed: u64) -> Self {
-        World {
+        Model {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 1000.0,
             history: vec![Tree::new()],
-            view: 0,
+            server_view: 0,
             connected: false,
             requests: VecDeque::new(),
             answers: VecDeque::new(),
@@ -50,12 +50,12 @@
             data_watches: BTreeSet::new(),
             reconciler: Reconciler::new(Settings { settle: SETTLE }),
             due: None,
-            heard: None,
+            applied: None,
             read: BTreeMap::new(),
         }
     }
 
-    fn pick(&mut self, n: usize) -> usize {
+    fn random_below(&mut self, n: usize) -> usize {
         (self.rng.next_u64() % n as u64) as usize
     }
 
@@ -65,10 +65,10 @@
 
     /// One transaction of some member's.
     fn mutate(&mut self) {
-        let (which, act, port) = (self.pick(6), self.pick(5), 9000 + self.pick(4));
-        let status = ["ALIVE", "ALIVE", "STOPPING"][self.pick(3)];
-        let id = self.pick(5);
-        let bytes = match self.pick(12) {
+        let (which, act, port) = (self.random_below(6), self.random_below(5), 9000 + self.random_below(4));
+        let status = ["ALIVE", "ALIVE", "STOPPING"][self.random_below(3)];
+        let id = self.random_below(5);
+        let bytes = match self.random_below(12) {
             0 => "{nonsense".to_owned(),
             _ => format!(
                 r#"{{"id":"e{id}","address":"127.0.0.1","port":{port},"payload":{{"status":"{status}","started_ms":5}}}}"#
@@ -89,11 +89,11 @@
     }
 
     /// The server hears of the next transaction, and its watches fire.
-    fn advance(&mut self) {
-        if self.view + 1 >= self.history.len() {
+    fn apply_next_transaction(&mut self) {
+        if self.server_view + 1 >= self.history.len() {
             return;
         }
-        let (old, new) = (&self.history[self.view], &self.history[self.view + 1]);
+        let (old, new) = (&self.history[self.server_view], &self.history[self.server_view + 1]);
         if self.folder_watch && !old.keys().eq(new.keys()) {
             self.folder_watch = false;
             self.answers.push_back(Event::Fired(ReadRequest::Children));
@@ -104,17 +104,17 @@
             self.data_watches.remove(&name);
             self.answers.push_back(Event::Fired(ReadRequest::Data(name)));
         }
-        self.view += 1;
+        self.server_view += 1;
     }
 
     /// The server answers the oldest request, or fails it.
     fn serve(&mut self) {
-        let Some(want) = self.requests.pop_front() else { return };
-        if self.pick(15) == 0 {
-            return self.answers.push_back(Event::Failed(want));
+        let Some(request) = self.requests.pop_front() else { return };
+        if self.random_below(15) == 0 {
+            return self.answers.push_back(Event::Failed(request));
         }
-        let (zxid, tree) = (self.view as i64, &self.history[self.view]);
-        self.answers.push_back(match want {
+        let (zxid, tree) = (self.server_view as i64, &self.history[self.server_view]);
+        self.answers.push_back(match request {
             ReadRequest::Children => {
                 self.folder_watch = true;
                 Event::Children { zxid, names: tree.keys().cloned().collect() }
@@ -135,83 +135,83 @@
         if let Event::Data { name, bytes, .. } = &event {
             self.read.insert(name.clone(), String::from_utf8_lossy(bytes).into_owned());
         }
-        self.tell(event.clone());
-        if self.pick(20) == 0 && matches!(event, Event::Fired(_)) {
-            self.tell(event);
+        self.handle(event.clone());
+        if self.random_below(20) == 0 && matches!(event, Event::Fired(_)) {
+            self.handle(event);
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let Step { reads, news, due } = self.reconciler.handle(self.now, event);
         self.requests.extend(reads);
         self.due = due;
         if let Some(news) = news {
-            self.hear(news);
+            self.apply(news);
         }
     }
 
     /// Takes news as an engine does, and holds each ready member to what was read.
-    fn hear(&mut self, news: News) {
+    fn apply(&mut self, news: News) {
         let members = match news {
             News::Complete(members) => {
-                self.heard = Some(BTreeMap::new());
+                self.applied = Some(BTreeMap::new());
                 members
             }
             News::Changes(members) => members,
             News::Remembered(_) => panic!("the reconciler remembers nothing"),
         };
-        let heard = self.heard.as_mut().expect("changes before any list");
+        let applied = self.applied.as_mut().expect("changes before any list");
         for member in members {
             if member.state == ServerState::Gone {
-                heard.remove(&member.id);
+                applied.remove(&member.id);
                 continue;
             }
             if member.state == ServerState::Ready {
-                let shown = self.read.iter().any(|(name, text)| {
+                let was_read = self.read.iter().any(|(name, text)| {
                     payload::read(name, text.as_bytes()).is_ok_and(|(m, _)| {
                         (m.id, m.address, m.state) == (member.id.clone(), member.address, member.state)
                     })
                 });
-                assert!(shown, "{} was announced ready and no node's last read shows it", member.id);
+                assert!(was_read, "{} was announced ready and no node's last read shows it", member.id);
             }
-            heard.insert(member.id.clone(), member);
+            applied.insert(member.id.clone(), member);
         }
-        assert_eq!(heard, self.reconciler.list(), "the news make another list than the reconciler's");
+        assert_eq!(applied, self.reconciler.list(), "the news make another list than the reconciler's");
     }
 
     fn connect(&mut self) {
         // Some other server of the ensemble, which may lag.
-        let back = self.pick(4);
-        self.view = (self.history.len() - 1).saturating_sub(back);
+        let lag = self.random_below(4);
+        self.server_view = (self.history.len() - 1).saturating_sub(lag);
         (self.connected, self.folder_watch) = (true, false);
         self.data_watches.clear();
-        self.tell(Event::Connected);
+        self.handle(Event::Connected);
     }
 
-    fn lose(&mut self) {
+    fn disconnect(&mut self) {
         self.connected = false;
         (self.requests, self.answers) = Default::default();
-        self.tell(Event::Lost);
+        self.handle(Event::Lost);
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance_time(&mut self, ms: f64) {
         self.now += ms;
         if self.due.is_some_and(|at| self.now >= at) {
-            self.tell(Event::Due);
+            self.handle(Event::Due);
         }
     }
 
     fn random_step(&mut self) {
-        match self.pick(20) {
+        match self.random_below(20) {
             0..=2 => self.mutate(),
-            3..=6 => self.advance(),
+            3..=6 => self.apply_next_transaction(),
             7..=11 if self.connected => self.serve(),
             12..=16 if self.connected => self.deliver(),
-            17 if self.connected && self.pick(4) == 0 => self.lose(),
+            17 if self.connected && self.random_below(4) == 0 => self.disconnect(),
             18 if !self.connected => self.connect(),
             _ => {
-                let ms = self.pick(30) as f64;
-                self.pass(ms);
+                let ms = self.random_below(30) as f64;
+                self.advance_time(ms);
             }
         }
     }
@@ -222,12 +222,12 @@
             self.connect();
         }
         for _ in 0..10_000 {
-            while self.view + 1 < self.history.len() {
-                self.advance();
+            while self.server_view + 1 < self.history.len() {
+                self.apply_next_transaction();
             }
             self.serve();
             self.deliver();
-            self.pass(5.0);
+            self.advance_time(5.0);
             if self.requests.is_empty() && self.answers.is_empty() && self.due.is_none() {
                 return;
             }
@@ -244,13 +244,13 @@
                 Some((*created, name, payload::read(name, text.as_bytes()).ok()?.0))
             })
             .collect();
-        let newest = |a: &(i64, &String, Member)| {
+        let is_newest = |a: &(i64, &String, Member)| {
             read.iter().all(|b| {
                 let shares = b.2.id == a.2.id || b.2.address == a.2.address;
                 !shares || (b.0, b.1) <= (a.0, a.1)
             })
         };
-        read.iter().filter(|a| newest(a)).map(|(_, _, m)| (m.id.clone(), m.state)).collect()
+        read.iter().filter(|a| is_newest(a)).map(|(_, _, m)| (m.id.clone(), m.state)).collect()
     }
 }
 
@@ -258,14 +258,14 @@
 fn the_list_becomes_the_trees_whatever_was_lost_on_the_way() {
     let seeds = std::env::var("OATBANK_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(2000u64);
     for seed in 0..seeds {
-        let mut world = World::new(seed);
-        let steps = 50 + world.pick(400);
-        (0..steps).for_each(|_| world.random_step());
-        world.quiesce();
+        let mut model = Model::new(seed);
+        let steps = 50 + model.random_below(400);
+        (0..steps).for_each(|_| model.random_step());
+        model.quiesce();
         let list: BTreeMap<String, ServerState> =
-            world.reconciler.list().iter().map(|(id, m)| (id.clone(), m.state)).collect();
-        assert_eq!(list, world.expected(), "seed {seed}");
-        assert!(world.heard.is_some(), "seed {seed}: no list was ever told");
+            model.reconciler.list().iter().map(|(id, m)| (id.clone(), m.state)).collect();
+        assert_eq!(list, model.expected(), "seed {seed}");
+        assert!(model.applied.is_some(), "seed {seed}: no list was ever told");
     }
 }
 
@@ -283,8 +283,8 @@
 ) -> Vec<News> {
     let mut news: Vec<News> = step.news.into_iter().collect();
     let mut reads: VecDeque<ReadRequest> = step.reads.into();
-    while let Some(want) = reads.pop_front() {
-        let event = match want {
+    while let Some(request) = reads.pop_front() {
+        let event = match request {
             ReadRequest::Children => {
                 Event::Children { zxid, names: members.iter().map(|(name, _)| (*name).to_owned()).collect() }
             }
@@ -304,7 +304,7 @@
     reconciler.list().keys().map(String::as_str).collect()
 }
 
-fn standing(members: &[(&str, u16)]) -> Reconciler {
+fn connected(members: &[(&str, u16)]) -> Reconciler {
     let mut reconciler = Reconciler::new(Settings { settle: SETTLE });
     let step = reconciler.handle(0.0, Event::Connected);
     let news = answer(&mut reconciler, 0.0, 10, members, step);
@@ -314,7 +314,7 @@
 
 #[test]
 fn a_deleted_node_is_announced_gone_in_the_step_that_reads_it() {
-    let mut reconciler = standing(&[("a", 1), ("b", 2)]);
+    let mut reconciler = connected(&[("a", 1), ("b", 2)]);
     let step = reconciler.handle(50.0, Event::Fired(ReadRequest::Children));
     let news = answer(&mut reconciler, 50.0, 11, &[("b", 2)], step);
     assert!(matches!(&news[..], [News::Changes(c)] if c.len() == 1 && c[0].state == ServerState::Gone));
@@ -327,7 +327,7 @@
 
 #[test]
 fn the_list_holds_while_the_service_is_away_and_members_may_come_back_one_by_one() {
-    let mut reconciler = standing(&[("a", 1), ("b", 2)]);
+    let mut reconciler = connected(&[("a", 1), ("b", 2)]);
     reconciler.handle(100.0, Event::Lost);
     let step = reconciler.handle(1e6, Event::Due);
     assert!(step.news.is_none() && names(&reconciler) == ["a", "b"], "the last list holds");
@@ -349,7 +349,7 @@
 
 #[test]
 fn after_a_short_loss_what_has_gone_meanwhile_is_gone_at_the_first_read() {
-    let mut reconciler = standing(&[("a", 1), ("b", 2)]);
+    let mut reconciler = connected(&[("a", 1), ("b", 2)]);
     reconciler.handle(100.0, Event::Lost);
     let step = reconciler.handle(600.0, Event::Connected);
     answer(&mut reconciler, 600.0, 12, &[("b", 2)], step);
@@ -358,7 +358,7 @@
 
 #[test]
 fn a_server_that_lags_is_not_believed_and_a_history_that_was_set_back_is_in_the_end() {
-    let mut reconciler = standing(&[("a", 1), ("b", 2)]);
+    let mut reconciler = connected(&[("a", 1), ("b", 2)]);
     reconciler.handle(100.0, Event::Lost);
     let step = reconciler.handle(200.0, Event::Connected);
     assert!(answer(&mut reconciler, 200.0, 5, &[("a", 1)], step).is_empty());
@@ -379,7 +379,7 @@
 
 #[test]
 fn a_node_that_flaps_is_the_same_process_and_a_newcomer_is_not() {
-    let mut reconciler = standing(&[("a", 1)]);
+    let mut reconciler = connected(&[("a", 1)]);
     for round in 0..100 {
         let now = 1000.0 + f64::from(round) * 600.0;
         let step = reconciler.handle(now, Event::Fired(ReadRequest::Children));
@@ -401,20 +401,20 @@
     let names: Vec<String> = (0..2000).map(|n| format!("m{n:04}")).collect();
     let step = reconciler.handle(1.0, Event::Children { zxid: 1, names });
     let mut reads: VecDeque<ReadRequest> = step.reads.into();
-    let (mut most, mut lists) = (reads.len(), 0);
+    let (mut max_pending, mut lists) = (reads.len(), 0);
     while let Some(ReadRequest::Data(name)) = reads.pop_front() {
         let port = 1 + name[1..].parse::<u16>().expect("a number");
         let step = reconciler.handle(2.0, Event::Data { name, zxid: 1, created: 1, bytes: node(port) });
         reads.extend(step.reads);
-        most = most.max(reads.len());
+        max_pending = max_pending.max(reads.len());
         lists += usize::from(step.news.is_some());
     }
-    assert_eq!((most, lists, reconciler.list().len()), (64, 1, 2000));
+    assert_eq!((max_pending, lists, reconciler.list().len()), (64, 1, 2000));
 }
 
 #[test]
 fn the_newest_node_holds_an_id_and_an_address_and_the_older_takes_them_back() {
-    let mut reconciler = standing(&[("a", 1)]);
+    let mut reconciler = connected(&[("a", 1)]);
     let step = reconciler.handle(10.0, Event::Fired(ReadRequest::Children));
     assert_eq!(step.reads, [ReadRequest::Children]);
     reconciler.handle(10.0, Event::Children { zxid: 11, names: vec!["a".into(), "b".into()] });
--- a/crates/membership/tests/intake.rs
+++ b/crates/membership/tests/intake.rs
@@ -19,10 +19,10 @@
 
 /// What the engine would have.
 #[derive(Default)]
-struct Told(BTreeMap<String, Member>);
+struct EngineList(BTreeMap<String, Member>);
 
-impl Told {
-    fn take(&mut self, news: Option<News>) {
+impl EngineList {
+    fn apply(&mut self, news: Option<News>) {
         match news {
             None => {}
             Some(News::Complete(members) | News::Remembered(members)) => {
@@ -46,32 +46,32 @@
 
 #[test]
 fn the_owner_says_when_a_server_is_gone_though_a_lower_list_still_names_it() {
-    let (mut sources, mut told) = (Sources::new(&["tree", "file"]), Told::default());
-    told.take(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
-    assert_eq!(told.ready(), ids(&["a", "b", "c"]), "the file alone");
+    let (mut sources, mut list) = (Sources::new(&["tree", "file"]), EngineList::default());
+    list.apply(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
+    assert_eq!(list.ready(), ids(&["a", "b", "c"]), "the file alone");
     // The same id, and the same address under another id.
-    told.take(sources.update(0, News::Complete(vec![member("a", 1), member("tree-b", 2)])));
-    assert_eq!(told.ready(), ids(&["a", "c", "tree-b"]));
-    told.take(sources.update(0, News::Changes(vec![gone("a"), gone("tree-b")])));
-    assert_eq!(told.ready(), ids(&["c"]), "nobody is brought back by a list that was left behind");
+    list.apply(sources.update(0, News::Complete(vec![member("a", 1), member("tree-b", 2)])));
+    assert_eq!(list.ready(), ids(&["a", "c", "tree-b"]));
+    list.apply(sources.update(0, News::Changes(vec![gone("a"), gone("tree-b")])));
+    assert_eq!(list.ready(), ids(&["c"]), "nobody is brought back by a list that was left behind");
     // The same list anew is no new word; one without and then one with them is.
-    told.take(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
-    assert_eq!(told.ready(), ids(&["c"]));
-    told.take(sources.update(1, News::Complete(vec![member("c", 3)])));
-    told.take(sources.update(1, News::Complete(vec![member("a", 1), member("c", 3)])));
-    assert_eq!(told.ready(), ids(&["a", "c"]));
+    list.apply(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
+    assert_eq!(list.ready(), ids(&["c"]));
+    list.apply(sources.update(1, News::Complete(vec![member("c", 3)])));
+    list.apply(sources.update(1, News::Complete(vec![member("a", 1), member("c", 3)])));
+    assert_eq!(list.ready(), ids(&["a", "c"]));
 }
 
 #[test]
 fn a_drain_by_the_owner_holds_and_a_lower_sources_drain_of_its_own_too() {
-    let (mut sources, mut told) = (Sources::new(&["tree", "file"]), Told::default());
-    told.take(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2)])));
+    let (mut sources, mut list) = (Sources::new(&["tree", "file"]), EngineList::default());
+    list.apply(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2)])));
     let draining = Member { state: ServerState::Draining, ..member("a", 1) };
-    told.take(sources.update(0, News::Complete(vec![draining])));
-    assert_eq!(told.ready(), ids(&["b"]));
+    list.apply(sources.update(0, News::Complete(vec![draining])));
+    assert_eq!(list.ready(), ids(&["b"]));
     let draining = Member { state: ServerState::Draining, ..member("b", 2) };
-    told.take(sources.update(1, News::Changes(vec![draining, member("a", 1)])));
-    assert_eq!((told.ready(), told.0.len()), (ids(&[]), 2));
+    list.apply(sources.update(1, News::Changes(vec![draining, member("a", 1)])));
+    assert_eq!((list.ready(), list.0.len()), (ids(&[]), 2));
 }
 
 #[test]
@@ -92,24 +92,24 @@
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut roll = |n: u64| (rng.next_u64() % n) as usize;
-        let (mut sources, mut told) = (Sources::new(&["x", "y", "z"]), Told::default());
+        let (mut sources, mut list) = (Sources::new(&["x", "y", "z"]), EngineList::default());
         let mut lists = [const { BTreeMap::<String, Member>::new() }; 3];
-        (0..3).for_each(|rank| told.take(sources.update(rank, News::Complete(Vec::new()))));
+        (0..3).for_each(|rank| list.apply(sources.update(rank, News::Complete(Vec::new()))));
         for _ in 0..60 {
             let (rank, which) = (roll(3), roll(6));
             let m = member(&format!("s{which}"), 1 + roll(6) as u16);
             if roll(2) == 0 {
                 lists[rank].remove(&m.id);
-                told.take(sources.update(rank, News::Changes(vec![gone(&m.id)])));
+                list.apply(sources.update(rank, News::Changes(vec![gone(&m.id)])));
             } else {
                 lists[rank].insert(m.id.clone(), m.clone());
-                told.take(sources.update(rank, News::Changes(vec![m])));
+                list.apply(sources.update(rank, News::Changes(vec![m])));
             }
             // The highest source's list holds as it is, and no id or address is told that no source names.
             for (id, m) in &lists[0] {
-                assert_eq!(told.0.get(id), Some(m), "seed {seed}");
+                assert_eq!(list.0.get(id), Some(m), "seed {seed}");
             }
-            for (id, m) in &told.0 {
+            for (id, m) in &list.0 {
                 assert!(lists.iter().any(|l| l.get(id) == Some(m)), "seed {seed}: {id}");
             }
         }
@@ -117,53 +117,53 @@
 }
 
 /// Plays flaps of one of four servers, 100 ms down and 400 ms up, and gives how many changes passed.
-fn flap(damping: &mut Damping, told: &mut Told, from: f64, times: usize) -> usize {
+fn flap(damping: &mut Damping, list: &mut EngineList, from: f64, times: usize) -> usize {
     let mut passed = 0;
     for i in 0..times {
         let at = from + 500.0 * i as f64;
         for (now, m) in [(at, gone("a")), (at + 100.0, member("a", 1))] {
             let news = damping.update(now, News::Changes(vec![m.clone()]));
             passed += usize::from(news.is_some());
-            told.take(news);
-            assert!(m.state == ServerState::Ready || !told.ready().contains("a"), "gone at once");
+            list.apply(news);
+            assert!(m.state == ServerState::Ready || !list.ready().contains("a"), "gone at once");
         }
     }
     passed
 }
 
-fn four() -> (Damping, Told) {
-    let (mut damping, mut told) = (Damping::new(Settings::default()), Told::default());
+fn four_servers() -> (Damping, EngineList) {
+    let (mut damping, mut list) = (Damping::new(Settings::default()), EngineList::default());
     let all = ["a", "b", "c", "d"].iter().enumerate().map(|(i, id)| member(id, 1 + i as u16)).collect();
-    told.take(damping.update(0.0, News::Complete(all)));
-    (damping, told)
+    list.apply(damping.update(0.0, News::Complete(all)));
+    (damping, list)
 }
 
 #[test]
 fn one_flap_passes_and_a_minute_of_flapping_floods_nothing() {
-    let (mut damping, mut told) = four();
-    assert_eq!(flap(&mut damping, &mut told, 1000.0, 1), 2);
-    assert!(told.ready().contains("a"), "one flap is forgiven");
-    let passed = flap(&mut damping, &mut told, 2000.0, 120);
+    let (mut damping, mut list) = four_servers();
+    assert_eq!(flap(&mut damping, &mut list, 1000.0, 1), 2);
+    assert!(list.ready().contains("a"), "one flap is forgiven");
+    let passed = flap(&mut damping, &mut list, 2000.0, 120);
     assert!(passed < 12, "{passed} of 240 changes passed in a minute");
-    assert_eq!(told.ready(), ids(&["b", "c", "d"]));
+    assert_eq!(list.ready(), ids(&["b", "c", "d"]));
     let until = damping.next_due().expect("a time");
     assert!((67_000.0..77_500.0).contains(&until), "let in after its last flap at 61.6 s: {until}");
     assert_eq!(damping.release_due(until - 1.0), None);
-    told.take(damping.release_due(until));
-    assert!(told.ready().contains("a") && damping.next_due().is_none());
+    list.apply(damping.release_due(until));
+    assert!(list.ready().contains("a") && damping.next_due().is_none());
 }
 
 #[test]
 fn where_all_flap_the_fleet_does_not_empty() {
-    let (mut damping, mut told) = four();
+    let (mut damping, mut list) = four_servers();
     let all = ["a", "b", "c", "d"];
     for i in 0..40 {
         let at = 1000.0 + 500.0 * f64::from(i);
-        told.take(damping.update(at, News::Changes(all.iter().map(|id| gone(id)).collect())));
-        assert_eq!(told.ready().len(), 0, "told is told");
+        list.apply(damping.update(at, News::Changes(all.iter().map(|id| gone(id)).collect())));
+        assert_eq!(list.ready().len(), 0, "told is told");
         let back = all.iter().enumerate().map(|(n, id)| member(id, 1 + n as u16)).collect();
-        told.take(damping.update(at + 100.0, News::Changes(back)));
-        assert!(told.ready().len() >= 2, "half of them at least: {:?}", told.ready());
+        list.apply(damping.update(at + 100.0, News::Changes(back)));
+        assert!(list.ready().len() >= 2, "half of them at least: {:?}", list.ready());
     }
 }
 
--- a/crates/membership/tests/register.rs
+++ b/crates/membership/tests/register.rs
@@ -20,7 +20,7 @@
     registration: Registration,
     session: Option<i64>,
     connected: bool,
-    out: Vec<Action>,
+    pending: Vec<Action>,
     watches: Vec<Action>,
     due: Option<f64>,
     /// Each place that was told, with its time.
@@ -28,167 +28,168 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Model {
     now: f64,
     folder: bool,
     nodes: BTreeMap<String, Node>,
     processes: Vec<Process>,
     next_session: i64,
-    next_life: u64,
+    next_incarnation: u64,
 }
 
-impl World {
-    fn with(names: &[&str]) -> World {
-        let mut world = World::default();
-        names.iter().for_each(|name| world.start(name));
-        world
+impl Model {
+    fn with(names: &[&str]) -> Model {
+        let mut model = Model::default();
+        names.iter().for_each(|name| model.start(name));
+        model
     }
 
     fn start(&mut self, name: &str) {
-        self.next_life += 1;
-        let life = Incarnation { started_ms: self.next_life, instance: 0 };
-        let registration = Registration::new(Settings { settle: SETTLE }, name, life);
+        self.next_incarnation += 1;
+        let incarnation = Incarnation { started_ms: self.next_incarnation, instance: 0 };
+        let registration = Registration::new(Settings { settle: SETTLE }, name, incarnation);
         self.processes.push(Process {
             name: name.to_owned(),
             registration,
             session: None,
             connected: false,
-            out: Vec::new(),
+            pending: Vec::new(),
             watches: Vec::new(),
             due: None,
             places: Vec::new(),
         });
     }
 
-    fn tell(&mut self, who: usize, event: Event) {
+    fn handle(&mut self, process_index: usize, event: Event) {
         let now = self.now;
-        let process = &mut self.processes[who];
+        let process = &mut self.processes[process_index];
         let step = process.registration.handle(now, event);
-        process.out.extend(step.actions);
+        process.pending.extend(step.actions);
         process.due = step.due;
         process.places.extend(step.place.map(|place| (now, place)));
     }
 
-    fn connect(&mut self, who: usize) {
-        if self.processes[who].connected {
+    fn connect(&mut self, process_index: usize) {
+        if self.processes[process_index].connected {
             return;
         }
-        let session = self.processes[who].session.unwrap_or_else(|| {
+        let session = self.processes[process_index].session.unwrap_or_else(|| {
             self.next_session += 1;
             self.next_session
         });
-        (self.processes[who].session, self.processes[who].connected) = (Some(session), true);
-        self.tell(who, Event::Connected { session });
+        (self.processes[process_index].session, self.processes[process_index].connected) =
+            (Some(session), true);
+        self.handle(process_index, Event::Connected { session });
     }
 
     /// The connection goes, and what was out with it: done or not.
-    fn disconnect(&mut self, who: usize, done: bool) {
-        if !std::mem::take(&mut self.processes[who].connected) {
+    fn disconnect(&mut self, process_index: usize, done: bool) {
+        if !std::mem::take(&mut self.processes[process_index].connected) {
             return;
         }
-        for want in std::mem::take(&mut self.processes[who].out) {
+        for action in std::mem::take(&mut self.processes[process_index].pending) {
             if done {
-                self.carry_out(who, want);
+                self.execute(process_index, action);
             }
         }
-        self.processes[who].watches.clear();
-        self.tell(who, Event::Lost);
+        self.processes[process_index].watches.clear();
+        self.handle(process_index, Event::Lost);
     }
 
-    fn expire(&mut self, who: usize) {
-        self.disconnect(who, false);
-        if let Some(session) = self.processes[who].session.take() {
+    fn expire(&mut self, process_index: usize) {
+        self.disconnect(process_index, false);
+        if let Some(session) = self.processes[process_index].session.take() {
             let gone: Vec<String> =
                 self.nodes.iter().filter(|(_, n)| n.owner == session).map(|(name, _)| name.clone()).collect();
-            gone.iter().for_each(|name| self.remove(name));
+            gone.iter().for_each(|name| self.remove_node(name));
         }
     }
 
-    fn remove(&mut self, name: &str) {
+    fn remove_node(&mut self, name: &str) {
         self.nodes.remove(name);
-        self.changed(name);
+        self.fire_watches(name);
     }
 
-    fn changed(&mut self, name: &str) {
-        for who in 0..self.processes.len() {
+    fn fire_watches(&mut self, name: &str) {
+        for process_index in 0..self.processes.len() {
             let fired: Vec<Action> = {
-                let process = &mut self.processes[who];
+                let process = &mut self.processes[process_index];
                 let own = process.name == name;
                 let (fired, kept) =
                     process.watches.drain(..).partition(|w| *w == Action::Names || *w == Action::Read && own);
                 process.watches = kept;
                 fired
             };
-            fired.into_iter().for_each(|want| self.tell(who, Event::Fired(want)));
+            fired.into_iter().for_each(|action| self.handle(process_index, Event::Fired(action)));
         }
     }
 
-    fn make(&mut self, who: usize) {
-        let process = &self.processes[who];
+    fn create_node(&mut self, process_index: usize) {
+        let process = &self.processes[process_index];
         let owner = process.session.expect("a session");
         let (name, bytes) = (process.name.clone(), process.registration.payload());
         self.nodes.insert(name.clone(), Node { owner, version: 0, bytes });
-        self.changed(&name);
+        self.fire_watches(&name);
     }
 
     /// Does one thing at the service, and gives what is answered.
-    fn carry_out(&mut self, who: usize, want: Action) -> Event {
-        let name = self.processes[who].name.clone();
+    fn execute(&mut self, process_index: usize, action: Action) -> Event {
+        let name = self.processes[process_index].name.clone();
         let version = self.nodes.get(&name).map(|n| n.version);
-        match want {
+        match action {
             Action::Folder => self.folder = true,
             Action::Create if !self.folder => return Event::NoFolder,
             Action::Create if version.is_some() => return Event::Taken,
-            Action::Create => self.make(who),
+            Action::Create => self.create_node(process_index),
             Action::Replace { version: v } | Action::Remove { version: v } if version != Some(v) => {
-                return Event::Failed(want);
+                return Event::Failed(action);
             }
             Action::Replace { .. } => {
-                self.remove(&name);
-                self.make(who);
+                self.remove_node(&name);
+                self.create_node(process_index);
             }
-            Action::Remove { .. } => self.remove(&name),
+            Action::Remove { .. } => self.remove_node(&name),
             Action::Read => {
                 let Some(node) = self.nodes.get(&name) else { return Event::NoNode };
                 let event =
                     Event::Node { owner: node.owner, version: node.version, bytes: node.bytes.clone() };
-                self.processes[who].watches.push(want);
+                self.processes[process_index].watches.push(action);
                 return event;
             }
             Action::Names => {
                 if !self.folder {
-                    return Event::Failed(want);
+                    return Event::Failed(action);
                 }
-                self.processes[who].watches.push(want);
+                self.processes[process_index].watches.push(action);
                 return Event::Names(self.nodes.keys().cloned().collect());
             }
         }
-        Event::Done(want)
+        Event::Done(action)
     }
 
     /// Does the oldest thing that is out and answers it; whether there was one.
-    fn serve(&mut self, who: usize) -> bool {
-        if !self.processes[who].connected || self.processes[who].out.is_empty() {
+    fn serve(&mut self, process_index: usize) -> bool {
+        if !self.processes[process_index].connected || self.processes[process_index].pending.is_empty() {
             return false;
         }
-        let want = self.processes[who].out.remove(0);
-        let answer = self.carry_out(who, want);
+        let action = self.processes[process_index].pending.remove(0);
+        let answer = self.execute(process_index, action);
         // What fired meanwhile may have been told before the answer; the connection may not have gone.
-        self.tell(who, answer);
+        self.handle(process_index, answer);
         true
     }
 
     /// Lets everything come to rest, and time pass until nothing is due.
     fn settle(&mut self) {
         for _ in 0..200 {
-            for who in 0..self.processes.len() {
-                self.connect(who);
-                while self.serve(who) {}
+            for process_index in 0..self.processes.len() {
+                self.connect(process_index);
+                while self.serve(process_index) {}
             }
             let due: Vec<usize> = (0..self.processes.len())
                 .filter(|w| self.processes[*w].due.is_some_and(|at| at <= self.now))
                 .collect();
-            due.into_iter().for_each(|who| self.tell(who, Event::Due));
+            due.into_iter().for_each(|process_index| self.handle(process_index, Event::Due));
             self.now += 50.0;
         }
     }
@@ -215,23 +216,23 @@
 }
 
 /// One random step of the world.
-fn disturb(world: &mut World, rng: &mut Pcg64Mcg) {
-    let who = (rng.next_u64() % world.processes.len() as u64) as usize;
+fn random_step(model: &mut Model, rng: &mut Pcg64Mcg) {
+    let process_index = (rng.next_u64() % model.processes.len() as u64) as usize;
     match rng.next_u64() % 16 {
-        0 => world.disconnect(who, rng.next_u64() % 2 == 0),
-        1 => world.expire(who),
+        0 => model.disconnect(process_index, rng.next_u64() % 2 == 0),
+        1 => model.expire(process_index),
         2 => {
             // The process dies; its node stays until its session ends, or for good if that is lost sight of.
-            let name = world.processes[who].name.clone();
-            world.disconnect(who, rng.next_u64() % 2 == 0);
-            world.processes.remove(who);
-            world.start(&name);
+            let name = model.processes[process_index].name.clone();
+            model.disconnect(process_index, rng.next_u64() % 2 == 0);
+            model.processes.remove(process_index);
+            model.start(&name);
         }
-        3 => world.remove(&world.processes[who].name.clone()),
-        4 | 5 => world.now += (rng.next_u64() % 3000) as f64,
-        6 => world.tell(who, Event::Due),
-        7 | 8 => world.connect(who),
-        _ => _ = world.serve(who),
+        3 => model.remove_node(&model.processes[process_index].name.clone()),
+        4 | 5 => model.now += (rng.next_u64() % 3000) as f64,
+        6 => model.handle(process_index, Event::Due),
+        7 | 8 => model.connect(process_index),
+        _ => _ = model.serve(process_index),
     }
 }
 
@@ -240,58 +241,58 @@
     let runs: u64 = std::env::var("OATBANK_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(500);
     for seed in 0..runs {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut world = World::with(&["n0", "n1", "n2"]);
+        let mut model = Model::with(&["n0", "n1", "n2"]);
         for _ in 0..150 {
-            disturb(&mut world, &mut rng);
+            random_step(&mut model, &mut rng);
         }
-        world.settle();
-        world.check(seed);
+        model.settle();
+        model.check(seed);
     }
 }
 
 #[test]
 fn the_count_rises_at_once_and_falls_only_after_a_session_time_out() {
-    let mut world = World::with(&["n0", "n1"]);
-    world.settle();
-    world.check(0);
-    world.start("n2");
-    world.connect(2);
-    while (0..3).any(|who| world.serve(who)) {}
-    assert_eq!(world.processes[0].registration.place().map(|p| p.count), Some(3), "at once");
-    let fell_at = world.now;
-    world.expire(2);
-    world.processes.remove(2);
-    while (0..2).any(|who| world.serve(who)) {}
-    assert_eq!(world.processes[0].registration.place().map(|p| p.count), Some(3), "not yet");
-    world.settle();
-    world.check(0);
-    let (at, place) = *world.processes[0].places.last().expect("a place");
-    assert!(place.count == 2 && at - fell_at >= SETTLE, "fell to {} after {}", place.count, at - fell_at);
+    let mut model = Model::with(&["n0", "n1"]);
+    model.settle();
+    model.check(0);
+    model.start("n2");
+    model.connect(2);
+    while (0..3).any(|process_index| model.serve(process_index)) {}
+    assert_eq!(model.processes[0].registration.place().map(|p| p.count), Some(3), "at once");
+    let left_at = model.now;
+    model.expire(2);
+    model.processes.remove(2);
+    while (0..2).any(|process_index| model.serve(process_index)) {}
+    assert_eq!(model.processes[0].registration.place().map(|p| p.count), Some(3), "not yet");
+    model.settle();
+    model.check(0);
+    let (at, place) = *model.processes[0].places.last().expect("a place");
+    assert!(place.count == 2 && at - left_at >= SETTLE, "fell to {} after {}", place.count, at - left_at);
 }
 
 #[test]
 fn of_two_processes_with_one_name_the_newer_holds_it_until_it_goes() {
-    let mut world = World::with(&["n0", "n0"]);
-    world.settle();
-    let state = |world: &World, who: usize| world.processes[who].registration.state();
-    assert!(matches!(state(&world, 0), State::Superseded(life) if life.started_ms == 2));
-    assert_eq!((state(&world, 1), world.nodes.len()), (State::Registered, 1));
-    world.expire(1);
-    world.processes.remove(1);
-    world.settle();
-    assert_eq!((state(&world, 0), world.nodes.len()), (State::Registered, 1));
+    let mut model = Model::with(&["n0", "n0"]);
+    model.settle();
+    let state = |model: &Model, process_index: usize| model.processes[process_index].registration.state();
+    assert!(matches!(state(&model, 0), State::Superseded(life) if life.started_ms == 2));
+    assert_eq!((state(&model, 1), model.nodes.len()), (State::Registered, 1));
+    model.expire(1);
+    model.processes.remove(1);
+    model.settle();
+    assert_eq!((state(&model, 0), model.nodes.len()), (State::Registered, 1));
 }
 
 #[test]
 fn one_that_leaves_removes_its_node_and_makes_no_other() {
-    let mut world = World::with(&["n0", "n1"]);
-    world.settle();
-    world.tell(0, Event::Leave);
-    world.settle();
-    assert_eq!(world.processes[0].registration.state(), State::Left);
-    assert_eq!(world.nodes.keys().collect::<Vec<_>>(), ["n1"]);
+    let mut model = Model::with(&["n0", "n1"]);
+    model.settle();
+    model.handle(0, Event::Leave);
+    model.settle();
+    assert_eq!(model.processes[0].registration.state(), State::Left);
+    assert_eq!(model.nodes.keys().collect::<Vec<_>>(), ["n1"]);
     // Not even on a new session.
-    world.expire(0);
-    world.settle();
-    assert_eq!(world.nodes.len(), 1);
+    model.expire(0);
+    model.settle();
+    assert_eq!(model.nodes.len(), 1);
 }
