--- a/crates/membership/src/damping.rs
+++ b/crates/membership/src/damping.rs
@@ -1,34 +1,34 @@
-//! Hold-down of members that come and go: route flap damping as in RFC 2439, on servers.
+//! Hold-down of flapping members: route flap damping as in RFC 2439, applied to servers.
 //!
-//! Each time a server stops being ready it gets one point; points halve every [`Settings::half_life`]. Over
-//! [`Settings::suppress`] its return is held back until they have fallen below [`Settings::reuse`].
+//! Each time a server stops being ready it gets one penalty point; the penalty halves every [`Settings::half_life`]. Above
+//! [`Settings::suppress`] the server's return is held back until the penalty has fallen below [`Settings::reuse`].
 //!
 //! Guarantees:
-//! - that a server drains or is gone passes at once, always: only returns are held back;
+//! - a server's draining or removal always passes at once: only returns are held back;
 //! - one flap, or two in a row, hold nothing back;
-//! - a held server is let in at the latest when its points are spent, with what was last said of it;
-//! - never more servers are held than are ready: where all flap it is not they that are ill, and the fleet does
-//!   not empty for it. Those with the fewest points are let in first.
+//! - a held server is released at the latest when its penalty has decayed, with its latest state;
+//! - never more servers are held than are ready: if all servers flap, the servers are not the cause, and the fleet must
+//!   not become empty. The servers with the lowest penalty are released first.
 
 use oatbank_engine::ports::membership::{Member, News};
 use oatbank_limiter_core::interface::{Millis, ServerState};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What the hold-down goes by; see [`Settings::default`].
+/// Settings of the hold-down.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Points halve in this time, ms.
+    /// Time in ms in which the penalty halves.
     pub half_life: Millis,
-    /// Over so many points a return is held back.
+    /// Penalty above which a return is held back.
     pub suppress: f64,
-    /// Below so many it is let in.
+    /// Penalty below which a held server is released.
     pub reuse: f64,
-    /// The most points that are kept.
+    /// Upper limit of the penalty.
     pub max_penalty: f64,
 }
 
 impl Default for Settings {
-    /// The third flap within some seconds is held back, for 5 to 8 s; one that goes on for a minute, for 15 s at most.
+    /// The third flap within a few seconds is held back for 5 to 8 s; a server that flaps for a minute, for 15 s at most.
     fn default() -> Self {
         Settings { half_life: 5000.0, suppress: 2.5, reuse: 1.0, max_penalty: 8.0 }
     }
@@ -41,7 +41,7 @@
     suppressed: bool,
 }
 
-/// What is known of servers that went.
+/// Penalties of servers, and the servers that are held back.
 #[derive(Debug, Default)]
 pub struct Damping {
     settings: Settings,
@@ -51,12 +51,12 @@
 }
 
 impl Damping {
-    /// Knows of no flap yet.
+    /// Starts without any penalties.
     pub fn new(settings: Settings) -> Self {
         Damping { settings, ..Damping::default() }
     }
 
-    /// Takes in news, and gives what passes.
+    /// Records changes of the member list and returns those that are not held back.
     pub fn update(&mut self, now: Millis, news: News) -> Option<News> {
         match news {
             News::Remembered(members) => Some(News::Remembered(members)),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Lets in what has been held for long enough.
+    /// Releases the servers whose hold time has passed, and returns them as changes.
     pub fn release_due(&mut self, now: Millis) -> Option<News> {
         let due: Vec<String> = self.held.keys().filter(|id| now >= self.release_at(id)).cloned().collect();
         let passed: Vec<Member> = due.iter().filter_map(|id| self.release(id)).collect();
@@ -86,12 +86,12 @@
         (!passed.is_empty()).then_some(News::Changes(passed))
     }
 
-    /// When [`Damping::release_due`] is to be called, if nothing comes before.
+    /// Time of the next call of [`Damping::release_due`]; `None` if no server is held.
     pub fn next_due(&self) -> Option<Millis> {
         self.held.keys().map(|id| self.release_at(id)).min_by(f64::total_cmp)
     }
 
-    /// The servers that are held back, and until when at most.
+    /// The servers that are held back, each with its latest release time.
     pub fn held(&self) -> Vec<(&Member, Millis)> {
         self.held.iter().map(|(id, member)| (member, self.release_at(id))).collect()
     }
@@ -102,7 +102,7 @@
             if member.state != ServerState::Ready {
                 let held = self.held.contains_key(&member.id);
                 self.record_removal(now, &member.id);
-                // Of one that is held only its coming was kept back: that it goes is no news to anybody.
+                // The return of a held server was never announced, so its removal need not be either.
                 if !held || member.state == ServerState::Draining {
                     passed.push(member);
                 }
@@ -151,7 +151,7 @@
         Some(member)
     }
 
-    /// Lets in servers until no more are held than are ready.
+    /// Releases servers until no more are held than are ready.
     fn release_excess(&mut self, now: Millis) -> Vec<Member> {
         let mut passed = Vec::new();
         while self.held.len() > self.ready.len() {
--- a/crates/membership/src/intake.rs
+++ b/crates/membership/src/intake.rs
@@ -1,35 +1,35 @@
-//! From several sources to what the engine is told: ranks, then hold-down.
+//! Merges several sources into the member list of the engine: by rank, then with hold-down.
 
 use crate::damping::{self, Damping};
 use crate::sources::{Row, Sources};
 use oatbank_engine::ports::membership::{Member, News};
 use oatbank_limiter_core::interface::Millis;
 
-/// What each member's way from its source to the engine is.
+/// Merges member lists of several sources and applies the optional hold-down.
 #[derive(Debug)]
 pub struct Intake {
     sources: Sources,
     damping: Option<Damping>,
 }
 
-/// Where a member that a source names has come to.
+/// The status of a member that a source lists.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Standing {
-    /// The engine has it.
+    /// Announced to the engine.
     Announced,
-    /// Another source owns its id or its address.
+    /// Ignored, because another source owns its id or its address.
     Shadowed,
-    /// It came and went too often; it is let in at this time at the latest.
+    /// Held back because it flaps; released at this time at the latest.
     HeldUntil(Millis),
 }
 
 impl Intake {
-    /// Sources of these names, the highest rank first; with hold-down of flapping servers if wanted.
+    /// Creates an intake of sources with these names, highest rank first; `hold_down` enables hold-down of flapping servers.
     pub fn new(names: &[&str], hold_down: Option<damping::Settings>) -> Self {
         Intake { sources: Sources::new(names), damping: hold_down.map(Damping::new) }
     }
 
-    /// Takes in news from the source of this rank, and gives what the engine is told, at once.
+    /// Records changes from the source of this rank (0 is the highest) and returns the changes to announce to the engine.
     pub fn update(&mut self, now: Millis, rank: usize, news: News) -> Option<News> {
         let news = self.sources.update(rank, news)?;
         match &mut self.damping {
@@ -38,17 +38,17 @@
         }
     }
 
-    /// [`Intake::next_due`] has come.
+    /// Releases held members that are due; to be called at [`Intake::next_due`].
     pub fn release_due(&mut self, now: Millis) -> Option<News> {
         self.damping.as_mut().and_then(|d| d.release_due(now))
     }
 
-    /// When [`Intake::release_due`] is to be called, if nothing comes before.
+    /// Time of the next call of [`Intake::release_due`]; `None` if no member is held.
     pub fn next_due(&self) -> Option<Millis> {
         self.damping.as_ref().and_then(Damping::next_due)
     }
 
-    /// All that the sources name, and where it has come to.
+    /// All members that the sources list, each with its status.
     pub fn rows(&self) -> Vec<(Row, Standing)> {
         let held = self.damping.as_ref().map(Damping::held).unwrap_or_default();
         let held_until = |m: &Member| held.iter().find(|(h, _)| h.id == m.id).map(|(_, until)| *until);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a tree of ephemeral nodes says about which servers there are.
+//! Server membership, derived from a tree of ephemeral coordinator nodes and from other sources.
 //!
-//! No I/O and no clock: [`reconcile::Reconciler`] is told what was read and what happened to the session, with the time,
-//! and says what to read next and what changed in the list. [`payload`] reads what a node holds.
-//! [`register::Registration`] keeps a limiter's own node in the same way, and knows its number among all limiters.
-//! [`intake::Intake`] makes one list of several sources ([`sources`]) and holds down members that flap ([`damping`]).
+//! No I/O and no clock: [`reconcile::Reconciler`] receives the results of reads and the events of the session, with the
+//! time, and returns what to read next and what changed in the list. [`payload`] parses the payload of a node.
+//! [`register::Registration`] maintains a limiter's own node in the same way, and its number among all limiters.
+//! [`intake::Intake`] merges several sources ([`sources`]) into one list and holds down flapping members ([`damping`]).
 
 pub mod damping;
 pub mod intake;
--- a/crates/membership/src/payload/tests.rs
+++ b/crates/membership/src/payload/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn both_published_forms_are_read() {
+fn curator_and_finagle_payloads_are_parsed() {
     let curator = br#"{"name":"quotes","id":"e-1","address":"10.0.0.7","port":8000,"sslPort":null,
         "payload":{"zone":"a","cell":3,"weight":2.5,"started_ms":1700000000000},"registrationTimeUTC":1,
         "serviceType":"DYNAMIC","uriSpec":null}"#;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_status_that_wants_nothing_new_is_a_drain_whichever_field_says_so() {
+fn a_stopping_status_in_any_field_means_draining() {
     for text in [
         r#"{"serviceEndpoint":{"host":"::1","port":9},"status":"STOPPING"}"#,
         r#"{"serviceEndpoint":{"host":"::1","port":9},"status":"ALIVE","metadata":{"status":"stopping"}}"#,
@@ -30,23 +30,23 @@
 }
 
 #[test]
-fn hostile_payloads_are_left_out_with_their_reason() {
+fn invalid_payloads_are_rejected_with_their_reason() {
     let long = vec![b' '; 1 << 20];
     assert_eq!(read("x", &long), Err(Reason::TooLong(1 << 20)));
     let deep = "[".repeat(10_000);
-    for (text, says) in [
+    for (text, expected) in [
         ("", "JSON"),
-        ("null", "no object"),
+        ("null", "not an object"),
         ("\u{0}\u{1}", "JSON"),
         (deep.as_str(), "JSON"),
-        ("{}", "none is named"),
+        ("{}", "the address is missing"),
         (r#"{"address":"10.0.0.1"}"#, "port"),
         (r#"{"address":"10.0.0.1","port":0}"#, "port"),
         (r#"{"address":"10.0.0.1","port":65536}"#, "port"),
         (r#"{"address":"10.0.0.1","port":"80"}"#, "port"),
-        (r#"{"address":"engine.internal","port":80}"#, "no IP address"),
-        (r#"{"address":"0.0.0.0","port":80}"#, "no server's"),
-        (r#"{"address":7,"port":80}"#, "none is named"),
+        (r#"{"address":"engine.internal","port":80}"#, "not an IP address"),
+        (r#"{"address":"0.0.0.0","port":80}"#, "not a server address"),
+        (r#"{"address":7,"port":80}"#, "the address is missing"),
         (r#"{"id":"a b","address":"10.0.0.1","port":80}"#, "name"),
         (r#"{"id":7,"address":"10.0.0.1","port":80}"#, "name"),
         (r#"{"address":"10.0.0.1","port":80,"payload":"x"}"#, "payload"),
@@ -55,10 +55,10 @@
         (r#"{"address":"10.0.0.1","port":80,"payload":{"cell":70000}}"#, "cell"),
         (r#"{"address":"10.0.0.1","port":80,"payload":{"zone":["a"]}}"#, "zone"),
         (r#"{"address":"10.0.0.1","port":80,"payload":{"status":"ODD"}}"#, "status"),
-        (r#"{"serviceEndpoint":7,"status":"ALIVE"}"#, "none is named"),
+        (r#"{"serviceEndpoint":7,"status":"ALIVE"}"#, "the address is missing"),
     ] {
-        let reason = read("x", text.as_bytes()).expect_err(says).to_string();
-        assert!(reason.contains(says), "{text}: {reason}");
+        let reason = read("x", text.as_bytes()).expect_err(expected).to_string();
+        assert!(reason.contains(expected), "{text}: {reason}");
     }
     for name in ["", "a b", "\u{e9}", "x\n", &"x".repeat(129)] {
         let fine = br#"{"address":"10.0.0.1","port":80}"#;
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -1,16 +1,17 @@
-//! From reads and watches to a list of servers.
+//! Derives the list of servers from reads and watches of a coordinator's folder.
 //!
-//! The caller keeps a session and carries out what [`Step::reads`] asks for, each read with a one-shot watch. It tells
-//! the reconciler, in the order of its connection: answers, fired watches, and what becomes of the session.
+//! The caller keeps a session and executes the reads in [`Step::reads`], each with a one-shot watch. It reports answers, fired
+//! watches and session events to the reconciler in the order of its connection.
 //!
 //! Guarantees, for any order, loss and repetition of events:
-//! - a server is announced ready only if the last read of its node showed it so, and its folder's last read named it;
-//! - a node that a read showed to be gone is announced gone in the same step: from then on the limiter counts as told;
-//! - the list never goes back in time: a read that is older than what was seen is read again, and believed only
-//!   once nothing newer has come for a whole [`Settings::settle`];
-//! - while the service is away the list holds. Back after longer than [`Settings::settle`], a member that has not been
-//!   seen again is kept that long once more: sessions have expired on both sides, and members come back one by one;
-//! - once the session stands, reads are answered and nothing changes, the list is the tree's.
+//! - a server is announced as ready only if the last read of its node shows it as ready and the last read of the folder
+//!   lists the node;
+//! - a node that a read shows to be gone is announced as gone in the same step: from then on the limiter counts as informed;
+//! - the list never goes back in time: a read that is older than an earlier one is repeated, and accepted only after no
+//!   newer one has arrived for [`Settings::settle`];
+//! - the list holds while the service is unavailable. After an outage longer than [`Settings::settle`], members not listed
+//!   again are kept for that time once more: sessions have expired on both sides, and members register again one by one;
+//! - once the session is established, reads are answered and nothing changes, the list equals the tree.
 
 use crate::payload::{self, Reason};
 use oatbank_engine::ports::membership::{Member, News};
@@ -20,41 +21,41 @@
 use std::hash::Hash;
 use std::net::SocketAddr;
 
-/// Reads of nodes that are out at once: a herd of members is read in a bounded number of steps.
+/// Maximum number of concurrent node reads, so that many new members do not cause a burst of reads.
 const MAX_CONCURRENT_READS: usize = 64;
-/// A read that failed or was too old is made again after this, ms.
+/// Delay in ms before a failed or outdated read is repeated.
 const RETRY_DELAY: Millis = 50.0;
-/// The first list is told after this, ms, though some node has not been read.
+/// Time in ms after which the first list is announced even if some nodes have not been read.
 const FIRST_LIST_DELAY: Millis = 1000.0;
-/// A server that comes back within this, ms, at its address and without a start time is the same process.
+/// Time in ms within which a server that returns at the same address, without a start time, counts as the same process.
 const SAME_PROCESS_WINDOW: Millis = 60_000.0;
 
-/// What the reconciler goes by.
+/// Settings of the reconciler.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long members take to come back after the service was away, ms: at least their session time-out.
+    /// Time in ms that members take to register again after an outage of the service: at least their session timeout.
     pub settle: Millis,
 }
 
-/// What to read, with a watch.
+/// A read with a watch that the caller has to execute.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReadRequest {
     /// The names in the folder.
     Children,
-    /// One node.
+    /// The content of one node.
     Data(String),
 }
 
-/// What has happened.
+/// An event that the caller reports.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The session stands, on a new connection: watches are to be set anew.
+    /// The session is established on a new connection; watches have to be set again.
     Connected,
-    /// The connection is lost, or the session has expired; reads that are out will not be answered.
+    /// The connection is lost, or the session has expired; pending reads will not be answered.
     Lost,
     /// The folder was read.
     Children {
-        /// The service's transaction at the read.
+        /// The service's last transaction at the time of the read.
         zxid: i64,
         /// The names.
         names: Vec<String>,
@@ -63,69 +64,69 @@
     Data {
         /// Its name.
         name: String,
-        /// The service's transaction at the read.
+        /// The service's last transaction at the time of the read.
         zxid: i64,
         /// The transaction that created the node.
         created: i64,
-        /// What it holds.
+        /// Its content.
         bytes: Vec<u8>,
     },
-    /// A node that was to be read is not there.
+    /// A node to be read does not exist.
     NoNode {
         /// Its name.
         name: String,
-        /// The service's transaction at the read.
+        /// The service's last transaction at the time of the read.
         zxid: i64,
     },
-    /// A read has failed; nothing is known by it.
+    /// A read has failed without a result.
     Failed(ReadRequest),
-    /// A watch has fired: what was read may have changed.
+    /// A watch has fired: the data of this read may have changed.
     Fired(ReadRequest),
-    /// [`Step::due`] has come.
+    /// The time in [`Step::due`] is reached.
     Due,
 }
 
-/// What comes of an event.
+/// The result of handling an event.
 #[derive(Debug, Default)]
 pub struct Step {
-    /// What to read.
+    /// Reads to execute.
     pub reads: Vec<ReadRequest>,
-    /// What to tell the engine.
+    /// Changes to announce to the engine.
     pub news: Option<News>,
-    /// When [`Event::Due`] is to be told, if nothing comes before.
+    /// Time at which to report [`Event::Due`], unless another event comes first.
     pub due: Option<Millis>,
 }
 
 #[derive(Debug)]
 struct Node {
-    /// Not read since its watch fired or the connection was made.
+    /// Not read since its watch fired or the connection was established.
     dirty: bool,
     reading: bool,
-    /// The connection on which it was last named by the folder.
+    /// The connection on which the folder last listed the node.
     listed_on: u64,
-    /// The read of the folder that last named it.
+    /// The read of the folder that last listed the node.
     listed_by_read: u64,
     read_at: i64,
     created: i64,
     content: Option<Result<Member, Reason>>,
 }
 
-/// A node that claims an id or an address, and the transaction that created it; the newest holds it.
+/// A node's claim to an id or an address: the transaction that created the node, and its name. The newest claim wins.
 type Claim = (i64, String);
 
-/// The folder's state, and the list that was told.
+/// The known state of the folder, and the list as last announced.
 #[derive(Debug)]
 pub struct Reconciler {
     settings: Settings,
     connected: bool,
-    /// Counts connections.
+    /// Number of connections so far.
     connection: u64,
     folder_dirty: bool,
     folder_reading: bool,
     folder_read_at: i64,
-    /// Counts reads of the folder.
+    /// Number of reads of the folder so far.
     folder_reads: u64,
-    /// Since when reads have been older than what was seen.
+    /// Since when reads have been older than earlier ones.
     outdated_since: Option<Millis>,
     lost_at: Option<Millis>,
     settling_until: Millis,
@@ -138,14 +139,14 @@
     announced: BTreeMap<String, Member>,
     first_due: Option<Millis>,
     started: bool,
-    /// Servers that went: address, start, and when.
+    /// Servers that were removed: address, start time, and time of the removal.
     removed: HashMap<String, (Option<SocketAddr>, Millis, Millis)>,
     current_at: Option<Millis>,
     changes: BTreeMap<String, Member>,
 }
 
 impl Reconciler {
-    /// Knows nothing yet.
+    /// Creates a reconciler without any data.
     pub fn new(settings: Settings) -> Self {
         Reconciler {
             settings,
@@ -173,12 +174,12 @@
         }
     }
 
-    /// The list as it was told, by id.
+    /// The list as last announced, by id.
     pub fn list(&self) -> &BTreeMap<String, Member> {
         &self.announced
     }
 
-    /// Nodes that are left out, and why.
+    /// Nodes that are left out of the list, each with the reason.
     pub fn left_out(&self) -> Vec<(&str, Reason)> {
         let reason = |(name, node): (&'_ String, &Node)| match node.content.as_ref()? {
             Err(reason) => Some(reason.clone()),
@@ -187,12 +188,12 @@
         self.nodes.iter().filter_map(|(name, node)| Some((name.as_str(), reason((name, node))?))).collect()
     }
 
-    /// When the list was last known to be the tree's; none before the first time.
+    /// When the list was last known to equal the tree; `None` before the first time.
     pub fn current_at(&self) -> Option<Millis> {
         self.current_at
     }
 
-    /// Takes in what has happened.
+    /// Handles an event and returns the next reads and the changes of the list.
     pub fn handle(&mut self, now: Millis, event: Event) -> Step {
         match event {
             Event::Connected => self.connect(now),
@@ -230,7 +231,7 @@
         self.outdated_since = None;
     }
 
-    /// A node is to be read.
+    /// Schedules a node for reading.
     fn mark_dirty(&mut self, name: &str) {
         let Some(node) = self.nodes.get_mut(name) else { return };
         if !node.dirty {
@@ -243,8 +244,8 @@
         self.retry_at.get_or_insert(now + RETRY_DELAY);
     }
 
-    /// Whether a read is older than what was seen. One that stays so is believed in the end: the service's own
-    /// history may have been set back.
+    /// Whether a read is older than an earlier one. Older reads are accepted after [`Settings::settle`]: the service's data
+    /// may have been restored to an earlier state.
     fn is_outdated(&mut self, now: Millis, zxid: i64, seen: i64) -> bool {
         if zxid >= seen {
             self.outdated_since = None;
@@ -254,7 +255,7 @@
         if now - since < self.settings.settle {
             return true;
         }
-        // Nothing that was seen before can be compared with what comes from now on.
+        // Earlier transaction numbers cannot be compared with those from now on.
         self.outdated_since = None;
         self.folder_read_at = i64::MIN;
         self.nodes.values_mut().for_each(|node| node.read_at = i64::MIN);
@@ -296,11 +297,11 @@
         self.remove_unlisted(now);
     }
 
-    /// Removes the nodes that the folder's last read, which was just made, did not name.
+    /// Removes the nodes that the last read of the folder did not list.
     fn remove_unlisted(&mut self, now: Millis) {
         let settling = now < self.settling_until;
         let gone = self.nodes.iter().filter(|(_, node)| {
-            // While members come back, one that has not been seen on this connection yet may still do so.
+            // After an outage, a member not yet listed on this connection may still register again.
             node.listed_by_read != self.folder_reads && (!settling || node.listed_on == self.connection)
         });
         let gone: Vec<String> = gone.map(|(name, _)| name.clone()).collect();
@@ -323,7 +324,7 @@
         }
     }
 
-    /// A read of this node was out; what it has seen of it.
+    /// Marks a pending read of a node as answered and returns the transaction of its last read; `None` if none was pending.
     fn take_pending_read(&mut self, name: &str) -> Option<i64> {
         let node = self.nodes.get_mut(name).filter(|node| node.reading)?;
         node.reading = false;
@@ -337,7 +338,8 @@
             self.mark_dirty(name);
             return self.retry(now);
         }
-        // The folder's watch tells of it too, but later; and it is not yet back where members come back.
+        // The folder's watch reports the removal too, but later. After an outage, a node that is not yet listed again is
+        // kept.
         if now >= self.settling_until || self.nodes.get(name).is_some_and(|n| n.listed_on == self.connection)
         {
             self.remove(now, name);
@@ -367,13 +369,13 @@
         }
         if self.settling_until.is_finite() && now >= self.settling_until {
             self.settling_until = f64::NEG_INFINITY;
-            // Believed now is what a read shows from here on.
+            // The settling time is over: the next read of the folder decides which members exist.
             self.folder_dirty |= self.connected;
         }
     }
 
-    /// The start time that is announced. One that is not told is not made up from the node's creation: a session that
-    /// flaps creates it anew, and the process has not restarted.
+    /// Adds the start time to announce. If the payload has none, it is not derived from the node's creation: a flapping
+    /// session creates the node again without a restart of the process.
     fn with_start(&self, now: Millis, member: Member, started: Option<Millis>) -> Member {
         if started.is_some() || !self.started {
             return member;
@@ -382,7 +384,7 @@
         let past = self.removed.get(&member.id);
         let past =
             past.filter(|(address, _, at)| *address == member.address && now - at < SAME_PROCESS_WINDOW);
-        // One that was never here has just come, and may be cold.
+        // A server that was never listed has just started and may be cold.
         let started = known.or(past.map(|(_, started, _)| *started)).unwrap_or(now);
         Member { started, ..member }
     }
@@ -399,8 +401,6 @@
         }
     }
 
-    // ---- One id, one address: the newest node holds them ------------------------------------------
-
     fn index(&mut self, name: &str, add: bool) {
         let Some(node) = self.nodes.get(name) else { return };
         let Some(Ok(member)) = &node.content else { return };
@@ -431,7 +431,7 @@
         }
     }
 
-    /// Looks anew at all ids that this member's id and address bear on.
+    /// Re-evaluates all ids that share this member's id or address.
     fn evaluate_sharing(&mut self, now: Millis, member: &Member) {
         let sharing = member.address.and_then(|a| self.by_address.get(&a));
         let mut ids: BTreeSet<String> = sharing
@@ -443,7 +443,7 @@
         ids.iter().for_each(|id| self.evaluate(now, id));
     }
 
-    /// Tells what is now true of an id, if that is not what was told.
+    /// Updates the list and the pending changes if the holder of an id differs from the announced one.
     fn evaluate(&mut self, now: Millis, id: &str) {
         let holder =
             self.by_id.get(id).and_then(BTreeSet::last).and_then(|(_, name)| self.nodes.get_key_value(name));
@@ -469,8 +469,6 @@
         }
     }
 
-    // ---- What comes of it -------------------------------------------------------------------------
-
     fn step(&mut self, now: Millis) -> Step {
         let mut step = Step::default();
         if self.connected && self.retry_at.is_none() {
@@ -506,7 +504,7 @@
             let Some(name) = self.queue.pop_front() else { break };
             let Some(node) = self.nodes.get_mut(&name).filter(|n| n.dirty) else { continue };
             if node.reading {
-                // The answer that is due may be older than the watch that fired: read once more after it.
+                // The pending answer may be older than the fired watch, so the node is read once more after it.
                 self.queue.push_back(name);
                 break;
             }
@@ -517,7 +515,7 @@
     }
 }
 
-/// Adds a node's claim to what it claims, or takes it away.
+/// Adds or removes a node's claim to a key.
 fn update_claim<K: Eq + Hash>(claims: &mut HashMap<K, BTreeSet<Claim>>, key: K, claim: Claim, add: bool) {
     if add {
         claims.entry(key).or_default().insert(claim);
--- a/crates/membership/src/register.rs
+++ b/crates/membership/src/register.rs
@@ -1,56 +1,57 @@
-//! A limiter's own node: made, kept, made anew, removed; and from the folder of all limiters this one's number and how
-//! many there are.
+//! Maintains a limiter's own ephemeral node, and derives from the folder of all limiters its number among them and their
+//! count.
 //!
-//! The caller keeps a session and carries out what [`Step::actions`] asks for, one after the other, and tells what came of
-//! each and which watch fired.
+//! The caller keeps a session, executes the actions in [`Step::actions`] in order, and reports the result of each and every
+//! watch that fires.
 //!
 //! Guarantees, for any order, loss and repetition of events:
-//! - a name has one node, since the name is the node's path: one that an earlier life left behind is deleted and made
-//!   anew in one transaction, and only while it is still the one that was read;
-//! - of two processes with one name the one that started last holds it; the other says so and waits until it is gone;
-//! - a node that went without our doing (an expired session, an operator) is made anew;
-//! - the number of limiters that is told rises at once and falls only after it has been lower for [`Settings::settle`]:
-//!   whoever takes a part of something takes too little in doubt, never too much. While the service is away it holds;
-//! - after [`Event::Leave`] nothing is made any more, and the node is removed if it is ours.
+//! - a name has one node, since the name is the node's path: a node left behind by an earlier process is deleted and
+//!   created again in one transaction, and only if its version is still the one that was read;
+//! - of two processes with the same name, the one started last holds the node; the other reports [`State::Superseded`] and
+//!   waits until that node is gone;
+//! - a node that was removed by others (an expired session, an operator) is created again;
+//! - the reported count of limiters rises at once and falls only after it has been lower for [`Settings::settle`]: a limiter
+//!   that divides a shared limit by it takes too little in doubt, never too much. It holds while the service is unavailable;
+//! - after [`Event::Leave`] nothing is created any more, and the node is removed if this process owns it.
 
 use crate::payload::is_plain;
 use oatbank_limiter_core::interface::Millis;
 use serde::{Deserialize, Serialize};
 
-/// What could not be done is tried again after this, ms.
+/// Delay in ms before a failed action is retried.
 const RETRY_DELAY: Millis = 100.0;
 
-/// What the registration goes by.
+/// Settings of a registration.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long limiters may take to come back, ms: at least their session time-out.
+    /// Time in ms that limiters may take to register again: at least their session timeout.
     pub settle: Millis,
 }
 
-/// Which process this is. Of two with one name the greater one is the newer.
+/// Identifies one start of a process. Of two processes with the same name, the greater one is newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// When the process started, Unix ms.
+    /// Start time of the process, Unix ms.
     pub started_ms: u64,
-    /// A random number, should two have started in one millisecond.
+    /// A random number that distinguishes processes started in the same millisecond.
     pub instance: u64,
 }
 
-/// What is to be done, in this order.
+/// An action at the service that the caller has to execute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Make the folder, and those above it.
+    /// Create the folder and its parents.
     Folder,
-    /// Make the node, ephemeral.
+    /// Create the node as an ephemeral node.
     Create,
     /// Read the node, with a watch.
     Read,
-    /// Delete the node if it still has this version, and make it, in one transaction.
+    /// Delete the node if it still has this version, and create it again, in one transaction.
     Replace {
         /// The version of the node that was read.
         version: i32,
     },
-    /// Read the folder's names, with a watch.
+    /// Read the names in the folder, with a watch.
     Names,
     /// Delete the node if it still has this version.
     Remove {
@@ -59,21 +60,21 @@
     },
 }
 
-/// What has happened.
+/// An event that the caller reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The session stands, on a new connection; watches are to be set anew.
+    /// The session is established on a new connection; watches have to be set again.
     Connected {
-        /// The session's number.
+        /// Id of the session.
         session: i64,
     },
-    /// The connection is lost, or the session has expired; what is out will not be answered.
+    /// The connection is lost, or the session has expired; pending actions will not be answered.
     Lost,
-    /// What was wanted is done. A folder that is there already is made, a node that is gone is removed.
+    /// The action succeeded. Creating a folder that exists and removing a node that is gone count as success.
     Done(Action),
-    /// The node could not be made: there is one.
+    /// The node could not be created because it exists.
     Taken,
-    /// The node could not be made, or the names not read: there is no folder.
+    /// The node could not be created, or the names not read, because the folder does not exist.
     NoFolder,
     /// The node was read.
     Node {
@@ -81,57 +82,57 @@
         owner: i64,
         /// Its version.
         version: i32,
-        /// What it holds.
+        /// Its content.
         bytes: Vec<u8>,
     },
-    /// There is no node.
+    /// The node does not exist.
     NoNode,
     /// The folder was read.
     Names(Vec<String>),
-    /// What was wanted could not be done; nothing is known by it.
+    /// The action failed; it may or may not have taken effect.
     Failed(Action),
-    /// The watch that this set has fired.
+    /// The watch that this action set has fired.
     Fired(Action),
-    /// [`Step::due`] has come.
+    /// The time in [`Step::due`] is reached.
     Due,
-    /// The process is to end.
+    /// The process is about to end.
     Leave,
 }
 
-/// Where the registration stands.
+/// The state of a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not registered, or not known to be.
+    /// Not registered, or not known to be registered.
     Out,
-    /// The node is there and this session's.
+    /// The node exists and belongs to this session.
     Registered,
-    /// A process of the same name that started later has the node.
+    /// A process of the same name that started later owns the node.
     Superseded(Incarnation),
-    /// The node is removed, for good.
+    /// The registration has ended and will not be renewed.
     Left,
 }
 
-/// This limiter among all of them.
+/// The position of this limiter among all limiters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Its number, from 0, in the order of names.
+    /// Its index in the sorted names, from 0.
     pub number: usize,
-    /// How many there are, on the safe side: see [`self`].
+    /// Number of limiters; rises at once and falls only after [`Settings::settle`].
     pub count: usize,
 }
 
-/// What comes of an event.
+/// The result of handling an event.
 #[derive(Debug, Default, PartialEq)]
 pub struct Step {
-    /// What is to be done.
+    /// Actions to execute, in this order.
     pub actions: Vec<Action>,
-    /// The place, if it has changed.
+    /// The position, if it has changed.
     pub place: Option<Place>,
-    /// When [`Event::Due`] is to be told, if nothing comes before.
+    /// Time at which to report [`Event::Due`], unless another event comes first.
     pub due: Option<Millis>,
 }
 
-/// One limiter's registration.
+/// The registration of one limiter.
 #[derive(Debug)]
 pub struct Registration {
     settings: Settings,
@@ -140,20 +141,21 @@
     session: Option<i64>,
     state: State,
     leaving: bool,
-    /// The version of our own node.
+    /// Version of this process's own node.
     version: i32,
-    /// What failed, to be tried again at this time.
+    /// Failed actions to retry at `retry_at`.
     retries: Vec<Action>,
     retry_at: Option<Millis>,
     names: Vec<String>,
-    /// The count that is told, and since when fewer have been seen.
+    /// The reported number of limiters.
     count: usize,
+    /// Since when fewer limiters than `count` have been listed.
     fewer_since: Option<Millis>,
     announced: Option<Place>,
 }
 
 impl Registration {
-    /// A registration of `name`, which [`is_plain`] and without `/`.
+    /// Creates a registration of `name`, which must satisfy [`is_plain`] and must not contain `/`.
     pub fn new(settings: Settings, name: &str, incarnation: Incarnation) -> Self {
         Registration {
             settings,
@@ -172,28 +174,28 @@
         }
     }
 
-    /// What the node holds.
+    /// The content of the node: the incarnation as JSON.
     pub fn payload(&self) -> Vec<u8> {
-        // A struct of two numbers has a form in JSON.
+        // Serializing two numbers to JSON cannot fail.
         serde_json::to_vec(&self.incarnation).unwrap_or_default()
     }
 
-    /// Where it stands.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// This limiter's place as it was last told.
+    /// The position as last reported.
     pub fn place(&self) -> Option<Place> {
         self.announced
     }
 
-    /// Takes in what has happened.
+    /// Handles an event and returns the next actions.
     pub fn handle(&mut self, now: Millis, event: Event) -> Step {
         let mut actions = Vec::new();
         match event {
             Event::Connected { session } => {
-                // A new session owns nothing; of a kept one the watches are gone.
+                // A new session owns no nodes; a resumed one has lost its watches.
                 let resumed = self.session.replace(session) == Some(session);
                 if !resumed && self.state == State::Registered {
                     self.state = State::Out;
@@ -238,7 +240,7 @@
     }
 
     fn retry(&mut self, now: Millis, action: Action) {
-        // What a version says may be old by now: it is read again.
+        // The version may be outdated by now, so the node is read again.
         let action = match action {
             Action::Replace { .. } | Action::Remove { .. } => Action::Read,
             other => other,
@@ -260,7 +262,7 @@
             return None;
         }
         if self.leaving {
-            // Our own of an expired session, or an earlier life's: it goes with its session.
+            // The node belongs to an expired session or an earlier process, and is removed with its session.
             self.state = State::Left;
             return None;
         }
--- a/crates/membership/src/sources.rs
+++ b/crates/membership/src/sources.rs
@@ -1,13 +1,12 @@
-//! One list from several sources, of which each has its rank.
+//! Merges the member lists of several ranked sources into one list.
 //!
 //! Guarantees:
-//! - a server belongs to the source of the highest rank that has named its id or its address; what a lower one says of
-//!   either is passed over from then on, until the lower one has withdrawn it and named it anew;
-//! - so a server is gone, or drains, when the source that owns it says so, whoever else still names it: a list that
-//!   is left behind in a migration brings nobody back;
-//! - what a source only remembers (a list from before this start) counts until its first whole list, and makes
-//!   nothing ready;
-//! - a source that is silent changes nothing.
+//! - a server is owned by the highest-ranked source that has listed its id or its address; entries of a lower-ranked source
+//!   for either are ignored from then on, until that source has removed and listed the server again;
+//! - so a server is gone, or draining, when its owner reports it, even if other sources still list it: an outdated list
+//!   that remains after a migration does not bring a server back;
+//! - a remembered list (from before this start) counts until the source's first complete list, and makes no server ready;
+//! - a source that sends nothing changes nothing.
 
 use oatbank_engine::ports::membership::{Member, News};
 use oatbank_limiter_core::interface::ServerState;
@@ -18,24 +17,24 @@
 struct Source {
     name: String,
     list: BTreeMap<String, Member>,
-    /// Members of this list that a source of higher rank owns, or has owned since they were named here.
+    /// Members of this list that a higher-ranked source owns, or has owned since they were listed here.
     covered: BTreeSet<String>,
-    /// A whole list was told.
+    /// Whether a complete list was received.
     complete: bool,
 }
 
-/// What a source says of a server, and what came of it.
+/// A source's entry for a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     /// The source's name.
     pub source: String,
-    /// What it says.
+    /// The member as the source lists it.
     pub member: Member,
-    /// Another source owns it.
+    /// Whether another source owns the server, so that this entry is ignored.
     pub covered: bool,
 }
 
-/// The sources by rank, and the list that was told.
+/// The sources by rank, and the merged list as last announced.
 #[derive(Debug, Default)]
 pub struct Sources {
     sources: Vec<Source>,
@@ -44,13 +43,13 @@
 }
 
 impl Sources {
-    /// Sources of these names, the highest rank first.
+    /// Creates sources with these names, highest rank first.
     pub fn new(names: &[&str]) -> Self {
         let source = |name: &&str| Source { name: (*name).to_owned(), ..Source::default() };
         Sources { sources: names.iter().map(source).collect(), ..Sources::default() }
     }
 
-    /// Takes in what the source of this rank (0: the highest) tells, and gives what is news of the whole.
+    /// Records changes from the source of this rank (0 is the highest) and returns the changes of the merged list, if any.
     pub fn update(&mut self, rank: usize, news: News) -> Option<News> {
         let source = self.sources.get_mut(rank)?;
         match news {
@@ -66,7 +65,7 @@
         self.take_changes()
     }
 
-    /// All that the sources say.
+    /// The entries of all sources.
     pub fn rows(&self) -> Vec<Row> {
         let rows = self.sources.iter().flat_map(|source| {
             source.list.values().map(|member| Row {
@@ -78,7 +77,7 @@
         rows.collect()
     }
 
-    /// Marks what a source of higher rank names too. Marks are kept: they go with the member they stand on.
+    /// Marks the members that a higher-ranked source also lists. A mark remains until its member is removed from the list.
     fn mark_covered(&mut self) {
         let mut ids: HashSet<String> = HashSet::new();
         let mut addresses: HashSet<SocketAddr> = HashSet::new();
@@ -95,7 +94,7 @@
         }
     }
 
-    /// What differs from what was told.
+    /// Rebuilds the merged list and returns the difference from the list last announced.
     fn take_changes(&mut self) -> Option<News> {
         let mut now: BTreeMap<String, Member> = BTreeMap::new();
         for source in &self.sources {
@@ -113,7 +112,7 @@
         let gone = before.values().filter(|m| !self.announced.contains_key(&m.id));
         let gone = gone.map(|m| Member { state: ServerState::Gone, ..m.clone() });
         let new = self.announced.values().filter(|m| before.get(&m.id) != Some(m)).cloned();
-        // Those that go first: one that takes over an address comes behind its predecessor.
+        // Removals first, so that a server that takes over an address follows its predecessor.
         let changes: Vec<Member> = gone.chain(new).collect();
         (!changes.is_empty()).then_some(News::Changes(changes))
     }
--- a/crates/membership/tests/convergence.rs
+++ b/crates/membership/tests/convergence.rs
@@ -1,7 +1,7 @@
-//! A model of the service and its connection, driven at random: whatever the order, loss and repetition of what the
-//! reconciler hears, its list ends as the tree's, and it announces nothing that was not read.
+//! Drives the reconciler against a randomized model of the service and its connection. For any order, loss and repetition of
+//! events its list converges to the tree, and it announces no member that was not read.
 //!
-//! `OATBANK_SEEDS=N` plays N schedules instead of the usual ones.
+//! `OATBANK_SEEDS=N` runs N schedules instead of the default 2,000.
 
 use oatbank_engine::ports::membership::{Member, News};
 use oatbank_limiter_core::interface::ServerState;
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A node: the transaction that created it, and what it holds.
+/// Nodes by name: the transaction that created the node, and its content.
 type Tree = BTreeMap<String, (i64, String)>;
 
 const SETTLE: f64 = 10_000.0;
@@ -21,7 +21,7 @@
     now: f64,
     /// The tree after each transaction; the index is the transaction.
     history: Vec<Tree>,
-    /// What the server that is asked has heard of.
+    /// The last transaction known to the server that the client is connected to.
     server_view: usize,
     connected: bool,
     requests: VecDeque<ReadRequest>,
@@ -30,9 +30,9 @@
     data_watches: BTreeSet<String>,
     reconciler: Reconciler,
     due: Option<f64>,
-    /// The list as an engine that hears the news has it.
+    /// The list as an engine builds it from the announced changes.
     applied: Option<BTreeMap<String, Member>>,
-    /// What each node held at its last read that was delivered.
+    /// Content of each node at its last delivered read.
     read: BTreeMap<String, String>,
 }
 
@@ -63,7 +63,7 @@
         self.history.last().expect("a tree")
     }
 
-    /// One transaction of some member's.
+    /// Commits one random transaction of a member.
     fn mutate(&mut self) {
         let (which, act, port) = (self.random_below(6), self.random_below(5), 9000 + self.random_below(4));
         let status = ["ALIVE", "ALIVE", "STOPPING"][self.random_below(3)];
@@ -88,7 +88,7 @@
         self.history.push(tree);
     }
 
-    /// The server hears of the next transaction, and its watches fire.
+    /// Applies the next transaction at the connected server and fires its watches.
     fn apply_next_transaction(&mut self) {
         if self.server_view + 1 >= self.history.len() {
             return;
@@ -107,7 +107,7 @@
         self.server_view += 1;
     }
 
-    /// The server answers the oldest request, or fails it.
+    /// Answers the oldest request, or fails it.
     fn serve(&mut self) {
         let Some(request) = self.requests.pop_front() else { return };
         if self.random_below(15) == 0 {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Takes news as an engine does, and holds each ready member to what was read.
+    /// Applies changes as an engine does, and checks each ready member against the delivered reads.
     fn apply(&mut self, news: News) {
         let members = match news {
             News::Complete(members) => {
@@ -158,9 +158,9 @@
                 members
             }
             News::Changes(members) => members,
-            News::Remembered(_) => panic!("the reconciler remembers nothing"),
+            News::Remembered(_) => panic!("the reconciler never sends a remembered list"),
         };
-        let applied = self.applied.as_mut().expect("changes before any list");
+        let applied = self.applied.as_mut().expect("a complete list before any changes");
         for member in members {
             if member.state == ServerState::Gone {
                 applied.remove(&member.id);
@@ -172,15 +172,23 @@
                         (m.id, m.address, m.state) == (member.id.clone(), member.address, member.state)
                     })
                 });
-                assert!(was_read, "{} was announced ready and no node's last read shows it", member.id);
+                assert!(
+                    was_read,
+                    "{} was announced as ready, but the last read of no node shows it",
+                    member.id
+                );
             }
             applied.insert(member.id.clone(), member);
         }
-        assert_eq!(applied, self.reconciler.list(), "the news make another list than the reconciler's");
+        assert_eq!(
+            applied,
+            self.reconciler.list(),
+            "the announced changes differ from the reconciler's list"
+        );
     }
 
     fn connect(&mut self) {
-        // Some other server of the ensemble, which may lag.
+        // Connects to another server of the ensemble, which may lag.
         let lag = self.random_below(4);
         self.server_view = (self.history.len() - 1).saturating_sub(lag);
         (self.connected, self.folder_watch) = (true, false);
@@ -216,7 +224,7 @@
         }
     }
 
-    /// Lets all be heard, with nothing changing any more.
+    /// Delivers all pending events without further changes.
     fn quiesce(&mut self) {
         if !self.connected {
             self.connect();
@@ -232,10 +240,10 @@
                 return;
             }
         }
-        panic!("it never comes to rest");
+        panic!("the model does not quiesce");
     }
 
-    /// What the tree says: of nodes with one id or one address the newest counts.
+    /// The list that the tree implies: of nodes with the same id or address the newest counts.
     fn expected(&self) -> BTreeMap<String, ServerState> {
         let read: Vec<(i64, &String, Member)> = self
             .tree()
@@ -255,7 +263,7 @@
 }
 
 #[test]
-fn the_list_becomes_the_trees_whatever_was_lost_on_the_way() {
+fn the_list_converges_to_the_tree_after_random_losses() {
     let seeds = std::env::var("OATBANK_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(2000u64);
     for seed in 0..seeds {
         let mut model = Model::new(seed);
@@ -265,7 +273,7 @@
         let list: BTreeMap<String, ServerState> =
             model.reconciler.list().iter().map(|(id, m)| (id.clone(), m.state)).collect();
         assert_eq!(list, model.expected(), "seed {seed}");
-        assert!(model.applied.is_some(), "seed {seed}: no list was ever told");
+        assert!(model.applied.is_some(), "seed {seed}: no list was ever announced");
     }
 }
 
@@ -273,7 +281,7 @@
     format!(r#"{{"address":"127.0.0.1","port":{port}}}"#).into_bytes()
 }
 
-/// Answers all reads from a folder of these members at a transaction.
+/// Answers all reads from a folder with these members at transaction `zxid`, and returns the announced changes.
 fn answer(
     reconciler: &mut Reconciler,
     now: f64,
@@ -318,7 +326,7 @@
     let step = reconciler.handle(50.0, Event::Fired(ReadRequest::Children));
     let news = answer(&mut reconciler, 50.0, 11, &[("b", 2)], step);
     assert!(matches!(&news[..], [News::Changes(c)] if c.len() == 1 && c[0].state == ServerState::Gone));
-    // By a data read alone, before the folder is read.
+    // A read of the node alone shows the removal, before the folder is read.
     let step = reconciler.handle(60.0, Event::Fired(ReadRequest::Data("b".into())));
     assert_eq!(step.reads, [ReadRequest::Data("b".into())]);
     let step = reconciler.handle(60.0, Event::NoNode { name: "b".into(), zxid: 12 });
@@ -326,29 +334,29 @@
 }
 
 #[test]
-fn the_list_holds_while_the_service_is_away_and_members_may_come_back_one_by_one() {
+fn the_list_holds_during_an_outage_and_members_may_register_again_one_by_one() {
     let mut reconciler = connected(&[("a", 1), ("b", 2)]);
     reconciler.handle(100.0, Event::Lost);
     let step = reconciler.handle(1e6, Event::Due);
     assert!(step.news.is_none() && names(&reconciler) == ["a", "b"], "the last list holds");
     assert_eq!(reconciler.current_at(), Some(0.0), "its age is known");
-    // Back with an empty tree: all sessions have expired, and members register anew.
+    // The service returns with an empty tree: all sessions have expired, and members register again.
     let step = reconciler.handle(1e6, Event::Connected);
     assert!(answer(&mut reconciler, 1e6, 20, &[], step).is_empty() && names(&reconciler) == ["a", "b"]);
     let step = reconciler.handle(1e6 + 500.0, Event::Fired(ReadRequest::Children));
     answer(&mut reconciler, 1e6 + 500.0, 21, &[("b", 2)], step);
     assert_eq!(names(&reconciler), ["a", "b"]);
-    // One that came back and goes again is gone at once.
+    // A member that registered again and is removed again is gone at once.
     let step = reconciler.handle(1e6 + 900.0, Event::Fired(ReadRequest::Children));
     answer(&mut reconciler, 1e6 + 900.0, 22, &[], step);
-    // Who has not come back by the end of the time is gone.
+    // A member that has not registered again by the end of the settling time is gone.
     let step = reconciler.handle(1e6 + SETTLE, Event::Due);
     answer(&mut reconciler, 1e6 + SETTLE, 22, &[], step);
     assert!(names(&reconciler).is_empty());
 }
 
 #[test]
-fn after_a_short_loss_what_has_gone_meanwhile_is_gone_at_the_first_read() {
+fn members_removed_during_a_short_outage_are_gone_at_the_first_read() {
     let mut reconciler = connected(&[("a", 1), ("b", 2)]);
     reconciler.handle(100.0, Event::Lost);
     let step = reconciler.handle(600.0, Event::Connected);
@@ -357,45 +365,45 @@
 }
 
 #[test]
-fn a_server_that_lags_is_not_believed_and_a_history_that_was_set_back_is_in_the_end() {
+fn outdated_reads_are_rejected_and_a_restored_history_is_accepted_after_the_settling_time() {
     let mut reconciler = connected(&[("a", 1), ("b", 2)]);
     reconciler.handle(100.0, Event::Lost);
     let step = reconciler.handle(200.0, Event::Connected);
     assert!(answer(&mut reconciler, 200.0, 5, &[("a", 1)], step).is_empty());
-    assert_eq!(names(&reconciler), ["a", "b"], "older than what was seen");
+    assert_eq!(names(&reconciler), ["a", "b"], "the read is older than an earlier one");
     let mut now = 200.0;
     while now < 200.0 + 2.0 * SETTLE {
         now += 60.0;
         let step = reconciler.handle(now, Event::Due);
         answer(&mut reconciler, now, 5, &[("a", 1)], step);
-        let believed = names(&reconciler) == ["a"];
-        assert_eq!(believed, now - 200.0 >= SETTLE, "at {now}");
-        if believed {
+        let accepted = names(&reconciler) == ["a"];
+        assert_eq!(accepted, now - 200.0 >= SETTLE, "at {now}");
+        if accepted {
             return;
         }
     }
-    panic!("never believed");
+    panic!("the restored history was never accepted");
 }
 
 #[test]
-fn a_node_that_flaps_is_the_same_process_and_a_newcomer_is_not() {
+fn a_flapping_node_keeps_its_start_time_and_a_new_node_counts_as_just_started() {
     let mut reconciler = connected(&[("a", 1)]);
     for round in 0..100 {
         let now = 1000.0 + f64::from(round) * 600.0;
         let step = reconciler.handle(now, Event::Fired(ReadRequest::Children));
         answer(&mut reconciler, now, 20 + i64::from(round) * 2, &[], step);
-        assert!(names(&reconciler).is_empty(), "told, so honoured");
+        assert!(names(&reconciler).is_empty(), "a removal takes effect at once");
         let step = reconciler.handle(now + 300.0, Event::Fired(ReadRequest::Children));
         answer(&mut reconciler, now + 300.0, 21 + i64::from(round) * 2, &[("a", 1)], step);
-        assert_eq!(reconciler.list()["a"].started, 0.0, "not taken for one that has just started");
+        assert_eq!(reconciler.list()["a"].started, 0.0, "a flapping node does not count as just started");
     }
     let step = reconciler.handle(100_000.0, Event::Fired(ReadRequest::Children));
     answer(&mut reconciler, 100_000.0, 1000, &[("a", 1), ("n", 9)], step);
-    assert_eq!(reconciler.list()["n"].started, 100_000.0, "may be cold");
+    assert_eq!(reconciler.list()["n"].started, 100_000.0, "a new server may be cold");
 }
 
 #[test]
-fn a_herd_of_members_is_read_in_bounded_steps() {
+fn many_new_members_are_read_with_bounded_concurrency() {
     let mut reconciler = Reconciler::new(Settings { settle: SETTLE });
     reconciler.handle(0.0, Event::Connected);
     let names: Vec<String> = (0..2000).map(|n| format!("m{n:04}")).collect();
@@ -413,15 +421,15 @@
 }
 
 #[test]
-fn the_newest_node_holds_an_id_and_an_address_and_the_older_takes_them_back() {
+fn the_newest_node_owns_an_id_and_address_and_the_older_one_regains_them() {
     let mut reconciler = connected(&[("a", 1)]);
     let step = reconciler.handle(10.0, Event::Fired(ReadRequest::Children));
     assert_eq!(step.reads, [ReadRequest::Children]);
     reconciler.handle(10.0, Event::Children { zxid: 11, names: vec!["a".into(), "b".into()] });
-    // Another id at the address of a: an address taken over.
+    // Node b takes over the address of node a under another id.
     let step =
         reconciler.handle(10.0, Event::Data { name: "b".into(), zxid: 11, created: 11, bytes: node(1) });
-    let Some(News::Changes(changes)) = step.news else { panic!("no news") };
+    let Some(News::Changes(changes)) = step.news else { panic!("no changes were announced") };
     assert_eq!(changes.len(), 2, "{changes:?}");
     assert_eq!(names(&reconciler), ["b"]);
     assert_eq!(reconciler.left_out().len(), 1);
--- a/crates/membership/tests/intake.rs
+++ b/crates/membership/tests/intake.rs
@@ -1,4 +1,4 @@
-//! Several sources and members that flap.
+//! Tests of merged sources and of the hold-down of flapping members.
 
 use oatbank_engine::ports::membership::{Member, News};
 use oatbank_limiter_core::interface::ServerState;
@@ -17,7 +17,7 @@
     Member { state: ServerState::Gone, address: None, ..member(id, 1) }
 }
 
-/// What the engine would have.
+/// The member list as an engine would hold it.
 #[derive(Default)]
 struct EngineList(BTreeMap<String, Member>);
 
@@ -45,16 +45,16 @@
 }
 
 #[test]
-fn the_owner_says_when_a_server_is_gone_though_a_lower_list_still_names_it() {
+fn a_server_removed_by_its_owner_is_gone_although_a_lower_source_lists_it() {
     let (mut sources, mut list) = (Sources::new(&["tree", "file"]), EngineList::default());
     list.apply(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
-    assert_eq!(list.ready(), ids(&["a", "b", "c"]), "the file alone");
+    assert_eq!(list.ready(), ids(&["a", "b", "c"]), "only the file has sent a list");
     // The same id, and the same address under another id.
     list.apply(sources.update(0, News::Complete(vec![member("a", 1), member("tree-b", 2)])));
     assert_eq!(list.ready(), ids(&["a", "c", "tree-b"]));
     list.apply(sources.update(0, News::Changes(vec![gone("a"), gone("tree-b")])));
-    assert_eq!(list.ready(), ids(&["c"]), "nobody is brought back by a list that was left behind");
-    // The same list anew is no new word; one without and then one with them is.
+    assert_eq!(list.ready(), ids(&["c"]), "an outdated list brings no server back");
+    // Repeating the same list changes nothing; removing a server and listing it again does.
     list.apply(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)])));
     assert_eq!(list.ready(), ids(&["c"]));
     list.apply(sources.update(1, News::Complete(vec![member("c", 3)])));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_drain_by_the_owner_holds_and_a_lower_sources_drain_of_its_own_too() {
+fn every_source_can_drain_the_servers_it_owns() {
     let (mut sources, mut list) = (Sources::new(&["tree", "file"]), EngineList::default());
     list.apply(sources.update(1, News::Complete(vec![member("a", 1), member("b", 2)])));
     let draining = Member { state: ServerState::Draining, ..member("a", 1) };
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_is_remembered_counts_until_the_first_whole_list_and_makes_nothing_ready() {
+fn a_remembered_list_counts_until_the_first_complete_list() {
     let mut sources = Sources::new(&["tree", "file"]);
     assert!(
         matches!(sources.update(1, News::Remembered(vec![member("a", 1)])), Some(News::Remembered(m)) if m.len() == 1)
@@ -83,12 +83,16 @@
     assert!(
         matches!(sources.update(0, News::Complete(vec![member("b", 2)])), Some(News::Complete(m)) if m.len() == 2)
     );
-    assert_eq!(sources.update(0, News::Remembered(vec![])), None, "older than what it has told");
-    assert_eq!(sources.update(0, News::Complete(vec![member("b", 2)])), None, "no news");
+    assert_eq!(
+        sources.update(0, News::Remembered(vec![])),
+        None,
+        "a remembered list is older than the complete one"
+    );
+    assert_eq!(sources.update(0, News::Complete(vec![member("b", 2)])), None, "nothing has changed");
 }
 
 #[test]
-fn whatever_sources_say_the_list_is_what_their_ranks_make_of_it() {
+fn the_merged_list_follows_the_ranks_for_random_changes() {
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut roll = |n: u64| (rng.next_u64() % n) as usize;
@@ -105,7 +109,7 @@
                 lists[rank].insert(m.id.clone(), m.clone());
                 list.apply(sources.update(rank, News::Changes(vec![m])));
             }
-            // The highest source's list holds as it is, and no id or address is told that no source names.
+            // The list of the highest source applies unchanged, and every announced member is listed by some source.
             for (id, m) in &lists[0] {
                 assert_eq!(list.0.get(id), Some(m), "seed {seed}");
             }
@@ -116,7 +120,7 @@
     }
 }
 
-/// Plays flaps of one of four servers, 100 ms down and 400 ms up, and gives how many changes passed.
+/// Simulates flaps of one of four servers, 100 ms down and 400 ms up, and returns how many changes passed.
 fn flap(damping: &mut Damping, list: &mut EngineList, from: f64, times: usize) -> usize {
     let mut passed = 0;
     for i in 0..times {
@@ -125,7 +129,7 @@
             let news = damping.update(now, News::Changes(vec![m.clone()]));
             passed += usize::from(news.is_some());
             list.apply(news);
-            assert!(m.state == ServerState::Ready || !list.ready().contains("a"), "gone at once");
+            assert!(m.state == ServerState::Ready || !list.ready().contains("a"), "a removal passes at once");
         }
     }
     passed
@@ -139,36 +143,36 @@
 }
 
 #[test]
-fn one_flap_passes_and_a_minute_of_flapping_floods_nothing() {
+fn one_flap_passes_and_a_minute_of_flapping_is_held_back() {
     let (mut damping, mut list) = four_servers();
     assert_eq!(flap(&mut damping, &mut list, 1000.0, 1), 2);
-    assert!(list.ready().contains("a"), "one flap is forgiven");
+    assert!(list.ready().contains("a"), "one flap is not held back");
     let passed = flap(&mut damping, &mut list, 2000.0, 120);
     assert!(passed < 12, "{passed} of 240 changes passed in a minute");
     assert_eq!(list.ready(), ids(&["b", "c", "d"]));
     let until = damping.next_due().expect("a time");
-    assert!((67_000.0..77_500.0).contains(&until), "let in after its last flap at 61.6 s: {until}");
+    assert!((67_000.0..77_500.0).contains(&until), "released after its last flap at 61.6 s: {until}");
     assert_eq!(damping.release_due(until - 1.0), None);
     list.apply(damping.release_due(until));
     assert!(list.ready().contains("a") && damping.next_due().is_none());
 }
 
 #[test]
-fn where_all_flap_the_fleet_does_not_empty() {
+fn at_least_half_of_the_servers_stay_ready_if_all_flap() {
     let (mut damping, mut list) = four_servers();
     let all = ["a", "b", "c", "d"];
     for i in 0..40 {
         let at = 1000.0 + 500.0 * f64::from(i);
         list.apply(damping.update(at, News::Changes(all.iter().map(|id| gone(id)).collect())));
-        assert_eq!(list.ready().len(), 0, "told is told");
+        assert_eq!(list.ready().len(), 0, "removals always pass");
         let back = all.iter().enumerate().map(|(n, id)| member(id, 1 + n as u16)).collect();
         list.apply(damping.update(at + 100.0, News::Changes(back)));
-        assert!(list.ready().len() >= 2, "half of them at least: {:?}", list.ready());
+        assert!(list.ready().len() >= 2, "at least half must be ready: {:?}", list.ready());
     }
 }
 
 #[test]
-fn rows_tell_who_owns_what_and_who_is_held() {
+fn rows_show_the_owner_and_the_held_members() {
     let mut intake = Intake::new(&["tree", "file"], Some(Settings::default()));
     intake.update(0.0, 1, News::Complete(vec![member("a", 1), member("b", 2), member("c", 3)]));
     intake.update(0.0, 0, News::Complete(vec![member("a", 1), member("d", 4)]));
--- a/crates/membership/tests/register.rs
+++ b/crates/membership/tests/register.rs
@@ -1,5 +1,7 @@
-//! Registrations against a model of the tree: whatever is lost, expires or starts anew, each name has one node in the end,
-//! of the process that lives, and all agree on who is who.
+//! Drives registrations against a randomized model of the service. After any losses, session expiries and restarts each name
+//! has exactly one node, owned by its running process, and all processes have distinct numbers and the same count.
+//!
+//! `OATBANK_SCHEDULES=N` runs N schedules instead of the default 500.
 
 use oatbank_membership::register::{Action, Event, Incarnation, Place, Registration, Settings, State};
 use rand_core::{RngCore, SeedableRng};
@@ -14,7 +16,7 @@
     bytes: Vec<u8>,
 }
 
-/// One process with its session and what is out on its connection.
+/// One process with its session and the pending actions of its connection.
 struct Process {
     name: String,
     registration: Registration,
@@ -23,7 +25,7 @@
     pending: Vec<Action>,
     watches: Vec<Action>,
     due: Option<f64>,
-    /// Each place that was told, with its time.
+    /// Each reported position with its time.
     places: Vec<(f64, Place)>,
 }
 
@@ -82,7 +84,7 @@
         self.handle(process_index, Event::Connected { session });
     }
 
-    /// The connection goes, and what was out with it: done or not.
+    /// Closes the connection; `done` decides whether the pending actions still take effect.
     fn disconnect(&mut self, process_index: usize, done: bool) {
         if !std::mem::take(&mut self.processes[process_index].connected) {
             return;
@@ -132,7 +134,7 @@
         self.fire_watches(&name);
     }
 
-    /// Does one thing at the service, and gives what is answered.
+    /// Executes an action at the service and returns its answer.
     fn execute(&mut self, process_index: usize, action: Action) -> Event {
         let name = self.processes[process_index].name.clone();
         let version = self.nodes.get(&name).map(|n| n.version);
@@ -167,19 +169,19 @@
         Event::Done(action)
     }
 
-    /// Does the oldest thing that is out and answers it; whether there was one.
+    /// Executes and answers the oldest pending action; returns whether there was one.
     fn serve(&mut self, process_index: usize) -> bool {
         if !self.processes[process_index].connected || self.processes[process_index].pending.is_empty() {
             return false;
         }
         let action = self.processes[process_index].pending.remove(0);
         let answer = self.execute(process_index, action);
-        // What fired meanwhile may have been told before the answer; the connection may not have gone.
+        // Watches that fired meanwhile may be reported before the answer, but the connection remains.
         self.handle(process_index, answer);
         true
     }
 
-    /// Lets everything come to rest, and time pass until nothing is due.
+    /// Processes all pending actions and timers for 10 s of simulated time.
     fn settle(&mut self) {
         for _ in 0..200 {
             for process_index in 0..self.processes.len() {
@@ -196,7 +198,7 @@
 
     fn check(&self, seed: u64) {
         let count = self.processes.len();
-        assert_eq!(self.nodes.len(), count, "seed {seed}: one node each");
+        assert_eq!(self.nodes.len(), count, "seed {seed}: one node for each process");
         let mut numbers: Vec<usize> = Vec::new();
         for process in &self.processes {
             assert_eq!(process.registration.state(), State::Registered, "seed {seed}: {}", process.name);
@@ -215,14 +217,14 @@
     }
 }
 
-/// One random step of the world.
+/// Performs one random step of the model.
 fn random_step(model: &mut Model, rng: &mut Pcg64Mcg) {
     let process_index = (rng.next_u64() % model.processes.len() as u64) as usize;
     match rng.next_u64() % 16 {
         0 => model.disconnect(process_index, rng.next_u64() % 2 == 0),
         1 => model.expire(process_index),
         2 => {
-            // The process dies; its node stays until its session ends, or for good if that is lost sight of.
+            // The process crashes and restarts; the node of its old session remains, since this model never expires it.
             let name = model.processes[process_index].name.clone();
             model.disconnect(process_index, rng.next_u64() % 2 == 0);
             model.processes.remove(process_index);
@@ -237,7 +239,7 @@
 }
 
 #[test]
-fn in_the_end_each_name_has_the_node_of_its_living_process() {
+fn each_name_converges_to_one_node_owned_by_its_running_process() {
     let runs: u64 = std::env::var("OATBANK_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(500);
     for seed in 0..runs {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -251,19 +253,27 @@
 }
 
 #[test]
-fn the_count_rises_at_once_and_falls_only_after_a_session_time_out() {
+fn the_count_rises_at_once_and_falls_only_after_the_settling_time() {
     let mut model = Model::with(&["n0", "n1"]);
     model.settle();
     model.check(0);
     model.start("n2");
     model.connect(2);
     while (0..3).any(|process_index| model.serve(process_index)) {}
-    assert_eq!(model.processes[0].registration.place().map(|p| p.count), Some(3), "at once");
+    assert_eq!(
+        model.processes[0].registration.place().map(|p| p.count),
+        Some(3),
+        "a higher count is reported at once"
+    );
     let left_at = model.now;
     model.expire(2);
     model.processes.remove(2);
     while (0..2).any(|process_index| model.serve(process_index)) {}
-    assert_eq!(model.processes[0].registration.place().map(|p| p.count), Some(3), "not yet");
+    assert_eq!(
+        model.processes[0].registration.place().map(|p| p.count),
+        Some(3),
+        "a lower count is not reported yet"
+    );
     model.settle();
     model.check(0);
     let (at, place) = *model.processes[0].places.last().expect("a place");
@@ -271,7 +281,7 @@
 }
 
 #[test]
-fn of_two_processes_with_one_name_the_newer_holds_it_until_it_goes() {
+fn of_two_processes_with_the_same_name_the_newer_owns_the_node_until_it_ends() {
     let mut model = Model::with(&["n0", "n0"]);
     model.settle();
     let state = |model: &Model, process_index: usize| model.processes[process_index].registration.state();
@@ -284,14 +294,14 @@
 }
 
 #[test]
-fn one_that_leaves_removes_its_node_and_makes_no_other() {
+fn a_leaving_limiter_removes_its_node_and_creates_no_other() {
     let mut model = Model::with(&["n0", "n1"]);
     model.settle();
     model.handle(0, Event::Leave);
     model.settle();
     assert_eq!(model.processes[0].registration.state(), State::Left);
     assert_eq!(model.nodes.keys().collect::<Vec<_>>(), ["n1"]);
-    // Not even on a new session.
+    // A new session does not create a node either.
     model.expire(0);
     model.settle();
     assert_eq!(model.nodes.len(), 1);
