--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -131,8 +131,9 @@
     let mut by_server: BTreeMap<&str, Vec<&Evidence>> = BTreeMap::new();
     fresh().for_each(|n| by_server.entry(&n.server).or_default().push(n));
     let score = |reported: Vec<&Evidence>| {
-        let later_successes =
-            |n: &Evidence| -> u32 { reported.iter().filter(|o| o.at > n.at).map(|o| o.goods).sum() };
+        let later_successes = |n: &Evidence| -> u32 {
+            reported.iter().filter(|o| o.at > n.at).map(|o| o.consecutive_successes).sum()
+        };
         let (mut failing, mut slow, mut unreached) = (Weight::default(), Weight::default(), 0.0);
         let mut disconnected = BTreeSet::new();
         for n in &reported {
--- a/crates/outlier-detection/src/detector/tests.rs
+++ b/crates/outlier-detection/src/detector/tests.rs
@@ -88,8 +88,13 @@
             detector.evaluate(now, &unhealthy, &all, &|_| true);
         }
         waits.push(now - ejected_at);
-        let goods = Evidence { goods: 5, ..evidence_of("c", "i-1", -1.0, now) };
-        detector.evaluate(now, &[unhealthy[0].clone(), unhealthy[1].clone(), goods.clone()], &all, &|_| true);
+        let favourable = Evidence { consecutive_successes: 5, ..evidence_of("c", "i-1", -1.0, now) };
+        detector.evaluate(
+            now,
+            &[unhealthy[0].clone(), unhealthy[1].clone(), favourable.clone()],
+            &all,
+            &|_| true,
+        );
         assert_eq!(detector.state("i-1"), HealthState::Returning);
     }
     assert_eq!(waits, [1500.0, 3000.0, 6000.0, 12_000.0, 12_000.0]);
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -92,7 +92,7 @@
     /// Attempts without a connection, decayed by the long time constant.
     pub unreached: f64,
     /// Consecutive good answers to this proxy since the server became unhealthy.
-    pub goods: u32,
+    pub consecutive_successes: u32,
     /// Time of the report on the reader's clock.
     pub at: Millis,
 }
--- a/crates/outlier-detection/src/observer.rs
+++ b/crates/outlier-detection/src/observer.rs
@@ -102,7 +102,7 @@
     pace: f64,
     /// When the detector found the server unhealthy, ms.
     unhealthy_since: Option<Millis>,
-    goods: u32,
+    consecutive_successes: u32,
     reported: Option<Evidence>,
 }
 
@@ -131,7 +131,7 @@
         self.failing.differs_from(reported.failing.decayed(span))
             || self.slow.differs_from(reported.slow.decayed(span))
             || self.unreached > reported.unreached + 0.9
-            || self.goods != reported.goods
+            || self.consecutive_successes != reported.consecutive_successes
     }
 }
 
@@ -171,10 +171,10 @@
     fn add_end(&mut self, end: EndKind, baseline: f64) {
         let unhealthy = UNHEALTHY_FAILURE_RATE.max(UNHEALTHY_FAILURE_FACTOR * baseline);
         match end {
-            EndKind::NotConnected => (self.unreached, self.goods) = (self.unreached + 1.0, 0),
+            EndKind::NotConnected => (self.unreached, self.consecutive_successes) = (self.unreached + 1.0, 0),
             EndKind::Failure => {
                 self.failing.add((unhealthy / baseline).ln());
-                self.goods = 0;
+                self.consecutive_successes = 0;
             }
             EndKind::Success => {
                 self.failing.add(((1.0 - unhealthy) / (1.0 - baseline)).ln());
@@ -209,9 +209,9 @@
             ((1.0 - unhealthy) / (1.0 - before)).ln()
         });
         if slow {
-            self.goods = 0;
+            self.consecutive_successes = 0;
         } else if self.unhealthy_since.is_some_and(|since| now - seen.took > since) {
-            self.goods = (self.goods + 1).min(MAX_SUCCESSES);
+            self.consecutive_successes = (self.consecutive_successes + 1).min(MAX_SUCCESSES);
         }
     }
 }
@@ -252,7 +252,7 @@
         for (id, record) in &mut self.records {
             let since = unhealthy.get(id).copied();
             if since.is_none() || record.unhealthy_since.is_none() {
-                record.goods = 0;
+                record.consecutive_successes = 0;
             }
             record.unhealthy_since = since;
         }
@@ -282,7 +282,7 @@
             reported_count += usize::from(was_reported);
             let complains = record.evidence_against() >= REPORT_THRESHOLD && !loaded(&record.service);
             let contradicts = (contested(id) || record.unhealthy_since.is_some())
-                && (record.evidence_for() <= FAVOURABLE_EVIDENCE || record.goods > 0);
+                && (record.evidence_for() <= FAVOURABLE_EVIDENCE || record.consecutive_successes > 0);
             let retracts = was_reported
                 && record.evidence_against() < REPORT_THRESHOLD
                 && record.unhealthy_since.is_some();
@@ -313,7 +313,7 @@
                 failing: record.failing,
                 slow: record.slow,
                 unreached: record.unreached,
-                goods: record.goods,
+                consecutive_successes: record.consecutive_successes,
                 at: now,
             };
             record.reported = Some(evidence.clone());
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -72,7 +72,7 @@
         failing: weight(&row.failing),
         slow: weight(&row.slow),
         unreached: f64::from(row.unreached) / 100.0,
-        goods: row.goods,
+        consecutive_successes: row.goods,
         at,
     }
 }
@@ -137,7 +137,7 @@
                 failing: hundredths(n.failing),
                 slow: hundredths(n.slow),
                 unreached: (n.unreached * 100.0).round() as u32,
-                goods: n.goods,
+                goods: n.consecutive_successes,
                 ago: 0,
                 server: n.server,
             }
--- a/crates/proxy/src/outlier_ejection/tests.rs
+++ b/crates/proxy/src/outlier_ejection/tests.rs
@@ -10,7 +10,7 @@
         failing: Weight([9.0, -3.25]),
         slow: Weight([0.0, 12.5]),
         unreached: 1.5,
-        goods: 3,
+        consecutive_successes: 3,
         at: 70.0,
     };
     let row = ObservationRow {
