--- a/crates/zones/src/verdict.rs
+++ b/crates/zones/src/verdict.rs
@@ -93,8 +93,8 @@
 }
 
 /// The failure rate of the other zones; `MIN_HEALTHY_RATE` if they have too few attempts.
-pub fn baseline_rate(board: &LimiterReports, now: Millis, zone: &str) -> f64 {
-    let others = board.sum_others(now, zone);
+pub fn baseline_rate(reports: &LimiterReports, now: Millis, zone: &str) -> f64 {
+    let others = reports.sum_others(now, zone);
     if others.attempts() < MIN_ATTEMPTS {
         return MIN_HEALTHY_RATE;
     }
@@ -102,12 +102,12 @@
 }
 
 /// Assesses a zone by its accumulated evidence and the limiters that observed it.
-pub fn assess(board: &LimiterReports, test: &SequentialTest, now: Millis, zone: &str) -> Verdict {
+pub fn assess(reports: &LimiterReports, test: &SequentialTest, now: Millis, zone: &str) -> Verdict {
     let Some(run) = test.by_zone.get(zone).filter(|run| run.sum >= FAILURE_THRESHOLD) else {
         return Verdict::Sound;
     };
-    let views = board.views(now, zone);
-    let baseline = baseline_rate(board, now, zone);
+    let views = reports.views(now, zone);
+    let baseline = baseline_rate(reports, now, zone);
     let (_, p1) = rates(baseline);
     let tally = |n: &u16| run.by_limiter.get(n).copied().unwrap_or_default();
     // Includes limiters that have not reported since the run began: they may observe no failures.
@@ -126,13 +126,13 @@
     if part >= OBSERVER_QUORUM && (active.len() > 1 || views.len() == 1) {
         return Verdict::Fails;
     }
-    let mut homes: Vec<&str> = observers.iter().filter_map(|(_, own, _)| *own).collect();
-    homes.sort_unstable();
-    homes.dedup();
-    if let ([home], true) = (&homes[..], observers.len() > 1) {
-        let all = active.iter().filter(|(_, own, _)| *own == Some(home)).count();
-        if observers.len() == all && *home != zone {
-            return Verdict::Link((*home).to_owned());
+    let mut home_zones: Vec<&str> = observers.iter().filter_map(|(_, own, _)| *own).collect();
+    home_zones.sort_unstable();
+    home_zones.dedup();
+    if let ([home_zone], true) = (&home_zones[..], observers.len() > 1) {
+        let all = active.iter().filter(|(_, own, _)| *own == Some(home_zone)).count();
+        if observers.len() == all && *home_zone != zone {
+            return Verdict::Link((*home_zone).to_owned());
         }
     }
     match observers.is_empty() {
--- a/crates/zones/src/verdict/tests.rs
+++ b/crates/zones/src/verdict/tests.rs
@@ -4,10 +4,10 @@
 use crate::evidence::{Counts, Report, Row};
 
 /// Feeds reports from limiters that observe these failure rates in zones a, b and c, with `tries` attempts per zone and
-/// report. Returns the first verdict on zone a other than `Sound` with its time in ms, or `Sound` after `reports` rounds.
-fn first_verdict(limiters: &[[f64; 3]], attempts: u64, reports: u64) -> (Verdict, u64) {
-    let (mut board, mut test) = (LimiterReports::default(), SequentialTest::default());
-    for round in 0..=reports {
+/// report. Returns the first verdict on zone a other than `Sound` with its time in ms, or `Sound` after `rounds` rounds.
+fn first_verdict(limiters: &[[f64; 3]], attempts: u64, rounds: u64) -> (Verdict, u64) {
+    let (mut reports, mut test) = (LimiterReports::default(), SequentialTest::default());
+    for round in 0..=rounds {
         let now = 500 * round;
         for (n, rates) in limiters.iter().enumerate() {
             let row = |(zone, rate): (&str, &f64)| {
@@ -17,17 +17,17 @@
             };
             let rows = ["a", "b", "c"].into_iter().zip(rates).map(row).collect();
             let own = Some(["a", "b", "c"][n % 3].to_owned());
-            for increment in board.record(now, n as u16, &Report { life: 1, own, rows }) {
-                let baseline = baseline_rate(&board, now, &increment.zone);
+            for increment in reports.record(now, n as u16, &Report { life: 1, own, rows }) {
+                let baseline = baseline_rate(&reports, now, &increment.zone);
                 test.add(n as u16, &increment, baseline);
             }
         }
-        let verdict = assess(&board, &test, now, "a");
+        let verdict = assess(&reports, &test, now, "a");
         if verdict != Verdict::Sound {
             return (verdict, now);
         }
     }
-    (Verdict::Sound, 500 * reports)
+    (Verdict::Sound, 500 * rounds)
 }
 
 #[test]
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -51,7 +51,7 @@
 pub struct Zones {
     limiters: usize,
     seed: u64,
-    board: LimiterReports,
+    reports: LimiterReports,
     test: SequentialTest,
     capacity: CapacityEstimator,
     failovers: BTreeMap<String, ZoneFailover>,
@@ -78,13 +78,13 @@
 impl Zones {
     /// Zones of a fleet of `limiters` limiters; `seed` varies the hold times.
     pub fn new(limiters: usize, cold: ColdStart, seed: u64) -> Zones {
-        let (board, test, capacity) = Default::default();
+        let (reports, test, capacity) = Default::default();
         let (failovers, since_step, decided) = Default::default();
         let (baseline, normal_rates) = Default::default();
         Zones {
             limiters,
             seed,
-            board,
+            reports,
             test,
             capacity,
             failovers,
@@ -98,7 +98,7 @@
 
     /// Records a limiter's report.
     pub fn report(&mut self, now: Millis, from: u16, report: &Report) {
-        for increment in self.board.record(now, from, report) {
+        for increment in self.reports.record(now, from, report) {
             let baseline = self.baseline.get(&increment.zone).copied().unwrap_or(0.0);
             self.test.add(from, &increment, baseline);
             let (attempts, bad) = self.since_step.entry(increment.zone).or_default();
@@ -141,7 +141,7 @@
     }
 
     fn known_zones(&self) -> Vec<String> {
-        let mut known = self.board.zones();
+        let mut known = self.reports.zones();
         known.extend(self.failovers.keys().cloned());
         known.sort();
         known.dedup();
@@ -150,18 +150,18 @@
 
     fn loads(&self, now: Millis) -> BTreeMap<String, Load> {
         let load = |zone: String| {
-            let seen = self.board.sum(now, &zone);
+            let seen = self.reports.sum(now, &zone);
             let healthy = self.test.sum(&zone) < SequentialTest::threshold() / 2.0;
             let share = self.failovers.get(&zone).map_or(1.0, ZoneFailover::share);
             (zone, Load { rate: seen.rate, servers: seen.servers, share, healthy })
         };
-        self.board.zones().into_iter().map(load).collect()
+        self.reports.zones().into_iter().map(load).collect()
     }
 
     fn observe(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> Observation {
         let (attempts, bad) = self.since_step.get(zone).copied().unwrap_or_default();
         Observation {
-            failing: assess(&self.board, &self.test, now, zone) == Verdict::Fails,
+            failing: assess(&self.reports, &self.test, now, zone) == Verdict::Fails,
             attempts,
             bad,
             baseline: self.baseline.get(zone).copied().unwrap_or(0.0),
@@ -195,7 +195,7 @@
         self.decided.as_ref()?;
         let loads = self.loads(now);
         for (zone, load) in &loads {
-            self.baseline.insert(zone.clone(), baseline_rate(&self.board, now, zone));
+            self.baseline.insert(zone.clone(), baseline_rate(&self.reports, now, zone));
             self.capacity.observe(now, zone, *load);
             if load.share >= 1.0 && load.healthy {
                 self.normal_rates.insert(zone.clone(), load.rate);
@@ -224,10 +224,10 @@
     pub fn status(&self, now: Millis) -> Vec<ZoneStatus> {
         let loads = self.loads(now);
         let show = |zone: String| {
-            let seen = self.board.sum(now, &zone);
+            let seen = self.reports.sum(now, &zone);
             let failover = self.failovers.get(&zone);
             ZoneStatus {
-                verdict: assess(&self.board, &self.test, now, &zone),
+                verdict: assess(&self.reports, &self.test, now, &zone),
                 evidence: self.test.sum(&zone),
                 sure: SequentialTest::threshold(),
                 share: failover.map_or(1.0, ZoneFailover::share),
@@ -237,7 +237,7 @@
                 failing: if seen.attempts() > 0.0 { seen.bad / seen.attempts() } else { 0.0 },
                 stays: self.capacity.required_share(&zone, &loads),
                 limiters: self
-                    .board
+                    .reports
                     .views(now, &zone)
                     .iter()
                     .map(|(n, _, v)| (*n, v.attempts(), v.bad))
