--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -30,7 +30,7 @@
 const RETURN_PERIOD: Millis = 2000.0;
 /// Time in ms without an ejection after which earlier ejections no longer lengthen the probe interval.
 const FORGET_EJECTIONS_AFTER: Millis = 60_000.0;
-/// At most one in this many of a service's servers is ejected, but always one of three or more.
+/// At most one in this many of a service's servers is avoided, but at least one of three or more may be.
 const EJECT_ONE_IN: usize = 8;
 
 /// Evidence that one observer contributes by not reaching a server.
@@ -71,7 +71,7 @@
     /// Time of the last ejection, ms.
     ejected_at: Millis,
     score: f64,
-    /// Whether the limit on ejected servers permits avoiding this one.
+    /// Whether the limit on avoided servers permits avoiding this one.
     may_eject: bool,
 }
 
@@ -112,7 +112,7 @@
     cases: BTreeMap<String, ServerCase>,
 }
 
-/// The summed evidence against each server in `notices`.
+/// The summed evidence against each server in `evidence`.
 fn scores(now: Millis, evidence: &[Evidence], session: &dyn Fn(&str) -> bool) -> BTreeMap<String, f64> {
     let fresh = || evidence.iter().filter(|n| now - n.at < EVIDENCE_LIFETIME);
     let strength = |n: &Evidence| {
@@ -222,7 +222,7 @@
         changes
     }
 
-    /// The effective state of a server: healthy if the limit on ejected servers does not permit avoiding it.
+    /// The effective state of a server: healthy if the limit on avoided servers does not permit avoiding it.
     pub fn state(&self, id: &str) -> HealthState {
         let case = self.cases.get(id);
         let case = case.filter(|c| c.may_eject || c.state == HealthState::Returning);
--- a/crates/zones/src/capacity/tests.rs
+++ b/crates/zones/src/capacity/tests.rs
@@ -7,7 +7,7 @@
     [("a".to_owned(), load(a)), ("b".to_owned(), load(b)), ("c".to_owned(), load(c))].into()
 }
 
-fn seen(loads: &BTreeMap<String, Load>) -> CapacityEstimator {
+fn estimator_for(loads: &BTreeMap<String, Load>) -> CapacityEstimator {
     let mut capacity = CapacityEstimator::default();
     loads.iter().for_each(|(zone, load)| capacity.observe(0, zone, *load));
     capacity
@@ -16,15 +16,15 @@
 #[test]
 fn idle_zones_take_the_full_load_and_evenly_loaded_zones_half_as_much_again() {
     let idle = loads(240.0, 0.0, 0.0);
-    assert_eq!(seen(&idle).required_share("a", &idle), 0.0);
+    assert_eq!(estimator_for(&idle).required_share("a", &idle), 0.0);
     let even = loads(80.0, 80.0, 80.0);
-    assert_eq!(seen(&even).required_share("a", &even), 0.0);
+    assert_eq!(estimator_for(&even).required_share("a", &even), 0.0);
 }
 
 #[test]
 fn load_beyond_the_capacity_of_the_other_zones_stays() {
     let usual = loads(100.0, 100.0, 100.0);
-    let capacity = seen(&usual);
+    let capacity = estimator_for(&usual);
     // The other zones serve 120 each by now, of an estimated 150: there is room for 60 of the 100.
     let full = loads(100.0, 120.0, 120.0);
     assert!((capacity.required_share("a", &full) - 0.4).abs() < 1e-9);
--- a/crates/zones/src/verdict/tests.rs
+++ b/crates/zones/src/verdict/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::evidence::{Counts, Report, Row};
 
-/// Feeds reports from limiters that observe these failure rates in zones a, b and c, with `tries` attempts per zone and
+/// Feeds reports from limiters that observe these failure rates in zones a, b and c, with `attempts` attempts per zone and
 /// report. Returns the first verdict on zone a other than `Sound` with its time in ms, or `Sound` after `rounds` rounds.
 fn first_verdict(limiters: &[[f64; 3]], attempts: u64, rounds: u64) -> (Verdict, u64) {
     let (mut reports, mut test) = (LimiterReports::default(), SequentialTest::default());
--- a/crates/zones/tests/schedules.rs
+++ b/crates/zones/tests/schedules.rs
@@ -76,8 +76,8 @@
 }
 
 /// Divides the demand among the zones: up to half goes to zone a, by its share in use; the others share the rest.
-fn divide(demand: f64, left: &BTreeMap<String, f64>) -> [f64; 3] {
-    let part = |zone: &str| left.get(zone).copied().unwrap_or(1.0);
+fn divide(demand: f64, shares: &BTreeMap<String, f64>) -> [f64; 3] {
+    let part = |zone: &str| shares.get(zone).copied().unwrap_or(1.0);
     // Zone a normally serves half of the demand.
     let a = 0.5 * demand * part("a");
     let others = part("b") + part("c");
