--- a/crates/daemon/src/fleet/zones.rs
+++ b/crates/daemon/src/fleet/zones.rs
@@ -8,10 +8,10 @@
 use oatbank_fleet::document::Id;
 use oatbank_fleet::message::Message;
 use oatbank_fleet::{Millis, Peer};
-use oatbank_zones::course::Order;
 use oatbank_zones::evidence::Report;
-use oatbank_zones::zones::{NotPossible, Zones};
-use oatbank_zones::Left;
+use oatbank_zones::failover::Order;
+use oatbank_zones::zones::{OrderError, Zones};
+use oatbank_zones::ReducedZone;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     /// Where this limiter decides.
     zones: RefCell<Option<Zones>>,
     /// What the revision in force leaves.
-    left: RefCell<(Id, Vec<Left>)>,
+    left: RefCell<(Id, Vec<ReducedZone>)>,
     /// A change is being decided.
     busy: Cell<bool>,
 }
@@ -76,7 +76,7 @@
                 Zones::new(self.settings.peers.len(), cold, self.life)
             });
             zones.report(now, self.settings.me.0, report);
-            zones.decided(now, &self.led.left.borrow().1);
+            zones.set_decision(now, &self.led.left.borrow().1);
             zones.tick(now)
         };
         let Some(wanted) = wanted.filter(|_| !self.led.busy.get()) else { return };
@@ -110,7 +110,7 @@
         let order = match call {
             [] | ["status"] if !post => {
                 let names = |n: u16| self.name(Peer(n)).to_owned();
-                let mut shown = json!(zones.shown(now));
+                let mut shown = json!(zones.status(now));
                 for zone in shown.as_array_mut().into_iter().flatten() {
                     let rows = zone["limiters"].as_array().cloned().unwrap_or_default();
                     let named = rows.iter().map(|row| {
@@ -141,11 +141,11 @@
                 };
                 (StatusCode::OK, json!({"result": "ordered", "say": say}).to_string() + "\n")
             }
-            Err(NotPossible::NoZone(known)) => {
+            Err(OrderError::UnknownZone(known)) => {
                 let say = format!("{zone:?} is not known; {} are", known.join(", "));
                 (StatusCode::NOT_FOUND, json!({"result": "no zone", "say": say}).to_string() + "\n")
             }
-            Err(NotPossible::LastOne) => {
+            Err(OrderError::LastFullZone) => {
                 let say = format!("{zone} is the last one that is wholly used; return another one first");
                 (StatusCode::CONFLICT, json!({"result": "last zone", "say": say}).to_string() + "\n")
             }
--- a/crates/membership/src/register.rs
+++ b/crates/membership/src/register.rs
@@ -1,56 +1,57 @@
-//! A limiter's own node: made, kept, made anew, removed; and from the folder of all limiters this one's number and how
-//! many there are.
+//! Maintains a limiter's own ephemeral node, and derives from the folder of all limiters its number among them and their
+//! count.
 //!
-//! The caller keeps a session and carries out what [`Step::wants`] asks for, one after the other, and tells what came of
-//! each and which watch fired.
+//! The caller keeps a session, executes the actions in [`Step::actions`] in order, and reports the result of each and every
+//! watch that fires.
 //!
 //! Guarantees, for any order, loss and repetition of events:
-//! - a name has one node, since the name is the node's path: one that an earlier life left behind is deleted and made
-//!   anew in one transaction, and only while it is still the one that was read;
-//! - of two processes with one name the one that started last holds it; the other says so and waits until it is gone;
-//! - a node that went without our doing (an expired session, an operator) is made anew;
-//! - the number of limiters that is told rises at once and falls only after it has been lower for [`Settings::settle`]:
-//!   whoever takes a part of something takes too little in doubt, never too much. While the service is away it holds;
-//! - after [`Event::Leave`] nothing is made any more, and the node is removed if it is ours.
+//! - a name has one node, since the name is the node's path: a node left behind by an earlier process is deleted and
+//!   created again in one transaction, and only if its version is still the one that was read;
+//! - of two processes with the same name, the one started last holds the node; the other reports [`State::Superseded`] and
+//!   waits until that node is gone;
+//! - a node that was removed by others (an expired session, an operator) is created again;
+//! - the reported count of limiters rises at once and falls only after it has been lower for [`Settings::settle`]: a limiter
+//!   that divides a shared limit by it takes too little in doubt, never too much. It holds while the service is unavailable;
+//! - after [`Event::Leave`] nothing is created any more, and the node is removed if this process owns it.
 
 use crate::payload::is_plain;
 use oatbank_limiter_core::interface::Millis;
 use serde::{Deserialize, Serialize};
 
-/// What could not be done is tried again after this, ms.
-const RETRY: Millis = 100.0;
+/// Delay in ms before a failed action is retried.
+const RETRY_DELAY: Millis = 100.0;
 
-/// What the registration goes by.
+/// Settings of a registration.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long limiters may take to come back, ms: at least their session time-out.
+    /// Time in ms that limiters may take to register again: at least their session timeout.
     pub settle: Millis,
 }
 
-/// Which process this is. Of two with one name the greater one is the newer.
+/// Identifies one start of a process. Of two processes with the same name, the greater one is newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
-    /// When the process started, Unix ms.
+pub struct Incarnation {
+    /// Start time of the process, Unix ms.
     pub started_ms: u64,
-    /// A random number, should two have started in one millisecond.
+    /// A random number that distinguishes processes started in the same millisecond.
     pub instance: u64,
 }
 
-/// What is to be done, in this order.
+/// An action at the service that the caller has to execute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
-    /// Make the folder, and those above it.
+pub enum Action {
+    /// Create the folder and its parents.
     Folder,
-    /// Make the node, ephemeral.
+    /// Create the node as an ephemeral node.
     Create,
     /// Read the node, with a watch.
     Read,
-    /// Delete the node if it still has this version, and make it, in one transaction.
+    /// Delete the node if it still has this version, and create it again, in one transaction.
     Replace {
         /// The version of the node that was read.
         version: i32,
     },
-    /// Read the folder's names, with a watch.
+    /// Read the names in the folder, with a watch.
     Names,
     /// Delete the node if it still has this version.
     Remove {
@@ -59,21 +60,21 @@
     },
 }
 
-/// What has happened.
+/// An event that the caller reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The session stands, on a new connection; watches are to be set anew.
+    /// The session is established on a new connection; watches have to be set again.
     Connected {
-        /// The session's number.
+        /// Id of the session.
         session: i64,
     },
-    /// The connection is lost, or the session has expired; what is out will not be answered.
+    /// The connection is lost, or the session has expired; pending actions will not be answered.
     Lost,
-    /// What was wanted is done. A folder that is there already is made, a node that is gone is removed.
-    Done(Want),
-    /// The node could not be made: there is one.
+    /// The action succeeded. Creating a folder that exists and removing a node that is gone count as success.
+    Done(Action),
+    /// The node could not be created because it exists.
     Taken,
-    /// The node could not be made, or the names not read: there is no folder.
+    /// The node could not be created, or the names not read, because the folder does not exist.
     NoFolder,
     /// The node was read.
     Node {
@@ -81,191 +82,195 @@
         owner: i64,
         /// Its version.
         version: i32,
-        /// What it holds.
+        /// Its content.
         bytes: Vec<u8>,
     },
-    /// There is no node.
+    /// The node does not exist.
     NoNode,
     /// The folder was read.
     Names(Vec<String>),
-    /// What was wanted could not be done; nothing is known by it.
-    Failed(Want),
-    /// The watch that this set has fired.
-    Fired(Want),
-    /// [`Step::due`] has come.
+    /// The action failed; it may or may not have taken effect.
+    Failed(Action),
+    /// The watch that this action set has fired.
+    Fired(Action),
+    /// The time in [`Step::due`] is reached.
     Due,
-    /// The process is to end.
+    /// The process is about to end.
     Leave,
 }
 
-/// Where the registration stands.
+/// The state of a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not registered, or not known to be.
+    /// Not registered, or not known to be registered.
     Out,
-    /// The node is there and this session's.
+    /// The node exists and belongs to this session.
     Registered,
-    /// A process of the same name that started later has the node.
-    Superseded(Life),
-    /// The node is removed, for good.
+    /// A process of the same name that started later owns the node.
+    Superseded(Incarnation),
+    /// The registration has ended and will not be renewed.
     Left,
 }
 
-/// This limiter among all of them.
+/// The position of this limiter among all limiters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Its number, from 0, in the order of names.
+    /// Its index in the sorted names, from 0.
     pub number: usize,
-    /// How many there are, on the safe side: see [`self`].
+    /// Number of limiters; rises at once and falls only after [`Settings::settle`].
     pub count: usize,
 }
 
-/// What comes of an event.
+/// The result of handling an event.
 #[derive(Debug, Default, PartialEq)]
 pub struct Step {
-    /// What is to be done.
-    pub wants: Vec<Want>,
-    /// The place, if it has changed.
+    /// Actions to execute, in this order.
+    pub actions: Vec<Action>,
+    /// The position, if it has changed.
     pub place: Option<Place>,
-    /// When [`Event::Due`] is to be told, if nothing comes before.
+    /// Time at which to report [`Event::Due`], unless another event comes first.
     pub due: Option<Millis>,
 }
 
-/// One limiter's registration.
+/// The registration of one limiter.
 #[derive(Debug)]
 pub struct Registration {
     settings: Settings,
     name: String,
-    life: Life,
+    incarnation: Incarnation,
     session: Option<i64>,
     state: State,
     leaving: bool,
-    /// The version of our own node.
+    /// Version of this process's own node.
     version: i32,
-    /// What failed, to be tried again at this time.
-    again: Vec<Want>,
-    again_at: Option<Millis>,
+    /// Failed actions to retry at `retry_at`.
+    retries: Vec<Action>,
+    retry_at: Option<Millis>,
     names: Vec<String>,
-    /// The count that is told, and since when fewer have been seen.
+    /// The reported number of limiters.
     count: usize,
+    /// Since when fewer limiters than `count` have been listed.
     fewer_since: Option<Millis>,
-    told: Option<Place>,
+    announced: Option<Place>,
 }
 
 impl Registration {
-    /// A registration of `name`, which [`is_plain`] and without `/`.
-    pub fn new(settings: Settings, name: &str, life: Life) -> Self {
+    /// Creates a registration of `name`, which must satisfy [`is_plain`] and must not contain `/`.
+    pub fn new(settings: Settings, name: &str, incarnation: Incarnation) -> Self {
         Registration {
             settings,
             name: name.to_owned(),
-            life,
+            incarnation,
             session: None,
             state: State::Out,
             leaving: false,
             version: 0,
-            again: Vec::new(),
-            again_at: None,
+            retries: Vec::new(),
+            retry_at: None,
             names: Vec::new(),
             count: 0,
             fewer_since: None,
-            told: None,
+            announced: None,
         }
     }
 
-    /// What the node holds.
+    /// The content of the node: the incarnation as JSON.
     pub fn payload(&self) -> Vec<u8> {
-        // A struct of two numbers has a form in JSON.
-        serde_json::to_vec(&self.life).unwrap_or_default()
+        // Serializing two numbers to JSON cannot fail.
+        serde_json::to_vec(&self.incarnation).unwrap_or_default()
     }
 
-    /// Where it stands.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// This limiter's place as it was last told.
+    /// The position as last reported.
     pub fn place(&self) -> Option<Place> {
-        self.told
+        self.announced
     }
 
-    /// Takes in what has happened.
+    /// Handles an event and returns the next actions.
     pub fn handle(&mut self, now: Millis, event: Event) -> Step {
-        let mut wants = Vec::new();
+        let mut actions = Vec::new();
         match event {
             Event::Connected { session } => {
-                // A new session owns nothing; of a kept one the watches are gone.
-                let kept = self.session.replace(session) == Some(session);
-                if !kept && self.state == State::Registered {
+                // A new session owns no nodes; a resumed one has lost its watches.
+                let resumed = self.session.replace(session) == Some(session);
+                if !resumed && self.state == State::Registered {
                     self.state = State::Out;
                 }
-                (self.again, self.again_at) = (Vec::new(), None);
-                wants.extend([if kept || self.leaving { Want::Read } else { Want::Create }, Want::Names]);
+                (self.retries, self.retry_at) = (Vec::new(), None);
+                actions.extend([
+                    if resumed || self.leaving { Action::Read } else { Action::Create },
+                    Action::Names,
+                ]);
             }
-            Event::Lost => (self.again, self.again_at) = (Vec::new(), None),
-            Event::Done(Want::Folder) => wants.extend([Want::Create, Want::Names]),
-            Event::Done(Want::Remove { .. }) => self.state = State::Left,
-            Event::Done(_) | Event::Taken | Event::Fired(Want::Read) => wants.push(Want::Read),
-            Event::NoFolder => wants.push(Want::Folder),
-            Event::Node { owner, version, bytes } => wants.extend(self.node(owner, version, &bytes)),
+            Event::Lost => (self.retries, self.retry_at) = (Vec::new(), None),
+            Event::Done(Action::Folder) => actions.extend([Action::Create, Action::Names]),
+            Event::Done(Action::Remove { .. }) => self.state = State::Left,
+            Event::Done(_) | Event::Taken | Event::Fired(Action::Read) => actions.push(Action::Read),
+            Event::NoFolder => actions.push(Action::Folder),
+            Event::Node { owner, version, bytes } => actions.extend(self.handle_node(owner, version, &bytes)),
             Event::NoNode => {
                 self.state = if self.leaving { State::Left } else { State::Out };
-                wants.push(Want::Create);
+                actions.push(Action::Create);
             }
             Event::Names(names) => self.names = names,
-            Event::Failed(want) => self.retry(now, want),
-            Event::Fired(_) => wants.push(Want::Names),
+            Event::Failed(action) => self.retry(now, action),
+            Event::Fired(_) => actions.push(Action::Names),
             Event::Due => {
-                if self.again_at.is_some_and(|at| now >= at) {
-                    self.again_at = None;
-                    wants.append(&mut self.again);
+                if self.retry_at.is_some_and(|at| now >= at) {
+                    self.retry_at = None;
+                    actions.append(&mut self.retries);
                 }
             }
             Event::Leave => {
                 self.leaving = true;
-                wants.push(Want::Read);
+                actions.push(Action::Read);
             }
         }
         if self.leaving {
-            wants.retain(|w| matches!(w, Want::Read | Want::Remove { .. }));
+            actions.retain(|w| matches!(w, Action::Read | Action::Remove { .. }));
         }
         if self.state == State::Left || self.session.is_none() {
-            wants.clear();
+            actions.clear();
         }
-        Step { wants, place: self.place_now(now), due: self.due() }
+        Step { actions, place: self.update_place(now), due: self.due() }
     }
 
-    fn retry(&mut self, now: Millis, want: Want) {
-        // What a version says may be old by now: it is read again.
-        let want = match want {
-            Want::Replace { .. } | Want::Remove { .. } => Want::Read,
+    fn retry(&mut self, now: Millis, action: Action) {
+        // The version may be outdated by now, so the node is read again.
+        let action = match action {
+            Action::Replace { .. } | Action::Remove { .. } => Action::Read,
             other => other,
         };
-        if !self.again.contains(&want) {
-            self.again.push(want);
+        if !self.retries.contains(&action) {
+            self.retries.push(action);
         }
-        self.again_at.get_or_insert(now + RETRY);
+        self.retry_at.get_or_insert(now + RETRY_DELAY);
     }
 
-    fn node(&mut self, owner: i64, version: i32, bytes: &[u8]) -> Option<Want> {
-        let theirs = serde_json::from_slice::<Life>(bytes).ok();
-        if self.session == Some(owner) && theirs == Some(self.life) {
+    fn handle_node(&mut self, owner: i64, version: i32, bytes: &[u8]) -> Option<Action> {
+        let holder = serde_json::from_slice::<Incarnation>(bytes).ok();
+        if self.session == Some(owner) && holder == Some(self.incarnation) {
             (self.state, self.version) = (State::Registered, version);
-            return self.leaving.then_some(Want::Remove { version });
+            return self.leaving.then_some(Action::Remove { version });
         }
-        if let Some(newer) = theirs.filter(|theirs| *theirs > self.life) {
+        if let Some(newer) = holder.filter(|holder| *holder > self.incarnation) {
             self.state = if self.leaving { State::Left } else { State::Superseded(newer) };
             return None;
         }
         if self.leaving {
-            // Our own of an expired session, or an earlier life's: it goes with its session.
+            // The node belongs to an expired session or an earlier process, and is removed with its session.
             self.state = State::Left;
             return None;
         }
         self.state = State::Out;
-        Some(Want::Replace { version })
+        Some(Action::Replace { version })
     }
 
-    fn place_now(&mut self, now: Millis) -> Option<Place> {
+    fn update_place(&mut self, now: Millis) -> Option<Place> {
         let mut names: Vec<&String> = self.names.iter().filter(|name| is_plain(name)).collect();
         names.sort_unstable();
         let since = *self.fewer_since.get_or_insert(now);
@@ -274,15 +279,15 @@
         }
         let number = names.iter().position(|name| **name == self.name)?;
         let place = Place { number, count: self.count };
-        let news = self.state == State::Registered && self.told != Some(place);
-        if news {
-            self.told = Some(place);
+        let changed = self.state == State::Registered && self.announced != Some(place);
+        if changed {
+            self.announced = Some(place);
         }
-        news.then_some(place)
+        changed.then_some(place)
     }
 
     fn due(&self) -> Option<Millis> {
-        let falls = self.fewer_since.map(|since| since + self.settings.settle);
-        [self.again_at, falls].into_iter().flatten().min_by(f64::total_cmp)
+        let count_falls_at = self.fewer_since.map(|since| since + self.settings.settle);
+        [self.retry_at, count_falls_at].into_iter().flatten().min_by(f64::total_cmp)
     }
 }
--- a/crates/outlier-detection/src/observer.rs
+++ b/crates/outlier-detection/src/observer.rs
@@ -1,4 +1,4 @@
-//! What one proxy sees of servers, and what of it the others should know.
+//! Collects one proxy's evidence on servers and selects the evidence to report to the other proxies.
 
 use crate::{
     EndKind, Evidence, Millis, Weight, CLEAR_THRESHOLD, DECAY, MAX_REPORTED, REPORT_THRESHOLD,
@@ -6,47 +6,55 @@
 };
 use std::collections::BTreeMap;
 
-/// Of a well server at most this share of attempts fails, of one that has to be left at least that share, and
-/// so many times the share that fails at the other servers of the service: what fails everywhere is load, or
-/// the way there.
+/// Maximum failure rate of a healthy server.
 const HEALTHY_FAILURE_RATE: f64 = 0.02;
+/// Minimum failure rate of an unhealthy server.
 const UNHEALTHY_FAILURE_RATE: f64 = 0.4;
+/// Minimum ratio of an unhealthy server's failure rate to that of the other servers of its service: failures of all
+/// servers are caused by load or by the network path.
 const UNHEALTHY_FAILURE_FACTOR: f64 = 2.5;
-/// The others' share counts up to this, from attempts of the last so many ms, and as if so many more had been
-/// served.
+/// Upper limit of the failure rate of the other servers.
 const MAX_OTHERS_RATE: f64 = 0.34;
+/// Time constant in ms by which the attempts of the other servers decay.
 const OTHERS_DECAY: Millis = 5000.0;
+/// Served attempts that are added to those of the other servers as a prior.
 const OTHERS_PRIOR_ATTEMPTS: f64 = 4.0;
-/// So many failures of others are accidents.
+/// Failures of the other servers that are disregarded as chance.
 const OTHERS_ACCIDENTS: f64 = 1.5;
-/// An answer is slow beyond so many medians of its class over all servers of the service, and so many ms.
+/// An answer is slow if it takes longer than this many medians of its class over all servers of the service.
 const SLOW_FACTOR: f64 = 3.5;
+/// An answer is slow only if it exceeds the median by this time, in ms.
 const MIN_SLOW_EXCESS: Millis = 40.0;
-/// A server that has always been slower than others is measured by itself, up to this.
+/// Maximum factor by which a server that has always been slower is compared with its own pace instead of the median.
 const MAX_OWN_PACE: f64 = 2.0;
-/// A slow server gives so much larger a share of slow answers than is usual for the class.
+/// A slow server's share of slow answers exceeds that of its class by this much.
 const SLOW_SHARE_EXCESS: f64 = 0.6;
-/// The usual share of slow answers of a class: as it begins, and the least and most that it counts as.
+/// Initial share of slow answers of a class.
 const INITIAL_SLOW_SHARE: f64 = 0.08;
+/// Lower limit of a class's share of slow answers.
 const MIN_SLOW_SHARE: f64 = 0.03;
+/// Upper limit of a class's share of slow answers.
 const MAX_SLOW_SHARE: f64 = 0.3;
-/// So many good answers in a row count at most.
-pub(crate) const MAX_GOODS: u32 = 20;
-/// Steps by which the median, the usual share of slow answers and a server's own pace follow.
+/// Maximum number of consecutive good answers that is counted.
+pub(crate) const MAX_SUCCESSES: u32 = 20;
+/// Step by which the logarithm of a class's median follows each answer.
 const MEDIAN_STEP: f64 = 0.05;
+/// Weight of each answer in the share of slow answers of a class.
 const SHARE_STEP: f64 = 0.02;
+/// Weight of each answer in a server's own pace.
 const PACE_STEP: f64 = 0.05;
-/// What is told is told anew once it is so far off, and one server not more often than this, ms.
-pub const MATERIAL: f64 = 2.0;
+/// Change of the evidence from which a server is reported again.
+pub const REPORT_DELTA: f64 = 2.0;
+/// Minimum time between two reports on a server, in ms.
 const REPORT_INTERVAL: Millis = 700.0;
-/// Who knows so much good of a server that others complain of says so.
+/// Evidence in favour of a server, from which it is reported if other proxies report the server as unhealthy.
 const FAVOURABLE_EVIDENCE: f64 = -1.5;
-/// A server that was not met for this long, ms, is forgotten.
-const FORGET: Millis = 60_000.0;
-/// A server was met of late within this, ms.
-const RECENTLY: Millis = 4000.0;
+/// Time in ms without attempts after which a server's record is dropped.
+const RECORD_LIFETIME: Millis = 60_000.0;
+/// Time in ms within which a server counts as recently used.
+const RECENT_USE: Millis = 4000.0;
 
-/// The usual of one class of requests at one service.
+/// Normal latency of one class of requests to one service.
 #[derive(Clone, Copy, Debug)]
 struct Baseline {
     /// Logarithm of the median answer time.
@@ -55,7 +63,7 @@
     slow: f64,
 }
 
-/// Attempts and failures among them, fading.
+/// Attempts and failures with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Share {
     attempts: f64,
@@ -70,7 +78,7 @@
         *self = Share { attempts: self.attempts * keep + 1.0, bad: self.bad * keep + bad, at: now };
     }
 
-    /// What of this is not of `one`, as a share.
+    /// The failure rate excluding the attempts in `one`, less chance failures and with the prior.
     fn without(&self, now: Millis, one: &Share) -> f64 {
         let keep = |s: &Share| (-(now - s.at).max(0.0) / OTHERS_DECAY).exp();
         let bad = (self.bad * keep(self) - one.bad * keep(one) - OTHERS_ACCIDENTS).max(0.0);
@@ -79,7 +87,7 @@
     }
 }
 
-/// One server, as seen from here.
+/// This proxy's record of one server.
 #[derive(Clone, Debug, Default)]
 struct ServerRecord {
     service: String,
@@ -87,43 +95,43 @@
     failing: Weight,
     slow: Weight,
     unreached: f64,
-    /// What the weights are as of.
+    /// Time up to which the weights are decayed, ms.
     at: Millis,
     last_seen: Millis,
-    /// Logarithm of how much slower than others it is when it is well.
+    /// Logarithm of its latency relative to other servers while healthy.
     pace: f64,
-    /// It is not well since then, as the detector says.
+    /// When the detector found the server unhealthy, ms.
     unhealthy_since: Option<Millis>,
-    goods: u32,
+    consecutive_successes: u32,
     reported: Option<Evidence>,
 }
 
 impl ServerRecord {
-    fn bring_to(&mut self, now: Millis) {
+    fn decay_to(&mut self, now: Millis) {
         let span = now - self.at;
         (self.failing, self.slow) = (self.failing.decayed(span), self.slow.decayed(span));
         self.unreached *= (-span.max(0.0) / DECAY[1]).exp();
         self.at = now;
     }
 
-    /// How much speaks against it, from here.
+    /// Strength of this proxy's evidence against the server.
     fn evidence_against(&self) -> f64 {
         let unreached = if self.unreached > 0.9 { REPORT_THRESHOLD } else { 0.0 };
-        self.failing.most().max(self.slow.most()).max(unreached)
+        self.failing.strongest_against().max(self.slow.strongest_against()).max(unreached)
     }
 
     fn evidence_for(&self) -> f64 {
-        self.failing.least().min(self.slow.least())
+        self.failing.strongest_in_favour().min(self.slow.strongest_in_favour())
     }
 
-    /// Whether what was told of it is too far off.
+    /// Whether the evidence differs materially from the last report.
     fn has_moved(&self, now: Millis) -> bool {
         let Some(reported) = &self.reported else { return true };
         let span = now - reported.at;
         self.failing.differs_from(reported.failing.decayed(span))
             || self.slow.differs_from(reported.slow.decayed(span))
             || self.unreached > reported.unreached + 0.9
-            || self.goods != reported.goods
+            || self.consecutive_successes != reported.consecutive_successes
     }
 }
 
@@ -132,24 +140,24 @@
 pub struct Observer {
     baseline: BTreeMap<(String, String), Baseline>,
     records: BTreeMap<String, ServerRecord>,
-    /// By service.
+    /// Attempts of all servers, by service.
     shares: BTreeMap<String, Share>,
 }
 
-/// What is seen of an attempt.
+/// The observed result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult<'a> {
-    /// Its service.
+    /// Name of the service.
     pub service: &'a str,
-    /// Its class.
+    /// Request class.
     pub class: &'a str,
-    /// Its server.
+    /// Id of the server.
     pub server: &'a str,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: EndKind,
-    /// How long it took.
+    /// Duration of the attempt, ms.
     pub took: Millis,
-    /// The server was warm.
+    /// Whether the server was warm.
     pub warm: bool,
 }
 
@@ -163,10 +171,10 @@
     fn add_end(&mut self, end: EndKind, baseline: f64) {
         let unhealthy = UNHEALTHY_FAILURE_RATE.max(UNHEALTHY_FAILURE_FACTOR * baseline);
         match end {
-            EndKind::NotConnected => (self.unreached, self.goods) = (self.unreached + 1.0, 0),
+            EndKind::NotConnected => (self.unreached, self.consecutive_successes) = (self.unreached + 1.0, 0),
             EndKind::Failure => {
                 self.failing.add((unhealthy / baseline).ln());
-                self.goods = 0;
+                self.consecutive_successes = 0;
             }
             EndKind::Success => {
                 self.failing.add(((1.0 - unhealthy) / (1.0 - baseline)).ln());
@@ -185,9 +193,9 @@
         if !slow && seen.end == EndKind::Cancelled {
             return;
         }
-        // What is usual is learnt from servers that nothing speaks against, as far as there are such: under
-        // load all are slow, and that is usual then.
-        let suspect = self.slow.most() >= CLEAR_THRESHOLD;
+        // The share of slow answers and the pace are learnt only from servers without evidence of slowness. The median
+        // follows all servers: under load all are slow, and that is normal then.
+        let suspect = self.slow.strongest_against() >= CLEAR_THRESHOLD;
         let before = baseline.slow.clamp(MIN_SLOW_SHARE, MAX_SLOW_SHARE);
         baseline.median += MEDIAN_STEP * (took - baseline.median).signum();
         if !suspect {
@@ -201,17 +209,17 @@
             ((1.0 - unhealthy) / (1.0 - before)).ln()
         });
         if slow {
-            self.goods = 0;
+            self.consecutive_successes = 0;
         } else if self.unhealthy_since.is_some_and(|since| now - seen.took > since) {
-            self.goods = (self.goods + 1).min(MAX_GOODS);
+            self.consecutive_successes = (self.consecutive_successes + 1).min(MAX_SUCCESSES);
         }
     }
 }
 
 impl Observer {
-    /// Takes in the end of an attempt.
+    /// Records the end of an attempt.
     pub fn record(&mut self, now: Millis, seen: &AttemptResult<'_>) {
-        // One that is cold is slow for that, and may fall over for that; who is full has work.
+        // A cold server may be slow or fail because it is cold, and a full server is not unhealthy.
         if !seen.warm || seen.end == EndKind::Ignored {
             return;
         }
@@ -221,14 +229,14 @@
             self.records.insert(seen.server.to_owned(), record);
         }
         let Some(record) = self.records.get_mut(seen.server) else { return };
-        record.bring_to(now);
+        record.decay_to(now);
         record.last_seen = now;
-        let ends_well = seen.end == EndKind::Success;
-        let of_all = self.shares.entry(seen.service.to_owned()).or_default();
-        let others = of_all.without(now, &record.share).min(MAX_OTHERS_RATE);
-        if ends_well || seen.end == EndKind::Failure {
-            record.share.add(now, !ends_well);
-            of_all.add(now, !ends_well);
+        let succeeded = seen.end == EndKind::Success;
+        let service_share = self.shares.entry(seen.service.to_owned()).or_default();
+        let others = service_share.without(now, &record.share).min(MAX_OTHERS_RATE);
+        if succeeded || seen.end == EndKind::Failure {
+            record.share.add(now, !succeeded);
+            service_share.add(now, !succeeded);
         }
         record.add_end(seen.end, HEALTHY_FAILURE_RATE.max(others));
         if matches!(seen.end, EndKind::Success | EndKind::Cancelled) {
@@ -239,77 +247,79 @@
         }
     }
 
-    /// What the detector says now: these are not well, since then.
+    /// Sets the servers that the detector finds unhealthy, each with its start time.
     pub fn set_unhealthy(&mut self, unhealthy: &BTreeMap<String, Millis>) {
-        for (id, records) in &mut self.records {
+        for (id, record) in &mut self.records {
             let since = unhealthy.get(id).copied();
-            if since.is_none() || records.unhealthy_since.is_none() {
-                records.goods = 0;
+            if since.is_none() || record.unhealthy_since.is_none() {
+                record.consecutive_successes = 0;
             }
-            records.unhealthy_since = since;
+            record.unhealthy_since = since;
         }
     }
 
-    /// What is to be told now, worst first. `contested`: somebody else complains of that server.
+    /// The evidence to report now, worst first. `contested` tells whether another proxy reports a server as unhealthy.
     pub fn reports(&mut self, now: Millis, contested: impl Fn(&str) -> bool) -> Vec<Evidence> {
-        self.records.retain(|_, records| now - records.last_seen < FORGET);
+        self.records.retain(|_, record| now - record.last_seen < RECORD_LIFETIME);
         let mut last_seen: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for records in self.records.values_mut() {
-            records.bring_to(now);
+        for record in self.records.values_mut() {
+            record.decay_to(now);
         }
-        for records in self.records.values().filter(|records| now - records.last_seen < RECENTLY) {
-            let of = last_seen.entry(&records.service).or_default();
+        for record in self.records.values().filter(|record| now - record.last_seen < RECENT_USE) {
+            let of = last_seen.entry(&record.service).or_default();
             of.0 += 1;
-            of.1 += usize::from(records.evidence_against() >= REPORT_THRESHOLD);
+            of.1 += usize::from(record.evidence_against() >= REPORT_THRESHOLD);
         }
-        // Most of a service is no server's illness: it is load, or the way there.
+        // If most servers of a service are affected, the cause is load or the network path, not a server.
         let loaded =
             |service: &str| last_seen.get(service).is_some_and(|(all, bad)| *bad > 2 && 2 * bad > *all);
         let reported =
-            |records: &ServerRecord| records.reported.as_ref().is_some_and(|t| now - t.at < 2.0 * DECAY[1]);
-        let mut want: Vec<(f64, String)> = Vec::new();
-        let mut standing = 0;
-        for (id, records) in &self.records {
-            let said = reported(records);
-            standing += usize::from(said);
-            let complains = records.evidence_against() >= REPORT_THRESHOLD && !loaded(&records.service);
-            let speaks_for = (contested(id) || records.unhealthy_since.is_some())
-                && (records.evidence_for() <= FAVOURABLE_EVIDENCE || records.goods > 0);
-            let takes_back =
-                said && records.evidence_against() < REPORT_THRESHOLD && records.unhealthy_since.is_some();
-            // What has become grave is told at once.
-            let grave = |t: &Evidence| {
-                records.evidence_against() >= SUSPECT_THRESHOLD
-                    && t.failing.most().max(t.slow.most()) < SUSPECT_THRESHOLD
+            |record: &ServerRecord| record.reported.as_ref().is_some_and(|t| now - t.at < 2.0 * DECAY[1]);
+        let mut due: Vec<(f64, String)> = Vec::new();
+        let mut reported_count = 0;
+        for (id, record) in &self.records {
+            let was_reported = reported(record);
+            reported_count += usize::from(was_reported);
+            let complains = record.evidence_against() >= REPORT_THRESHOLD && !loaded(&record.service);
+            let contradicts = (contested(id) || record.unhealthy_since.is_some())
+                && (record.evidence_for() <= FAVOURABLE_EVIDENCE || record.consecutive_successes > 0);
+            let retracts = was_reported
+                && record.evidence_against() < REPORT_THRESHOLD
+                && record.unhealthy_since.is_some();
+            // A server that crosses the suspect threshold is reported at once.
+            let becomes_suspect = |t: &Evidence| {
+                record.evidence_against() >= SUSPECT_THRESHOLD
+                    && t.failing.strongest_against().max(t.slow.strongest_against()) < SUSPECT_THRESHOLD
             };
-            let rested = records.reported.as_ref().is_none_or(|t| now - t.at >= REPORT_INTERVAL || grave(t));
-            if (complains || speaks_for || takes_back) && records.has_moved(now) && rested {
-                want.push((records.evidence_against(), id.clone()));
+            let is_due =
+                record.reported.as_ref().is_none_or(|t| now - t.at >= REPORT_INTERVAL || becomes_suspect(t));
+            if (complains || contradicts || retracts) && record.has_moved(now) && is_due {
+                due.push((record.evidence_against(), id.clone()));
             }
         }
-        want.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let mut notices = Vec::new();
-        for (_, id) in want {
-            let Some(records) = self.records.get_mut(&id) else { continue };
-            if !reported(records) {
-                if standing >= MAX_REPORTED {
+        due.sort_by(|a, b| b.0.total_cmp(&a.0));
+        let mut reports = Vec::new();
+        for (_, id) in due {
+            let Some(record) = self.records.get_mut(&id) else { continue };
+            if !reported(record) {
+                if reported_count >= MAX_REPORTED {
                     continue;
                 }
-                standing += 1;
+                reported_count += 1;
             }
             let evidence = Evidence {
                 server: id,
                 observer: String::new(),
-                failing: records.failing,
-                slow: records.slow,
-                unreached: records.unreached,
-                goods: records.goods,
+                failing: record.failing,
+                slow: record.slow,
+                unreached: record.unreached,
+                consecutive_successes: record.consecutive_successes,
                 at: now,
             };
-            records.reported = Some(evidence.clone());
-            notices.push(evidence);
+            record.reported = Some(evidence.clone());
+            reports.push(evidence);
         }
-        notices
+        reports
     }
 }
 
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -76,7 +76,7 @@
         failing: weight(&row.failing),
         slow: weight(&row.slow),
         unreached: f64::from(row.unreached) / 100.0,
-        goods: row.goods,
+        consecutive_successes: row.goods,
         at,
     }
 }
@@ -146,7 +146,7 @@
                 failing: hundredths(evidence.failing),
                 slow: hundredths(evidence.slow),
                 unreached: (evidence.unreached * 100.0).round() as u32,
-                goods: evidence.goods,
+                goods: evidence.consecutive_successes,
                 ago: 0,
                 server: evidence.server,
             }
@@ -159,7 +159,7 @@
         let mut detector = self.detector.borrow_mut();
         let observations: Vec<Evidence> =
             table.observations(now).map(|(row, ago)| observation(row, now - ago)).collect();
-        if observations.is_empty() && detector.is_calm() {
+        if observations.is_empty() && detector.has_no_cases() {
             return !self.standings.take().is_empty();
         }
         let members: Vec<_> = table.members(now).map(|(row, _)| row).filter(|row| !row.expired).collect();
--- a/crates/proxy/src/outlier_ejection/tests.rs
+++ b/crates/proxy/src/outlier_ejection/tests.rs
@@ -10,7 +10,7 @@
         failing: Weight([9.0, -3.25]),
         slow: Weight([0.0, 12.5]),
         unreached: 1.5,
-        goods: 3,
+        consecutive_successes: 3,
         at: 70.0,
     };
     let row = ObservationRow {
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,136 +1,148 @@
-//! All zones of a fleet: reports and orders in, what the fleet should decide next out.
+//! Controller of all zones of a fleet: takes reports and orders, and proposes what the fleet should decide next.
 
-use crate::bears::{Bears, Load};
-use crate::course::{Course, Order, Phase, Sight};
-use crate::evidence::{Board, Report};
-use crate::verdict::{judge, sound_rate, Test, Verdict};
-use crate::{Left, Millis};
+use crate::capacity::{CapacityEstimator, Load};
+use crate::evidence::{LimiterReports, Report};
+use crate::failover::{Observation, Order, Phase, ZoneFailover};
+use crate::verdict::{assess, baseline_rate, SequentialTest, Verdict};
+use crate::{Millis, ReducedZone};
 use std::collections::BTreeMap;
 
-/// What servers bear is the largest of many figures that are a few percent off each: of a bound so much is used.
-const SURELY: f64 = 0.8;
+/// Part of the estimated capacity that is relied on: the estimate is the maximum of many rates that are a few percent off.
+const CAPACITY_SAFETY_FACTOR: f64 = 0.8;
 
 /// An order that cannot be carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NotPossible {
-    /// No limiter knows of this zone; these are known.
-    NoZone(Vec<String>),
-    /// No other zone is wholly used: to leave this one would leave nothing.
-    LastOne,
+pub enum OrderError {
+    /// No limiter has reported this zone; holds the known zones.
+    UnknownZone(Vec<String>),
+    /// No other zone is fully used, so this one must not be left.
+    LastFullZone,
 }
 
-/// A zone as operators are shown it.
+/// The status of a zone as shown to operators.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Shown {
-    /// Its name.
+pub struct ZoneStatus {
+    /// Name of the zone.
     pub zone: String,
-    /// What is found of it.
+    /// Current assessment.
     pub verdict: Verdict,
-    /// The evidence that it fails, and where that is sure.
+    /// Log-likelihood ratio that the zone is failing.
     pub evidence: f64,
-    /// See `evidence`.
+    /// Value of `evidence` at which the zone counts as failing.
     pub sure: f64,
-    /// How much of it is used, and is to be.
+    /// Proposed share, 0 to 1.
     pub share: f64,
-    /// Where it stands.
+    /// Phase of its failover.
     pub phase: Phase,
-    /// What staff ordered.
+    /// Operator order in force.
     pub order: Option<Order>,
-    /// Attempts a second, and the part of them that fails.
+    /// Attempts per second.
     pub rate: f64,
-    /// See `rate`.
+    /// Share of attempts that fail, 0 to 1.
     pub failing: f64,
-    /// What would have to stay in use if it were to be left now.
+    /// Share that would have to stay in use if the zone were left now.
     pub stays: f64,
-    /// Each limiter's attempts there of the last seconds, and how many failed.
+    /// For each limiter: its number, its recent attempts in the zone, and the failed ones among them.
     pub limiters: Vec<(u16, f64, f64)>,
 }
 
-/// The zones of a fleet, at the limiter that decides.
+/// The zones of a fleet, held by the limiter that leads it.
 #[derive(Clone, Debug)]
 pub struct Zones {
     limiters: usize,
     seed: u64,
-    board: Board,
-    test: Test,
-    bears: Bears,
-    courses: BTreeMap<String, Course>,
-    /// Attempts since each zone's last step: all, and those that failed.
-    since: BTreeMap<String, (f64, f64)>,
-    /// What is decided, once that is known.
-    decided: Option<Vec<Left>>,
-    /// The rate of failures outside each zone, as of the last tick.
-    sound: BTreeMap<String, f64>,
-    cold: Cold,
-    /// Attempts a second that a zone had before it was left.
-    usual: BTreeMap<String, f64>,
+    reports: LimiterReports,
+    test: SequentialTest,
+    capacity: CapacityEstimator,
+    failovers: BTreeMap<String, ZoneFailover>,
+    /// Attempts and failed attempts since each zone's last step.
+    since_step: BTreeMap<String, (f64, f64)>,
+    /// The fleet's last decision; `None` until it is known.
+    decided: Option<Vec<ReducedZone>>,
+    /// Failure rate of the other zones for each zone, as of the last tick.
+    baseline: BTreeMap<String, f64>,
+    cold: ColdStart,
+    /// Attempts per second of each zone while it was last healthy and fully used.
+    normal_rates: BTreeMap<String, f64>,
 }
 
-/// What a server that has just started is spared.
+/// Reduced capacity of a server that has just started.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
-    /// It bears this part of what it will.
+pub struct ColdStart {
+    /// Capacity of a cold server as a share of that of a warm one.
     pub share: f64,
-    /// Until it has served for so long, ms.
+    /// Serving time in ms after which a server is warm.
     pub warm_after: Millis,
 }
 
 impl Zones {
-    /// Of a fleet of so many limiters.
-    pub fn new(limiters: usize, cold: Cold, seed: u64) -> Zones {
-        let (board, test, bears) = Default::default();
-        let (courses, since, decided) = Default::default();
-        let (sound, usual) = Default::default();
-        Zones { limiters, seed, board, test, bears, courses, since, decided, sound, cold, usual }
+    /// Zones of a fleet of `limiters` limiters; `seed` varies the hold times.
+    pub fn new(limiters: usize, cold: ColdStart, seed: u64) -> Zones {
+        let (reports, test, capacity) = Default::default();
+        let (failovers, since_step, decided) = Default::default();
+        let (baseline, normal_rates) = Default::default();
+        Zones {
+            limiters,
+            seed,
+            reports,
+            test,
+            capacity,
+            failovers,
+            since_step,
+            decided,
+            baseline,
+            cold,
+            normal_rates,
+        }
     }
 
-    /// Takes in a limiter's report.
+    /// Records a limiter's report.
     pub fn report(&mut self, now: Millis, from: u16, report: &Report) {
-        for news in self.board.report(now, from, report) {
-            let sound = self.sound.get(&news.zone).copied().unwrap_or(0.0);
-            self.test.take(from, &news, sound);
-            let (tries, bad) = self.since.entry(news.zone).or_default();
-            (*tries, *bad) = (*tries + news.bad + news.ok, *bad + news.bad);
+        for increment in self.reports.record(now, from, report) {
+            let baseline = self.baseline.get(&increment.zone).copied().unwrap_or(0.0);
+            self.test.add(from, &increment, baseline);
+            let (attempts, bad) = self.since_step.entry(increment.zone).or_default();
+            (*attempts, *bad) = (*attempts + increment.bad + increment.ok, *bad + increment.bad);
         }
     }
 
-    /// What the fleet has decided. Where another limiter has led it so far, that is gone on from.
-    pub fn decided(&mut self, now: Millis, left: &[Left]) {
+    /// Sets the fleet's decision. The first call continues from the state left by the previous leader.
+    pub fn set_decision(&mut self, now: Millis, left: &[ReducedZone]) {
         if self.decided.is_none() {
             for left in left {
-                let course = self.fresh(&left.zone).taken_over(now, left.share, left.by);
-                self.courses.insert(left.zone.clone(), course);
+                let failover = self.new_failover(&left.zone).resume(now, left.share, left.by);
+                self.failovers.insert(left.zone.clone(), failover);
             }
         }
         self.decided = Some(left.to_vec());
     }
 
-    fn fresh(&self, zone: &str) -> Course {
+    fn new_failover(&self, zone: &str) -> ZoneFailover {
         let seed = zone.bytes().fold(self.seed, |x, b| (x ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-        Course::new(self.limiters, seed)
+        ZoneFailover::new(self.limiters, seed)
     }
 
-    /// Staff order something, or end their order.
+    /// Sets or, with `None`, ends an operator's order for a zone.
     ///
     /// # Errors
-    /// When there is no such zone, or nothing would be left.
-    pub fn order(&mut self, now: Millis, zone: &str, order: Option<Order>) -> Result<(), NotPossible> {
-        let known = self.known();
+    /// When the zone is unknown, or when an order to leave would leave no fully used zone.
+    pub fn order(&mut self, now: Millis, zone: &str, order: Option<Order>) -> Result<(), OrderError> {
+        let known = self.known_zones();
         if !known.iter().any(|z| z == zone) {
-            return Err(NotPossible::NoZone(known));
+            return Err(OrderError::UnknownZone(known));
         }
-        let whole = |z: &String| z != zone && self.courses.get(z).is_none_or(|c| c.share() >= 1.0);
+        let whole = |z: &String| z != zone && self.failovers.get(z).is_none_or(|c| c.share() >= 1.0);
         if matches!(order, Some(Order::Leave(_))) && !known.iter().any(whole) {
-            return Err(NotPossible::LastOne);
+            return Err(OrderError::LastFullZone);
         }
-        let fresh = self.fresh(zone);
-        self.courses.entry(zone.to_owned()).or_insert(fresh).ordered(now, order);
+        let fresh = self.new_failover(zone);
+        self.failovers.entry(zone.to_owned()).or_insert(fresh).set_order(now, order);
         Ok(())
     }
 
-    fn known(&self) -> Vec<String> {
-        let mut known = self.board.zones();
-        known.extend(self.courses.keys().cloned());
+    fn known_zones(&self) -> Vec<String> {
+        let mut known = self.reports.zones();
+        known.extend(self.failovers.keys().cloned());
         known.sort();
         known.dedup();
         known
@@ -138,99 +150,105 @@
 
     fn loads(&self, now: Millis) -> BTreeMap<String, Load> {
         let load = |zone: String| {
-            let seen = self.board.sum(now, &zone);
-            let well = self.test.sum(&zone) < Test::sure() / 2.0;
-            let share = self.courses.get(&zone).map_or(1.0, Course::share);
-            (zone, Load { rate: seen.rate, servers: seen.servers, share, well })
+            let seen = self.reports.sum(now, &zone);
+            let healthy = self.test.sum(&zone) < SequentialTest::threshold() / 2.0;
+            let share = self.failovers.get(&zone).map_or(1.0, ZoneFailover::share);
+            (zone, Load { rate: seen.rate, servers: seen.servers, share, healthy })
         };
-        self.board.zones().into_iter().map(load).collect()
+        self.reports.zones().into_iter().map(load).collect()
     }
 
-    fn sight(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> Sight {
-        let (tries, bad) = self.since.get(zone).copied().unwrap_or_default();
-        Sight {
-            fails: judge(&self.board, &self.test, now, zone) == Verdict::Fails,
-            tries,
+    fn observe(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> Observation {
+        let (attempts, bad) = self.since_step.get(zone).copied().unwrap_or_default();
+        Observation {
+            failing: assess(&self.reports, &self.test, now, zone) == Verdict::Fails,
+            attempts,
             bad,
-            sound: self.sound.get(zone).copied().unwrap_or(0.0),
-            stays: self.bears.stays(zone, loads),
-            cold_most: self.cold_most(now, zone, loads),
-            others_well: loads.iter().all(|(z, l)| z == zone || l.share < 1.0 || l.well),
+            baseline: self.baseline.get(zone).copied().unwrap_or(0.0),
+            required_share: self.capacity.required_share(zone, loads),
+            cold_limit: self.cold_limit(now, zone, loads),
+            others_healthy: loads.iter().all(|(z, l)| z == zone || l.share < 1.0 || l.healthy),
         }
     }
 
-    /// As much of a zone as its servers bear should they all be cold, until it has been used for as long as they need.
-    fn cold_most(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> f64 {
-        let course = self.courses.get(zone);
-        let used_for = course.and_then(Course::back_since).map_or(0, |since| now.saturating_sub(since));
-        let usual = self.usual.get(zone).copied().unwrap_or(0.0);
-        if used_for >= self.cold.warm_after || usual <= 0.0 {
+    /// Largest share of a zone that its servers can serve if all are cold; 1 once it has been in use for the warm-up time.
+    fn cold_limit(&self, now: Millis, zone: &str, loads: &BTreeMap<String, Load>) -> f64 {
+        let failover = self.failovers.get(zone);
+        let used_for =
+            failover.and_then(ZoneFailover::in_use_since).map_or(0, |since| now.saturating_sub(since));
+        let normal_rate = self.normal_rates.get(zone).copied().unwrap_or(0.0);
+        if used_for >= self.cold.warm_after || normal_rate <= 0.0 {
             return 1.0;
         }
         let servers = loads.get(zone).map_or(0, |l| l.servers);
-        match self.bears.each() {
-            Some(each) if servers > 0 => {
-                (SURELY * self.cold.share * each * f64::from(servers) / usual).min(1.0)
+        match self.capacity.per_server() {
+            Some(per_server) if servers > 0 => {
+                (CAPACITY_SAFETY_FACTOR * self.cold.share * per_server * f64::from(servers) / normal_rate)
+                    .min(1.0)
             }
             _ => 1.0,
         }
     }
 
-    /// Time has passed; what the fleet should decide, where that is not what it has decided.
-    pub fn tick(&mut self, now: Millis) -> Option<Vec<Left>> {
+    /// Advances all zones; returns the list that the fleet should decide if it differs from its last decision.
+    pub fn tick(&mut self, now: Millis) -> Option<Vec<ReducedZone>> {
         self.decided.as_ref()?;
         let loads = self.loads(now);
         for (zone, load) in &loads {
-            self.sound.insert(zone.clone(), sound_rate(&self.board, now, zone));
-            self.bears.saw(now, zone, *load);
-            if load.share >= 1.0 && load.well {
-                self.usual.insert(zone.clone(), load.rate);
+            self.baseline.insert(zone.clone(), baseline_rate(&self.reports, now, zone));
+            self.capacity.observe(now, zone, *load);
+            if load.share >= 1.0 && load.healthy {
+                self.normal_rates.insert(zone.clone(), load.rate);
             }
         }
-        for zone in self.known() {
-            let sight = self.sight(now, &zone, &loads);
-            let fresh = self.fresh(&zone);
-            let course = self.courses.entry(zone.clone()).or_insert(fresh);
-            if course.next(now, &sight) {
-                // From now on it is looked at as it is then.
-                self.since.remove(&zone);
-                self.test.forget(&zone);
+        for zone in self.known_zones() {
+            let observation = self.observe(now, &zone, &loads);
+            let fresh = self.new_failover(&zone);
+            let failover = self.failovers.entry(zone.clone()).or_insert(fresh);
+            if failover.update(now, &observation) {
+                // Evidence from before the step does not apply to the new share.
+                self.since_step.remove(&zone);
+                self.test.reset(&zone);
             }
         }
-        let wanted: Vec<Left> =
-            self.courses.iter().filter(|(_, c)| c.share() < 1.0 || c.order().is_some()).map(left).collect();
+        let wanted: Vec<ReducedZone> = self
+            .failovers
+            .iter()
+            .filter(|(_, c)| c.share() < 1.0 || c.order().is_some())
+            .map(reduced_zone)
+            .collect();
         (self.decided.as_ref() != Some(&wanted)).then_some(wanted)
     }
 
-    /// The zones as they stand.
-    pub fn shown(&self, now: Millis) -> Vec<Shown> {
+    /// The status of all known zones.
+    pub fn status(&self, now: Millis) -> Vec<ZoneStatus> {
         let loads = self.loads(now);
         let show = |zone: String| {
-            let seen = self.board.sum(now, &zone);
-            let course = self.courses.get(&zone);
-            Shown {
-                verdict: judge(&self.board, &self.test, now, &zone),
+            let seen = self.reports.sum(now, &zone);
+            let failover = self.failovers.get(&zone);
+            ZoneStatus {
+                verdict: assess(&self.reports, &self.test, now, &zone),
                 evidence: self.test.sum(&zone),
-                sure: Test::sure(),
-                share: course.map_or(1.0, Course::share),
-                phase: course.map_or(Phase::Used, Course::phase),
-                order: course.and_then(Course::order),
+                sure: SequentialTest::threshold(),
+                share: failover.map_or(1.0, ZoneFailover::share),
+                phase: failover.map_or(Phase::Used, ZoneFailover::phase),
+                order: failover.and_then(ZoneFailover::order),
                 rate: seen.rate,
-                failing: if seen.tries() > 0.0 { seen.bad / seen.tries() } else { 0.0 },
-                stays: self.bears.stays(&zone, &loads),
+                failing: if seen.attempts() > 0.0 { seen.bad / seen.attempts() } else { 0.0 },
+                stays: self.capacity.required_share(&zone, &loads),
                 limiters: self
-                    .board
+                    .reports
                     .views(now, &zone)
                     .iter()
-                    .map(|(n, _, v)| (*n, v.tries(), v.bad))
+                    .map(|(n, _, v)| (*n, v.attempts(), v.bad))
                     .collect(),
                 zone,
             }
         };
-        self.known().into_iter().map(show).collect()
+        self.known_zones().into_iter().map(show).collect()
     }
 }
 
-fn left((zone, course): (&String, &Course)) -> Left {
-    Left { zone: zone.clone(), share: course.share(), by: course.by() }
+fn reduced_zone((zone, failover): (&String, &ZoneFailover)) -> ReducedZone {
+    ReducedZone { zone: zone.clone(), share: failover.share(), by: failover.by() }
 }
