--- a/benches/src/scale/decisions.rs
+++ b/benches/src/scale/decisions.rs
@@ -347,7 +347,7 @@
         quotas.record(now, customer, 1.0, !matches!(verdict, Verdict::Refuse { .. }));
         for act in wait_until_applied.drain(..) {
             if let Action::Count { name, add, .. } = act {
-                quotas.counted(now, name, Outcome::Ok, 2.0, add);
+                quotas.handle_reply(now, name, Outcome::Ok, 2.0, add);
             }
         }
     })
--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -197,7 +197,7 @@
     }
 
     pub(crate) fn remembered(&self) -> usize {
-        self.gateway.remembered()
+        self.gateway.customer_count()
     }
 
     // ---- Events in, actions out ---------------------------------------------------------------
--- a/crates/limiter-core/src/logic/admission.rs
+++ b/crates/limiter-core/src/logic/admission.rs
@@ -211,7 +211,7 @@
     }
 
     /// Takes new settings. Plans stand where they stood before.
-    pub fn settle(&mut self, set: QuotaSettings) {
+    pub fn apply_settings(&mut self, set: QuotaSettings) {
         for customer in self.customers.values_mut() {
             if let Some(plan) = set.plans.get(customer.of.0) {
                 customer.plan = plan.clone();
@@ -221,14 +221,14 @@
     }
 
     /// From now on this process uses this part of what is a gateway's own.
-    pub fn take_part(&mut self, now: Millis, part: f64) {
+    pub fn set_process_share(&mut self, now: Millis, part: f64) {
         // What has grown so far grew at the part before.
         let before = std::mem::replace(&mut self.part, part);
         self.customers.values_mut().for_each(|c| c.age(now, before));
     }
 
     /// A request has come in: its customer is known from here on, and its count may be asked for.
-    pub fn meet(&mut self, now: Millis, draw: &mut Draw, actions: &mut Vec<Action>) {
+    pub fn register(&mut self, now: Millis, draw: &mut Draw, actions: &mut Vec<Action>) {
         let plan = self.set.plans.get(draw.plan.0).cloned().unwrap_or_default();
         let most = self.set.max_units.max(1.0);
         let fresh = || Customer { of: draw.plan, ..Customer::new(plan, draw.spread, most, now) };
@@ -241,9 +241,9 @@
     /// Meets and weighs at once, for a caller that holds nothing: no count is waited for. A `Wait` is then
     /// the caller's to decide.
     pub fn admit(&mut self, now: Millis, mut draw: Draw, actions: &mut Vec<Action>) -> Verdict {
-        self.meet(now, &mut draw, actions);
+        self.register(now, &mut draw, actions);
         draw.asked = false;
-        self.weigh(now, &mut draw, false)
+        self.evaluate(now, &mut draw, false)
     }
 
     /// Books what became of a request: sent on within its quota, or declined for whatever reason. What is
@@ -265,7 +265,7 @@
 
     /// What its quota says of a request that was met, again for one that waits. While the caller is calm,
     /// one beyond the quota may go on where that earns more than it costs.
-    pub fn weigh(&mut self, now: Millis, draw: &mut Draw, calm: bool) -> Verdict {
+    pub fn evaluate(&mut self, now: Millis, draw: &mut Draw, calm: bool) -> Verdict {
         let roll = self.chance();
         let (counter, trusted, part) = (self.set.counter, self.calling.trusted(now), self.part);
         let (units, waited) = (draw.units, now - draw.arrived);
--- a/crates/limiter-core/src/logic/counter.rs
+++ b/crates/limiter-core/src/logic/counter.rs
@@ -131,7 +131,7 @@
     }
 
     /// A call to the counter has ended.
-    pub fn counted(&mut self, now: Millis, name: CountName, outcome: Outcome, took: Millis, total: f64) {
+    pub fn handle_reply(&mut self, now: Millis, name: CountName, outcome: Outcome, took: Millis, total: f64) {
         let ok = outcome == Outcome::Ok;
         let slow = took > SLOW_CALL * self.set.counter_timeout;
         let calling = &mut self.calling;
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -53,8 +53,8 @@
         }
         match event {
             Event::Servers { update, entries } => self.list(now, update, entries),
-            Event::Settings(set) => self.settle(*set),
-            Event::Part(part) => self.quotas.take_part(now, part),
+            Event::Settings(set) => self.apply_settings(*set),
+            Event::Part(part) => self.quotas.set_process_share(now, part),
             Event::Request(request) => self.arrive(now, request),
             Event::Spent(id) => _ = self.open.entry(id).and_modify(|o| o.spent = true),
             Event::Uploaded { id, attempt } => self.uploaded(now, id, attempt),
@@ -68,7 +68,7 @@
             Event::Timer(_) => self.tick(now),
             Event::Probed { server, load, .. } => self.note_load(now, server, &load),
             Event::Counted { name, outcome, took, total } => {
-                self.quotas.counted(now, name, outcome, took, total);
+                self.quotas.handle_reply(now, name, outcome, took, total);
             }
         }
         self.serve_held(now);
@@ -77,7 +77,7 @@
 
     /// Takes new settings. What is open keeps the class it came with; what was learnt of a class or a
     /// customer stays with it. A class is new where none stood before.
-    fn settle(&mut self, set: Settings) {
+    fn apply_settings(&mut self, set: Settings) {
         for (i, class) in set.classes.iter().enumerate() {
             let stood = self.set.classes.get(i).is_some_and(|c| c.deadline > 0.0);
             match self.class_mean.get_mut(i) {
@@ -86,7 +86,7 @@
                 None => self.class_mean.push(class.aim / 5.0),
             }
         }
-        self.quotas.settle((&set).into());
+        self.quotas.apply_settings((&set).into());
         self.flow.limit = self.flow.limit.max(set.least_limit);
         self.set = set;
     }
@@ -99,7 +99,7 @@
         let (id, customer) = (request.id, request.customer);
         let (aim_at, ends_at) = (now + class.aim.min(request.time_left), now + request.time_left);
         let mut draw = Draw::from(&request);
-        self.quotas.meet(now, &mut draw, &mut self.acts);
+        self.quotas.register(now, &mut draw, &mut self.acts);
         let open = Open { request, draw, class, tries, aim_at, ends_at, ..Open::default() };
         let hopeless = open.aim_at - now < self.mean(&open).max(2.0 * TICK) / 2.0;
         self.open.insert(id, open);
@@ -115,7 +115,7 @@
     fn decide(&mut self, now: Millis, id: RequestId) {
         let calm = self.flow.out < 0.7 * self.flow.limit && self.held.is_empty();
         let Some(open) = self.open.get_mut(&id) else { return };
-        let verdict = self.quotas.weigh(now, &mut open.draw, calm);
+        let verdict = self.quotas.evaluate(now, &mut open.draw, calm);
         open.beyond = verdict == Verdict::Beyond;
         let within = open.request.within;
         match verdict {
--- a/crates/limiter-core/src/logic/pressure.rs
+++ b/crates/limiter-core/src/logic/pressure.rs
@@ -38,7 +38,7 @@
             (open.aim_at, open.ends_at) = (f64::INFINITY, f64::INFINITY);
         }
         self.flow.out += counts;
-        self.quotas.out(open.request.customer, counts);
+        self.quotas.adjust_open_attempts(open.request.customer, counts);
         if first {
             self.quotas.book(now, open.request.customer, open.request.units, !open.beyond);
             let (earn, most) =
--- a/crates/limiter-core/src/logic/retries.rs
+++ b/crates/limiter-core/src/logic/retries.rs
@@ -28,7 +28,7 @@
 
     /// One more attempt is out: its customer's, its server's and this gateway's.
     pub(super) fn count_out(&mut self, customer: CustomerId, server: ServerId) {
-        self.quotas.out(customer, 1.0);
+        self.quotas.adjust_open_attempts(customer, 1.0);
         if let Some(s) = self.servers.get_mut(&server) {
             s.out += 1.0;
         }
@@ -73,7 +73,7 @@
         let took = (now - a.sent) * warmth;
         a.live = false;
         a.may_have_run = !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
-        self.quotas.out(open.request.customer, -1.0);
+        self.quotas.adjust_open_attempts(open.request.customer, -1.0);
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
             let ratio = (took / open.class.aim.max(1.0)).min(2.0);
             let (gain, step) = if self.flow.subset { (0.1, 0.05) } else { (0.03, 0.01) };
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -240,7 +240,7 @@
     }
 
     /// Customers of which something is remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 
@@ -260,7 +260,7 @@
     }
 
     /// So many more of a customer's attempts are out, or fewer.
-    pub fn out(&mut self, customer: CustomerId, more: f64) {
+    pub fn adjust_open_attempts(&mut self, customer: CustomerId, more: f64) {
         if let Some(c) = self.customers.get_mut(&customer) {
             c.open = (c.open + more).max(0.0);
         }
@@ -296,8 +296,8 @@
     }
 
     /// Customers of which something is remembered.
-    pub fn remembered(&self) -> usize {
-        self.quotas.remembered()
+    pub fn customer_count(&self) -> usize {
+        self.quotas.customer_count()
     }
 
     /// Servers in these zones that take requests.
--- a/crates/limiter-core/tests/logic.rs
+++ b/crates/limiter-core/tests/logic.rs
@@ -641,10 +641,10 @@
 fn customers_who_come_once_are_forgotten() {
     let mut rig = Rig::new(settings(), 4);
     newcomers(&mut rig, 1000.0, 2000, |_| Outcome::Ok);
-    assert!(rig.gateway.remembered() >= 1990);
+    assert!(rig.gateway.customer_count() >= 1990);
     newcomers(&mut rig, 21_000.0, 4000, |_| Outcome::Ok);
     // One comes every 10 ms and is kept for 30 s.
-    let kept = rig.gateway.remembered();
+    let kept = rig.gateway.customer_count();
     assert!(kept <= 3200, "{kept} customers are remembered");
 }
 
--- a/crates/limiter-core/tests/quotas.rs
+++ b/crates/limiter-core/tests/quotas.rs
@@ -57,7 +57,7 @@
     }
     assert_eq!(ask(&mut quotas, 1000.0, 2, 0, 10), 10, "another customer has its own");
     assert_eq!(ask(&mut quotas, 1000.0, 3, 1, 100), 100, "and without a quota all pass");
-    assert_eq!(quotas.remembered(), 3);
+    assert_eq!(quotas.customer_count(), 3);
 }
 
 #[test]
@@ -75,7 +75,7 @@
     assert_eq!(told.iter().map(|(_, add)| add).sum::<f64>(), 4.0);
     assert!(tick(&mut quotas, 1040.0).is_empty(), "once");
     // Others have used the whole burst.
-    quotas.counted(1050.0, told[0].0, Outcome::Ok, 5.0, 24.0);
+    quotas.handle_reply(1050.0, told[0].0, Outcome::Ok, 5.0, 24.0);
     assert_eq!(ask(&mut quotas, 1060.0, 1, 0, 5), 0);
 }
 
@@ -95,9 +95,9 @@
 fn what_is_out_counts_against_the_open_cap() {
     let mut quotas = quotas();
     quotas.admit(0.0, draw(1, 2), &mut Vec::new());
-    quotas.out(CustomerId(1), 2.0);
+    quotas.adjust_open_attempts(CustomerId(1), 2.0);
     assert_eq!(quotas.admit(1.0, draw(1, 2), &mut Vec::new()), Verdict::Wait);
-    quotas.out(CustomerId(1), -1.0);
+    quotas.adjust_open_attempts(CustomerId(1), -1.0);
     assert_eq!(quotas.admit(2.0, draw(1, 2), &mut Vec::new()), Verdict::Within);
 }
 
@@ -106,7 +106,7 @@
     let mut quotas = quotas();
     ask(&mut quotas, 1000.0, 1, 0, 10);
     let plans = vec![Plan { rate: 50.0, burst: 100.0, ..Plan::default() }];
-    quotas.settle(QuotaSettings { plans, max_units: 1.0, ..QuotaSettings::default() });
+    quotas.apply_settings(QuotaSettings { plans, max_units: 1.0, ..QuotaSettings::default() });
     assert_eq!(ask(&mut quotas, 1000.0, 1, 0, 90), 90);
 }
 
@@ -143,7 +143,7 @@
         calls.retain(|(at, name, total)| {
             let comes = *at <= now;
             if comes {
-                quotas.counted(now, *name, Outcome::Ok, 200.0, *total);
+                quotas.handle_reply(now, *name, Outcome::Ok, 200.0, *total);
             }
             !comes
         });
--- a/crates/proxy/src/quota_counter.rs
+++ b/crates/proxy/src/quota_counter.rs
@@ -142,7 +142,7 @@
 
     /// Sets the plans, and what bounds each tenant, shared by so many limiters.
     pub fn set_plans(&self, plans: Vec<Plan>, bounds: HashMap<CustomerId, QuotaBounds>, limiters: f64) {
-        self.quotas.borrow_mut().settle(quota_settings(plans, limiters));
+        self.quotas.borrow_mut().apply_settings(quota_settings(plans, limiters));
         self.credits.borrow_mut().set_bounds(bounds);
     }
 
@@ -317,7 +317,7 @@
             let mut quotas = self.quotas.borrow_mut();
             for (add, (outcome, total)) in adds.iter().zip(outcomes_of(adds.len(), answer)) {
                 if add.name != NO_COUNTER {
-                    quotas.counted(now, CountName(add.name), outcome, took, total);
+                    quotas.handle_reply(now, CountName(add.name), outcome, took, total);
                 }
             }
         }
--- a/crates/proxy/tests/apart.rs
+++ b/crates/proxy/tests/apart.rs
@@ -126,11 +126,11 @@
             for at in 0..limiters {
                 let reach = sight.reach(ms, at, limiters);
                 if reach != planned[at] {
-                    all[at].settle(settings(reach));
+                    all[at].apply_settings(settings(reach));
                     planned[at] = reach;
                 }
                 // Other tenants' keepers answer: only these numbers are out of reach.
-                all[at].counted(now, CountName(0), Outcome::Ok, LATE, 0.0);
+                all[at].handle_reply(now, CountName(0), Outcome::Ok, LATE, 0.0);
                 let mut wait_until_applied = Vec::new();
                 all[at].tick(now, &mut wait_until_applied);
                 push(&mut adds, wait_until_applied, now, at);
@@ -157,7 +157,7 @@
                     Some(_) => (Outcome::Ok, LATE),
                     None => (Outcome::TimedOut, 400.0),
                 };
-                all[call.from].counted(now, call.name, outcome, took, call.total.unwrap_or(0.0));
+                all[call.from].handle_reply(now, call.name, outcome, took, call.total.unwrap_or(0.0));
             }
             !comes
         });
--- a/crates/proxy/tests/counting.rs
+++ b/crates/proxy/tests/counting.rs
@@ -99,7 +99,7 @@
                 _ => Err(RpcError::Lost),
             };
             let (outcome, total) = outcomes_of(1, &answer)[0];
-            quotas.counted(now + 5.0, name, outcome, 5.0, total);
+            quotas.handle_reply(now + 5.0, name, outcome, 5.0, total);
         }
     }
     assert!(calls > nth + 1, "{calls} calls");
--- a/crates/proxy/tests/ninety.rs
+++ b/crates/proxy/tests/ninety.rs
@@ -70,7 +70,7 @@
         calls.retain(|(when, at, name, total)| {
             let comes = *when <= now;
             if comes {
-                all[*at].counted(now, *name, Outcome::Ok, LATE, *total);
+                all[*at].handle_reply(now, *name, Outcome::Ok, LATE, *total);
             }
             !comes
         });
