--- a/benches/src/scale/decisions.rs
+++ b/benches/src/scale/decisions.rs
@@ -342,7 +342,7 @@
     let mut wait_until_applied = Vec::new();
     took(|n| {
         let (now, customer) = (1.0 + n as f64 * 0.01, CustomerId((n * 7919 % tenants) as u64));
-        let draw = Draw { customer, units: 1.0, spread: 16_000.0, ..Draw::default() };
+        let draw = QuotaRequest { customer, units: 1.0, spread: 16_000.0, ..QuotaRequest::default() };
         let verdict = quotas.admit(now, draw, &mut wait_until_applied);
         quotas.record(now, customer, 1.0, !matches!(verdict, Verdict::Refuse { .. }));
         for act in wait_until_applied.drain(..) {
--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -319,7 +319,7 @@
 
 /// What a request draws from its customer's quota.
 #[derive(Clone, Debug, Default)]
-pub struct Draw {
+pub struct QuotaRequest {
     /// Its customer.
     pub customer: CustomerId,
     /// Its customer's plan.
@@ -338,10 +338,10 @@
     pub passed: bool,
 }
 
-impl From<&Request> for Draw {
+impl From<&Request> for QuotaRequest {
     fn from(request: &Request) -> Self {
         let Request { customer, plan, units, spread, repeat, .. } = *request;
-        Draw { customer, plan, units, spread, repeat, ..Draw::default() }
+        QuotaRequest { customer, plan, units, spread, repeat, ..QuotaRequest::default() }
     }
 }
 
--- a/crates/limiter-core/src/logic/admission.rs
+++ b/crates/limiter-core/src/logic/admission.rs
@@ -228,7 +228,7 @@
     }
 
     /// A request has come in: its customer is known from here on, and its count may be asked for.
-    pub fn register(&mut self, now: Millis, draw: &mut Draw, actions: &mut Vec<Action>) {
+    pub fn register(&mut self, now: Millis, draw: &mut QuotaRequest, actions: &mut Vec<Action>) {
         let plan = self.set.plans.get(draw.plan.0).cloned().unwrap_or_default();
         let most = self.set.max_units.max(1.0);
         let fresh = || Customer { of: draw.plan, ..Customer::new(plan, draw.spread, most, now) };
@@ -240,7 +240,7 @@
 
     /// Meets and weighs at once, for a caller that holds nothing: no count is waited for. A `Wait` is then
     /// the caller's to decide.
-    pub fn admit(&mut self, now: Millis, mut draw: Draw, actions: &mut Vec<Action>) -> Verdict {
+    pub fn admit(&mut self, now: Millis, mut draw: QuotaRequest, actions: &mut Vec<Action>) -> Verdict {
         self.register(now, &mut draw, actions);
         draw.asked = false;
         self.evaluate(now, &mut draw, false)
@@ -265,7 +265,7 @@
 
     /// What its quota says of a request that was met, again for one that waits. While the caller is calm,
     /// one beyond the quota may go on where that earns more than it costs.
-    pub fn evaluate(&mut self, now: Millis, draw: &mut Draw, calm: bool) -> Verdict {
+    pub fn evaluate(&mut self, now: Millis, draw: &mut QuotaRequest, calm: bool) -> Verdict {
         let roll = self.chance();
         let (counter, trusted, part) = (self.set.counter, self.calling.trusted(now), self.part);
         let (units, waited) = (draw.units, now - draw.arrived);
--- a/crates/limiter-core/src/logic/counter.rs
+++ b/crates/limiter-core/src/logic/counter.rs
@@ -48,7 +48,7 @@
     /// window: by its answer this request is decided, if what is known is old. The danger is that hundreds
     /// of gateways drown the counter; it covers a slow counter, restarts and new customers, and it hurts
     /// by the noise of what is counted for others.
-    pub(super) fn ask(&mut self, now: Millis, draw: &Draw, actions: &mut Vec<Action>) -> bool {
+    pub(super) fn ask(&mut self, now: Millis, draw: &QuotaRequest, actions: &mut Vec<Action>) -> bool {
         let (customer, units) = (draw.customer, draw.units);
         let roll = self.chance();
         let counting = self.set.counter && now >= self.calling.after;
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -98,7 +98,7 @@
         let tries = rules.map_or(self.set.max_attempts, |r| r.max_attempts);
         let (id, customer) = (request.id, request.customer);
         let (aim_at, ends_at) = (now + class.aim.min(request.time_left), now + request.time_left);
-        let mut draw = Draw::from(&request);
+        let mut draw = QuotaRequest::from(&request);
         self.quotas.register(now, &mut draw, &mut self.acts);
         let open = Open { request, draw, class, tries, aim_at, ends_at, ..Open::default() };
         let hopeless = open.aim_at - now < self.mean(&open).max(2.0 * TICK) / 2.0;
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -139,7 +139,7 @@
 #[derive(Default)]
 pub(crate) struct Open {
     pub(crate) request: Request,
-    pub(crate) draw: Draw,
+    pub(crate) draw: QuotaRequest,
     pub(crate) class: Class,
     /// Attempts it may have; 0: no limit.
     pub(crate) tries: u32,
--- a/crates/limiter-core/tests/quotas.rs
+++ b/crates/limiter-core/tests/quotas.rs
@@ -21,8 +21,14 @@
     )
 }
 
-fn draw(customer: u64, plan: usize) -> Draw {
-    Draw { customer: CustomerId(customer), plan: PlanId(plan), units: 1.0, spread: 1.0, ..Draw::default() }
+fn draw(customer: u64, plan: usize) -> QuotaRequest {
+    QuotaRequest {
+        customer: CustomerId(customer),
+        plan: PlanId(plan),
+        units: 1.0,
+        spread: 1.0,
+        ..QuotaRequest::default()
+    }
 }
 
 /// Asks so many times and books what is said; returns how many were let in.
@@ -128,7 +134,8 @@
         let now = 60_000.0 + f64::from(tick) * 10.0;
         let mut actions = Vec::new();
         if tick % 500 < 200 {
-            let sent = quotas.admit(now, Draw { spread: 2.0, ..draw(1, 0) }, &mut actions) == Verdict::Within;
+            let sent = quotas.admit(now, QuotaRequest { spread: 2.0, ..draw(1, 0) }, &mut actions)
+                == Verdict::Within;
             quotas.record(now, CustomerId(1), 1.0, sent);
             let_in += 2 * usize::from(sent);
         }
--- a/crates/proxy/src/quota_counter.rs
+++ b/crates/proxy/src/quota_counter.rs
@@ -18,7 +18,7 @@
 use oatbank_engine::counters::local::Numbers;
 use oatbank_engine::ports::counter::{Call, CallEnd, CallId};
 use oatbank_limiter_core::interface::{
-    Action, CountName, CustomerId, Draw, Millis, Outcome, Plan, PlanId, QuotaSettings, Verdict,
+    Action, CountName, CustomerId, Millis, Outcome, Plan, PlanId, QuotaRequest, QuotaSettings, Verdict,
 };
 use oatbank_limiter_core::logic::Quotas;
 use oatbank_node_runtime::log;
@@ -156,7 +156,7 @@
         plan: PlanId,
         limiters: f64,
     ) -> Result<(), Millis> {
-        let draw = Draw { customer, plan, units: 1.0, spread: limiters, ..Draw::default() };
+        let draw = QuotaRequest { customer, plan, units: 1.0, spread: limiters, ..QuotaRequest::default() };
         let deadline = Instant::now() + OWNER_WAIT;
         let mut has_asked = false;
         loop {
@@ -190,7 +190,7 @@
     }
 
     /// What the decision module says of a request, which is to be rejected in any case if it is to come back `later`.
-    fn decide(self: &Rc<Self>, draw: Draw, later: Option<Millis>) -> Result<(), Millis> {
+    fn decide(self: &Rc<Self>, draw: QuotaRequest, later: Option<Millis>) -> Result<(), Millis> {
         let (now, customer) = (self.view.cluster_time(), draw.customer);
         let mut actions = Vec::new();
         let (result, is_sampled) = {
--- a/crates/proxy/tests/apart.rs
+++ b/crates/proxy/tests/apart.rs
@@ -114,7 +114,8 @@
         if roll() < if ms < sight.hot { 0.62 } else { 7.5 * 0.62 } * RATE / 1000.0 {
             let (at, mut wait_until_applied) = ((roll() * limiters as f64) as usize % limiters, Vec::new());
             let spread = if planned[at].is_alone { 1.0 } else { limiters as f64 };
-            let draw = Draw { customer: CustomerId(1), units: 1.0, spread, ..Draw::default() };
+            let draw =
+                QuotaRequest { customer: CustomerId(1), units: 1.0, spread, ..QuotaRequest::default() };
             let within = all[at].admit(now, draw, &mut wait_until_applied) == Verdict::Within;
             all[at].record(now, CustomerId(1), 1.0, within);
             if within {
--- a/crates/proxy/tests/counting.rs
+++ b/crates/proxy/tests/counting.rs
@@ -3,7 +3,7 @@
 use oatbank_cluster_state::clock::MonotonicClock;
 use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_cluster_state::messages::{QuotaAdd, QuotaAdds, QuotaTotals};
-use oatbank_limiter_core::interface::{Action, CustomerId, Draw, Outcome, Plan, Verdict};
+use oatbank_limiter_core::interface::{Action, CustomerId, Outcome, Plan, QuotaRequest, Verdict};
 use oatbank_limiter_core::logic::Quotas;
 use oatbank_node_runtime::rpc::RpcError;
 use oatbank_proxy::quota_counter::{outcomes_of, quota_settings, QuotaCounter};
@@ -80,7 +80,8 @@
         let now = 2000.0 + f64::from(tick) * 10.0;
         let mut wait_until_applied = Vec::new();
         if tick % 2 == 0 && tick < 120 {
-            let draw = Draw { customer: CustomerId(1), units: 1.0, spread: 1.0, ..Draw::default() };
+            let draw =
+                QuotaRequest { customer: CustomerId(1), units: 1.0, spread: 1.0, ..QuotaRequest::default() };
             assert!(!matches!(quotas.admit(now, draw, &mut wait_until_applied), Verdict::Refuse { .. }));
             quotas.record(now, CustomerId(1), 1.0, true);
         }
--- a/crates/proxy/tests/ninety.rs
+++ b/crates/proxy/tests/ninety.rs
@@ -34,7 +34,12 @@
     let mut calls: Vec<(f64, usize, CountName, f64)> = Vec::new();
     let mut adds: Vec<(f64, usize, CountName, f64)> = Vec::new();
     let (mut ran, mut calm, mut refused) = (Vec::new(), 0.0, 0.0);
-    let draw = |n| Draw { customer: CustomerId(n), units: 1.0, spread: limiters as f64, ..Draw::default() };
+    let draw = |n| QuotaRequest {
+        customer: CustomerId(n),
+        units: 1.0,
+        spread: limiters as f64,
+        ..QuotaRequest::default()
+    };
     for ms in 0..END {
         let now = 60_000.0 + ms as f64;
         let usual = 0.62 * RATE / 1000.0;
