--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -397,7 +397,7 @@
 
     fn send(&mut self, now: Millis, id: RequestId, server: ServerId, timeout: Millis) {
         let Some(entry) = self.book.get_mut(id) else {
-            let (outcome, load) = (Outcome::Moot, Vec::new());
+            let (outcome, load) = (Outcome::NotSent, Vec::new());
             let (attempt, complete, took, settled) = (0, true, 0.0, 0.0);
             let ended = Event::Ended { id, attempt, server, outcome, complete, took, settled, load };
             return self.events.push_back(ended);
@@ -407,7 +407,7 @@
         let most = entry.most as usize;
         let span = span(entry.ends, now, timeout);
         if entry.over() || span <= 0.0 || most > 0 && attempt >= most {
-            return self.end(now, id, number, Outcome::Moot, Vec::new());
+            return self.end(now, id, number, Outcome::NotSent, Vec::new());
         }
         let request = entry.request.clone();
         let Some((name, address)) = self.fleet.place(server) else {
@@ -422,7 +422,7 @@
                 // Nothing that is out can answer it any more.
                 self.answer(id, Answer::Failed);
             }
-            return self.end(now, id, number, Outcome::Moot, Vec::new());
+            return self.end(now, id, number, Outcome::NotSent, Vec::new());
         }
         entry.sent_to(attempt, &name);
         if whole && entry.execution.is_at_most_once() {
@@ -717,7 +717,7 @@
     match outcome {
         Outcome::Ok => AttemptEnd::Succeeded,
         Outcome::Error if answered => AttemptEnd::Failed,
-        Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => AttemptEnd::NotExecuted,
+        Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent => AttemptEnd::NotExecuted,
         Outcome::TimedOut | Outcome::Cancelled => AttemptEnd::Cancelled,
         Outcome::Error | Outcome::Reset => AttemptEnd::Lost,
     }
@@ -746,7 +746,7 @@
         Outcome::ConnectFailed => &mut counts.refused,
         Outcome::Reset => &mut counts.broken,
         Outcome::Full => &mut counts.full,
-        Outcome::Cancelled | Outcome::Moot => return,
+        Outcome::Cancelled | Outcome::NotSent => return,
     };
     *which += 1;
 }
--- a/crates/engine/src/upstreams/http1.rs
+++ b/crates/engine/src/upstreams/http1.rs
@@ -478,7 +478,7 @@
                 return receive(shared, job, connection, answer, sent).await;
             }
             // It was the client that broke off, or nothing is held any more: no server's fault.
-            Err(_) if gone.failed.get() => return End::without_answer(Outcome::Moot),
+            Err(_) if gone.failed.get() => return End::without_answer(Outcome::NotSent),
             // Part of a stream is no request: it has not run before its last byte was written.
             Err(_) if job.request.body.is_stream() && !gone.sent.get() && connection.wrote.get() => {
                 return End::without_answer(Outcome::ConnectFailed)
--- a/crates/engine/tests/once.rs
+++ b/crates/engine/tests/once.rs
@@ -352,7 +352,7 @@
             feed.send(Err(Broken::Left)).await.expect("room");
             let got = rest(&mut stream).await;
             assert!(!got.ends_with(b"0\r\n\r\n") && got.len() <= 200_032, "{} bytes", got.len());
-            assert_eq!(attempt.outcome().await, Outcome::Moot);
+            assert_eq!(attempt.outcome().await, Outcome::NotSent);
             rig.nobody_else().await;
         }
     });
--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -379,7 +379,7 @@
     /// Called off; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// What the gateway learns.
--- a/crates/limiter-core/src/logic/choice.rs
+++ b/crates/limiter-core/src/logic/choice.rs
@@ -267,7 +267,7 @@
             s.tried_at = now;
         }
         match outcome {
-            Outcome::Moot => return,
+            Outcome::NotSent => return,
             Outcome::Full => s.paused_until = now + FULL_PAUSE * if rare { RARE_PAUSE } else { 1.0 },
             Outcome::Ok => {
                 (s.fails, s.ejections, s.unreachable) = (0, 0, false);
--- a/crates/limiter-core/src/logic/retries.rs
+++ b/crates/limiter-core/src/logic/retries.rs
@@ -51,7 +51,7 @@
         // What follows takes it off again, as it does with any other.
         self.count_out(open.request.customer, server);
         match outcome {
-            Outcome::Cancelled | Outcome::TimedOut => Outcome::Moot,
+            Outcome::Cancelled | Outcome::TimedOut => Outcome::NotSent,
             outcome => outcome,
         }
     }
@@ -72,7 +72,7 @@
         let Some(a) = open.attempts.get_mut(usize::from(attempt)) else { return };
         let took = (now - a.sent) * warmth;
         a.live = false;
-        a.may_have_run = !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        a.may_have_run = !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent);
         self.quotas.adjust_open_attempts(open.request.customer, -1.0);
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
             let ratio = (took / open.class.aim.max(1.0)).min(2.0);
--- a/crates/limiter-core/src/wire/host.rs
+++ b/crates/limiter-core/src/wire/host.rs
@@ -191,7 +191,7 @@
         14 => Outcome::ConnectFailed,
         10 => Outcome::Reset,
         1 => Outcome::Cancelled,
-        9 => Outcome::Moot,
+        9 => Outcome::NotSent,
         _ => return Err(WireError(format!("unknown outcome {code}"))),
     })
 }
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -53,7 +53,7 @@
         Outcome::ConnectFailed => EndKind::NotConnected,
         Outcome::Cancelled => EndKind::Cancelled,
         // Servers that are full may end connections for that: to leave them would fill the others.
-        Outcome::Full | Outcome::Reset | Outcome::Moot => EndKind::Ignored,
+        Outcome::Full | Outcome::Reset | Outcome::NotSent => EndKind::Ignored,
     }
 }
 
