--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -242,11 +242,11 @@
     /// It was ill and serves again: requests that may run again reach it now and then.
     Returning,
     /// Perhaps ill: nothing goes there while others can take it.
-    Doubtful,
+    Suspect,
     /// Surely ill: the same, and for longer.
-    Shunned,
+    Ejected,
     /// Ill, and this gateway is the one that tries it, with requests that may run again.
-    Tried,
+    Probing,
 }
 
 /// One line of a server list.
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -322,7 +322,7 @@
         let again = open.class.repeat == Repeat::Safe;
         let due = |a: &Able| self.servers.get(&a.id).is_some_and(|s| now - s.sent_at > TRY_EVERY);
         if again && open.attempts.is_empty() {
-            if let Some(at) = able.iter().position(|a| of(a) == Standing::Tried && due(a)) {
+            if let Some(at) = able.iter().position(|a| of(a) == Standing::Probing && due(a)) {
                 return vec![able.swap_remove(at)];
             }
         }
--- a/crates/limiter-core/tests/standing.rs
+++ b/crates/limiter-core/tests/standing.rs
@@ -53,8 +53,8 @@
 
 #[test]
 fn what_runs_once_goes_to_well_servers_and_reads_to_returning_ones_too() {
-    use Standing::{Doubtful, Returning, Shunned, Tried, Well};
-    let all = [Well, Well, Returning, Doubtful, Shunned, Tried];
+    use Standing::{Ejected, Probing, Returning, Suspect, Well};
+    let all = [Well, Well, Returning, Suspect, Ejected, Probing];
     let once = shares(&all, Repeat::Unsafe, 300, Outcome::Ok);
     assert_eq!(once.keys().copied().collect::<Vec<_>>(), [0, 1]);
     let reads = shares(&all, Repeat::Safe, 300, Outcome::Ok);
@@ -66,13 +66,13 @@
 
 #[test]
 fn no_verdict_leaves_a_request_without_a_server() {
-    let ill = [Standing::Shunned, Standing::Doubtful, Standing::Shunned];
+    let ill = [Standing::Ejected, Standing::Suspect, Standing::Ejected];
     for repeat in [Repeat::Safe, Repeat::Unsafe] {
         let sent = shares(&ill, repeat, 60, Outcome::Ok);
         assert_eq!(sent.values().sum::<u32>(), 60, "{sent:?}");
     }
     // The only well one is out of reach: the ill one takes all.
-    let left = shares(&[Standing::Shunned, Standing::Well], Repeat::Safe, 60, Outcome::ConnectFailed);
+    let left = shares(&[Standing::Ejected, Standing::Well], Repeat::Safe, 60, Outcome::ConnectFailed);
     assert!(left[&0] > 30, "{left:?}");
 }
 
