--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -438,7 +438,7 @@
             return;
         }
         if progress == Progress::Spent {
-            return self.feed(now, Event::Spent(id));
+            return self.feed(now, Event::NotReplayable(id));
         }
         let Some(entry) = self.book.get_mut(id) else { return };
         entry.execution.mark_fully_sent(usize::from(attempt));
@@ -658,7 +658,7 @@
 
     /// From now on the module uses this part of what is a gateway's own.
     pub(crate) fn use_part(&mut self, now: Millis, part: f64) {
-        self.feed(now, Event::Part(part));
+        self.feed(now, Event::ProcessShare(part));
     }
 
     /// From now on these settings hold for what comes in.
--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -396,7 +396,7 @@
     /// that was dropped has no deadline, and its place may be another's later.
     Settings(Box<Settings>),
     /// This gateway uses this part of what is a gateway's own: another process is the rest of it.
-    Part(f64),
+    ProcessShare(f64),
     /// A request has come in.
     Request(Request),
     /// An attempt has ended.
@@ -419,7 +419,7 @@
         load: Vec<f64>,
     },
     /// So much of a body that was coming has gone on with an attempt that the request cannot be sent again.
-    Spent(RequestId),
+    NotReplayable(RequestId),
     /// The last byte of a body that was coming goes out with this attempt: now the request may run.
     Uploaded {
         /// The request.
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -54,9 +54,9 @@
         match event {
             Event::Servers { update, entries } => self.list(now, update, entries),
             Event::Settings(set) => self.apply_settings(*set),
-            Event::Part(part) => self.quotas.set_process_share(now, part),
+            Event::ProcessShare(part) => self.quotas.set_process_share(now, part),
             Event::Request(request) => self.arrive(now, request),
-            Event::Spent(id) => _ = self.open.entry(id).and_modify(|o| o.spent = true),
+            Event::NotReplayable(id) => _ = self.open.entry(id).and_modify(|o| o.spent = true),
             Event::Uploaded { id, attempt } => self.uploaded(now, id, attempt),
             Event::Ended { id, attempt, server, outcome, complete, took, load, .. } => {
                 let outcome = self.ends_early(id, attempt, server, outcome);
--- a/crates/limiter-core/tests/logic.rs
+++ b/crates/limiter-core/tests/logic.rs
@@ -712,7 +712,7 @@
     let waits = |a: &Action| matches!(a, Action::Await { timeout, .. } if (*timeout - 500.0).abs() < 1.0);
     assert!(uploaded.iter().any(waits), "the aim counts from now: {uploaded:?}");
     // It breaks before its last byte: not run, and not to be had again once it is spent.
-    rig.feed(9001.0, Event::Spent(RequestId(1001)));
+    rig.feed(9001.0, Event::NotReplayable(RequestId(1001)));
     let ended = rig.end(9002.0, RequestId(1001), ServerId(1), Outcome::ConnectFailed);
     assert!(sent(&ended).is_none() && refused(&ended), "{ended:?}");
 }
@@ -730,7 +730,7 @@
     let let_in = |parts: &[f64]| -> usize {
         let one = |part: &f64| {
             let mut rig = Rig::new(set.clone(), 4);
-            rig.feed(900.0, Event::Part(*part));
+            rig.feed(900.0, Event::ProcessShare(*part));
             burst(&mut rig, 1000.0, 1);
             burst(&mut rig, 3000.0, 60)
         };
