--- a/benches/src/scale/decisions.rs
+++ b/benches/src/scale/decisions.rs
@@ -293,7 +293,7 @@
         plans: vec![Plan { price: 1.0, ..Plan::default() }],
         max_attempts: 2,
         sparse: true,
-        least_limit: 64.0,
+        min_limit: 64.0,
         ..Settings::default()
     };
     let mut gateway = Gateway::new(set, 1);
--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -158,7 +158,7 @@
     /// Server lists come only when asked for.
     pub list_on_request: bool,
     /// A list not asked for in this span is held to be known.
-    pub ask_within: Millis,
+    pub list_max_age: Millis,
     /// A server starts at this share of its capacity.
     pub cold_start: f64,
     /// And is warm after this span.
@@ -166,7 +166,7 @@
     /// A cold server sent more than this multiple of its capacity...
     pub overload_factor: f64,
     /// ...over this span falls over.
-    pub tip_after: Millis,
+    pub overload_window: Millis,
     /// The values of a load report, in order.
     pub report: Vec<Load>,
     /// The operators' weights.
@@ -174,21 +174,21 @@
     /// What a server costs by its zone's number, as a multiple; for one left out, 1 near and a little more else.
     pub zone_cost: Vec<f64>,
     /// The most further attempts that can be saved up, which are there at first too; 0: 10.
-    pub retry_saved: f64,
+    pub retry_burst: f64,
     /// Further attempts earned by each first one; 0: 0.1.
-    pub retry_earn: f64,
+    pub retry_ratio: f64,
     /// The most requests a second that this gateway sends to one cold server; 0: what one that is warm gets, by
     /// the share of its capacity that it surely has.
-    pub cold_rate: f64,
+    pub max_cold_rate: f64,
     /// Mean answer times after which a second copy goes out; 0: 8.
     pub hedge_after: f64,
     /// Mean answer time, as a share of the aim, at which the concurrency limit starts to fall; 0: 0.27. Where the work
     /// alone takes such a share, time says nothing of a queue below it.
-    pub slow_mark: f64,
+    pub slow_threshold: f64,
     /// The concurrency limit never falls below this; 0: two attempts a server, over all gateways.
-    pub least_limit: f64,
+    pub min_limit: f64,
     /// A gateway keeps to no fewer servers than this; 0: 8.
-    pub subset_least: f64,
+    pub min_subset_size: f64,
     /// The list is this gateway's part of a large service already, and it meets each server of it rarely: of all of them two
     /// are drawn, near ones more often, and compared.
     pub sparse: bool,
--- a/crates/limiter-core/src/logic/choice.rs
+++ b/crates/limiter-core/src/logic/choice.rs
@@ -90,7 +90,7 @@
             if known.heard == 0.0 || known.entry.started != started {
                 // A new process: what was known of the old one is void, but its attempts still end.
                 let (out, mean) = (known.out, fleet);
-                let sent_at = if self.set.cold_rate > 0.0 { known.sent_at } else { 0.0 };
+                let sent_at = if self.set.max_cold_rate > 0.0 { known.sent_at } else { 0.0 };
                 // Its first token comes to each gateway at another moment: danger is one from all at once.
                 let own = Server { out, mean, sent_at, heard: now, ..Server::default() };
                 *known = Server { tokens: roll, tokens_at: now, ..own };
@@ -125,7 +125,7 @@
         // Subsetting: danger is that evidence of each server comes too rarely to act on. Of a subset, in an
         // order of this gateway's own, two are compared: all compared would send many gateways to one server
         // at once. It covers every kind of slowness and hurts by uneven shares, which load reports even out.
-        let most = (self.flow.send_rate * SUBSET_SPAN).max(given(self.set.subset_least, SUBSET_LEAST));
+        let most = (self.flow.send_rate * SUBSET_SPAN).max(given(self.set.min_subset_size, SUBSET_LEAST));
         let size = if self.set.sparse { ready as f64 } else { most };
         let subset = size < ready as f64 || self.set.sparse;
         self.flow.subset = subset;
@@ -145,7 +145,7 @@
         let rate = self.flow.send_rate;
         let rate_to_warm = if subset { rate / size } else { (rate / all_warm()).max(0.0005) };
         // Several gateways before the same servers divide what a cold one may be sent: each has its bound.
-        let cold_most = given(self.set.cold_rate / 1000.0, f64::INFINITY);
+        let cold_most = given(self.set.max_cold_rate / 1000.0, f64::INFINITY);
         let mut able = Vec::new();
         for id in self.ranked.clone() {
             if subset && able.len() as f64 >= size {
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -37,7 +37,7 @@
     /// A gateway that knows nothing yet but its settings.
     pub fn new(set: Settings, seed: u64) -> Self {
         let class_mean = set.classes.iter().map(|c| c.aim / 5.0).collect();
-        let flow = Flow { retries: given(set.retry_saved, RETRY_SAVED), ..Flow::default() };
+        let flow = Flow { retries: given(set.retry_burst, RETRY_SAVED), ..Flow::default() };
         let quotas = Quotas::new((&set).into(), seed);
         Gateway::blank(set, quotas, class_mean, flow)
     }
@@ -87,7 +87,7 @@
             }
         }
         self.quotas.apply_settings((&set).into());
-        self.flow.limit = self.flow.limit.max(set.least_limit);
+        self.flow.limit = self.flow.limit.max(set.min_limit);
         self.set = set;
     }
 
--- a/crates/limiter-core/src/logic/pressure.rs
+++ b/crates/limiter-core/src/logic/pressure.rs
@@ -42,7 +42,7 @@
         if first {
             self.quotas.book(now, open.request.customer, open.request.units, !open.beyond);
             let (earn, most) =
-                (given(self.set.retry_earn, RETRY_EARN), given(self.set.retry_saved, RETRY_SAVED));
+                (given(self.set.retry_ratio, RETRY_EARN), given(self.set.retry_burst, RETRY_SAVED));
             self.flow.retries = (self.flow.retries + earn).min(most);
             let fade = (-(now - self.flow.sent_at).max(0.0) / 2000.0).exp();
             self.flow.send_rate = self.flow.send_rate * fade + 1.0 / 2000.0;
--- a/crates/limiter-core/src/logic/retries.rs
+++ b/crates/limiter-core/src/logic/retries.rs
@@ -81,15 +81,15 @@
             if let Some(mean) = self.class_mean.get_mut(open.request.class.0) {
                 *mean += 0.03 * (took - *mean);
             }
-            if self.flow.slowness > given(self.set.slow_mark, SLOW_MARK) {
+            if self.flow.slowness > given(self.set.slow_threshold, SLOW_MARK) {
                 // Fewer than this cannot be a queue of ours: slowness then has other causes, and
                 // refusing more would only serve less, for ever.
                 let floor = LEAST_LIMIT * self.servers.len() as f64 / self.set.gateways.max(1.0);
-                let floor = if self.flow.subset { floor } else { floor.max(2.0) }.max(self.set.least_limit);
+                let floor = if self.flow.subset { floor } else { floor.max(2.0) }.max(self.set.min_limit);
                 self.flow.limit = (self.flow.limit * (1.0 - step)).max(floor);
             } else if self.flow.subset && self.flow.out + 1.0 > 0.6 * self.flow.limit {
                 let most = START_LIMIT * self.servers.len() as f64 / self.set.gateways.max(1.0);
-                self.flow.limit = (self.flow.limit * (1.0 + step)).min(most.max(self.set.least_limit));
+                self.flow.limit = (self.flow.limit * (1.0 + step)).min(most.max(self.set.min_limit));
             } else if self.flow.out > 0.6 * self.flow.limit {
                 self.flow.limit += 1.0 / self.flow.limit.max(1.0);
             }
--- a/crates/limiter-core/tests/logic.rs
+++ b/crates/limiter-core/tests/logic.rs
@@ -24,7 +24,7 @@
         cold_start: 0.2,
         warm_after: 10_000.0,
         overload_factor: 2.0,
-        tip_after: 1000.0,
+        overload_window: 1000.0,
         ..Settings::default()
     }
 }
--- a/crates/limiter-core/tests/settings.rs
+++ b/crates/limiter-core/tests/settings.rs
@@ -129,9 +129,9 @@
 
 #[test]
 fn further_attempts_are_saved_and_earned_as_set() {
-    let further = |retry_saved, retry_earn| {
+    let further = |retry_burst, retry_ratio| {
         let entries = (1..=40).map(|n| server(n, 0)).collect();
-        let mut rig = Rig::new(Settings { retry_saved, retry_earn, ..settings() }, entries);
+        let mut rig = Rig::new(Settings { retry_burst, retry_ratio, ..settings() }, entries);
         let mut further = 0;
         for i in 0..9 {
             let now = f64::from(i) * 20.0;
@@ -153,10 +153,10 @@
 
 #[test]
 fn a_cold_server_is_sent_no_more_than_set() {
-    let to_cold = |cold_rate| {
+    let to_cold = |max_cold_rate| {
         let cold = ServerEntry { started: 1.0, ..server(1, 0) };
         let entries = vec![cold, server(2, 0), server(3, 0)];
-        let mut rig = Rig::new(Settings { cold_rate, cold_start: 0.95, ..settings() }, entries);
+        let mut rig = Rig::new(Settings { max_cold_rate, cold_start: 0.95, ..settings() }, entries);
         rig.serve(10.0, 500, 0).iter().filter(|s| **s == ServerId(1)).count()
     };
     assert!(to_cold(0.0) > 20, "{} in ten seconds", to_cold(0.0));
--- a/crates/proxy/src/limiter_settings.rs
+++ b/crates/proxy/src/limiter_settings.rs
@@ -51,13 +51,13 @@
         warm_after: warmup_s * 1000.0,
         // Twice: for servers that are certainly their owner's, and for contested ones.
         zone_cost: node.zones.iter().chain(&node.zones).map(cost).collect(),
-        retry_saved: RETRY_SHARE * node.bounds.extra_tries / limiters,
-        retry_earn: RETRY_SHARE * node.bounds.retry_ratio,
-        cold_rate: WarmupShares::new(&node.bounds, warmup_rate, limiters as usize).rate,
-        slow_mark: SLOW_MARK,
+        retry_burst: RETRY_SHARE * node.bounds.extra_tries / limiters,
+        retry_ratio: RETRY_SHARE * node.bounds.retry_ratio,
+        max_cold_rate: WarmupShares::new(&node.bounds, warmup_rate, limiters as usize).rate,
+        slow_threshold: SLOW_MARK,
         hedge_after: HEDGE_AFTER,
-        least_limit: MIN_CONCURRENCY,
-        subset_least: MIN_SUBSET,
+        min_limit: MIN_CONCURRENCY,
+        min_subset_size: MIN_SUBSET,
         ..Settings::default()
     }
 }
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -415,6 +415,6 @@
         && a.zone == b.zone
         && a.zone_cost == b.zone_cost
         && a.warm_after == b.warm_after
-        && a.cold_rate == b.cold_rate
+        && a.max_cold_rate == b.max_cold_rate
         && a.classes.iter().map(class).eq(b.classes.iter().map(class))
 }
--- a/crates/proxy/tests/calm.rs
+++ b/crates/proxy/tests/calm.rs
@@ -87,6 +87,6 @@
 #[test]
 fn the_terms_in_service_would_refuse_them() {
     let ours = limiter_settings::settings(&node(), 9.0, 3.0, 3.6);
-    let in_service = Settings { slow_mark: 0.0, least_limit: 0.0, subset_least: 0.0, ..ours };
+    let in_service = Settings { slow_threshold: 0.0, min_limit: 0.0, min_subset_size: 0.0, ..ours };
     assert!(play(in_service) > 10, "the check can fail");
 }
--- a/crates/proxy/tests/cold.rs
+++ b/crates/proxy/tests/cold.rs
@@ -164,7 +164,7 @@
             let mut set = limiter_settings::settings(&own, day.limiters as f64, SPELL / 1000.0, day.bears);
             (set.classes, set.sparse) = (vec![class.clone()], day.limiters > 20);
             if day.is_alone {
-                set.cold_rate = 1.2 * day.bears;
+                set.max_cold_rate = 1.2 * day.bears;
             }
             Gateway::new(set, day.seed << 20 | at as u64)
         })
