--- a/benches/src/scale/decisions.rs
+++ b/benches/src/scale/decisions.rs
@@ -286,7 +286,7 @@
 
 fn choice(servers: usize) -> f64 {
     let classes =
-        vec![Class { aim: 500.0, deadline: 2000.0, worth: 1.0, repeat: Repeat::Safe, ..Class::default() }];
+        vec![Class { target: 500.0, deadline: 2000.0, worth: 1.0, repeat: Repeat::Safe, ..Class::default() }];
     let set = Settings {
         gateways: 16_000.0,
         classes,
--- a/crates/engine/src/config/file.rs
+++ b/crates/engine/src/config/file.rs
@@ -442,7 +442,7 @@
             RepeatRule::Unsafe => Repeat::Unsafe,
         };
         let (aim, deadline) = (self.aim_ms, self.deadline_ms);
-        Class { aim, deadline, late_worth: self.late_worth, worth: self.worth, repeat }
+        Class { target: aim, deadline, late_worth: self.late_worth, worth: self.worth, repeat }
     }
 }
 
--- a/crates/engine/src/engine/core/tests.rs
+++ b/crates/engine/src/engine/core/tests.rs
@@ -5,7 +5,7 @@
 
 /// A core of one plan, 10 units at once, that has asked the counter about its first customer at 1000 ms.
 fn asked() -> (Core<(), ()>, CallId) {
-    let class = Class { aim: 500.0, deadline: 1500.0, worth: 1.0, ..Class::default() };
+    let class = Class { target: 500.0, deadline: 1500.0, worth: 1.0, ..Class::default() };
     let plan = Plan { rate: 5.0, burst: 10.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
     let settings = Settings {
         gateways: 1.0,
@@ -57,7 +57,7 @@
 
 /// A core with one server, and a request that is out there at 1000 ms.
 fn one_out(cancels_departed: bool, repeat: Repeat) -> (Core<(), ()>, RequestId) {
-    let class = Class { aim: 500.0, deadline: 3000.0, worth: 1.0, repeat, ..Class::default() };
+    let class = Class { target: 500.0, deadline: 3000.0, worth: 1.0, repeat, ..Class::default() };
     let settings = Settings { gateways: 1.0, classes: vec![class], max_units: 1.0, ..Settings::default() };
     let mut core: Core<(), ()> = Core::new(&Setup { settings, ..Setup::default() });
     if cancels_departed {
--- a/crates/engine/src/engine/schedule_tests.rs
+++ b/crates/engine/src/engine/schedule_tests.rs
@@ -60,7 +60,7 @@
 
 impl World {
     fn new(seed: u64, guarded: bool) -> World {
-        let class = |repeat| Class { aim: 500.0, deadline: 1500.0, late_worth: 0.3, worth: 1.0, repeat };
+        let class = |repeat| Class { target: 500.0, deadline: 1500.0, late_worth: 0.3, worth: 1.0, repeat };
         let settings = Settings {
             gateways: 1.0,
             classes: vec![class(Repeat::Safe), class(Repeat::Unsafe)],
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -23,5 +23,5 @@
 
 /// A class that answers within half a second, at worst within three.
 pub fn class() -> Class {
-    Class { aim: 500.0, deadline: 3000.0, worth: 1.0, ..Class::default() }
+    Class { target: 500.0, deadline: 3000.0, worth: 1.0, ..Class::default() }
 }
--- a/crates/fleet/src/strict.rs
+++ b/crates/fleet/src/strict.rs
@@ -86,7 +86,7 @@
 
 fn stricter_class(a: &Class, b: &Class) -> Class {
     Class {
-        aim: a.aim.min(b.aim),
+        target: a.target.min(b.target),
         deadline: a.deadline.min(b.deadline),
         late_worth: a.late_worth.min(b.late_worth),
         worth: a.worth.min(b.worth),
@@ -140,7 +140,7 @@
 }
 
 fn figures(class: &Class) -> ([f64; 4], Repeat) {
-    ([class.aim, class.deadline, class.late_worth, class.worth], class.repeat)
+    ([class.target, class.deadline, class.late_worth, class.worth], class.repeat)
 }
 
 fn plan_figures(plan: &Plan) -> [f64; 6] {
--- a/crates/fleet/src/strict/tests.rs
+++ b/crates/fleet/src/strict/tests.rs
@@ -5,7 +5,7 @@
 
 fn rules(rate: f64, repeat: Repeat, servers: &[&str]) -> Rules {
     let plan = Plan { rate, burst: 2.0 * rate, price: 1.0, ..Plan::default() };
-    let class = Class { aim: 100.0, deadline: 1000.0, repeat, ..Class::default() };
+    let class = Class { target: 100.0, deadline: 1000.0, repeat, ..Class::default() };
     Rules {
         classes: vec![("quote".into(), class)],
         plans: vec![("team".into(), plan)],
--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Class {
     /// An answer within this span earns the full worth.
-    pub aim: Millis,
+    pub target: Millis,
     /// How long a client waits over all of its tries.
     pub deadline: Millis,
     /// Share of the worth for an answer after the aim.
--- a/crates/limiter-core/src/lib.rs
+++ b/crates/limiter-core/src/lib.rs
@@ -10,7 +10,7 @@
 //! use oatbank_limiter_core::logic::Gateway;
 //!
 //! let settings = Settings {
-//!     classes: vec![Class { aim: 500.0, deadline: 1500.0, ..Class::default() }],
+//!     classes: vec![Class { target: 500.0, deadline: 1500.0, ..Class::default() }],
 //!     plans: vec![Plan { rate: 5.0, burst: 10.0, ..Plan::default() }],
 //!     ..Settings::default()
 //! };
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -36,7 +36,7 @@
 impl Gateway {
     /// A gateway that knows nothing yet but its settings.
     pub fn new(set: Settings, seed: u64) -> Self {
-        let class_mean = set.classes.iter().map(|c| c.aim / 5.0).collect();
+        let class_mean = set.classes.iter().map(|c| c.target / 5.0).collect();
         let flow = Flow { retries: given(set.retry_burst, RETRY_SAVED), ..Flow::default() };
         let quotas = Quotas::new((&set).into(), seed);
         Gateway::blank(set, quotas, class_mean, flow)
@@ -82,8 +82,8 @@
             let stood = self.set.classes.get(i).is_some_and(|c| c.deadline > 0.0);
             match self.class_mean.get_mut(i) {
                 Some(_) if stood => {}
-                Some(mean) => *mean = class.aim / 5.0,
-                None => self.class_mean.push(class.aim / 5.0),
+                Some(mean) => *mean = class.target / 5.0,
+                None => self.class_mean.push(class.target / 5.0),
             }
         }
         self.quotas.apply_settings((&set).into());
@@ -97,11 +97,11 @@
         let class = rules.map_or_else(of, |r| r.class.clone());
         let tries = rules.map_or(self.set.max_attempts, |r| r.max_attempts);
         let (id, customer) = (request.id, request.customer);
-        let (aim_at, ends_at) = (now + class.aim.min(request.time_left), now + request.time_left);
+        let (due_at, ends_at) = (now + class.target.min(request.time_left), now + request.time_left);
         let mut draw = QuotaRequest::from(&request);
         self.quotas.register(now, &mut draw, &mut self.acts);
-        let open = Open { request, draw, class, tries, aim_at, ends_at, ..Open::default() };
-        let hopeless = open.aim_at - now < self.mean(&open).max(2.0 * TICK) / 2.0;
+        let open = Open { request, draw, class, tries, due_at, ends_at, ..Open::default() };
+        let hopeless = open.due_at - now < self.mean(&open).max(2.0 * TICK) / 2.0;
         self.open.insert(id, open);
         if hopeless {
             // What can no longer be served in time is not started, and would outlast the housekeeping.
--- a/crates/limiter-core/src/logic/pressure.rs
+++ b/crates/limiter-core/src/logic/pressure.rs
@@ -8,7 +8,7 @@
 impl Open {
     /// How long an attempt is waited for from now: as long as its answer may earn something.
     pub(super) fn time_out(&self, now: Millis) -> Millis {
-        let until = if self.class.late_worth > 0.0 { self.ends_at } else { self.aim_at };
+        let until = if self.class.late_worth > 0.0 { self.ends_at } else { self.due_at };
         (until - now).max(1.0)
     }
 }
@@ -35,7 +35,7 @@
         let first = open.attempts.is_empty();
         open.attempts.push(Attempt { server, sent: now, live: true, may_have_run: true, whole });
         if !whole {
-            (open.aim_at, open.ends_at) = (f64::INFINITY, f64::INFINITY);
+            (open.due_at, open.ends_at) = (f64::INFINITY, f64::INFINITY);
         }
         self.flow.out += counts;
         self.quotas.adjust_open_attempts(open.request.customer, counts);
@@ -57,14 +57,14 @@
         for id in std::mem::take(&mut self.held) {
             let Some(open) = self.open.get(&id) else { continue };
             let mean = self.mean(open);
-            if open.aim_at - now < 2.0 * mean + 2.0 * TICK {
+            if open.due_at - now < 2.0 * mean + 2.0 * TICK {
                 self.finish(now, id);
                 continue;
             }
             let price = self.set.plans.get(open.request.plan.0).map_or(1.0, |p| p.price);
             let worth = open.class.worth * price * open.request.units / mean.max(1.0);
             // Newer first among equals: under pressure the oldest would only just miss their aim.
-            order.push((worth * (1.2 - (now - open.draw.arrived) / (open.aim_at - open.draw.arrived)), id));
+            order.push((worth * (1.2 - (now - open.draw.arrived) / (open.due_at - open.draw.arrived)), id));
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         for (place, (_, id)) in order.into_iter().enumerate() {
--- a/crates/limiter-core/src/logic/retries.rs
+++ b/crates/limiter-core/src/logic/retries.rs
@@ -20,7 +20,7 @@
         (a.whole, a.sent) = (true, now);
         let server = a.server;
         let left = open.request.time_left;
-        (open.aim_at, open.ends_at) = (now + open.class.aim.min(left), now + left);
+        (open.due_at, open.ends_at) = (now + open.class.target.min(left), now + left);
         let (timeout, customer) = (open.time_out(now), open.request.customer);
         self.acts.push(Action::Await { id, attempt, timeout });
         self.count_out(customer, server);
@@ -75,7 +75,7 @@
         a.may_have_run = !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent);
         self.quotas.adjust_open_attempts(open.request.customer, -1.0);
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
-            let ratio = (took / open.class.aim.max(1.0)).min(2.0);
+            let ratio = (took / open.class.target.max(1.0)).min(2.0);
             let (gain, step) = if self.flow.subset { (0.1, 0.05) } else { (0.03, 0.01) };
             self.flow.slowness += gain * (ratio - self.flow.slowness);
             if let Some(mean) = self.class_mean.get_mut(open.request.class.0) {
@@ -130,7 +130,7 @@
             (Repeat::Keyed { window, .. }, Some(sent)) => now - sent < window - TICK,
         };
         let tries = open.tries == 0 || (open.attempts.len() as u32) < open.tries;
-        allowed && tries && !open.streaming && !open.spent && open.aim_at - now > mean
+        allowed && tries && !open.streaming && !open.spent && open.due_at - now > mean
     }
 
     /// The final answer: refused where that is true and harmless, else failed.
@@ -153,7 +153,7 @@
         // Without a server an answer's time says nothing, and where answers take less than a housekeeping it
         // would say "at once".
         let least = if self.ready(open.request.within).next().is_none() {
-            open.class.aim
+            open.class.target
         } else {
             self.mean(open).max(TICK)
         };
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -143,7 +143,7 @@
     pub(crate) class: Class,
     /// Attempts it may have; 0: no limit.
     pub(crate) tries: u32,
-    pub(crate) aim_at: Millis,
+    pub(crate) due_at: Millis,
     pub(crate) ends_at: Millis,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) streaming: bool,
--- a/crates/limiter-core/src/wire/settings.rs
+++ b/crates/limiter-core/src/wire/settings.rs
@@ -73,7 +73,7 @@
             other => return Err(WireError(format!("setting {}: {other:?} is unknown", key("idempotency")))),
         };
         classes.push(Class {
-            aim: lines.num(&key("goal_time"), deadline)?,
+            target: lines.num(&key("goal_time"), deadline)?,
             deadline,
             late_worth: lines.num(&key("late_value"), 0.0)?,
             worth: lines.num(&key("importance"), 1.0)?,
--- a/crates/limiter-core/tests/failing.rs
+++ b/crates/limiter-core/tests/failing.rs
@@ -21,7 +21,7 @@
 
 fn settings(gateways: usize) -> Settings {
     let class =
-        Class { aim: 500.0, deadline: 2000.0, worth: 1.0, repeat: Repeat::Unsafe, ..Class::default() };
+        Class { target: 500.0, deadline: 2000.0, worth: 1.0, repeat: Repeat::Unsafe, ..Class::default() };
     Settings {
         gateways: gateways as f64,
         classes: vec![class],
--- a/crates/limiter-core/tests/fleet.rs
+++ b/crates/limiter-core/tests/fleet.rs
@@ -21,7 +21,7 @@
 fn settings() -> Settings {
     Settings {
         gateways: GATEWAYS as f64,
-        classes: vec![Class { aim: 1500.0, deadline: 4000.0, worth: 1.0, ..Class::default() }],
+        classes: vec![Class { target: 1500.0, deadline: 4000.0, worth: 1.0, ..Class::default() }],
         plans: vec![Plan { rate: 1e9, burst: 1e9, price: 1.0, ..Plan::default() }],
         max_units: 1.0,
         max_attempts: 4,
--- a/crates/limiter-core/tests/logic.rs
+++ b/crates/limiter-core/tests/logic.rs
@@ -13,7 +13,7 @@
 fn settings() -> Settings {
     Settings {
         gateways: 3.0,
-        classes: vec![Class { aim: 500.0, deadline: 1500.0, worth: 1.0, ..Class::default() }],
+        classes: vec![Class { target: 500.0, deadline: 1500.0, worth: 1.0, ..Class::default() }],
         plans: vec![Plan { rate: 5.0, burst: 10.0, price: 1.0, over_cost: 0.6, ..Plan::default() }],
         max_units: 1.0,
         max_attempts: 4,
--- a/crates/limiter-core/tests/quota.rs
+++ b/crates/limiter-core/tests/quota.rs
@@ -48,7 +48,7 @@
 fn settings(gateways: usize) -> Settings {
     Settings {
         gateways: gateways as f64,
-        classes: vec![Class { aim: 1500.0, deadline: 2000.0, worth: 1.0, ..Class::default() }],
+        classes: vec![Class { target: 1500.0, deadline: 2000.0, worth: 1.0, ..Class::default() }],
         plans: vec![Plan { rate: RATE, burst: BURST, price: 1.0, over_cost: 1.0, ..Plan::default() }],
         max_units: 1.0,
         max_attempts: 1,
--- a/crates/limiter-core/tests/settings.rs
+++ b/crates/limiter-core/tests/settings.rs
@@ -14,7 +14,7 @@
 fn settings() -> Settings {
     Settings {
         gateways: 1.0,
-        classes: vec![Class { aim: 500.0, deadline: 1500.0, worth: 1.0, ..Class::default() }],
+        classes: vec![Class { target: 500.0, deadline: 1500.0, worth: 1.0, ..Class::default() }],
         max_units: 1.0,
         parallel_tries: true,
         cancelling: true,
--- a/crates/limiter-core/tests/spread.rs
+++ b/crates/limiter-core/tests/spread.rs
@@ -20,7 +20,7 @@
 fn settings() -> Settings {
     Settings {
         gateways: 1.0,
-        classes: vec![Class { aim: 1500.0, deadline: 4000.0, worth: 1.0, ..Class::default() }],
+        classes: vec![Class { target: 1500.0, deadline: 4000.0, worth: 1.0, ..Class::default() }],
         plans: vec![Plan { rate: 1e9, burst: 1e9, price: 1.0, ..Plan::default() }],
         max_units: 1.0,
         max_attempts: 3,
--- a/crates/limiter-core/tests/standing.rs
+++ b/crates/limiter-core/tests/standing.rs
@@ -16,7 +16,7 @@
     count: u32,
     out: Outcome,
 ) -> BTreeMap<u64, u32> {
-    let class = Class { aim: 500.0, deadline: 1500.0, worth: 1.0, repeat, ..Class::default() };
+    let class = Class { target: 500.0, deadline: 1500.0, worth: 1.0, repeat, ..Class::default() };
     let settings =
         Settings { gateways: 1.0, classes: vec![class], max_units: 1.0, sparse, ..Settings::default() };
     let mut gateway = Gateway::new(settings, 5);
--- a/crates/proxy/src/config_snapshot.rs
+++ b/crates/proxy/src/config_snapshot.rs
@@ -118,7 +118,7 @@
 /// The decision module's class of a route, with this rank.
 pub fn class(route: &Route, rank: u32) -> Class {
     Class {
-        aim: route.target_ms.max(1.0),
+        target: route.target_ms.max(1.0),
         deadline: route.give_up_ms,
         late_worth: LATE_VALUE,
         worth: 1.0 / (1.0 + f64::from(rank)),
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -409,7 +409,7 @@
 
 /// Whether two settings agree in all that is set here.
 fn same_settings(a: &Settings, b: &Settings) -> bool {
-    let class = |class: &Class| (class.aim, class.deadline, class.worth, class.repeat == Repeat::Safe);
+    let class = |class: &Class| (class.target, class.deadline, class.worth, class.repeat == Repeat::Safe);
     a.gateways == b.gateways
         && a.sparse == b.sparse
         && a.zone == b.zone
--- a/crates/proxy/tests/calm.rs
+++ b/crates/proxy/tests/calm.rs
@@ -16,7 +16,7 @@
 
 /// Plays 20 s of bursts of four requests twice a second, each of 200 ms at a server; returns how many were refused.
 fn play(settings: Settings) -> u32 {
-    let class = Class { aim: 600.0, deadline: 2500.0, late_worth: 0.3, worth: 0.5, repeat: Repeat::Safe };
+    let class = Class { target: 600.0, deadline: 2500.0, late_worth: 0.3, worth: 0.5, repeat: Repeat::Safe };
     let mut module = Gateway::new(Settings { gateways: 9.0, ..Settings::default() }, 7);
     let mut wait_until_applied = Vec::new();
     // The list comes before the terms, and server by server, as servers beat one after the other.
--- a/crates/proxy/tests/cold.rs
+++ b/crates/proxy/tests/cold.rs
@@ -136,7 +136,7 @@
     let (limiters, servers) = (spread(&node, "l", day.limiters), spread(&node, "s", day.servers));
     let places: Vec<(&str, &str)> = servers.iter().map(|(id, zone)| (id.as_str(), zone.as_str())).collect();
     let parts = WarmupShares::new(&node.bounds, day.bears, day.limiters);
-    let class = Class { aim: 800.0, deadline: 3000.0, late_worth: 0.3, worth: 1.0, repeat: Repeat::Safe };
+    let class = Class { target: 800.0, deadline: 3000.0, late_worth: 0.3, worth: 1.0, repeat: Repeat::Safe };
     let number = |zone: &str| node.zones.iter().position(|(z, _)| z == zone).unwrap_or(0) as u16;
     let list = |at: usize, started: f64| -> Vec<ServerEntry> {
         let placement = placement(&node, &limiters, at);
--- a/crates/proxy/tests/steering.rs
+++ b/crates/proxy/tests/steering.rs
@@ -185,7 +185,7 @@
     }
     let boards = tables.split_off(day.proxies);
     let mut boards: Vec<StateTable> = boards;
-    let class = |repeat| Class { aim: AIM, deadline: 2500.0, worth: 1.0, repeat, ..Class::default() };
+    let class = |repeat| Class { target: AIM, deadline: 2500.0, worth: 1.0, repeat, ..Class::default() };
     let mut proxies: Vec<Proxy> = tables
         .into_iter()
         .enumerate()
