--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of a gateway's decision module. Nothing here decides anything.
+//! Events, actions and settings of a gateway's decision module. Data types only, without logic.
 //!
 //! All times and spans are milliseconds on the caller's monotonic clock ([`Millis`]).
 
@@ -7,209 +7,211 @@
 /// A point in time or a span, in milliseconds.
 pub type Millis = f64;
 
-/// A request as the gateway holds it; a client's repeat has a new one.
+/// Identifies one request at a gateway; a client's repeat gets a new id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
-/// A server of the fleet; the same number at every gateway.
+/// Identifies a server of the fleet; every gateway uses the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
-/// A customer, whose quota all gateways keep together.
+/// Identifies a customer, whose quota all gateways enforce together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CustomerId(pub u64);
-/// The name of a number kept by the counter service.
+/// Key of one counter in the counter service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CountName(pub u64);
-/// Position of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
-/// Position of a plan in [`Settings::plans`].
+/// Index of a plan in [`Settings::plans`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanId(pub usize);
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Repeat {
-    /// Any number of times.
+    /// Idempotent: it may run any number of times.
     #[default]
     Safe,
-    /// Repeats are dropped by servers of one group within a window after the first send.
+    /// Servers of one group drop duplicates by key within a window after the first send.
     Keyed {
-        /// The servers that drop each other's repeats.
+        /// Servers that share the keys they have seen.
         group: Group,
-        /// How long they remember it.
+        /// How long they remember a key.
         window: Millis,
     },
-    /// Once at most.
+    /// It may run at most once.
     Unsafe,
 }
 
-/// Servers that share which keys they have seen.
+/// Scope within which servers share the idempotency keys that they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Group {
-    /// All servers.
+    /// All servers of the fleet.
     #[default]
     All,
-    /// Those of one zone.
+    /// Servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// Servers of one cell.
     Cell,
 }
 
-/// A class of requests.
+/// A service class: latency target, deadline, value and retry rule of its requests.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// An answer within this span earns the full worth.
+    /// Target response time; a response within it earns the full worth.
     pub target: Millis,
-    /// How long a client waits over all of its tries.
+    /// How long a client waits in total, over all of its tries.
     pub deadline: Millis,
-    /// Share of the worth for an answer after the aim.
+    /// Fraction of the worth that a response after the target still earns.
     pub late_worth: f64,
-    /// Worth of one unit.
+    /// Value of one served unit.
     pub worth: f64,
-    /// Whether it may run again.
+    /// Whether its requests may be executed more than once.
     pub repeat: Repeat,
 }
 
-/// A plan: quotas that hold for each customer over all gateways together.
+/// A plan: limits that apply to each customer across all gateways together.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Units a second; 0: no such quota.
+    /// Sustained rate in units per second; 0: no rate quota.
     pub rate: f64,
-    /// Units that may be used at once.
+    /// Burst size in units.
     pub burst: f64,
-    /// Attempts out at once; 0: no such quota.
+    /// Maximum concurrent attempts; 0: unlimited.
     pub max_open: f64,
-    /// Units a second of the hard ceiling; 0: none.
+    /// Rate of the hard ceiling in units per second; 0: no ceiling.
     pub ceiling_rate: f64,
-    /// Units the ceiling's store holds, full at first.
+    /// Capacity in units of the ceiling's token bucket, full at first.
     pub ceiling_burst: f64,
-    /// How far that store may fall below nothing.
+    /// Units by which the ceiling's bucket may be overdrawn.
     pub ceiling_slack: f64,
     /// Multiplier on the class's worth.
     pub price: f64,
-    /// Share of the worth earned beyond the quota.
+    /// Fraction of the worth that a request beyond the quota earns.
     pub over_worth: f64,
-    /// Share of the worth charged for a try sent beyond the quota.
+    /// Fraction of the worth charged for an attempt sent beyond the quota.
     pub over_cost: f64,
-    /// What has passed beyond the burst before gateways heard of each other is owed, up to so many bursts: until it
-    /// is paid back nothing passes. 0: it is forgotten.
+    /// Limit, in bursts, of the overuse that is remembered when requests passed before the gateways learned of each
+    /// other's use: nothing passes until it has been refilled. 0: overuse is forgotten.
     pub debt: f64,
 }
 
-/// A value of the servers' load reports.
+/// Meaning of one value in a server's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Load {
-    /// Requests being handled.
+    /// Requests in progress.
     InFlight,
-    /// Requests waiting.
+    /// Queued requests.
     Queue,
-    /// Share of the cores busy.
+    /// CPU utilization, from 0 to 1.
     Util,
-    /// Requests served a second.
+    /// Requests served per second.
     Qps,
-    /// Recent service time.
+    /// Recent service time, ms.
     Latency,
-    /// Anything else.
+    /// Any other value; it is ignored.
     Other,
 }
 
-/// Parts of the result that the operators weigh.
+/// Operators' weights for the parts of the overall score.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Goal {
-    /// The whole run.
+    /// Weight of the whole run.
     pub whole: f64,
-    /// The worst stretch.
+    /// Weight of the worst time window.
     pub worst_window: f64,
-    /// The worst class.
+    /// Weight of the worst class.
     pub worst_class: f64,
-    /// The worst plan.
+    /// Weight of the worst plan.
     pub worst_plan: f64,
 }
 
-/// What a gateway is told once, at its start.
+/// Configuration of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateways: f64,
-    /// The zone this gateway stands in.
+    /// Zone of this gateway.
     pub zone: u16,
-    /// Classes of requests.
+    /// Request classes, indexed by [`ClassId`].
     pub classes: Vec<Class>,
-    /// Plans of customers.
+    /// Customer plans, indexed by [`PlanId`].
     pub plans: Vec<Plan>,
-    /// The most units one request counts for.
+    /// Largest number of units that one request may cost.
     pub max_units: f64,
-    /// Attempts a request may have; 0: no limit.
+    /// Maximum attempts per request; 0: unlimited.
     pub max_attempts: u32,
-    /// A request may have two attempts out at once.
+    /// Whether a request may have two concurrent attempts (hedging).
     pub parallel_tries: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub probes: bool,
-    /// Clients are told how long to stay away.
+    /// Whether refusals carry a retry-after time.
     pub retry_after: bool,
-    /// Longest such wait that clients follow.
+    /// Longest retry-after time that clients honour.
     pub max_retry_after: Millis,
-    /// There is a counter service.
+    /// Whether a counter service is available.
     pub counter: bool,
-    /// A call to it ends as timed out after this span.
+    /// Timeout of a call to the counter service.
     pub counter_timeout: Millis,
-    /// Server lists come only when asked for.
+    /// Whether server lists are sent only on request.
     pub list_on_request: bool,
-    /// A list not asked for in this span is held to be known.
+    /// A server list that was not requested within this time counts as known.
     pub list_max_age: Millis,
-    /// A server starts at this share of its capacity.
+    /// Fraction of its capacity that a server has when it starts.
     pub cold_start: f64,
-    /// And is warm after this span.
+    /// Time after its start at which a server reaches full capacity.
     pub warm_after: Millis,
-    /// A cold server sent more than this multiple of its capacity...
+    /// Multiple of its current capacity at which a cold server fails if sustained for `overload_window`.
     pub overload_factor: f64,
-    /// ...over this span falls over.
+    /// How long a cold server withstands `overload_factor`.
     pub overload_window: Millis,
-    /// The values of a load report, in order.
+    /// Meanings of the values in a load report, in order.
     pub report: Vec<Load>,
-    /// The operators' weights.
+    /// Operators' weights for the score.
     pub goal: Goal,
-    /// What a server costs by its zone's number, as a multiple; for one left out, 1 near and a little more else.
+    /// Cost multiplier of a server, by zone number. A zone left out costs 1 if it is the gateway's own and slightly
+    /// more otherwise.
     pub zone_cost: Vec<f64>,
-    /// The most further attempts that can be saved up, which are there at first too; 0: 10.
+    /// Capacity of the retry budget, in attempts; it is full at first. 0: 10.
     pub retry_burst: f64,
-    /// Further attempts earned by each first one; 0: 0.1.
+    /// Retries that each first attempt adds to the retry budget; 0: 0.1.
     pub retry_ratio: f64,
-    /// The most requests a second that this gateway sends to one cold server; 0: what one that is warm gets, by
-    /// the share of its capacity that it surely has.
+    /// Maximum requests per second from this gateway to one cold server; 0: the rate to a warm server, scaled by the
+    /// capacity that the cold one is certain to have.
     pub max_cold_rate: f64,
-    /// Mean answer times after which a second copy goes out; 0: 8.
+    /// Hedging delay, as a multiple of the mean response time; 0: 8.
     pub hedge_after: f64,
-    /// Mean answer time, as a share of the aim, at which the concurrency limit starts to fall; 0: 0.27. Where the work
-    /// alone takes such a share, time says nothing of a queue below it.
+    /// Mean response time, as a fraction of the target, above which the concurrency limit decreases; 0: 0.27. It has to
+    /// exceed the fraction that the work itself takes, since shorter response times do not indicate a queue.
     pub slow_threshold: f64,
-    /// The concurrency limit never falls below this; 0: two attempts a server, over all gateways.
+    /// Lower bound of the concurrency limit; 0: two attempts per server, over all gateways.
     pub min_limit: f64,
-    /// A gateway keeps to no fewer servers than this; 0: 8.
+    /// Minimum number of servers in a gateway's subset; 0: 8.
     pub min_subset_size: f64,
-    /// The list is this gateway's part of a large service already, and it meets each server of it rarely: of all of them two
-    /// are drawn, near ones more often, and compared.
+    /// Whether the list is already this gateway's subset of a large service, so that each server is contacted rarely.
+    /// The gateway then compares two servers drawn at random from the list, near ones with a higher probability.
     pub sparse: bool,
 }
 
-/// What a keeper of quotas is told at its start.
+/// Configuration of [`Quotas`](crate::logic::Quotas).
 #[derive(Clone, Debug, Default)]
 pub struct QuotaSettings {
-    /// Plans of customers.
+    /// Customer plans, indexed by [`PlanId`].
     pub plans: Vec<Plan>,
-    /// The most units one request counts for.
+    /// Largest number of units that one request may cost.
     pub max_units: f64,
-    /// There is a counter service.
+    /// Whether a counter service is available.
     pub counter: bool,
-    /// A call to it ends as timed out after this span.
+    /// Timeout of a call to the counter service.
     pub counter_timeout: Millis,
-    /// Shortest time between two syncs of a customer; 0: 250 ms, a bucket.
+    /// Minimum time between two syncs of a customer; 0: 250 ms, one window bucket.
     pub sync_every: Millis,
-    /// Use that is too small for a sync is told after this; 0: 1000 ms.
+    /// Time after which use that is too small for a sync is reported anyway; 0: 1000 ms.
     pub flush_after: Millis,
-    /// Share of the burst that must be new for a sync; 0: a tenth. What each gateway has not told adds up over all.
+    /// Fraction of the burst that must be unreported before a sync; 0: a tenth. The unreported use of all gateways adds
+    /// up.
     pub sync_share: f64,
 }
 
@@ -221,120 +223,120 @@
     }
 }
 
-/// State of a server in the list.
+/// Lifecycle state of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has.
+    /// Finishes open requests and accepts no new ones.
     Draining,
-    /// Withdrawn.
+    /// Removed from the fleet.
     Gone,
 }
 
-/// How a server fares, as all gateways together have seen it.
+/// Health of a server as all gateways together have observed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
-    /// Well, or nothing is known against it.
+    /// Healthy, or without observations to the contrary.
     #[default]
     Well,
-    /// It was ill and serves again: requests that may run again reach it now and then.
+    /// Recovered recently: it gets a reduced share of the idempotent requests.
     Returning,
-    /// Perhaps ill: nothing goes there while others can take it.
+    /// Possibly unhealthy: it gets no requests while other servers are available.
     Suspect,
-    /// Surely ill: the same, and for longer.
+    /// Unhealthy: it gets no requests while other servers are available, for longer than a suspect one.
     Ejected,
-    /// Ill, and this gateway is the one that tries it, with requests that may run again.
+    /// Unhealthy, and this gateway probes it with idempotent requests.
     Probing,
 }
 
-/// One line of a server list.
+/// One entry of a server list.
 #[derive(Clone, Debug, Default)]
 pub struct ServerEntry {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Its size beside the others'.
+    /// Capacity relative to the other servers.
     pub weight: f64,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u16,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u16,
-    /// When it last started; 0: long ago.
+    /// Time of its last start; 0: long ago.
     pub started: Millis,
-    /// Its state.
+    /// Lifecycle state.
     pub state: ServerState,
-    /// How it fares; what is not told is well.
+    /// Observed health; `Well` if none was reported.
     pub standing: Standing,
 }
 
-/// How a server list is to be read.
+/// How the entries of a server list are to be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Only what changed.
+    /// Only changed entries.
     Delta,
-    /// The entire list.
+    /// The complete list.
     Full,
-    /// The entire list as last seen before this start.
+    /// The complete list as stored before this start.
     Cached,
-    /// A call for it failed; the old one holds.
+    /// The request for the list failed; the previous list stays in use.
     Failed,
 }
 
-/// What holds for a request to its end, whatever the settings become meanwhile.
+/// Rules that apply to a request until its end, even if the settings change meanwhile.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// Its class as it was when the request came.
+    /// Class of the request at its arrival.
     pub class: Class,
-    /// Attempts it may have; 0: no limit.
+    /// Maximum attempts; 0: unlimited.
     pub max_attempts: u32,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its customer.
+    /// Customer that the request is charged to.
     pub customer: CustomerId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its customer's plan.
+    /// Plan of the customer.
     pub plan: PlanId,
-    /// Units it draws from the quota.
+    /// Units that the request costs.
     pub units: f64,
-    /// How long the client waits for this try.
+    /// How long the client waits for this try, from the arrival.
     pub time_left: Millis,
-    /// Number of gateways the customer comes in through.
+    /// Number of gateways that receive this customer's requests.
     pub spread: f64,
-    /// Marked as a client's repeat.
+    /// Whether the client marked it as a repeat.
     pub repeat: bool,
-    /// Its body is still coming. Its time counts from [`Event::Uploaded`].
+    /// Whether the body is still being received; the time limits then start at [`Event::Uploaded`].
     pub uploading: bool,
-    /// Zones that its servers may stand in, a bit for each by its number; 0: all. A zone past the 64th is in none.
+    /// Bit mask of the allowed zones, by zone number; 0: all. Zones numbered 64 and above match no mask.
     pub within: u64,
-    /// What it was read by; without, the settings of the moment hold.
+    /// Rules in force at the arrival; without them, the current settings apply.
     pub rules: Option<Arc<Rules>>,
 }
 
-/// What a request draws from its customer's quota.
+/// A request as quota admission sees it.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaRequest {
-    /// Its customer.
+    /// Customer that the request is charged to.
     pub customer: CustomerId,
-    /// Its customer's plan.
+    /// Plan of the customer.
     pub plan: PlanId,
-    /// Units it draws.
+    /// Units that the request costs.
     pub units: f64,
-    /// Number of gateways the customer comes in through.
+    /// Number of gateways that receive this customer's requests.
     pub spread: f64,
-    /// Marked as a client's repeat.
+    /// Whether the client marked it as a repeat.
     pub repeat: bool,
-    /// When it came; set by the keeper, as is what follows.
+    /// Time of arrival. This and the following fields are set by `Quotas`.
     pub arrived: Millis,
-    /// It waits for its customer's count.
+    /// Whether it waits for a counter reply about its customer.
     pub asked: bool,
-    /// It has passed the quota.
+    /// Whether it has passed the quota check.
     pub passed: bool,
 }
 
@@ -345,18 +347,18 @@
     }
 }
 
-/// What a quota says of a request.
+/// Decision of quota admission on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It may go on.
+    /// Admitted within the quota.
     Within,
-    /// It is beyond the quota and may go on all the same, as it earns more than it costs.
+    /// Beyond the quota, but admitted because it earns more than it costs.
     Beyond,
-    /// Not now: the customer has too much out, its ceiling has no room yet, or its count is on its way.
+    /// Not yet: too many attempts are open, the ceiling's bucket is empty, or a counter reply is outstanding.
     Wait,
-    /// It is beyond the quota.
+    /// Beyond the quota.
     Refuse {
-        /// When the quota may have room.
+        /// Time until the quota may admit it.
         retry_after: Millis,
     },
 }
@@ -364,85 +366,85 @@
 /// How an attempt, a probe or a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served or answered.
+    /// Succeeded.
     Ok,
-    /// Answered with an error; may have run.
+    /// Error response; it may have been executed.
     Error,
-    /// Turned away unseen; did not run.
+    /// Rejected by an overloaded receiver; it was not executed.
     Full,
-    /// No answer in time; may have run, may have been added.
+    /// No response in time; it may have been executed, and a counter may have been increased.
     TimedOut,
-    /// No connection; did not run.
+    /// Connection failed; it was not executed.
     ConnectFailed,
-    /// Connection lost; may have run.
+    /// Connection lost; it may have been executed.
     Reset,
-    /// Called off; may have run.
+    /// Cancelled by the gateway; it may have been executed.
     Cancelled,
-    /// Never sent.
+    /// Never sent; it was not executed.
     NotSent,
 }
 
-/// What the gateway learns.
+/// Input of the decision module.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the server list.
+    /// An update of the server list.
     Servers {
-        /// How to read the entries.
+        /// How to apply the entries.
         update: ListUpdate,
-        /// The lines.
+        /// Entries of the update.
         entries: Vec<ServerEntry>,
     },
-    /// From now on these settings hold for what comes in. Classes and plans stand where they stood before; a class
-    /// that was dropped has no deadline, and its place may be another's later.
+    /// New settings for requests that arrive from now on. Classes and plans keep their indexes; a removed class has
+    /// deadline 0, and its index may be reused later.
     Settings(Box<Settings>),
-    /// This gateway uses this part of what is a gateway's own: another process is the rest of it.
+    /// Fraction of the gateway's own limits that this process may use; other processes use the rest.
     ProcessShare(f64),
-    /// A request has come in.
+    /// A request has arrived.
     Request(Request),
     /// An attempt has ended.
     Ended {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from 0.
+        /// Number of the attempt, from 0.
         attempt: u8,
-        /// Its server.
+        /// Server of the attempt.
         server: ServerId,
-        /// How it ended.
+        /// Result.
         outcome: Outcome,
-        /// The request is over, by this or before.
+        /// Whether the request is finished, by this attempt or earlier.
         complete: bool,
         /// Time since the attempt was sent.
         took: Millis,
-        /// Units it really counted for, where settled afterwards; 0: not told.
+        /// Units that it actually cost, where known afterwards; 0: unknown.
         settled: f64,
         /// The server's load report.
         load: Vec<f64>,
     },
-    /// So much of a body that was coming has gone on with an attempt that the request cannot be sent again.
+    /// Part of a streamed body was forwarded and dropped from the buffer, so the request cannot be sent again.
     NotReplayable(RequestId),
-    /// The last byte of a body that was coming goes out with this attempt: now the request may run.
+    /// The last byte of a streamed body was forwarded with this attempt; from now on the request may be executed.
     Uploaded {
         /// The request.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u8,
     },
-    /// A streamed answer has begun on this attempt.
+    /// A streamed response has started on this attempt.
     Streaming {
         /// The request.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u8,
     },
-    /// The client has left.
+    /// The client has disconnected.
     Gone(RequestId),
-    /// A timer has come due.
+    /// A timer has expired; carries its name.
     Timer(u64),
     /// A probe has ended.
     Probed {
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// Result.
         outcome: Outcome,
         /// Time since it was sent.
         took: Millis,
@@ -451,72 +453,72 @@
     },
     /// A call to the counter has ended.
     Counted {
-        /// The number's name.
+        /// Key of the counter.
         name: CountName,
         /// How the call ended.
         outcome: Outcome,
         /// Time since the call.
         took: Millis,
-        /// The total after the call, if it was answered.
+        /// Counter value after the call; meaningful only with [`Outcome::Ok`].
         total: f64,
     },
 }
 
-/// What the gateway wants done, in order.
+/// Output of the decision module, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt; attempts of a request are numbered from 0 in this order.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// Server to send it to.
         server: ServerId,
-        /// Time-out; 0: until the client gives up.
+        /// Timeout; 0: until the client gives up.
         timeout: Millis,
     },
-    /// Wait for an attempt whose body has gone out.
+    /// Start the timeout of an attempt whose body has been sent completely.
     Await {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u8,
-        /// Time-out from now; 0: until the client gives up.
+        /// Timeout from now; 0: until the client gives up.
         timeout: Millis,
     },
-    /// Final answer: refused, harmless to try again.
+    /// Final response: refused; the client may safely retry.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long to stay away; 0: not told.
+        /// Time after which the client may retry; 0: not stated.
         retry_after: Millis,
     },
-    /// Final answer: failed, no promise.
+    /// Final response: failed; the request may have been executed.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u8,
     },
-    /// Probe a server.
+    /// Send a probe to a server.
     Probe(ServerId),
-    /// Add to a number of the counter service and learn its total.
+    /// Add to a counter of the counter service and read its value.
     Count {
-        /// The number's name.
+        /// Key of the counter.
         name: CountName,
-        /// The amount; 0 only reads.
+        /// Amount to add; 0 only reads.
         add: f64,
-        /// A new name is forgotten after this span.
+        /// Lifetime of a newly created counter.
         ttl: Millis,
     },
-    /// Ask for a timer event.
+    /// Request a timer event.
     Timer {
-        /// From now.
+        /// Delay from now.
         after: Millis,
-        /// Returned with the event.
+        /// Value returned with the event.
         name: u64,
     },
-    /// Ask for changes of the server list from now on.
+    /// Subscribe to changes of the server list.
     Watch,
 }
--- a/crates/limiter-core/src/lib.rs
+++ b/crates/limiter-core/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a quota-keeping gateway ("limiter") in front of a shared API.
 //!
 //! [`logic::Gateway`] is one gateway's decision module: it takes settings and a seed, then events with
-//! their times, and appends the actions to carry out. [`logic::Quotas`] is its keeping of quotas by itself,
-//! for callers with several gateways or none. The vocabulary is in [`interface`]; [`wire`] reads
-//! and writes the frames of the bench's adapter protocol and decides nothing.
+//! their times, and appends the actions to carry out. [`logic::Quotas`] is the quota enforcement alone, for
+//! callers with several gateways or none. The data types are in [`interface`]; [`wire`] reads and writes the
+//! frames of the benchmark's adapter protocol and contains no decision logic.
 //!
 //! ```
 //! use oatbank_limiter_core::interface::*;
--- a/crates/limiter-core/src/logic/admission.rs
+++ b/crates/limiter-core/src/logic/admission.rs
@@ -1,36 +1,35 @@
-//! Quota admission: what is known of a customer, and what that says of a request.
+//! Quota admission: tracks the use of each customer and decides on its requests.
 
 use super::*;
 
-/// Width of a window bucket, ms: a sixteenth of a window of seconds, so ageing comes in small steps.
+/// Width of a window bucket, ms; small beside a window of seconds, so that counts age in small steps.
 const BUCKET: Millis = 250.0;
-/// Multiple of the capacity in observed use past which all is refused; near 1: what the chance lets
-/// through beyond the quota earns nothing and loads the servers.
+/// Observed use, as a multiple of the burst, above which every request is refused. It is close to 1, since
+/// requests that pass beyond the quota by chance earn nothing and load the servers.
 const HARD_FACTOR: f64 = 1.05;
-/// Share of the burst kept in reserve for what others have sent unseen, once more than the quota is asked.
+/// Fraction of the burst reserved for unreported use of other gateways while demand exceeds the quota.
 const RESERVE: f64 = 0.15;
-/// The most of that share that is kept for what all others may send on the same refill.
+/// Maximum reserve, as a fraction of the burst, while reads of the counter are rare.
 const AHEAD: f64 = 0.4;
-/// Share of the quota sent on from which on others are presumed to want the rest too.
+/// Accepted use, as a fraction of the burst, above which other gateways are assumed to compete for the rest.
 const CONTENDED: f64 = 0.5;
-/// Most bursts that the store may lack by what is presumed of others: what a near read takes back was booked.
+/// Maximum deficit, in bursts, from estimated use of others; the next read removes the estimate again.
 const DEBT: f64 = 1.5;
-/// How long a suppression factor is used before it is computed anew, ms.
+/// How long a computed suppression factor is reused, ms.
 const FACTOR_CACHE: Millis = 100.0;
-/// Customers idle this long are forgotten, ms, once their window is empty and their stores are full: one
-/// that returns later starts as it would have stood. An epoch at least, so that what a name holds of before
-/// is not read again; the design's ten minutes would keep all who come only once.
+/// Idle time after which a customer with full buckets is dropped, ms; its state equals that of a new one.
+/// At least an epoch, so that earlier use is not read again under the same counter key. The ten minutes of
+/// the design would keep every customer that sends a single request.
 const IDLE: Millis = EPOCH;
-/// A customer is thin at its gateways if one's fair part of the burst is under this share of the largest
-/// request: what a gateway sees of it then comes too rarely to be batched.
+/// Use is sampled if a gateway's share of the burst, in largest requests, is below this: too little to batch.
 const THIN: f64 = 0.5;
-/// The same under a ceiling, where a call for each request would be needed else.
+/// Sampling threshold of plans with a ceiling, which otherwise would need a call per request.
 const THIN_CAPPED: f64 = 2.0;
-/// Time constant at which a thin customer's last rate is forgotten, ms: overuse lasts for seconds to hours.
+/// Decay time constant of a sampled customer's last rate, ms; overuse lasts from seconds to hours.
 const HABIT: Millis = 30_000.0;
-/// How much of the pace, as an exponent, a customer at its quota is spared.
+/// Exponent by which the pace is reduced for a customer at its quota.
 const NEAR_PACE: f64 = 0.8;
-/// A request waiting for the counter is decided without it after this, ms.
+/// Maximum time that a request waits for a counter reply, ms.
 const COUNT_WAIT: Millis = 200.0;
 
 impl Customer {
@@ -44,19 +43,19 @@
         Customer { plan, spread, touched: now, tallies, last_sync, drained_at: now, thin, ..Self::default() }
     }
 
-    /// The rate a thin customer asks at: the last one read, drifting back to half of its quota.
+    /// Estimated demand of a sampled customer, units per second: the last reading, decaying to 0.9 x rate.
     pub(super) fn habit(&self, now: Millis) -> f64 {
         let usual = self.plan.rate * 0.9;
         self.view.map_or(usual, |(at, rate)| usual + (rate - usual) * (-(now - at) / HABIT).exp())
     }
 
-    /// Takes in a thin customer's total: what is asked in the window is the rise since the last read, and
-    /// for what of the window lies before that, the habit.
+    /// Updates a sampled customer's rate from the rise of its total, and before the last read from the
+    /// estimate.
     pub(super) fn glimpse(&mut self, now: Millis, total: f64, own: f64) {
         let (window, habit) = (self.window(), self.habit(now));
         let tally = &mut self.tallies[ACCEPTED];
         let rise = if total < tally.total { total } else { total - tally.total };
-        // What this call added itself stands in every total: counted, each read would see that much too much.
+        // The total includes what this call added; counting it would overestimate each read.
         let rise = (rise - own).max(0.0);
         let span = (now - tally.read_at).max(1.0);
         let before = habit * (window - span).max(0.0) / 1000.0;
@@ -64,7 +63,7 @@
         self.view = Some((now, (rise * (window / span).min(1.0) + before) * 1000.0 / window));
     }
 
-    /// Lets buckets age out and both stores refill.
+    /// Drops old window buckets and refills the buckets of quota and ceiling up to `now`.
     pub(super) fn age(&mut self, now: Millis, part: f64) {
         self.counts.drop_before(now - self.window(), BUCKET);
         let past = (now - self.drained_at).max(0.0) / 1000.0;
@@ -74,7 +73,7 @@
         self.lease = (self.lease + past * self.plan.ceiling_rate * part).min(self.plan.ceiling_burst * part);
     }
 
-    /// Books units at a time within the window.
+    /// Records units at a time within the window, `mine` of them by this gateway.
     pub(super) fn book(&mut self, kind: usize, at: Millis, units: f64, mine: f64) {
         self.counts.add(at, BUCKET, kind, units, mine);
         if kind == ACCEPTED {
@@ -82,20 +81,20 @@
         }
     }
 
+    /// Returns the units of both kinds observed after `from`.
     pub(super) fn observed_since(&self, from: Millis) -> f64 {
         self.counts.since(from, BUCKET)
     }
 
-    /// This gateway's share of the customer, smoothed towards 1 / spread where little was seen. Where a read
-    /// is near or there is none it is that of the last: what is presumed since would draw it there too.
+    /// Returns this gateway's share of the customer's use, smoothed towards 1 / spread for few samples.
+    /// Unless `trusted` is `STALE`, it is the share at the last read, because later estimates would bias it.
     pub(super) fn share(&self, trusted: Millis) -> f64 {
         let seen = (self.counts.mine() + 1.0) / (self.accepted() + self.spread);
         let last = self.share.filter(|_| trusted != STALE);
         last.unwrap_or(seen.clamp(1.0 / (4.0 * self.spread), 1.0))
     }
 
-    /// The pace of this customer's calls: one far from its quota gives way to those near it, of which an
-    /// old view costs most.
+    /// Returns the call pace for this customer; it is lower near the quota, where stale data costs most.
     pub(super) fn pace(&self, now: Millis, pace: f64) -> f64 {
         let asked = match self.thin {
             true => self.view.map_or(0.0, |_| self.habit(now) / self.plan.rate),
@@ -104,7 +103,7 @@
         pace.powf(1.0 - NEAR_PACE * asked.min(1.0))
     }
 
-    /// It asks for more than its quota.
+    /// Whether demand in the window exceeds the quota.
     pub(super) fn pressed(&self, now: Millis) -> bool {
         self.plan.rate > 0.0 && self.observed_since(now - self.window()) >= self.plan.burst
     }
@@ -113,7 +112,7 @@
         Verdict::Refuse { retry_after: self.refill(units).max(TICK) }
     }
 
-    /// Nothing is left to remember of a customer that has not come for so long.
+    /// Whether the customer can be dropped because its state equals that of a new one.
     pub(super) fn forgettable(&self, now: Millis) -> bool {
         let full = |burst: f64, rate: f64| if rate > 0.0 { 1000.0 * burst / rate } else { 0.0 };
         let plan = &self.plan;
@@ -124,10 +123,10 @@
             && (!self.thin || self.habit(now) < self.plan.rate)
     }
 
-    /// Books a request of this gateway. While the customer asks for more than its quota, and while the
-    /// counter is silent or too crowded for it to be read, the others are presumed to use their share at the
-    /// same time: danger is one refill granted by each gateway, and it hurts where traffic moves meanwhile.
-    /// The next read takes it back; after a silence, the first that may hold what all have told.
+    /// Records a request of this gateway. While demand exceeds the quota, or the counter is unavailable or
+    /// too loaded to be read, the others are assumed to use their shares too: otherwise each gateway would
+    /// grant the same refill. Traffic that moves between gateways meanwhile is underserved. The next read
+    /// removes the estimate; after an outage, the first that can include every gateway's use.
     pub(super) fn record(&mut self, now: Millis, kind: usize, units: f64, trusted: Millis) {
         self.lease -= if kind == ACCEPTED { units } else { 0.0 };
         if self.thin {
@@ -147,7 +146,7 @@
         self.tallies[kind].pending += units;
     }
 
-    /// The suppression factor: 1 - rate / perceived rate, kept for a moment.
+    /// Returns the suppression factor, 1 - rate / perceived rate, from the cache if it is recent.
     pub(super) fn suppression(&mut self, now: Millis) -> f64 {
         if let Some((_, factor)) = self.factor.filter(|f| now - f.0 < FACTOR_CACHE) {
             return factor;
@@ -159,15 +158,15 @@
         factor
     }
 
-    /// Takes in a total read under `kind`: what rose beyond this gateway's own adds is the others' use.
+    /// Applies a total read for `kind`: its rise beyond this gateway's own adds is the use of others.
     pub(super) fn read(&mut self, now: Millis, kind: usize, total: f64, settled: bool) {
         let tally = &mut self.tallies[kind];
         let sent = tally.in_flight.take().unwrap_or(0.0);
-        // A total below the last one plus this add: the counter came back empty and counts anew.
+        // A total below the last one plus this add means that the counter restarted empty.
         let base = if total + 0.01 < tally.total + sent { 0.0 } else { tally.total };
         let rise = (total - base - sent).max(0.0);
         let arrived = rise.min(tally.doubt);
-        // What was in doubt and did not arrive is told again, once.
+        // Unconfirmed units that did not arrive are reported once more.
         tally.pending += if base > 0.0 || tally.total == 0.0 { tally.doubt - arrived } else { 0.0 };
         tally.doubt = 0.0;
         tally.total = total;
@@ -178,7 +177,7 @@
         }
     }
 
-    /// Books others' units evenly over the time since the last read, in place of what was presumed of them.
+    /// Spreads others' units evenly over the time since the last read and, if `settled`, drops the estimates.
     pub(super) fn even_out(
         &mut self,
         now: Millis,
@@ -205,12 +204,12 @@
 }
 
 impl Quotas {
-    /// A keeper that knows nothing yet but its settings.
+    /// Creates an instance without customers; `seed` determines its random decisions.
     pub fn new(set: QuotaSettings, seed: u64) -> Self {
         Quotas::blank(set, Calling { pace: 1.0, ..Calling::default() }, 1.0, seed)
     }
 
-    /// Takes new settings. Plans stand where they stood before.
+    /// Applies new settings, also to known customers. Plans keep their indexes.
     pub fn apply_settings(&mut self, set: QuotaSettings) {
         for customer in self.customers.values_mut() {
             if let Some(plan) = set.plans.get(customer.of.0) {
@@ -220,14 +219,14 @@
         self.set = set;
     }
 
-    /// From now on this process uses this part of what is a gateway's own.
+    /// Sets the fraction of the gateway's own limits that this process uses from now on.
     pub fn set_process_share(&mut self, now: Millis, part: f64) {
-        // What has grown so far grew at the part before.
+        // Refill up to now used the previous share.
         let before = std::mem::replace(&mut self.part, part);
         self.customers.values_mut().for_each(|c| c.age(now, before));
     }
 
-    /// A request has come in: its customer is known from here on, and its count may be asked for.
+    /// Registers an arriving request: creates its customer if unknown and may start a counter call.
     pub fn register(&mut self, now: Millis, draw: &mut QuotaRequest, actions: &mut Vec<Action>) {
         let plan = self.set.plans.get(draw.plan.0).cloned().unwrap_or_default();
         let most = self.set.max_units.max(1.0);
@@ -238,23 +237,23 @@
         self.untold.insert(draw.customer);
     }
 
-    /// Meets and weighs at once, for a caller that holds nothing: no count is waited for. A `Wait` is then
-    /// the caller's to decide.
+    /// Registers and evaluates a request without waiting for the counter, for callers that hold no requests.
+    /// On `Wait` the caller decides.
     pub fn admit(&mut self, now: Millis, mut draw: QuotaRequest, actions: &mut Vec<Action>) -> Verdict {
         self.register(now, &mut draw, actions);
         draw.asked = false;
         self.evaluate(now, &mut draw, false)
     }
 
-    /// Books what became of a request: sent on within its quota, or declined for whatever reason. What is
-    /// sent on beyond takes nothing from the store, so it counts as declined. [`Quotas::tick`] tells it.
+    /// Records whether a request was sent on within its quota (`sent`) or declined. One sent on beyond the
+    /// quota takes no tokens and counts as declined. [`Quotas::tick`] reports it to the counter.
     pub fn record(&mut self, now: Millis, customer: CustomerId, units: f64, sent: bool) {
         if self.book(now, customer, units, sent) {
             self.untold.insert(customer);
         }
     }
 
-    /// The same where the customer is told of anyway; false if it has no quota.
+    /// Records a request without scheduling a report; returns false if the customer has no quota.
     pub(super) fn book(&mut self, now: Millis, customer: CustomerId, units: f64, sent: bool) -> bool {
         let (part, trusted) = (self.part, self.calling.trusted(now));
         let Some(c) = self.customers.get_mut(&customer).filter(|c| c.plan.rate > 0.0) else { return false };
@@ -263,8 +262,8 @@
         true
     }
 
-    /// What its quota says of a request that was met, again for one that waits. While the caller is calm,
-    /// one beyond the quota may go on where that earns more than it costs.
+    /// Decides on a registered request; repeated for one that waits. If the caller has spare capacity
+    /// (`calm`), a request beyond the quota may pass where it earns more than it costs.
     pub fn evaluate(&mut self, now: Millis, draw: &mut QuotaRequest, calm: bool) -> Verdict {
         let roll = self.chance();
         let (counter, trusted, part) = (self.set.counter, self.calling.trusted(now), self.part);
@@ -275,8 +274,8 @@
         if plan.rate > 0.0 {
             c.age(now, part);
         }
-        // A gateway's part of the ceiling is its own, empty at first: danger is that many do not hear each
-        // other, restart, or find the counter down. It hurts traffic gathered on one gateway, which waits.
+        // Each gateway's share of the ceiling is its own and empty at first, so that it holds when gateways
+        // are partitioned, restart or lose the counter. Traffic concentrated on one gateway has to wait.
         let short = plan.ceiling_rate > 0.0 && c.lease < units;
         if c.thin {
             if draw.asked && c.tallies[ACCEPTED].in_flight.is_some() && waited < COUNT_WAIT {
@@ -284,7 +283,7 @@
             }
             let rate = c.habit(now);
             let within = rate * c.window() / 1000.0 + units <= plan.burst || roll >= 1.0 - plan.rate / rate;
-            // A client's repeat was refused elsewhere: with its customer unknown, likely with reason.
+            // A repeat was refused by another gateway, so an unknown customer is probably over its quota.
             let doubtful = draw.repeat && c.view.is_none() && counter;
             draw.passed |= within && !doubtful || plan.over_worth > plan.over_cost && calm;
             return match draw.passed {
@@ -296,20 +295,18 @@
         if short {
             return Verdict::Wait;
         }
-        // Open cap: each gateway keeps to a fair share, so it holds though no other can be
-        // heard. It hurts a customer gathered on one gateway while servers are slow; it waits for a slot.
+        // Concurrency quota: each gateway enforces a fair share, so it holds without communication. A
+        // customer concentrated on one gateway waits for a slot while servers are slow.
         if plan.max_open > 0.0 && c.open >= (plan.max_open * part / c.spread).floor().max(1.0) {
             return Verdict::Wait;
         }
-        // A customer that asks more than its quota gets all of it either way, so a reserve costs it nothing
-        // lasting and takes up what the others sent unseen.
-        // Where reads are rare all others may meet the same refill unseen, so more of it is kept.
+        // A customer over its quota gets all of it either way, so the reserve costs it nothing lasting and
+        // covers unreported use of others. Rare reads need more, as all may grant the same refill.
         let ahead = if trusted.is_finite() { AHEAD * plan.burst } else { 0.0 };
         let kept = (units / c.share(trusted) - units).min(ahead);
         let reserve = if c.pressed(now) { kept.max(RESERVE * plan.burst) } else { 0.0 };
         let units = units + reserve;
-        // Refill: the window forgets that the store refills meanwhile, so after a burst it refuses what
-        // the quota still holds. What the same counts leave in the store passes too.
+        // The window ignores the refill; after a burst, what fits into the token bucket passes as well.
         if plan.debt > 0.0 && c.used > plan.burst {
             return c.refuse(draw.units);
         }
--- a/crates/limiter-core/src/logic/choice.rs
+++ b/crates/limiter-core/src/logic/choice.rs
@@ -1,65 +1,63 @@
-//! Server choice: the list, what is known of each server, and the cheapest.
+//! Server selection: applies the server list, tracks server health and picks the cheapest server.
 
 use super::*;
 
-/// Weight of a new sample in a server's or class's mean answer time: about the last ten.
+/// Weight of a new sample in a mean response time; about the last ten count.
 const MEAN_GAIN: f64 = 0.1;
-/// The same where a server is met every few seconds only: its last three answers are all that counts.
+/// Weight of a new sample for servers that are contacted every few seconds; about the last three count.
 const RARE_GAIN: f64 = 0.3;
-/// The same for an attempt that was given up.
+/// Weight of an attempt without a response at servers that are contacted rarely.
 const LOST_GAIN: f64 = 0.4;
-/// A server not heard of drifts back to the fleet's mean with this time constant, ms, so that a slow
-/// spell is not remembered for ever.
+/// Decay time constant, to the fleet's mean, of a server without samples, ms: slow periods are forgotten.
 const FORGET: Millis = 4000.0;
-/// And with so many turns of all servers, where these take less time: one that is avoided is heard of again.
+/// Upper bound of that time constant in rounds over all servers, so that an avoided server is retried.
 const FORGET_TURNS: f64 = 30.0;
-/// A gateway keeps to as many servers as it sends requests in this time, ms, or to the least: so it hears of
-/// each every few seconds, however many there are.
+/// A subset has as many servers as the gateway sends requests in this time, ms, or the minimum, so that each
+/// is contacted every few seconds in a fleet of any size.
 const SUBSET_SPAN: Millis = 1500.0;
 const SUBSET_LEAST: f64 = 8.0;
-/// With a subset, what is known of a server is kept this many times longer; reported crowding its square.
+/// Factor on the retention of server statistics in a subset; reported load is retained its square longer.
 const SPARSE_FORGET: f64 = 3.0;
-/// Failures in a row that eject a server.
+/// Consecutive failures that eject a server.
 const EJECT_AFTER: u32 = 3;
-/// How long answers and failures of a server count, ms: long beside the time in which a gateway meets it.
+/// Decay time constant of a server's failure ratio, ms; long beside the time between two requests to it.
 const FAIL_KEEP: Millis = 20_000.0;
-/// Answers that a server is believed to have served well before its first: one failure is no habit yet.
+/// Successes assumed before a server's first response, so that a single failure weighs little.
 const FAIL_PRIOR: f64 = 2.0;
-/// Standard errors within which failures may be an accident, and what each share beyond costs.
+/// Standard errors within which failures may be random, and the cost factor of the ratio beyond them.
 const FAIL_SURE: f64 = 1.64;
 const FAIL_COST: f64 = 40.0;
-/// And the most that they add: one that others cannot stand in for is used all the same.
+/// Maximum added cost of failures, so that a server without alternatives is still used.
 const FAIL_MOST: f64 = 0.5;
-/// First ejection, ms; doubles up to eight times this.
+/// First ejection time, ms; it doubles up to eight times this.
 const EJECT_FOR: Millis = 1000.0;
-/// A server that turned a request away as full is passed over for this long, ms.
+/// Pause after a server rejected a request as overloaded, ms.
 const FULL_PAUSE: Millis = 100.0;
-/// That pause is this many times longer where a server is met every few seconds only.
+/// Factor on that pause for servers that are contacted every few seconds.
 const RARE_PAUSE: f64 = 20.0;
-/// Answer times are told apart from here on, ms: below it they are mostly the way there and back.
+/// Response times below this are not distinguished, ms: they are mostly network time.
 const LEAST_MEAN: Millis = 1.0;
-/// Requests that a server's mean answer time stands on, with MEAN_GAIN: (2 - g) / g.
+/// Effective number of samples in a mean response time with gain g = MEAN_GAIN: (2 - g) / g.
 const SAMPLES: f64 = (2.0 - MEAN_GAIN) / MEAN_GAIN;
-/// A server's mean within so many standard errors of the fleet's says nothing of the server.
+/// A server's mean within this many standard errors of the fleet's is treated as equal to it.
 const NOISE: f64 = 2.0;
-/// Cost that a server's last request adds, fading while all others have their turn: equal ones take turns.
-/// Less than CROSS_ZONE.
+/// Relative cost of a server's last request, decaying over a round: equal ones rotate. Below CROSS_ZONE's.
 const TURN: f64 = 0.04;
-/// A server that was sent nothing for this long, ms, is no dearer for being cold.
+/// A cold server that was sent nothing for this long, ms, costs no more than a warm one.
 const OVERDUE: Millis = 1500.0;
-/// The same for chance: gateways are not to take turns in step.
+/// Random relative cost, so that gateways do not rotate in step.
 const CHANCE: f64 = 0.06;
-/// Cost of another zone beside the near one: a tie-breaker only.
+/// Cost multiplier of a remote zone; only a tie-breaker.
 const CROSS_ZONE: f64 = 1.1;
 
 impl Server {
-    /// Answers and failures among them as they count by now.
+    /// Returns the decayed numbers of responses and of failures among them.
     fn tried(&self, now: Millis) -> (f64, f64) {
         let left = (-(now - self.tried_at).max(0.0) / FAIL_KEEP).exp();
         (self.tried.0 * left, self.tried.1 * left)
     }
 
-    /// Share of its answers that fail and are no accident: the lower end of Wilson's interval.
+    /// Returns the lower bound of the Wilson score interval of its failure ratio.
     fn failing(&self, now: Millis) -> f64 {
         let (answers, failures) = self.tried(now);
         let (n, z) = (answers + FAIL_PRIOR, FAIL_SURE);
@@ -71,6 +69,7 @@
 }
 
 impl Gateway {
+    /// Applies a server list update.
     pub(super) fn list(&mut self, now: Millis, update: ListUpdate, entries: Vec<ServerEntry>) {
         if update == ListUpdate::Failed {
             self.acts.push(Action::Watch);
@@ -88,10 +87,10 @@
             let (started, fleet, roll) = (entry.started, self.flow.mean, self.chance());
             let known = self.servers.entry(entry.server).or_default();
             if known.heard == 0.0 || known.entry.started != started {
-                // A new process: what was known of the old one is void, but its attempts still end.
+                // The server restarted: old statistics are invalid, but open attempts will still end.
                 let (out, mean) = (known.out, fleet);
                 let sent_at = if self.set.max_cold_rate > 0.0 { known.sent_at } else { 0.0 };
-                // Its first token comes to each gateway at another moment: danger is one from all at once.
+                // A random first token, so that the gateways do not all send to it at the same moment.
                 let own = Server { out, mean, sent_at, heard: now, ..Server::default() };
                 *known = Server { tokens: roll, tokens_at: now, ..own };
             }
@@ -105,7 +104,7 @@
         }
     }
 
-    /// Share of its full capacity that a server surely has by now.
+    /// Returns the fraction of its full capacity that a server is certain to have.
     pub(super) fn warmth(set: &Settings, now: Millis, server: &Server) -> f64 {
         let age = now - server.entry.started;
         if server.entry.started <= 0.0 || age >= set.warm_after {
@@ -114,7 +113,7 @@
         set.cold_start + (1.0 - set.cold_start) * (age / set.warm_after).max(0.0)
     }
 
-    /// The cheapest server a request may go to: mean answer time times what is out there already.
+    /// Returns the eligible server with the lowest cost: mean response time times load, with corrections.
     pub(super) fn choose(&mut self, now: Millis, open: &Open) -> Option<ServerId> {
         let ran = open.attempts.iter().find(|a| a.may_have_run).copied();
         let bound = ran.and_then(|a| self.servers.get(&a.server)).map(|s| (s.entry.zone, s.entry.cell));
@@ -122,15 +121,15 @@
         let (ready, in_reach) = (self.ready(0).count(), self.ready(within).count());
         let sound = |s: &Server| s.ejected_until <= now && (s.fails < EJECT_AFTER || s.out < 1.0);
         let healthy = self.servers.values().filter(|s| s.within(within) && sound(s)).count();
-        // Subsetting: danger is that evidence of each server comes too rarely to act on. Of a subset, in an
-        // order of this gateway's own, two are compared: all compared would send many gateways to one server
-        // at once. It covers every kind of slowness and hurts by uneven shares, which load reports even out.
+        // Subsetting: in a large fleet, samples of each server would be too rare to act on. Two servers of
+        // the subset, in this gateway's own order, are compared; comparing all would send many gateways to
+        // the same server. Shares become uneven, which load reports compensate.
         let most = (self.flow.send_rate * SUBSET_SPAN).max(given(self.set.min_subset_size, SUBSET_LEAST));
         let size = if self.set.sparse { ready as f64 } else { most };
         let subset = size < ready as f64 || self.set.sparse;
         self.flow.subset = subset;
-        // Noise decides nothing: danger is that the server which was luckiest so far gets all, and is the
-        // only one that is heard of. What lies beyond it counts from there.
+        // Differences within the noise are ignored; otherwise the server with the luckiest samples would get
+        // all requests and be the only one sampled. Only the excess over the noise counts.
         let fleet = self.flow.mean.max(LEAST_MEAN);
         let noise = NOISE * (self.flow.spread / SAMPLES).sqrt();
         let told = |mean: Millis| match mean.max(LEAST_MEAN) - fleet {
@@ -144,7 +143,7 @@
         let all_warm = || self.servers.values().filter(warm).count().max(1) as f64;
         let rate = self.flow.send_rate;
         let rate_to_warm = if subset { rate / size } else { (rate / all_warm()).max(0.0005) };
-        // Several gateways before the same servers divide what a cold one may be sent: each has its bound.
+        // All gateways together must not overload a cold server, so each has its own rate limit.
         let cold_most = given(self.set.max_cold_rate / 1000.0, f64::INFINITY);
         let mut able = Vec::new();
         for id in self.ranked.clone() {
@@ -167,15 +166,15 @@
             {
                 continue;
             }
-            // Ejection holds while half of those in reach are sound; past that, slowness is everyone's and
-            // only servers that cannot be reached stay out.
+            // Ejection applies while at least half of the servers in reach are healthy; below that the
+            // problem is general, and only unreachable servers stay ejected.
             if !sound(s) && (2 * healthy >= in_reach || s.unreachable) {
                 continue;
             }
             if warmth < 1.0 {
-                // Slow start: each gateway sends a cold server no more than its own mean rate to a warm one,
-                // scaled by the surely present capacity; danger is toppling it, by a burst or together. Half
-                // as much again from each of a hundred gateways toppled one by chance.
+                // Slow start: each gateway sends a cold server at most its mean rate to a warm one, scaled by
+                // the certain capacity, so that neither a burst nor all gateways together overload it. With
+                // 1.5 times that rate, a hundred gateways overloaded a server by chance.
                 let rate = (warmth * rate_to_warm).min(cold_most);
                 s.tokens = (s.tokens + (now - s.tokens_at).max(0.0) * rate).min(1.0);
                 s.tokens_at = now;
@@ -183,7 +182,7 @@
                     continue;
                 }
             }
-            // Another zone is dearer only where that is set: it is met the less.
+            // Only a configured zone cost also reduces the probability of drawing the server.
             let usual = if s.entry.zone == self.set.zone { 1.0 } else { CROSS_ZONE };
             let set = self.set.zone_cost.get(usize::from(s.entry.zone)).copied();
             let (zone, rarer) = (set.unwrap_or(usual), set.unwrap_or(1.0));
@@ -191,7 +190,7 @@
         }
         let mut able = self.heed(now, open, able);
         if subset && able.len() > 2 {
-            // Cold ones are met as rarely as they are weak: so all gateways together send each its part.
+            // Drawn in proportion to warmth, so that all gateways together match a cold server's capacity.
             let first = self.draw(&able);
             let one = able.swap_remove(first);
             let other = able.swap_remove(self.draw(&able));
@@ -206,9 +205,8 @@
             let fade = (-(now - s.crowd_at).max(0.0) / (FAST_SPAN * slack * slack)).exp();
             let crowd = usual + (s.crowd - usual) * fade;
             let turn = TURN * (-(now - s.sent_at).max(0.0) / round).exp() + CHANCE * able.roll;
-            // An attempt that is out for longer says so before it ends; warmth the draw has weighed. A cold
-            // one that may be sent something and has had nothing for long has its turn: its tokens are its
-            // guard.
+            // In a subset, the age of the oldest open attempt counts before it ends, and the draw has already
+            // weighted warmth. An idle cold server costs as much as a warm one, since its tokens protect it.
             let (mean, warmth) = match subset {
                 true => (mean.max(self.longest_out(now, able.id)), 1.0),
                 false if now - s.sent_at > OVERDUE => (mean, 1.0),
@@ -220,7 +218,7 @@
         able.into_iter().map(cost).min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 
-    /// One of those that may be chosen, by chance, as often as it is warm and near.
+    /// Draws the index of a candidate with a probability proportional to warmth over zone cost.
     pub(super) fn draw(&mut self, able: &[Able]) -> usize {
         let mut left = self.chance() * able.iter().map(|a| a.warmth / a.rarer).sum::<f64>();
         able.iter()
@@ -231,6 +229,7 @@
             .unwrap_or(0)
     }
 
+    /// Applies a server's load report.
     pub(super) fn note_load(&mut self, now: Millis, server: ServerId, load: &[f64]) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         for (what, value) in self.set.report.iter().zip(load) {
@@ -246,7 +245,7 @@
         }
     }
 
-    /// Takes the end of an attempt as evidence of its server's health.
+    /// Updates a server's health and response time from the end of an attempt.
     pub(super) fn learn(
         &mut self,
         now: Millis,
@@ -278,9 +277,8 @@
             Outcome::Cancelled => {}
             _ => {
                 s.unreachable = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
-                // A server that fails at once looks quick, and one that is silent costs a whole aim. Where
-                // each is met rarely, the first such failure has to do, and the ejection to outlast the time
-                // between two requests to it.
+                // A fast failure looks like a fast server, and a silent one costs a whole target time.
+                // Servers contacted rarely are ejected at the first such failure, beyond their next request.
                 s.fails += if rare && outcome != Outcome::Error { EJECT_AFTER } else { 1 };
                 if s.fails >= EJECT_AFTER {
                     let span = EJECT_FOR * if rare { SPARSE_FORGET } else { 1.0 };
@@ -289,17 +287,17 @@
                 }
             }
         }
-        // A call that was given up took at least this long; one that ended early tells nothing of speed.
+        // An abandoned attempt took at least this long; one cancelled early says nothing about speed.
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut)
             || outcome == Outcome::Cancelled && took > s.mean
         {
-            // With few samples an attempt that found no end may be the only sign of a slow server.
+            // With few samples, an unfinished attempt may be the only sign of a slow server.
             let gain = match outcome {
                 Outcome::Ok if rare => RARE_GAIN,
                 _ if rare => LOST_GAIN,
                 _ => MEAN_GAIN,
             };
-            // One answer is no more than one: it neither stands alone nor brings back what was forgotten.
+            // A sample updates the decayed mean: it neither replaces it nor restores the decayed part.
             let (fleet, stale) =
                 (self.flow.mean, (-(now - s.heard).max(0.0) / self.flow.keep.max(1.0)).exp());
             let known = if s.mean > 0.0 { fleet + (s.mean - fleet) * stale } else { fleet.max(LEAST_MEAN) };
--- a/crates/limiter-core/src/logic/counter.rs
+++ b/crates/limiter-core/src/logic/counter.rs
@@ -1,39 +1,39 @@
-//! The shared counter: what is told it and when, and what its totals say.
+//! Synchronization with the counter service: when use is reported, and how totals are applied.
 
 use super::*;
 
-/// Customers looked at for that in one housekeeping: however many there are, it takes no longer.
+/// Customers checked for removal per tick, which bounds the time of a tick.
 const IDLE_BATCH: usize = 32;
-/// Life of a counter name, ms: the longest that counters keep one.
+/// Lifetime of a counter key, ms; the longest that counter services keep one.
 const NAME_TTL: Millis = 60_000.0;
-/// Span of a thin customer's counter name, in windows: long enough to average, short enough to follow spikes.
+/// Epoch of a sampled customer's key, in windows: long enough to average, short enough to follow spikes.
 const THIN_EPOCH: f64 = 1.5;
-/// A thin customer's rate read within this, ms, is used as it is; after it, a call is waited for.
+/// Age up to which a sampled customer's rate is used without waiting for a counter call, ms.
 const FRESH: Millis = 1000.0;
-/// Least chance of a thin customer's call, however crowded the counter is.
+/// Minimum factor on a sampled customer's call probability while the counter is overloaded.
 const CALL_LEAST: f64 = 0.1;
-/// A call is slow past this share of its time-out.
+/// Fraction of the timeout above which a call counts as slow.
 const SLOW_CALL: f64 = 0.2;
-/// Longest pause between calls to a failing counter, ms: it is noticed again within this.
+/// Maximum backoff between calls to a failing counter, ms; its recovery is noticed within this time.
 const MAX_BACKOFF: Millis = 800.0;
-/// The counter is silent once calls have failed and none was answered for this long, ms: one that is crowded
-/// or loses a connection still answers others.
+/// The counter counts as unavailable after a failed call if none succeeded for this long, ms; one that is
+/// overloaded or lost a connection still answers other calls.
 const SILENT_AFTER: Millis = 1000.0;
-/// After a silence the counter holds what all have used only once each has tried it again and told, ms.
+/// Time after an outage until every gateway has retried and reported its use, ms.
 const SETTLE: Millis = MAX_BACKOFF + STALE;
-/// Factors of the pace between calls on a failed and on a quick one, and its bound. A counter works on calls
-/// that nobody waits for any more, so one that is asked too much answers next to none in time: calls are made
-/// rarer and larger until about one in twenty fails.
+/// Factors on the pace after a failed and after a fast call, and its maximum. A counter also processes calls
+/// that have timed out, so an overloaded one answers almost none in time: they become rarer and larger until
+/// about one in twenty fails.
 const PACE_UP: f64 = 1.4;
 const PACE_DOWN: f64 = 0.98;
 const PACE_MOST: f64 = 50.0;
-/// Calls fail together: the pace rises once in this time, ms.
+/// Minimum time between two increases of the pace, ms, because calls fail together.
 const PACE_STEP: Millis = 200.0;
-/// Share of the burst, in SYNC_SHAREs, that is never left untold for the pace.
+/// Maximum factor of the pace on sync threshold and interval, which bounds the unreported use.
 const PACE_SHARE: f64 = 4.0;
 
 impl Calling {
-    /// How old what was read of a customer may be, ms, for the others' use not to be presumed.
+    /// Returns the maximum age of a read, ms, up to which the use of other gateways is not estimated.
     pub(super) fn trusted(&self, now: Millis) -> Millis {
         match self.silent || now < self.settles_at {
             true => 0.0,
@@ -44,10 +44,10 @@
 }
 
 impl Quotas {
-    /// Counts a thin customer's request by chance, a call for each tenth of what may be or is asked in a
-    /// window: by its answer this request is decided, if what is known is old. The danger is that hundreds
-    /// of gateways drown the counter; it covers a slow counter, restarts and new customers, and it hurts
-    /// by the noise of what is counted for others.
+    /// Reports a sampled customer's request with a probability of about one call per tenth of a window's
+    /// units. Returns whether the request should wait for the reply because the last reading is old. Sampling
+    /// keeps hundreds of gateways from overloading the counter, also while it is slow, after restarts and for
+    /// new customers, at the price of noise in the totals.
     pub(super) fn ask(&mut self, now: Millis, draw: &QuotaRequest, actions: &mut Vec<Action>) -> bool {
         let (customer, units) = (draw.customer, draw.units);
         let roll = self.chance();
@@ -78,8 +78,8 @@
         old
     }
 
-    /// Tells the counter what is new of a customer, if that is due. The first call also reads what others
-    /// have told; while the counter is crowded it waits until the customer's use could matter.
+    /// Reports a customer's new use to the counter, if due. The first call also reads the use of others;
+    /// while the counter is overloaded, it is delayed until the customer's use is significant.
     pub(super) fn sync(&mut self, now: Millis, customer: CustomerId, actions: &mut Vec<Action>) {
         if !self.set.counter || now < self.calling.after {
             return;
@@ -104,9 +104,8 @@
             }
             return;
         }
-        // All customers' names end together, so while the counter is crowded only those that may be near
-        // their quota are read once more.
-
+        // All keys expire together: an overloaded counter gets final reads only of customers near their
+        // quota.
         for kind in [ACCEPTED, DECLINED] {
             let t = &mut c.tallies[kind];
             if t.in_flight.is_some() || kind == DECLINED && (t.pending <= 0.0 || t.pending < least || !due) {
@@ -130,7 +129,7 @@
         }
     }
 
-    /// A call to the counter has ended.
+    /// Handles the end of a counter call; `total` is used only with [`Outcome::Ok`].
     pub fn handle_reply(&mut self, now: Millis, name: CountName, outcome: Outcome, took: Millis, total: f64) {
         let ok = outcome == Outcome::Ok;
         let slow = took > SLOW_CALL * self.set.counter_timeout;
@@ -142,7 +141,7 @@
             (calling.pause, calling.after, calling.ok_at, calling.silent) = (0.0, 0.0, now, false);
             calling.pace *= if slow { 1.0 } else { PACE_DOWN };
         } else if outcome != Outcome::Reset && now - calling.paced_at >= PACE_STEP {
-            // A call that was lost with its connection tells nothing of how crowded the counter is.
+            // A call lost with its connection does not indicate an overloaded counter.
             (calling.pace, calling.paced_at) = (calling.pace * PACE_UP, now);
         }
         calling.pace = calling.pace.clamp(1.0, PACE_MOST);
@@ -175,8 +174,7 @@
         } else if ok {
             c.read(now, kind, total, settled);
         } else {
-            // Through a silence, what has left the window is nobody's concern any more: told at its end, all
-            // that each gateway kept would stand for use of the moment.
+            // In an outage, units that left the window are dropped; reported later, they would look current.
             let mine = if kind == ACCEPTED { c.counts.mine() } else { c.counts.of(kind) };
             let kept = if self.calling.silent { mine } else { f64::INFINITY };
             let t = &mut c.tallies[kind];
@@ -187,7 +185,7 @@
         }
     }
 
-    /// Housekeeping, every 20 ms or so: tells the counter what is due, and forgets who has not come for long.
+    /// Periodic work, to be called about every 20 ms: reports due use and drops idle customers.
     pub fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.forget(now);
         for id in self.untold.iter().copied().collect::<Vec<_>>() {
@@ -195,7 +193,7 @@
         }
     }
 
-    /// Forgets customers that have not come for long, some at a time.
+    /// Drops idle customers, one batch per call.
     fn forget(&mut self, now: Millis) {
         let batch: Vec<CustomerId> =
             self.customers.range(self.looked..).take(IDLE_BATCH).map(|(id, _)| *id).collect();
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -1,5 +1,5 @@
-//! Every decision of a gateway, in the order a request meets them. The vocabulary (settings, events,
-//! actions) is in `interface.rs`; the rule and each departure from it are told in `docs/design/limiter.md`.
+//! Decision logic of a gateway, in the order in which it applies to a request. Settings, events and actions
+//! are defined in `interface.rs`; `docs/design/limiter.md` describes the design and each departure from it.
 
 mod admission;
 mod choice;
@@ -11,30 +11,30 @@
 use crate::state::*;
 pub use crate::state::{Gateway, Quotas};
 
-/// Shortest time between two syncs of a customer, ms: one bucket.
+/// Minimum time between two syncs of a customer, ms; one window bucket.
 const SYNC_EVERY: Millis = 250.0;
-/// Share of the burst that must be new before a sync: a tenth keeps calls rare and the view useful.
+/// Fraction of the burst that must be unreported before a sync; a tenth balances call rate and accuracy.
 const SYNC_SHARE: f64 = 0.1;
-/// Smaller use is told after this, ms, so that nothing stays unsent for long.
+/// Time after which smaller use is reported as well, ms.
 const FLUSH_AFTER: Millis = 1000.0;
-/// Span of the fast rate that the perceived rate also looks at, ms.
+/// Span of the short-term rate, which is part of the perceived rate, ms.
 const FAST_SPAN: Millis = 1000.0;
-/// Span of one counter name, ms: half of NAME_TTL, so that a name can be closed after its span.
+/// Epoch of a counter key, ms; half of NAME_TTL, so that an expired key can still be read once.
 const EPOCH: Millis = 30_000.0;
-/// Pace past which the counter is crowded; of a customer last read longer ago than this, ms, the others' use
-/// is then unknown.
+/// Pace above which the counter counts as overloaded.
 const CROWDED: f64 = 1.5;
+/// Age of a read, ms, from which the use of others counts as unknown while the counter is overloaded.
 const STALE: Millis = 1.2 * (SYNC_EVERY + FLUSH_AFTER);
-/// Period of the housekeeping timer, ms: short beside any aim.
+/// Period of the timer, ms; short beside any response-time target.
 const TICK: Millis = 20.0;
-/// Further attempts earned by each first one; RETRY_SAVED is the most that can be saved up.
+/// Retries that each first attempt adds to the retry budget; RETRY_SAVED is the capacity of the budget.
 const RETRY_EARN: f64 = 0.1;
 const RETRY_SAVED: f64 = 10.0;
-/// Attempts a server may start with in the concurrency limit, over all gateways.
+/// Initial concurrency limit in attempts per server, over all gateways.
 const START_LIMIT: f64 = 8.0;
 
 impl Gateway {
-    /// A gateway that knows nothing yet but its settings.
+    /// Creates a gateway without servers and requests; `seed` determines its random decisions.
     pub fn new(set: Settings, seed: u64) -> Self {
         let class_mean = set.classes.iter().map(|c| c.target / 5.0).collect();
         let flow = Flow { retries: given(set.retry_burst, RETRY_SAVED), ..Flow::default() };
@@ -42,7 +42,7 @@
         Gateway::blank(set, quotas, class_mean, flow)
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the actions to carry out.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         if !self.flow.started {
             self.flow.started = true;
@@ -75,8 +75,8 @@
         actions.append(&mut self.acts);
     }
 
-    /// Takes new settings. What is open keeps the class it came with; what was learnt of a class or a
-    /// customer stays with it. A class is new where none stood before.
+    /// Applies new settings. Open requests keep their class, and statistics of classes and customers are
+    /// kept. A class with deadline 0 does not exist, so one that replaces it starts with new statistics.
     fn apply_settings(&mut self, set: Settings) {
         for (i, class) in set.classes.iter().enumerate() {
             let stood = self.set.classes.get(i).is_some_and(|c| c.deadline > 0.0);
@@ -104,7 +104,7 @@
         let hopeless = open.due_at - now < self.mean(&open).max(2.0 * TICK) / 2.0;
         self.open.insert(id, open);
         if hopeless {
-            // What can no longer be served in time is not started, and would outlast the housekeeping.
+            // It cannot be served in time, and the timer might come too late to refuse it.
             return self.finish(now, id);
         }
         self.decide(now, id);
@@ -121,7 +121,7 @@
         match verdict {
             Verdict::Refuse { .. } => self.finish(now, id),
             Verdict::Wait => self.hold(id),
-            // All that it may go to have been taken out: waiting would only tell the client later.
+            // No allowed server accepts requests, so waiting would only delay the refusal.
             _ if self.ready(within).next().is_none() && !self.servers.is_empty() => self.finish(now, id),
             _ => {
                 if !self.place(now, id) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Ends a request: what was never sent counts as declined, what is still out is called off.
+    /// Closes a request: counts it as declined if it was never sent, and cancels its open attempts.
     fn close(&mut self, id: RequestId, now: Millis) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
         if open.attempts.is_empty() {
--- a/crates/limiter-core/src/logic/pressure.rs
+++ b/crates/limiter-core/src/logic/pressure.rs
@@ -1,12 +1,12 @@
-//! Pressure: what is sent on, what is held, and which of that is worthiest.
+//! Load shedding: sends attempts within the concurrency limit and orders held requests by value.
 
 use super::*;
 
-/// Requests held at once, as a share of the concurrency limit; past it the least worthy are refused early.
+/// Maximum held requests, as a fraction of the concurrency limit; beyond it the least valuable are refused.
 const HELD_SHARE: f64 = 0.5;
 
 impl Open {
-    /// How long an attempt is waited for from now: as long as its answer may earn something.
+    /// Returns the timeout of an attempt from now: as long as a response may still earn something.
     pub(super) fn time_out(&self, now: Millis) -> Millis {
         let until = if self.class.late_worth > 0.0 { self.ends_at } else { self.due_at };
         (until - now).max(1.0)
@@ -21,8 +21,8 @@
         let chosen = if free { self.choose(now, &open) } else { None };
         let open = self.open.entry(id).or_insert(open);
         let Some(server) = chosen else { return false };
-        // While a body is coming its server does nothing yet: it counts as out, also among its customer's,
-        // and its time runs, once it is whole.
+        // While a body is being received, its server is idle: the attempt counts towards concurrency, also of
+        // the customer, and its timeout starts once the body is complete.
         let whole = !open.request.uploading;
         let counts = f64::from(u8::from(whole));
         if let Some(s) = self.servers.get_mut(&server) {
@@ -51,7 +51,7 @@
         true
     }
 
-    /// Sends what is held, worthiest first, and refuses what can no longer meet its aim.
+    /// Sends held requests, most valuable first, and refuses those that can no longer meet their target.
     pub(super) fn serve_held(&mut self, now: Millis) {
         let mut order: Vec<(f64, RequestId)> = Vec::new();
         for id in std::mem::take(&mut self.held) {
@@ -63,7 +63,7 @@
             }
             let price = self.set.plans.get(open.request.plan.0).map_or(1.0, |p| p.price);
             let worth = open.class.worth * price * open.request.units / mean.max(1.0);
-            // Newer first among equals: under pressure the oldest would only just miss their aim.
+            // Newer requests first among equals: under overload the oldest would just miss their target.
             order.push((worth * (1.2 - (now - open.draw.arrived) / (open.due_at - open.draw.arrived)), id));
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
--- a/crates/limiter-core/src/logic/retries.rs
+++ b/crates/limiter-core/src/logic/retries.rs
@@ -1,17 +1,16 @@
-//! Further attempts and final answers.
+//! Ends of attempts, the concurrency limit, retries, hedging and final responses.
 
 use super::*;
 
-/// A second copy goes out once an attempt has run this many mean answer times: so late that it is for
-/// lost attempts only.
+/// Hedging delay as a multiple of the mean response time; long enough to hedge only lost attempts.
 const HEDGE_AFTER: f64 = 8.0;
-/// Mean answer time, as a share of the aim, at which the concurrency limit starts to fall.
+/// Mean response time, as a fraction of the target, above which the concurrency limit decreases.
 const SLOW_MARK: f64 = 0.27;
-/// Attempts a server that the concurrency limit never falls below, over all gateways.
+/// Lower bound of the concurrency limit in attempts per server, over all gateways.
 const LEAST_LIMIT: f64 = 2.0;
 
 impl Gateway {
-    /// The last byte of a body goes out: the request's time begins, and its server has something to do.
+    /// Starts the time limits of a request whose body has been sent completely.
     pub(super) fn uploaded(&mut self, now: Millis, id: RequestId, attempt: u8) {
         let Some(open) = self.open.get_mut(&id).filter(|o| o.ends_at == f64::INFINITY) else { return };
         let Some(a) = open.attempts.get_mut(usize::from(attempt)).filter(|a| a.live && !a.whole) else {
@@ -26,7 +25,7 @@
         self.count_out(customer, server);
     }
 
-    /// One more attempt is out: its customer's, its server's and this gateway's.
+    /// Counts an attempt in progress for its customer, its server and this gateway.
     pub(super) fn count_out(&mut self, customer: CustomerId, server: ServerId) {
         self.quotas.adjust_open_attempts(customer, 1.0);
         if let Some(s) = self.servers.get_mut(&server) {
@@ -35,8 +34,8 @@
         self.flow.out += 1.0;
     }
 
-    /// An attempt that ends before its body was whole never counted as out, has not run whatever brought it
-    /// down, and tells nothing of its server's speed.
+    /// Adjusts the outcome of an attempt that ended before its body was complete: it did not count towards
+    /// concurrency, was not executed, and says nothing about the server's speed.
     pub(super) fn ends_early(
         &mut self,
         id: RequestId,
@@ -48,7 +47,7 @@
         if open.attempts.get(usize::from(attempt)).is_none_or(|a| a.whole || !a.live) {
             return outcome;
         }
-        // What follows takes it off again, as it does with any other.
+        // The common handling of ended attempts subtracts it again.
         self.count_out(open.request.customer, server);
         match outcome {
             Outcome::Cancelled | Outcome::TimedOut => Outcome::NotSent,
@@ -56,6 +55,7 @@
         }
     }
 
+    /// Handles the end of an attempt: adapts the concurrency limit, then retries or answers the request.
     pub(super) fn ended(
         &mut self,
         now: Millis,
@@ -66,7 +66,7 @@
     ) {
         self.flow.out = (self.flow.out - 1.0).max(0.0);
         let Some(open) = self.open.get_mut(&id) else { return };
-        // A cold server takes long because it is cold: that is no queue, and no reason to send others less.
+        // A cold server is slow without a queue, so its response times are scaled before the limit sees them.
         let at = open.attempts.get(usize::from(attempt)).and_then(|a| self.servers.get(&a.server));
         let warmth = at.map_or(1.0, |s| Self::warmth(&self.set, now, s));
         let Some(a) = open.attempts.get_mut(usize::from(attempt)) else { return };
@@ -82,8 +82,7 @@
                 *mean += 0.03 * (took - *mean);
             }
             if self.flow.slowness > given(self.set.slow_threshold, SLOW_MARK) {
-                // Fewer than this cannot be a queue of ours: slowness then has other causes, and
-                // refusing more would only serve less, for ever.
+                // Below the floor slowness has other causes than our queue; a lower limit only serves less.
                 let floor = LEAST_LIMIT * self.servers.len() as f64 / self.set.gateways.max(1.0);
                 let floor = if self.flow.subset { floor } else { floor.max(2.0) }.max(self.set.min_limit);
                 self.flow.limit = (self.flow.limit * (1.0 - step)).max(floor);
@@ -108,8 +107,7 @@
         if live {
             return;
         }
-        // What met no server has loaded none: sent elsewhere it is the first attempt that counts, whatever is
-        // saved up. With an old list most first choices may be gone.
+        // A failed connection loads no server, so its retry is free: an outdated list may cause many of them.
         let price = if outcome == Outcome::ConnectFailed { 0.0 } else { 1.0 };
         let again = outcome != Outcome::Cancelled && self.may_repeat(now, id) && self.flow.retries >= price;
         if again && self.place(now, id) {
@@ -119,7 +117,7 @@
         self.finish(now, id);
     }
 
-    /// Whether another attempt is allowed and could still earn.
+    /// Whether another attempt is allowed and can still finish within the target.
     pub(super) fn may_repeat(&self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.get(&id) else { return false };
         let mean = self.mean(open);
@@ -133,7 +131,7 @@
         allowed && tries && !open.streaming && !open.spent && open.due_at - now > mean
     }
 
-    /// The final answer: refused where that is true and harmless, else failed.
+    /// Sends the final response: refused if the request did not run or may safely be repeated, else failed.
     pub(super) fn finish(&mut self, now: Millis, id: RequestId) {
         let Some(open) = self.open.get(&id) else { return };
         let ran = open.attempts.iter().any(|a| a.may_have_run);
@@ -148,10 +146,9 @@
         }
     }
 
-    /// When a refused client may find room: once its quota has refilled, and no sooner than an answer takes.
+    /// Returns the retry-after time: until the quota has refilled, at least a mean response time.
     pub(super) fn come_back(&self, open: &Open) -> Millis {
-        // Without a server an answer's time says nothing, and where answers take less than a housekeeping it
-        // would say "at once".
+        // Without servers response times are no guide; responses faster than a tick would give about 0.
         let least = if self.ready(open.request.within).next().is_none() {
             open.class.target
         } else {
@@ -161,6 +158,7 @@
         customer.map_or(0.0, |c| c.refill(open.request.units)).max(least).min(self.set.max_retry_after)
     }
 
+    /// Periodic work: restarts the timer, reports quota use and sends hedged attempts.
     pub(super) fn tick(&mut self, now: Millis) {
         self.acts.push(Action::Timer { after: TICK, name: 0 });
         self.quotas.tick(now, &mut self.acts);
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -1,5 +1,4 @@
-//! What a gateway remembers: plain records and what can be read off them, without a rule or a value of their
-//! own. Who sets and reads them, and why, is in `logic/`.
+//! State of a gateway: data records and simple accessors. The rules that read and update them are in `logic/`.
 
 use crate::interface::*;
 use crate::window::Window;
@@ -7,75 +6,90 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One that tries an ill server sends it something this often, ms, at most.
+/// Minimum time between two requests that probe an unhealthy server, ms.
 const TRY_EVERY: Millis = 400.0;
-/// What a returning server gets beside a well one.
+/// Share of requests that a returning server gets, relative to a healthy one.
 const TRICKLE: f64 = 0.25;
 
-/// The two counts kept for a customer: units sent on, and units declined for whatever reason. The
-/// design's observed count is their sum; kept apart, an answer to one alone is never inconsistent.
+/// Index of the count of units sent on. Accepted and declined units have separate counters, so that a reply
+/// to one of the two calls is consistent by itself; the observed use is their sum.
 pub(crate) const ACCEPTED: usize = 0;
+/// Index of the count of units declined for any reason.
 pub(crate) const DECLINED: usize = 1;
 
-/// What this gateway has told the counter under one kind, and what it last read.
+/// Synchronization state of one count of a customer with the counter service.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Tally {
+    /// Units not yet sent to the counter.
     pub(crate) pending: f64,
+    /// Units added by the outstanding call, if there is one.
     pub(crate) in_flight: Option<f64>,
-    /// Added without an answer: taken as arrived as far as the next total has risen.
+    /// Units of calls whose result is unknown; they count as added as far as the next total has risen.
     pub(crate) doubt: f64,
+    /// Total last read.
     pub(crate) total: f64,
+    /// Epoch of the counter key in use.
     pub(crate) epoch: i64,
+    /// Time of the last read.
     pub(crate) read_at: Millis,
-    /// The last epoch's name and total, while its closing read is out.
+    /// Key and last total of the previous epoch while its final read is outstanding.
     pub(crate) closing: Option<(CountName, f64)>,
 }
 
-/// What is known of one customer.
+/// Quota state of one customer at this gateway.
 #[derive(Default)]
 pub(crate) struct Customer {
     pub(crate) plan: Plan,
-    /// Where its plan stands in the settings.
+    /// Index of its plan in the settings.
     pub(crate) of: PlanId,
+    /// Number of gateways that receive its requests.
     pub(crate) spread: f64,
+    /// Time of its last request.
     pub(crate) touched: Millis,
+    /// Units observed in the sliding window.
     pub(crate) counts: Window,
     pub(crate) tallies: [Tally; 2],
+    /// Time of the last call to the counter.
     pub(crate) last_sync: Millis,
+    /// Cached suppression factor and the time of its computation.
     pub(crate) factor: Option<(Millis, f64)>,
-    /// This gateway's part of it, as of the last read.
+    /// This gateway's share of its use, as of the last read.
     pub(crate) share: Option<f64>,
 
-    /// Units missing from the store, as of `drained_at`.
+    /// Units missing from the token bucket, as of `drained_at`.
     pub(crate) used: f64,
     pub(crate) drained_at: Millis,
-    /// The first read is answered, or the counter has failed it.
+    /// Whether the first call has ended, successfully or not.
     pub(crate) known: bool,
-    /// This gateway's own part of the ceiling's store.
+    /// Tokens in this gateway's share of the ceiling's bucket.
     pub(crate) lease: f64,
+    /// Attempts in progress.
     pub(crate) open: f64,
-    /// Each gateway sees too little of it to batch; its rate last read, units a second, and when.
+    /// Whether each gateway sees too few of its requests to batch them, so that use is reported by sampling.
     pub(crate) thin: bool,
+    /// Time and value, in units per second, of the last rate estimate of a sampled customer.
     pub(crate) view: Option<(Millis, f64)>,
 }
 
 impl Server {
-    /// It stands in one of these zones.
+    /// Whether the server is in one of these zones, a bit mask in which 0 means all.
     pub(crate) fn within(&self, zones: u64) -> bool {
         zones == 0 || self.entry.zone < 64 && zones >> self.entry.zone & 1 == 1
     }
 }
 
 impl Customer {
+    /// Length of the sliding window: the time in which the rate refills the burst.
     pub(crate) fn window(&self) -> Millis {
         1000.0 * self.plan.burst / self.plan.rate
     }
 
+    /// Accepted units in the window.
     pub(crate) fn accepted(&self) -> f64 {
         self.counts.of(ACCEPTED)
     }
 
-    /// How long it takes for its quota to have room for so much.
+    /// Time until the quota has room for `units`.
     pub(crate) fn refill(&self, units: f64) -> Millis {
         let short = if self.thin { units } else { (self.used + units - self.plan.burst).max(0.0) };
         if self.plan.rate > 0.0 {
@@ -85,32 +99,39 @@
         }
     }
 
-    /// A call to the counter is out.
+    /// Whether a call to the counter is outstanding.
     pub(crate) fn busy(&self) -> bool {
         self.tallies.iter().any(|t| t.in_flight.is_some() || t.closing.is_some())
     }
 }
 
-/// What is known of one server.
+/// State of one server as this gateway knows it.
 #[derive(Default)]
 pub(crate) struct Server {
     pub(crate) entry: ServerEntry,
+    /// Attempts in progress.
     pub(crate) out: f64,
+    /// Mean response time.
     pub(crate) mean: Millis,
+    /// Time of the last response-time sample.
     pub(crate) heard: Millis,
-    /// When it was last sent an attempt.
+    /// Time at which the last attempt was sent.
     pub(crate) sent_at: Millis,
+    /// Load reported by the server, in equivalent concurrent attempts, and the time of the report.
     pub(crate) crowd: f64,
     pub(crate) crowd_at: Millis,
+    /// Consecutive failures.
     pub(crate) fails: u32,
-    /// Answers and failures among them, fading, as of `tried_at`.
+    /// Exponentially decayed numbers of responses and of failures among them, as of `tried_at`.
     pub(crate) tried: (f64, f64),
     pub(crate) tried_at: Millis,
+    /// Whether the last failure was one of the connection.
     pub(crate) unreachable: bool,
+    /// Consecutive ejections.
     pub(crate) ejections: u32,
     pub(crate) ejected_until: Millis,
     pub(crate) paused_until: Millis,
-    /// Attempts that a cold server may be sent now.
+    /// Tokens of the slow-start bucket, one per attempt.
     pub(crate) tokens: f64,
     pub(crate) tokens_at: Millis,
 }
@@ -120,14 +141,15 @@
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
     pub(crate) sent: Millis,
+    /// Whether the attempt is in progress.
     pub(crate) live: bool,
-    /// It is not proven that it never ran.
+    /// Whether the server may have executed it.
     pub(crate) may_have_run: bool,
-    /// Its body has gone out, and it counts as out.
+    /// Whether the body has been sent completely; from then on the attempt counts towards concurrency.
     pub(crate) whole: bool,
 }
 
-/// A setting, or what holds where it is left at nothing.
+/// Returns the setting if it is positive, and the default otherwise.
 pub(crate) fn given(set: f64, usual: f64) -> f64 {
     match set > 0.0 {
         true => set,
@@ -135,58 +157,68 @@
     }
 }
 
-/// A request that is owed an answer.
+/// A request that has not been answered yet.
 #[derive(Default)]
 pub(crate) struct Open {
     pub(crate) request: Request,
     pub(crate) draw: QuotaRequest,
     pub(crate) class: Class,
-    /// Attempts it may have; 0: no limit.
+    /// Maximum attempts; 0: unlimited.
     pub(crate) tries: u32,
+    /// Time at which the response-time target is missed.
     pub(crate) due_at: Millis,
+    /// Time at which the client gives up; negative infinity once the request is closed.
     pub(crate) ends_at: Millis,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) streaming: bool,
-    /// Its body cannot be sent again.
+    /// Whether the body cannot be sent again.
     pub(crate) spent: bool,
+    /// Whether it was admitted beyond the quota.
     pub(crate) beyond: bool,
 }
 
-/// What is known of the fleet and this gateway's own traffic as a whole.
+/// Aggregates of the fleet and of this gateway's own traffic.
 #[derive(Default)]
 pub(crate) struct Flow {
     pub(crate) started: bool,
-    /// Mean answer time of the fleet, and its ratio to the aims.
+    /// Mean response time of the fleet.
     pub(crate) mean: Millis,
+    /// Mean ratio of the response time to the target.
     pub(crate) slowness: f64,
-    /// How long what is known of a server's answer time is kept.
+    /// Time constant with which a server's mean response time decays to the fleet's.
     pub(crate) keep: Millis,
-    /// Variance of the fleet's answer times.
+    /// Variance of the fleet's response times.
     pub(crate) spread: f64,
-    /// This gateway keeps to a part of the fleet.
+    /// Whether this gateway uses only a subset of the fleet.
     pub(crate) subset: bool,
-    /// Nothing is sent before this.
+    /// No attempt is sent before this time.
     pub(crate) rest_until: Millis,
-    /// Mean reported crowding.
+    /// Mean reported load of a server.
     pub(crate) crowd: f64,
+    /// Attempts in progress.
     pub(crate) out: f64,
+    /// Concurrency limit.
     pub(crate) limit: f64,
-    pub(crate) retries: f64,   // further attempts saved up
-    pub(crate) send_rate: f64, // first sends a millisecond, decaying
+    /// Retry budget, in attempts.
+    pub(crate) retries: f64,
+    /// Exponentially decayed rate of first attempts per millisecond.
+    pub(crate) send_rate: f64,
     pub(crate) sent_at: Millis,
 }
 
-/// A server that a request may go to.
+/// A server that is eligible for a request.
 pub(crate) struct Able {
     pub(crate) id: ServerId,
     pub(crate) warmth: f64,
-    /// What its zone costs, and by how much it is met the less for that: only where costs are set.
+    /// Cost multiplier of its zone.
     pub(crate) zone: f64,
+    /// Divisor of its probability to be drawn: the configured zone cost, or 1.
     pub(crate) rarer: f64,
+    /// Random number from 0 to 1 that breaks ties.
     pub(crate) roll: f64,
 }
 
-/// The stable name of one customer's count of a kind in an epoch.
+/// Returns the counter key of a customer's count of one kind in an epoch; equal at all gateways.
 pub(crate) fn count_name(customer: CustomerId, kind: usize, epoch: i64) -> CountName {
     let mut x = customer.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((epoch as u64) << 1 | kind as u64);
     for _ in 0..2 {
@@ -195,71 +227,75 @@
     CountName(x ^ (x >> 32))
 }
 
-/// How calls to the counter fare.
+/// State of the calls to the counter service: backoff, availability and pace.
 #[derive(Default)]
 pub(crate) struct Calling {
-    /// Pause after failed calls.
+    /// Backoff after failed calls.
     pub(crate) pause: Millis,
+    /// Time before which no call is made.
     pub(crate) after: Millis,
-    /// When a call was last answered; the counter has been silent since.
+    /// Time of the last successful call.
     pub(crate) ok_at: Millis,
+    /// Whether the counter is considered unavailable.
     pub(crate) silent: bool,
-    /// After a silence others have not all told yet; they have by then.
+    /// Time by which all gateways have reported their use after the counter was unavailable.
     pub(crate) settles_at: Millis,
-    /// How many times rarer than usual calls are made, and when that last rose.
+    /// Factor by which calls are less frequent than usual.
     pub(crate) pace: f64,
+    /// Time at which the pace last rose.
     pub(crate) paced_at: Millis,
 }
 
-/// The customers' quotas as one gateway keeps them, together with all others through the counter. A
-/// [`Gateway`] has its own; alone it serves callers that decide all else themselves.
+/// Quota enforcement for all customers of one gateway, coordinated with other gateways through the counter
+/// service. A [`Gateway`] contains one; callers that make all other decisions themselves use it alone.
 pub struct Quotas {
     pub(crate) set: QuotaSettings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) customers: BTreeMap<CustomerId, Customer>,
-    /// Customers with something to tell the counter.
+    /// Customers with unreported use.
     pub(crate) untold: BTreeSet<CustomerId>,
-    /// Where the search for customers to forget has come to.
+    /// First customer of the next batch that is checked for removal.
     pub(crate) looked: CustomerId,
+    /// Outstanding calls: customer and kind by counter key.
     pub(crate) calls: BTreeMap<CountName, (CustomerId, usize)>,
-    /// The part that this process uses of what is a gateway's own.
+    /// Fraction of the gateway's own limits that this process uses.
     pub(crate) part: f64,
     pub(crate) calling: Calling,
 }
 
 impl Quotas {
-    /// The record of one that has met nobody yet.
+    /// Creates an instance that knows no customers.
     pub(crate) fn blank(set: QuotaSettings, calling: Calling, part: f64, seed: u64) -> Self {
         let (rng, (customers, untold, looked, calls)) = (Pcg64Mcg::seed_from_u64(seed), Default::default());
         Quotas { set, rng, customers, untold, looked, calls, part, calling }
     }
 
-    /// A random number from 0 up to 1.
+    /// Returns a random number from 0 up to but excluding 1.
     pub(crate) fn chance(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Customers of which something is remembered.
+    /// Number of customers with state at this gateway.
     pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 
-    /// The customer of whose accepted use a call to the counter tells, while the call is out.
+    /// Returns the customer whose accepted units an outstanding call reports; none for other calls.
     pub fn accepted_by(&self, name: CountName) -> Option<CustomerId> {
         self.calls.get(&name).filter(|(_, kind)| *kind == ACCEPTED).map(|(customer, _)| *customer)
     }
 
-    /// The customer of whom a call to the counter tells, while the call is out.
+    /// Returns the customer that an outstanding call concerns.
     pub fn customer_of(&self, name: CountName) -> Option<CustomerId> {
         self.calls.get(&name).map(|(customer, _)| *customer)
     }
 
-    /// Whether a customer's use is told by samples, not one for one.
+    /// Whether a customer's use is reported by sampling instead of unit by unit.
     pub fn is_sampled(&self, customer: CustomerId) -> bool {
         self.customers.get(&customer).is_some_and(|c| c.thin)
     }
 
-    /// So many more of a customer's attempts are out, or fewer.
+    /// Changes the number of a customer's attempts in progress by `more`, which may be negative.
     pub fn adjust_open_attempts(&mut self, customer: CustomerId, more: f64) {
         if let Some(c) = self.customers.get_mut(&customer) {
             c.open = (c.open + more).max(0.0);
@@ -267,53 +303,57 @@
     }
 }
 
-/// One gateway's decision module.
+/// Decision module of one gateway: admission, server selection, concurrency limit and retries.
 pub struct Gateway {
     pub(crate) set: Settings,
     pub(crate) servers: BTreeMap<ServerId, Server>,
     pub(crate) quotas: Quotas,
     pub(crate) open: BTreeMap<RequestId, Open>,
+    /// Requests that wait to be sent.
     pub(crate) held: Vec<RequestId>,
+    /// Mean response time by class.
     pub(crate) class_mean: Vec<Millis>,
-    /// The servers in this gateway's own order.
+    /// Servers in an order specific to this gateway.
     pub(crate) ranked: Vec<ServerId>,
+    /// Seed of that order.
     pub(crate) salt: u64,
     pub(crate) flow: Flow,
+    /// Actions of the event being handled.
     pub(crate) acts: Vec<Action>,
 }
 
 impl Gateway {
-    /// The record of one that has met nothing yet.
+    /// Creates a gateway that knows no servers and no requests.
     pub(crate) fn blank(set: Settings, mut quotas: Quotas, class_mean: Vec<Millis>, flow: Flow) -> Self {
         let (servers, open, salt) = (BTreeMap::new(), BTreeMap::new(), quotas.rng.next_u64());
         let (held, ranked, acts) = Default::default();
         Gateway { set, servers, quotas, open, held, class_mean, ranked, salt, flow, acts }
     }
 
-    /// A random number from 0 up to 1.
+    /// Returns a random number from 0 up to but excluding 1.
     pub(crate) fn chance(&mut self) -> f64 {
         self.quotas.chance()
     }
 
-    /// Customers of which something is remembered.
+    /// Number of customers with state at this gateway.
     pub fn customer_count(&self) -> usize {
         self.quotas.customer_count()
     }
 
-    /// Servers in these zones that take requests.
+    /// Returns the servers in these zones that accept requests.
     pub(crate) fn ready(&self, zones: u64) -> impl Iterator<Item = &Server> {
         self.servers.values().filter(move |s| s.entry.state == ServerState::Ready && s.within(zones))
     }
 
-    /// Mean answer time of a request's class.
+    /// Returns the mean response time of a request's class.
     pub(crate) fn mean(&self, open: &Open) -> Millis {
         self.class_mean.get(open.request.class.0).copied().unwrap_or(0.0)
     }
 
-    /// Of the servers that a request may go to those that stand best: what may run but once goes to well ones
-    /// only, what may run again to returning ones too, more rarely. Where there are none of these, all stay:
-    /// a request is never left without a server. Who is to try one that is ill sends it a first attempt now
-    /// and then.
+    /// Filters the eligible servers by health. Non-idempotent requests use healthy servers only; idempotent ones
+    /// also use returning servers, with a reduced weight. If no such server is left, all candidates are kept, so
+    /// that health alone never leaves a request without a server. A gateway that probes an unhealthy server
+    /// occasionally sends it a first attempt.
     pub(crate) fn heed(&self, now: Millis, open: &Open, mut able: Vec<Able>) -> Vec<Able> {
         let of = |a: &Able| self.servers.get(&a.id).map_or(Standing::Well, |s| s.entry.standing);
         if able.iter().all(|a| of(a) == Standing::Well) {
@@ -336,7 +376,7 @@
         able
     }
 
-    /// How long the oldest attempt that is out at a server has been so.
+    /// Returns the age of the oldest attempt in progress at a server, or 0.
     pub(crate) fn longest_out(&self, now: Millis, server: ServerId) -> Millis {
         let attempts = self.open.values().flat_map(|o| &o.attempts);
         attempts.filter(|a| a.live && a.server == server).map(|a| now - a.sent).fold(0.0, f64::max)
--- a/crates/limiter-core/src/window.rs
+++ b/crates/limiter-core/src/window.rs
@@ -1,26 +1,28 @@
-//! A sliding window of counts in buckets. Its width and the width of a bucket are the caller's.
+//! Sliding-window counter made of buckets. The caller chooses the widths of the window and of a bucket.
 
 use crate::interface::Millis;
 use std::collections::VecDeque;
 
-/// Counts of one bucket: by this gateway, and by all as far as known or presumed, of each of two kinds.
+/// Counts of one bucket.
 #[derive(Clone, Copy, Default)]
 struct Bucket {
     index: i64,
+    /// Units of this gateway.
     mine: f64,
+    /// Units of all gateways by kind, observed or estimated.
     seen: [f64; 2],
-    /// What of `seen` is presumed, until a read tells.
+    /// Part of `seen` that is an estimate, until the next read of the counter.
     presumed: [f64; 2],
 }
 
-/// Counts by the time at which they fell.
+/// Counts of accepted and declined units by time.
 #[derive(Default)]
 pub(crate) struct Window {
     buckets: VecDeque<Bucket>,
 }
 
 impl Window {
-    /// Drops the buckets that began before `from`.
+    /// Drops the buckets that began at or before `from`.
     pub(crate) fn drop_before(&mut self, from: Millis, width: Millis) {
         let first = (from / width).floor() as i64;
         while self.buckets.front().is_some_and(|b| b.index <= first) {
@@ -28,21 +30,21 @@
         }
     }
 
-    /// Adds `units` of a kind at a time, `mine` of them by this gateway.
+    /// Adds `units` of one kind at time `at`, `mine` of them by this gateway.
     pub(crate) fn add(&mut self, at: Millis, width: Millis, kind: usize, units: f64, mine: f64) {
         let bucket = self.bucket(at, width);
         bucket.seen[kind] += units;
         bucket.mine += mine;
     }
 
-    /// Adds units of a kind that are presumed until [`Window::take_back`].
+    /// Adds estimated units of one kind, which [`Window::take_back`] removes.
     pub(crate) fn presume(&mut self, at: Millis, width: Millis, kind: usize, units: f64) {
         let bucket = self.bucket(at, width);
         bucket.seen[kind] += units;
         bucket.presumed[kind] += units;
     }
 
-    /// Takes out what of a kind was presumed; how much that was.
+    /// Removes the estimated units of one kind and returns their sum.
     pub(crate) fn take_back(&mut self, kind: usize) -> f64 {
         let mut taken = 0.0;
         for bucket in &mut self.buckets {
@@ -62,22 +64,22 @@
         &mut self.buckets[place]
     }
 
-    /// Units of a kind in the window.
+    /// Returns the units of one kind in the window.
     pub(crate) fn of(&self, kind: usize) -> f64 {
         self.buckets.iter().map(|b| b.seen[kind]).sum()
     }
 
-    /// Units of both kinds in the window.
+    /// Returns the units of both kinds in the window.
     pub(crate) fn all(&self) -> f64 {
         self.of(0) + self.of(1)
     }
 
-    /// Units by this gateway in the window.
+    /// Returns this gateway's units in the window.
     pub(crate) fn mine(&self) -> f64 {
         self.buckets.iter().map(|b| b.mine).sum()
     }
 
-    /// Units of both kinds in the buckets that began after `from`.
+    /// Returns the units of both kinds in the buckets that began after `from`.
     pub(crate) fn since(&self, from: Millis, width: Millis) -> f64 {
         let first = (from / width).floor() as i64;
         self.buckets.iter().filter(|b| b.index > first).map(|b| b.seen[0] + b.seen[1]).sum()
