--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -22,14 +22,14 @@
 /// Epoch of a counter key, ms; half of NAME_TTL, so that an expired key can still be read once.
 const EPOCH: Millis = 30_000.0;
 /// Pace above which the counter counts as overloaded.
-const CROWDED: f64 = 1.5;
+const OVERLOADED: f64 = 1.5;
 /// Age of a read, ms, from which the use of others counts as unknown while the counter is overloaded.
 const STALE: Millis = 1.2 * (SYNC_EVERY + FLUSH_AFTER);
 /// Period of the timer, ms; short beside any response-time target.
 const TICK: Millis = 20.0;
-/// Retries that each first attempt adds to the retry budget; RETRY_SAVED is the capacity of the budget.
-const RETRY_EARN: f64 = 0.1;
-const RETRY_SAVED: f64 = 10.0;
+/// Retries that each first attempt adds to the retry budget; RETRY_BURST is the capacity of the budget.
+const RETRY_RATIO: f64 = 0.1;
+const RETRY_BURST: f64 = 10.0;
 /// Initial concurrency limit in attempts per server, over all gateways.
 const START_LIMIT: f64 = 8.0;
 
@@ -37,31 +37,31 @@
     /// Creates a gateway without servers and requests; `seed` determines its random decisions.
     pub fn new(set: Settings, seed: u64) -> Self {
         let class_mean = set.classes.iter().map(|c| c.target / 5.0).collect();
-        let flow = Flow { retries: given(set.retry_burst, RETRY_SAVED), ..Flow::default() };
+        let stats = FlowStats { retries: setting_or(set.retry_burst, RETRY_BURST), ..FlowStats::default() };
         let quotas = Quotas::new((&set).into(), seed);
-        Gateway::blank(set, quotas, class_mean, flow)
+        Gateway::empty(set, quotas, class_mean, stats)
     }
 
     /// Handles one event and appends the actions to carry out.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        if !self.flow.started {
-            self.flow.started = true;
-            self.acts.push(Action::Timer { after: TICK, name: 0 });
+        if !self.stats.started {
+            self.stats.started = true;
+            self.actions.push(Action::Timer { after: TICK, name: 0 });
             if self.set.list_on_request {
-                self.acts.push(Action::Watch);
+                self.actions.push(Action::Watch);
             }
         }
         match event {
-            Event::Servers { update, entries } => self.list(now, update, entries),
+            Event::Servers { update, entries } => self.apply_list(now, update, entries),
             Event::Settings(set) => self.apply_settings(*set),
             Event::ProcessShare(part) => self.quotas.set_process_share(now, part),
             Event::Request(request) => self.arrive(now, request),
-            Event::NotReplayable(id) => _ = self.open.entry(id).and_modify(|o| o.spent = true),
-            Event::Uploaded { id, attempt } => self.uploaded(now, id, attempt),
+            Event::NotReplayable(id) => _ = self.open.entry(id).and_modify(|o| o.not_replayable = true),
+            Event::Uploaded { id, attempt } => self.body_sent(now, id, attempt),
             Event::Ended { id, attempt, server, outcome, complete, took, load, .. } => {
-                let outcome = self.ends_early(id, attempt, server, outcome);
-                self.learn(now, server, outcome, took, &load);
-                self.ended(now, id, attempt, outcome, complete);
+                let outcome = self.adjust_early_end(id, attempt, server, outcome);
+                self.record_outcome(now, server, outcome, took, &load);
+                self.attempt_ended(now, id, attempt, outcome, complete);
             }
             Event::Streaming { id, .. } => _ = self.open.entry(id).and_modify(|o| o.streaming = true),
             Event::Gone(id) => _ = self.close(id, now),
@@ -72,7 +72,7 @@
             }
         }
         self.serve_held(now);
-        actions.append(&mut self.acts);
+        actions.append(&mut self.actions);
     }
 
     /// Applies new settings. Open requests keep their class, and statistics of classes and customers are
@@ -87,7 +87,7 @@
             }
         }
         self.quotas.apply_settings((&set).into());
-        self.flow.limit = self.flow.limit.max(set.min_limit);
+        self.stats.limit = self.stats.limit.max(set.min_limit);
         self.set = set;
     }
 
@@ -95,36 +95,36 @@
         let of = || self.set.classes.get(request.class.0).cloned().unwrap_or_default();
         let rules = request.rules.as_ref();
         let class = rules.map_or_else(of, |r| r.class.clone());
-        let tries = rules.map_or(self.set.max_attempts, |r| r.max_attempts);
+        let max_tries = rules.map_or(self.set.max_attempts, |r| r.max_attempts);
         let (id, customer) = (request.id, request.customer);
         let (due_at, ends_at) = (now + class.target.min(request.time_left), now + request.time_left);
         let mut draw = QuotaRequest::from(&request);
-        self.quotas.register(now, &mut draw, &mut self.acts);
-        let open = Open { request, draw, class, tries, due_at, ends_at, ..Open::default() };
-        let hopeless = open.due_at - now < self.mean(&open).max(2.0 * TICK) / 2.0;
+        self.quotas.register(now, &mut draw, &mut self.actions);
+        let open = OpenRequest { request, draw, class, max_tries, due_at, ends_at, ..OpenRequest::default() };
+        let too_late = open.due_at - now < self.mean(&open).max(2.0 * TICK) / 2.0;
         self.open.insert(id, open);
-        if hopeless {
+        if too_late {
             // It cannot be served in time, and the timer might come too late to refuse it.
-            return self.finish(now, id);
+            return self.reject(now, id);
         }
         self.decide(now, id);
-        self.quotas.sync(now, customer, &mut self.acts);
+        self.quotas.sync(now, customer, &mut self.actions);
     }
 
     /// Admits, holds or refuses a request that has not been sent yet.
     fn decide(&mut self, now: Millis, id: RequestId) {
-        let calm = self.flow.out < 0.7 * self.flow.limit && self.held.is_empty();
+        let spare = self.stats.out < 0.7 * self.stats.limit && self.held.is_empty();
         let Some(open) = self.open.get_mut(&id) else { return };
-        let verdict = self.quotas.evaluate(now, &mut open.draw, calm);
+        let verdict = self.quotas.evaluate(now, &mut open.draw, spare);
         open.beyond = verdict == Verdict::Beyond;
         let within = open.request.within;
         match verdict {
-            Verdict::Refuse { .. } => self.finish(now, id),
+            Verdict::Refuse { .. } => self.reject(now, id),
             Verdict::Wait => self.hold(id),
             // No allowed server accepts requests, so waiting would only delay the refusal.
-            _ if self.ready(within).next().is_none() && !self.servers.is_empty() => self.finish(now, id),
+            _ if self.ready(within).next().is_none() && !self.servers.is_empty() => self.reject(now, id),
             _ => {
-                if !self.place(now, id) {
+                if !self.try_send(now, id) {
                     self.hold(id);
                 }
             }
@@ -145,7 +145,7 @@
         }
         for (i, attempt) in open.attempts.iter().enumerate() {
             if attempt.live && self.set.cancelling && !open.streaming {
-                self.acts.push(Action::Cancel { id, attempt: i as u8 });
+                self.actions.push(Action::Cancel { id, attempt: i as u8 });
             }
         }
         open.ends_at = f64::NEG_INFINITY;
--- a/crates/limiter-core/src/logic/pressure.rs
+++ b/crates/limiter-core/src/logic/pressure.rs
@@ -5,7 +5,7 @@
 /// Maximum held requests, as a fraction of the concurrency limit; beyond it the least valuable are refused.
 const HELD_SHARE: f64 = 0.5;
 
-impl Open {
+impl OpenRequest {
     /// Returns the timeout of an attempt from now: as long as a response may still earn something.
     pub(super) fn time_out(&self, now: Millis) -> Millis {
         let until = if self.class.late_worth > 0.0 { self.ends_at } else { self.due_at };
@@ -15,9 +15,9 @@
 
 impl Gateway {
     /// Sends a request's next attempt if the concurrency limit and some server allow it.
-    pub(super) fn place(&mut self, now: Millis, id: RequestId) -> bool {
+    pub(super) fn try_send(&mut self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.remove(&id) else { return false };
-        let free = self.flow.out < self.flow.limit.max(1.0) && now >= self.flow.rest_until;
+        let free = self.stats.out < self.stats.limit.max(1.0) && now >= self.stats.idle_until;
         let chosen = if free { self.choose(now, &open) } else { None };
         let open = self.open.entry(id).or_insert(open);
         let Some(server) = chosen else { return false };
@@ -31,22 +31,24 @@
             s.sent_at = now;
         }
         let timeout = if whole { open.time_out(now) } else { 0.0 };
-        self.acts.push(Action::Send { id, server, timeout });
+        self.actions.push(Action::Send { id, server, timeout });
         let first = open.attempts.is_empty();
         open.attempts.push(Attempt { server, sent: now, live: true, may_have_run: true, whole });
         if !whole {
             (open.due_at, open.ends_at) = (f64::INFINITY, f64::INFINITY);
         }
-        self.flow.out += counts;
+        self.stats.out += counts;
         self.quotas.adjust_open_attempts(open.request.customer, counts);
         if first {
-            self.quotas.book(now, open.request.customer, open.request.units, !open.beyond);
-            let (earn, most) =
-                (given(self.set.retry_ratio, RETRY_EARN), given(self.set.retry_burst, RETRY_SAVED));
-            self.flow.retries = (self.flow.retries + earn).min(most);
-            let fade = (-(now - self.flow.sent_at).max(0.0) / 2000.0).exp();
-            self.flow.send_rate = self.flow.send_rate * fade + 1.0 / 2000.0;
-            self.flow.sent_at = now;
+            self.quotas.add(now, open.request.customer, open.request.units, !open.beyond);
+            let (earn, most) = (
+                setting_or(self.set.retry_ratio, RETRY_RATIO),
+                setting_or(self.set.retry_burst, RETRY_BURST),
+            );
+            self.stats.retries = (self.stats.retries + earn).min(most);
+            let fade = (-(now - self.stats.sent_at).max(0.0) / 2000.0).exp();
+            self.stats.send_rate = self.stats.send_rate * fade + 1.0 / 2000.0;
+            self.stats.sent_at = now;
         }
         true
     }
@@ -58,7 +60,7 @@
             let Some(open) = self.open.get(&id) else { continue };
             let mean = self.mean(open);
             if open.due_at - now < 2.0 * mean + 2.0 * TICK {
-                self.finish(now, id);
+                self.reject(now, id);
                 continue;
             }
             let price = self.set.plans.get(open.request.plan.0).map_or(1.0, |p| p.price);
@@ -68,13 +70,13 @@
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         for (place, (_, id)) in order.into_iter().enumerate() {
-            if (!self.flow.subset || self.flow.out >= self.flow.limit)
-                && place as f64 > HELD_SHARE * self.flow.limit
+            if (!self.stats.subset || self.stats.out >= self.stats.limit)
+                && place as f64 > HELD_SHARE * self.stats.limit
             {
-                self.finish(now, id);
+                self.reject(now, id);
             } else if self.open.get(&id).is_some_and(|o| o.attempts.is_empty()) {
                 self.decide(now, id);
-            } else if !self.place(now, id) {
+            } else if !self.try_send(now, id) {
                 self.hold(id);
             }
         }
--- a/crates/limiter-core/src/logic/retries.rs
+++ b/crates/limiter-core/src/logic/retries.rs
@@ -5,13 +5,13 @@
 /// Hedging delay as a multiple of the mean response time; long enough to hedge only lost attempts.
 const HEDGE_AFTER: f64 = 8.0;
 /// Mean response time, as a fraction of the target, above which the concurrency limit decreases.
-const SLOW_MARK: f64 = 0.27;
+const SLOW_THRESHOLD: f64 = 0.27;
 /// Lower bound of the concurrency limit in attempts per server, over all gateways.
-const LEAST_LIMIT: f64 = 2.0;
+const MIN_LIMIT: f64 = 2.0;
 
 impl Gateway {
     /// Starts the time limits of a request whose body has been sent completely.
-    pub(super) fn uploaded(&mut self, now: Millis, id: RequestId, attempt: u8) {
+    pub(super) fn body_sent(&mut self, now: Millis, id: RequestId, attempt: u8) {
         let Some(open) = self.open.get_mut(&id).filter(|o| o.ends_at == f64::INFINITY) else { return };
         let Some(a) = open.attempts.get_mut(usize::from(attempt)).filter(|a| a.live && !a.whole) else {
             return;
@@ -21,7 +21,7 @@
         let left = open.request.time_left;
         (open.due_at, open.ends_at) = (now + open.class.target.min(left), now + left);
         let (timeout, customer) = (open.time_out(now), open.request.customer);
-        self.acts.push(Action::Await { id, attempt, timeout });
+        self.actions.push(Action::Await { id, attempt, timeout });
         self.count_out(customer, server);
     }
 
@@ -31,12 +31,12 @@
         if let Some(s) = self.servers.get_mut(&server) {
             s.out += 1.0;
         }
-        self.flow.out += 1.0;
+        self.stats.out += 1.0;
     }
 
     /// Adjusts the outcome of an attempt that ended before its body was complete: it did not count towards
     /// concurrency, was not executed, and says nothing about the server's speed.
-    pub(super) fn ends_early(
+    pub(super) fn adjust_early_end(
         &mut self,
         id: RequestId,
         attempt: u8,
@@ -56,7 +56,7 @@
     }
 
     /// Handles the end of an attempt: adapts the concurrency limit, then retries or answers the request.
-    pub(super) fn ended(
+    pub(super) fn attempt_ended(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -64,7 +64,7 @@
         outcome: Outcome,
         complete: bool,
     ) {
-        self.flow.out = (self.flow.out - 1.0).max(0.0);
+        self.stats.out = (self.stats.out - 1.0).max(0.0);
         let Some(open) = self.open.get_mut(&id) else { return };
         // A cold server is slow without a queue, so its response times are scaled before the limit sees them.
         let at = open.attempts.get(usize::from(attempt)).and_then(|a| self.servers.get(&a.server));
@@ -76,24 +76,24 @@
         self.quotas.adjust_open_attempts(open.request.customer, -1.0);
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
             let ratio = (took / open.class.target.max(1.0)).min(2.0);
-            let (gain, step) = if self.flow.subset { (0.1, 0.05) } else { (0.03, 0.01) };
-            self.flow.slowness += gain * (ratio - self.flow.slowness);
+            let (gain, step) = if self.stats.subset { (0.1, 0.05) } else { (0.03, 0.01) };
+            self.stats.slowness += gain * (ratio - self.stats.slowness);
             if let Some(mean) = self.class_mean.get_mut(open.request.class.0) {
                 *mean += 0.03 * (took - *mean);
             }
-            if self.flow.slowness > given(self.set.slow_threshold, SLOW_MARK) {
+            if self.stats.slowness > setting_or(self.set.slow_threshold, SLOW_THRESHOLD) {
                 // Below the floor slowness has other causes than our queue; a lower limit only serves less.
-                let floor = LEAST_LIMIT * self.servers.len() as f64 / self.set.gateways.max(1.0);
-                let floor = if self.flow.subset { floor } else { floor.max(2.0) }.max(self.set.min_limit);
-                self.flow.limit = (self.flow.limit * (1.0 - step)).max(floor);
-            } else if self.flow.subset && self.flow.out + 1.0 > 0.6 * self.flow.limit {
+                let floor = MIN_LIMIT * self.servers.len() as f64 / self.set.gateways.max(1.0);
+                let floor = if self.stats.subset { floor } else { floor.max(2.0) }.max(self.set.min_limit);
+                self.stats.limit = (self.stats.limit * (1.0 - step)).max(floor);
+            } else if self.stats.subset && self.stats.out + 1.0 > 0.6 * self.stats.limit {
                 let most = START_LIMIT * self.servers.len() as f64 / self.set.gateways.max(1.0);
-                self.flow.limit = (self.flow.limit * (1.0 + step)).min(most.max(self.set.min_limit));
-            } else if self.flow.out > 0.6 * self.flow.limit {
-                self.flow.limit += 1.0 / self.flow.limit.max(1.0);
+                self.stats.limit = (self.stats.limit * (1.0 + step)).min(most.max(self.set.min_limit));
+            } else if self.stats.out > 0.6 * self.stats.limit {
+                self.stats.limit += 1.0 / self.stats.limit.max(1.0);
             }
-            let rest = took * (1.0 / self.flow.limit - 1.0);
-            self.flow.rest_until = if rest > 0.0 { now + rest } else { 0.0 };
+            let rest = took * (1.0 / self.stats.limit - 1.0);
+            self.stats.idle_until = if rest > 0.0 { now + rest } else { 0.0 };
         }
         let (over, live) = (open.ends_at == f64::NEG_INFINITY, open.attempts.iter().any(|a| a.live));
         if complete || over {
@@ -109,16 +109,16 @@
         }
         // A failed connection loads no server, so its retry is free: an outdated list may cause many of them.
         let price = if outcome == Outcome::ConnectFailed { 0.0 } else { 1.0 };
-        let again = outcome != Outcome::Cancelled && self.may_repeat(now, id) && self.flow.retries >= price;
-        if again && self.place(now, id) {
-            self.flow.retries -= price;
+        let again = outcome != Outcome::Cancelled && self.may_retry(now, id) && self.stats.retries >= price;
+        if again && self.try_send(now, id) {
+            self.stats.retries -= price;
             return;
         }
-        self.finish(now, id);
+        self.reject(now, id);
     }
 
     /// Whether another attempt is allowed and can still finish within the target.
-    pub(super) fn may_repeat(&self, now: Millis, id: RequestId) -> bool {
+    pub(super) fn may_retry(&self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.get(&id) else { return false };
         let mean = self.mean(open);
         let first_run = open.attempts.iter().filter(|a| a.may_have_run).map(|a| a.sent).next();
@@ -127,27 +127,27 @@
             (Repeat::Unsafe, Some(_)) => false,
             (Repeat::Keyed { window, .. }, Some(sent)) => now - sent < window - TICK,
         };
-        let tries = open.tries == 0 || (open.attempts.len() as u32) < open.tries;
-        allowed && tries && !open.streaming && !open.spent && open.due_at - now > mean
+        let attempts_left = open.max_tries == 0 || (open.attempts.len() as u32) < open.max_tries;
+        allowed && attempts_left && !open.streaming && !open.not_replayable && open.due_at - now > mean
     }
 
     /// Sends the final response: refused if the request did not run or may safely be repeated, else failed.
-    pub(super) fn finish(&mut self, now: Millis, id: RequestId) {
+    pub(super) fn reject(&mut self, now: Millis, id: RequestId) {
         let Some(open) = self.open.get(&id) else { return };
         let ran = open.attempts.iter().any(|a| a.may_have_run);
         let harmless = match open.class.repeat {
             Repeat::Safe | Repeat::Keyed { group: Group::All, .. } => true,
             _ => !ran,
         };
-        let retry_after = self.come_back(open);
+        let retry_after = self.retry_after_for(open);
         self.held.retain(|h| *h != id);
         if self.close(id, now) {
-            self.acts.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
+            self.actions.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
         }
     }
 
     /// Returns the retry-after time: until the quota has refilled, at least a mean response time.
-    pub(super) fn come_back(&self, open: &Open) -> Millis {
+    pub(super) fn retry_after_for(&self, open: &OpenRequest) -> Millis {
         // Without servers response times are no guide; responses faster than a tick would give about 0.
         let least = if self.ready(open.request.within).next().is_none() {
             open.class.target
@@ -160,10 +160,10 @@
 
     /// Periodic work: restarts the timer, reports quota use and sends hedged attempts.
     pub(super) fn tick(&mut self, now: Millis) {
-        self.acts.push(Action::Timer { after: TICK, name: 0 });
-        self.quotas.tick(now, &mut self.acts);
-        let calm = self.flow.out < 0.8 * self.flow.limit && self.set.parallel_tries;
-        let hedge_after = given(self.set.hedge_after, HEDGE_AFTER);
+        self.actions.push(Action::Timer { after: TICK, name: 0 });
+        self.quotas.tick(now, &mut self.actions);
+        let spare = self.stats.out < 0.8 * self.stats.limit && self.set.parallel_tries;
+        let hedge_after = setting_or(self.set.hedge_after, HEDGE_AFTER);
         let hedges = self.open.iter().filter(|(_, open)| {
             let late = open.attempts.last().is_some_and(|a| now - a.sent > hedge_after * self.mean(open));
             late && !open.request.uploading
@@ -172,9 +172,9 @@
         });
         let hedges: Vec<RequestId> = hedges.map(|(id, _)| *id).collect();
         for id in hedges {
-            let may = calm && self.flow.retries >= 1.0 && self.may_repeat(now, id);
-            if may && self.place(now, id) {
-                self.flow.retries -= 1.0;
+            let may = spare && self.stats.retries >= 1.0 && self.may_retry(now, id);
+            if may && self.try_send(now, id) {
+                self.stats.retries -= 1.0;
             }
         }
     }
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Minimum time between two requests that probe an unhealthy server, ms.
-const TRY_EVERY: Millis = 400.0;
+const PROBE_INTERVAL: Millis = 400.0;
 /// Share of requests that a returning server gets, relative to a healthy one.
-const TRICKLE: f64 = 0.25;
+const RETURNING_SHARE: f64 = 0.25;
 
 /// Index of the count of units sent on. Accepted and declined units have separate counters, so that a reply
 /// to one of the two calls is consistent by itself; the observed use is their sum.
@@ -19,13 +19,13 @@
 
 /// Synchronization state of one count of a customer with the counter service.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Tally {
+pub(crate) struct CountSync {
     /// Units not yet sent to the counter.
     pub(crate) pending: f64,
     /// Units added by the outstanding call, if there is one.
     pub(crate) in_flight: Option<f64>,
     /// Units of calls whose result is unknown; they count as added as far as the next total has risen.
-    pub(crate) doubt: f64,
+    pub(crate) unacked: f64,
     /// Total last read.
     pub(crate) total: f64,
     /// Epoch of the counter key in use.
@@ -41,14 +41,14 @@
 pub(crate) struct Customer {
     pub(crate) plan: Plan,
     /// Index of its plan in the settings.
-    pub(crate) of: PlanId,
+    pub(crate) plan_id: PlanId,
     /// Number of gateways that receive its requests.
     pub(crate) spread: f64,
     /// Time of its last request.
-    pub(crate) touched: Millis,
+    pub(crate) seen_at: Millis,
     /// Units observed in the sliding window.
     pub(crate) counts: Window,
-    pub(crate) tallies: [Tally; 2],
+    pub(crate) syncs: [CountSync; 2],
     /// Time of the last call to the counter.
     pub(crate) last_sync: Millis,
     /// Cached suppression factor and the time of its computation.
@@ -60,15 +60,15 @@
     pub(crate) used: f64,
     pub(crate) drained_at: Millis,
     /// Whether the first call has ended, successfully or not.
-    pub(crate) known: bool,
+    pub(crate) was_read: bool,
     /// Tokens in this gateway's share of the ceiling's bucket.
-    pub(crate) lease: f64,
+    pub(crate) tokens: f64,
     /// Attempts in progress.
     pub(crate) open: f64,
     /// Whether each gateway sees too few of its requests to batch them, so that use is reported by sampling.
-    pub(crate) thin: bool,
+    pub(crate) sampled: bool,
     /// Time and value, in units per second, of the last rate estimate of a sampled customer.
-    pub(crate) view: Option<(Millis, f64)>,
+    pub(crate) reading: Option<(Millis, f64)>,
 }
 
 impl Server {
@@ -91,7 +91,7 @@
 
     /// Time until the quota has room for `units`.
     pub(crate) fn refill(&self, units: f64) -> Millis {
-        let short = if self.thin { units } else { (self.used + units - self.plan.burst).max(0.0) };
+        let short = if self.sampled { units } else { (self.used + units - self.plan.burst).max(0.0) };
         if self.plan.rate > 0.0 {
             1000.0 * short / self.plan.rate
         } else {
@@ -101,7 +101,7 @@
 
     /// Whether a call to the counter is outstanding.
     pub(crate) fn busy(&self) -> bool {
-        self.tallies.iter().any(|t| t.in_flight.is_some() || t.closing.is_some())
+        self.syncs.iter().any(|t| t.in_flight.is_some() || t.closing.is_some())
     }
 }
 
@@ -114,17 +114,17 @@
     /// Mean response time.
     pub(crate) mean: Millis,
     /// Time of the last response-time sample.
-    pub(crate) heard: Millis,
+    pub(crate) sampled_at: Millis,
     /// Time at which the last attempt was sent.
     pub(crate) sent_at: Millis,
     /// Load reported by the server, in equivalent concurrent attempts, and the time of the report.
-    pub(crate) crowd: f64,
-    pub(crate) crowd_at: Millis,
+    pub(crate) reported: f64,
+    pub(crate) reported_at: Millis,
     /// Consecutive failures.
-    pub(crate) fails: u32,
+    pub(crate) failures: u32,
     /// Exponentially decayed numbers of responses and of failures among them, as of `tried_at`.
-    pub(crate) tried: (f64, f64),
-    pub(crate) tried_at: Millis,
+    pub(crate) results: (f64, f64),
+    pub(crate) results_at: Millis,
     /// Whether the last failure was one of the connection.
     pub(crate) unreachable: bool,
     /// Consecutive ejections.
@@ -150,7 +150,7 @@
 }
 
 /// Returns the setting if it is positive, and the default otherwise.
-pub(crate) fn given(set: f64, usual: f64) -> f64 {
+pub(crate) fn setting_or(set: f64, usual: f64) -> f64 {
     match set > 0.0 {
         true => set,
         false => usual,
@@ -159,12 +159,12 @@
 
 /// A request that has not been answered yet.
 #[derive(Default)]
-pub(crate) struct Open {
+pub(crate) struct OpenRequest {
     pub(crate) request: Request,
     pub(crate) draw: QuotaRequest,
     pub(crate) class: Class,
     /// Maximum attempts; 0: unlimited.
-    pub(crate) tries: u32,
+    pub(crate) max_tries: u32,
     /// Time at which the response-time target is missed.
     pub(crate) due_at: Millis,
     /// Time at which the client gives up; negative infinity once the request is closed.
@@ -172,29 +172,29 @@
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) streaming: bool,
     /// Whether the body cannot be sent again.
-    pub(crate) spent: bool,
+    pub(crate) not_replayable: bool,
     /// Whether it was admitted beyond the quota.
     pub(crate) beyond: bool,
 }
 
 /// Aggregates of the fleet and of this gateway's own traffic.
 #[derive(Default)]
-pub(crate) struct Flow {
+pub(crate) struct FlowStats {
     pub(crate) started: bool,
     /// Mean response time of the fleet.
     pub(crate) mean: Millis,
     /// Mean ratio of the response time to the target.
     pub(crate) slowness: f64,
     /// Time constant with which a server's mean response time decays to the fleet's.
-    pub(crate) keep: Millis,
+    pub(crate) decay: Millis,
     /// Variance of the fleet's response times.
     pub(crate) spread: f64,
     /// Whether this gateway uses only a subset of the fleet.
     pub(crate) subset: bool,
     /// No attempt is sent before this time.
-    pub(crate) rest_until: Millis,
+    pub(crate) idle_until: Millis,
     /// Mean reported load of a server.
-    pub(crate) crowd: f64,
+    pub(crate) reported: f64,
     /// Attempts in progress.
     pub(crate) out: f64,
     /// Concurrency limit.
@@ -207,13 +207,13 @@
 }
 
 /// A server that is eligible for a request.
-pub(crate) struct Able {
+pub(crate) struct Candidate {
     pub(crate) id: ServerId,
     pub(crate) warmth: f64,
     /// Cost multiplier of its zone.
     pub(crate) zone: f64,
     /// Divisor of its probability to be drawn: the configured zone cost, or 1.
-    pub(crate) rarer: f64,
+    pub(crate) draw_divisor: f64,
     /// Random number from 0 to 1 that breaks ties.
     pub(crate) roll: f64,
 }
@@ -229,7 +229,7 @@
 
 /// State of the calls to the counter service: backoff, availability and pace.
 #[derive(Default)]
-pub(crate) struct Calling {
+pub(crate) struct CounterCaller {
     /// Backoff after failed calls.
     pub(crate) pause: Millis,
     /// Time before which no call is made.
@@ -237,9 +237,9 @@
     /// Time of the last successful call.
     pub(crate) ok_at: Millis,
     /// Whether the counter is considered unavailable.
-    pub(crate) silent: bool,
+    pub(crate) unavailable: bool,
     /// Time by which all gateways have reported their use after the counter was unavailable.
-    pub(crate) settles_at: Millis,
+    pub(crate) settled_at: Millis,
     /// Factor by which calls are less frequent than usual.
     pub(crate) pace: f64,
     /// Time at which the pace last rose.
@@ -253,21 +253,22 @@
     pub(crate) rng: Pcg64Mcg,
     pub(crate) customers: BTreeMap<CustomerId, Customer>,
     /// Customers with unreported use.
-    pub(crate) untold: BTreeSet<CustomerId>,
+    pub(crate) unreported: BTreeSet<CustomerId>,
     /// First customer of the next batch that is checked for removal.
-    pub(crate) looked: CustomerId,
+    pub(crate) cursor: CustomerId,
     /// Outstanding calls: customer and kind by counter key.
     pub(crate) calls: BTreeMap<CountName, (CustomerId, usize)>,
     /// Fraction of the gateway's own limits that this process uses.
     pub(crate) part: f64,
-    pub(crate) calling: Calling,
+    pub(crate) caller: CounterCaller,
 }
 
 impl Quotas {
     /// Creates an instance that knows no customers.
-    pub(crate) fn blank(set: QuotaSettings, calling: Calling, part: f64, seed: u64) -> Self {
-        let (rng, (customers, untold, looked, calls)) = (Pcg64Mcg::seed_from_u64(seed), Default::default());
-        Quotas { set, rng, customers, untold, looked, calls, part, calling }
+    pub(crate) fn empty(set: QuotaSettings, caller: CounterCaller, part: f64, seed: u64) -> Self {
+        let (rng, (customers, unreported, cursor, calls)) =
+            (Pcg64Mcg::seed_from_u64(seed), Default::default());
+        Quotas { set, rng, customers, unreported, cursor, calls, part, caller }
     }
 
     /// Returns a random number from 0 up to but excluding 1.
@@ -292,7 +293,7 @@
 
     /// Whether a customer's use is reported by sampling instead of unit by unit.
     pub fn is_sampled(&self, customer: CustomerId) -> bool {
-        self.customers.get(&customer).is_some_and(|c| c.thin)
+        self.customers.get(&customer).is_some_and(|c| c.sampled)
     }
 
     /// Changes the number of a customer's attempts in progress by `more`, which may be negative.
@@ -308,26 +309,31 @@
     pub(crate) set: Settings,
     pub(crate) servers: BTreeMap<ServerId, Server>,
     pub(crate) quotas: Quotas,
-    pub(crate) open: BTreeMap<RequestId, Open>,
+    pub(crate) open: BTreeMap<RequestId, OpenRequest>,
     /// Requests that wait to be sent.
     pub(crate) held: Vec<RequestId>,
     /// Mean response time by class.
     pub(crate) class_mean: Vec<Millis>,
     /// Servers in an order specific to this gateway.
-    pub(crate) ranked: Vec<ServerId>,
+    pub(crate) server_order: Vec<ServerId>,
     /// Seed of that order.
     pub(crate) salt: u64,
-    pub(crate) flow: Flow,
+    pub(crate) stats: FlowStats,
     /// Actions of the event being handled.
-    pub(crate) acts: Vec<Action>,
+    pub(crate) actions: Vec<Action>,
 }
 
 impl Gateway {
     /// Creates a gateway that knows no servers and no requests.
-    pub(crate) fn blank(set: Settings, mut quotas: Quotas, class_mean: Vec<Millis>, flow: Flow) -> Self {
+    pub(crate) fn empty(
+        set: Settings,
+        mut quotas: Quotas,
+        class_mean: Vec<Millis>,
+        stats: FlowStats,
+    ) -> Self {
         let (servers, open, salt) = (BTreeMap::new(), BTreeMap::new(), quotas.rng.next_u64());
-        let (held, ranked, acts) = Default::default();
-        Gateway { set, servers, quotas, open, held, class_mean, ranked, salt, flow, acts }
+        let (held, server_order, actions) = Default::default();
+        Gateway { set, servers, quotas, open, held, class_mean, server_order, salt, stats, actions }
     }
 
     /// Returns a random number from 0 up to but excluding 1.
@@ -346,7 +352,7 @@
     }
 
     /// Returns the mean response time of a request's class.
-    pub(crate) fn mean(&self, open: &Open) -> Millis {
+    pub(crate) fn mean(&self, open: &OpenRequest) -> Millis {
         self.class_mean.get(open.request.class.0).copied().unwrap_or(0.0)
     }
 
@@ -354,26 +360,31 @@
     /// also use returning servers, with a reduced weight. If no such server is left, all candidates are kept, so
     /// that health alone never leaves a request without a server. A gateway that probes an unhealthy server
     /// occasionally sends it a first attempt.
-    pub(crate) fn heed(&self, now: Millis, open: &Open, mut able: Vec<Able>) -> Vec<Able> {
-        let of = |a: &Able| self.servers.get(&a.id).map_or(Standing::Well, |s| s.entry.standing);
-        if able.iter().all(|a| of(a) == Standing::Well) {
-            return able;
+    pub(crate) fn filter_by_health(
+        &self,
+        now: Millis,
+        open: &OpenRequest,
+        mut candidates: Vec<Candidate>,
+    ) -> Vec<Candidate> {
+        let of = |a: &Candidate| self.servers.get(&a.id).map_or(Standing::Well, |s| s.entry.standing);
+        if candidates.iter().all(|a| of(a) == Standing::Well) {
+            return candidates;
         }
         let again = open.class.repeat == Repeat::Safe;
-        let due = |a: &Able| self.servers.get(&a.id).is_some_and(|s| now - s.sent_at > TRY_EVERY);
+        let due = |a: &Candidate| self.servers.get(&a.id).is_some_and(|s| now - s.sent_at > PROBE_INTERVAL);
         if again && open.attempts.is_empty() {
-            if let Some(at) = able.iter().position(|a| of(a) == Standing::Probing && due(a)) {
-                return vec![able.swap_remove(at)];
+            if let Some(at) = candidates.iter().position(|a| of(a) == Standing::Probing && due(a)) {
+                return vec![candidates.swap_remove(at)];
             }
         }
-        let fits = |a: &Able| of(a) == Standing::Well || again && of(a) == Standing::Returning;
-        if able.iter().any(fits) {
-            able.retain(fits);
+        let fits = |a: &Candidate| of(a) == Standing::Well || again && of(a) == Standing::Returning;
+        if candidates.iter().any(fits) {
+            candidates.retain(fits);
         }
-        for a in &mut able {
-            a.warmth *= if of(a) == Standing::Returning { TRICKLE } else { 1.0 };
+        for a in &mut candidates {
+            a.warmth *= if of(a) == Standing::Returning { RETURNING_SHARE } else { 1.0 };
         }
-        able
+        candidates
     }
 
     /// Returns the age of the oldest attempt in progress at a server, or 0.
--- a/crates/limiter-core/src/window.rs
+++ b/crates/limiter-core/src/window.rs
@@ -12,7 +12,7 @@
     /// Units of all gateways by kind, observed or estimated.
     seen: [f64; 2],
     /// Part of `seen` that is an estimate, until the next read of the counter.
-    presumed: [f64; 2],
+    estimated: [f64; 2],
 }
 
 /// Counts of accepted and declined units by time.
@@ -37,20 +37,20 @@
         bucket.mine += mine;
     }
 
-    /// Adds estimated units of one kind, which [`Window::take_back`] removes.
-    pub(crate) fn presume(&mut self, at: Millis, width: Millis, kind: usize, units: f64) {
+    /// Adds estimated units of one kind, which [`Window::remove_estimates`] removes.
+    pub(crate) fn add_estimate(&mut self, at: Millis, width: Millis, kind: usize, units: f64) {
         let bucket = self.bucket(at, width);
         bucket.seen[kind] += units;
-        bucket.presumed[kind] += units;
+        bucket.estimated[kind] += units;
     }
 
     /// Removes the estimated units of one kind and returns their sum.
-    pub(crate) fn take_back(&mut self, kind: usize) -> f64 {
+    pub(crate) fn remove_estimates(&mut self, kind: usize) -> f64 {
         let mut taken = 0.0;
         for bucket in &mut self.buckets {
-            let presumed = std::mem::take(&mut bucket.presumed[kind]);
-            bucket.seen[kind] -= presumed;
-            taken += presumed;
+            let estimated = std::mem::take(&mut bucket.estimated[kind]);
+            bucket.seen[kind] -= estimated;
+            taken += estimated;
         }
         taken
     }
