--- a/crates/limiter-core/src/logic/admission.rs
+++ b/crates/limiter-core/src/logic/admission.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns this gateway's share of the customer's use, smoothed towards 1 / spread for few samples.
-    /// Unless `max_age` is `STALE`, it is the share at the last read, because later estimates would bias it.
+    /// Unless `max_age` is `STALE`, the share at the last read is used, as later estimates would bias it.
     pub(super) fn share(&self, max_age: Millis) -> f64 {
         let seen = (self.counts.mine() + 1.0) / (self.accepted() + self.spread);
         let last = self.share.filter(|_| max_age != STALE);
@@ -228,22 +228,22 @@
     }
 
     /// Registers an arriving request: creates its customer if unknown and may start a counter call.
-    pub fn register(&mut self, now: Millis, draw: &mut QuotaRequest, actions: &mut Vec<Action>) {
-        let plan = self.set.plans.get(draw.plan.0).cloned().unwrap_or_default();
+    pub fn register(&mut self, now: Millis, request: &mut QuotaRequest, actions: &mut Vec<Action>) {
+        let plan = self.set.plans.get(request.plan.0).cloned().unwrap_or_default();
         let most = self.set.max_units.max(1.0);
-        let fresh = || Customer { plan_id: draw.plan, ..Customer::new(plan, draw.spread, most, now) };
-        self.customers.entry(draw.customer).or_insert_with(fresh).seen_at = now;
-        (draw.arrived, draw.passed) = (now, false);
-        draw.asked = self.sample(now, draw, actions);
-        self.unreported.insert(draw.customer);
+        let fresh = || Customer { plan_id: request.plan, ..Customer::new(plan, request.spread, most, now) };
+        self.customers.entry(request.customer).or_insert_with(fresh).seen_at = now;
+        (request.arrived, request.passed) = (now, false);
+        request.asked = self.sample(now, request, actions);
+        self.unreported.insert(request.customer);
     }
 
     /// Registers and evaluates a request without waiting for the counter, for callers that hold no requests.
     /// On `Wait` the caller decides.
-    pub fn admit(&mut self, now: Millis, mut draw: QuotaRequest, actions: &mut Vec<Action>) -> Verdict {
-        self.register(now, &mut draw, actions);
-        draw.asked = false;
-        self.evaluate(now, &mut draw, false)
+    pub fn admit(&mut self, now: Millis, mut request: QuotaRequest, actions: &mut Vec<Action>) -> Verdict {
+        self.register(now, &mut request, actions);
+        request.asked = false;
+        self.evaluate(now, &mut request, false)
     }
 
     /// Records whether a request was sent on within its quota (`sent`) or declined. One sent on beyond the
@@ -265,12 +265,12 @@
 
     /// Decides on a registered request; repeated for one that waits. If the caller has spare capacity
     /// (`calm`), a request beyond the quota may pass where it earns more than it costs.
-    pub fn evaluate(&mut self, now: Millis, draw: &mut QuotaRequest, spare: bool) -> Verdict {
+    pub fn evaluate(&mut self, now: Millis, request: &mut QuotaRequest, spare: bool) -> Verdict {
         let roll = self.chance();
         let (counter, max_age, part) = (self.set.counter, self.caller.max_age(now), self.part);
-        let (units, waited) = (draw.units, now - draw.arrived);
+        let (units, waited) = (request.units, now - request.arrived);
         let unknown = Verdict::Refuse { retry_after: TICK };
-        let Some(c) = self.customers.get_mut(&draw.customer) else { return unknown };
+        let Some(c) = self.customers.get_mut(&request.customer) else { return unknown };
         let plan = c.plan.clone();
         if plan.rate > 0.0 {
             c.age(now, part);
@@ -279,15 +279,15 @@
         // are partitioned, restart or lose the counter. Traffic concentrated on one gateway has to wait.
         let short = plan.ceiling_rate > 0.0 && c.tokens < units;
         if c.sampled {
-            if draw.asked && c.syncs[ACCEPTED].in_flight.is_some() && waited < COUNT_WAIT {
+            if request.asked && c.syncs[ACCEPTED].in_flight.is_some() && waited < COUNT_WAIT {
                 return Verdict::Wait;
             }
             let rate = c.demand(now);
             let within = rate * c.window() / 1000.0 + units <= plan.burst || roll >= 1.0 - plan.rate / rate;
             // A repeat was refused by another gateway, so an unknown customer is probably over its quota.
-            let doubtful = draw.repeat && c.reading.is_none() && counter;
-            draw.passed |= within && !doubtful || plan.over_worth > plan.over_cost && spare;
-            return match draw.passed {
+            let doubtful = request.repeat && c.reading.is_none() && counter;
+            request.passed |= within && !doubtful || plan.over_worth > plan.over_cost && spare;
+            return match request.passed {
                 true if short => Verdict::Wait,
                 true => Verdict::Within,
                 false => c.refuse(units),
@@ -309,7 +309,7 @@
         let units = units + reserve;
         // The window ignores the refill; after a burst, what fits into the token bucket passes as well.
         if plan.debt > 0.0 && c.used > plan.burst {
-            return c.refuse(draw.units);
+            return c.refuse(request.units);
         }
         if plan.rate <= 0.0 || c.accepted().min(c.used) + units <= plan.burst {
             return Verdict::Within;
@@ -319,7 +319,7 @@
         }
         let past = c.observed_since(now - c.window()) >= plan.burst * HARD_FACTOR;
         if past || roll < c.suppression(now) {
-            return c.refuse(draw.units);
+            return c.refuse(request.units);
         }
         Verdict::Within
     }
--- a/crates/limiter-core/src/logic/choice.rs
+++ b/crates/limiter-core/src/logic/choice.rs
@@ -191,9 +191,9 @@
         let mut candidates = self.filter_by_health(now, open, candidates);
         if subset && candidates.len() > 2 {
             // Drawn in proportion to warmth, so that all gateways together match a cold server's capacity.
-            let first = self.draw(&candidates);
+            let first = self.pick(&candidates);
             let one = candidates.swap_remove(first);
-            let other = candidates.swap_remove(self.draw(&candidates));
+            let other = candidates.swap_remove(self.pick(&candidates));
             candidates = vec![one, other];
         }
         let slack = if subset { SUBSET_FACTOR } else { 1.0 };
@@ -219,7 +219,7 @@
     }
 
     /// Draws the index of a candidate with a probability proportional to warmth over zone cost.
-    pub(super) fn draw(&mut self, candidates: &[Candidate]) -> usize {
+    pub(super) fn pick(&mut self, candidates: &[Candidate]) -> usize {
         let mut left = self.chance() * candidates.iter().map(|a| a.warmth / a.draw_divisor).sum::<f64>();
         candidates
             .iter()
--- a/crates/limiter-core/src/logic/counter.rs
+++ b/crates/limiter-core/src/logic/counter.rs
@@ -48,8 +48,8 @@
     /// units. Returns whether the request should wait for the reply because the last reading is old. Sampling
     /// keeps hundreds of gateways from overloading the counter, also while it is slow, after restarts and for
     /// new customers, at the price of noise in the totals.
-    pub(super) fn sample(&mut self, now: Millis, draw: &QuotaRequest, actions: &mut Vec<Action>) -> bool {
-        let (customer, units) = (draw.customer, draw.units);
+    pub(super) fn sample(&mut self, now: Millis, request: &QuotaRequest, actions: &mut Vec<Action>) -> bool {
+        let (customer, units) = (request.customer, request.units);
         let roll = self.chance();
         let counting = self.set.counter && now >= self.caller.after;
         let Some(c) = self.customers.get_mut(&customer).filter(|c| c.sampled && counting) else {
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -98,9 +98,10 @@
         let max_tries = rules.map_or(self.set.max_attempts, |r| r.max_attempts);
         let (id, customer) = (request.id, request.customer);
         let (due_at, ends_at) = (now + class.target.min(request.time_left), now + request.time_left);
-        let mut draw = QuotaRequest::from(&request);
-        self.quotas.register(now, &mut draw, &mut self.actions);
-        let open = OpenRequest { request, draw, class, max_tries, due_at, ends_at, ..OpenRequest::default() };
+        let mut quota = QuotaRequest::from(&request);
+        self.quotas.register(now, &mut quota, &mut self.actions);
+        let open =
+            OpenRequest { request, quota, class, max_tries, due_at, ends_at, ..OpenRequest::default() };
         let too_late = open.due_at - now < self.mean(&open).max(2.0 * TICK) / 2.0;
         self.open.insert(id, open);
         if too_late {
@@ -115,7 +116,7 @@
     fn decide(&mut self, now: Millis, id: RequestId) {
         let spare = self.stats.out < 0.7 * self.stats.limit && self.held.is_empty();
         let Some(open) = self.open.get_mut(&id) else { return };
-        let verdict = self.quotas.evaluate(now, &mut open.draw, spare);
+        let verdict = self.quotas.evaluate(now, &mut open.quota, spare);
         open.beyond = verdict == Verdict::Beyond;
         let within = open.request.within;
         match verdict {
--- a/crates/limiter-core/src/logic/pressure.rs
+++ b/crates/limiter-core/src/logic/pressure.rs
@@ -66,7 +66,7 @@
             let price = self.set.plans.get(open.request.plan.0).map_or(1.0, |p| p.price);
             let worth = open.class.worth * price * open.request.units / mean.max(1.0);
             // Newer requests first among equals: under overload the oldest would just miss their target.
-            order.push((worth * (1.2 - (now - open.draw.arrived) / (open.due_at - open.draw.arrived)), id));
+            order.push((worth * (1.2 - (now - open.quota.arrived) / (open.due_at - open.quota.arrived)), id));
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         for (place, (_, id)) in order.into_iter().enumerate() {
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -161,7 +161,7 @@
 #[derive(Default)]
 pub(crate) struct OpenRequest {
     pub(crate) request: Request,
-    pub(crate) draw: QuotaRequest,
+    pub(crate) quota: QuotaRequest,
     pub(crate) class: Class,
     /// Maximum attempts; 0: unlimited.
     pub(crate) max_tries: u32,
