--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -335,9 +335,9 @@
     /// Time of arrival. This and the following fields are set by `Quotas`.
     pub arrived: Millis,
     /// Whether it waits for a counter reply about its customer.
-    pub asked: bool,
+    pub awaits_reply: bool,
     /// Whether it has passed the quota check.
-    pub passed: bool,
+    pub admitted: bool,
 }
 
 impl From<&Request> for QuotaRequest {
--- a/crates/limiter-core/src/logic/admission.rs
+++ b/crates/limiter-core/src/logic/admission.rs
@@ -233,8 +233,8 @@
         let most = self.set.max_units.max(1.0);
         let fresh = || Customer { plan_id: request.plan, ..Customer::new(plan, request.spread, most, now) };
         self.customers.entry(request.customer).or_insert_with(fresh).seen_at = now;
-        (request.arrived, request.passed) = (now, false);
-        request.asked = self.sample(now, request, actions);
+        (request.arrived, request.admitted) = (now, false);
+        request.awaits_reply = self.sample(now, request, actions);
         self.unreported.insert(request.customer);
     }
 
@@ -242,7 +242,7 @@
     /// On `Wait` the caller decides.
     pub fn admit(&mut self, now: Millis, mut request: QuotaRequest, actions: &mut Vec<Action>) -> Verdict {
         self.register(now, &mut request, actions);
-        request.asked = false;
+        request.awaits_reply = false;
         self.evaluate(now, &mut request, false)
     }
 
@@ -279,15 +279,15 @@
         // are partitioned, restart or lose the counter. Traffic concentrated on one gateway has to wait.
         let short = plan.ceiling_rate > 0.0 && c.tokens < units;
         if c.sampled {
-            if request.asked && c.syncs[ACCEPTED].in_flight.is_some() && waited < COUNT_WAIT {
+            if request.awaits_reply && c.syncs[ACCEPTED].in_flight.is_some() && waited < COUNT_WAIT {
                 return Verdict::Wait;
             }
             let rate = c.demand(now);
             let within = rate * c.window() / 1000.0 + units <= plan.burst || roll >= 1.0 - plan.rate / rate;
             // A repeat was refused by another gateway, so an unknown customer is probably over its quota.
             let doubtful = request.repeat && c.reading.is_none() && counter;
-            request.passed |= within && !doubtful || plan.over_worth > plan.over_cost && spare;
-            return match request.passed {
+            request.admitted |= within && !doubtful || plan.over_worth > plan.over_cost && spare;
+            return match request.admitted {
                 true if short => Verdict::Wait,
                 true => Verdict::Within,
                 false => c.refuse(units),
