--- a/crates/limiter-core/src/wire/frame.rs
+++ b/crates/limiter-core/src/wire/frame.rs
@@ -1,8 +1,8 @@
-//! Little-endian fields of a frame, read with bounds and written with zero fill.
+//! Reads little-endian fields of a frame with bounds checks and writes zero-filled records.
 
 use std::fmt;
 
-/// What is wrong with the input, and where.
+/// A protocol or I/O error, with its position in the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError(pub String);
 
@@ -14,7 +14,7 @@
 
 impl std::error::Error for WireError {}
 
-/// Bytes with checked little-endian look-ups; `what` names them in errors.
+/// A byte slice with bounds-checked little-endian reads; `what` names it in errors.
 #[derive(Clone, Copy)]
 pub(super) struct Fields<'a> {
     pub bytes: &'a [u8],
@@ -26,7 +26,7 @@
         let end = at.checked_add(N);
         end.and_then(|end| self.bytes.get(at..end))
             .and_then(|s| s.try_into().ok())
-            .ok_or_else(|| WireError(format!("{}: {N} bytes at {at} lie outside", self.what)))
+            .ok_or_else(|| WireError(format!("{}: {N} bytes at offset {at} are out of bounds", self.what)))
     }
     pub fn u8(&self, at: usize) -> Result<u8, WireError> {
         Ok(self.take::<1>(at)?[0])
@@ -52,20 +52,23 @@
         if value.is_finite() {
             Ok(value)
         } else {
-            Err(WireError(format!("{}: number at {at} is not finite", self.what)))
+            Err(WireError(format!("{}: number at offset {at} is not finite", self.what)))
         }
     }
-    /// `count` items of `size` bytes from offset `from`.
+    /// Returns `count` items of `size` bytes from offset `from`; fails if they exceed the slice.
     pub fn slice(&self, from: u32, count: u32, size: usize) -> Result<&'a [u8], WireError> {
         let from = from as usize;
         let end = (count as usize).checked_mul(size).and_then(|n| n.checked_add(from));
         end.and_then(|end| self.bytes.get(from..end)).ok_or_else(|| {
-            WireError(format!("{}: {count} items of {size} bytes from {from} reach past the tail", self.what))
+            WireError(format!(
+                "{}: {count} items of {size} bytes from offset {from} reach past the tail",
+                self.what
+            ))
         })
     }
 }
 
-/// One action record being filled in.
+/// An action record under construction.
 pub(super) struct Record([u8; 32]);
 
 impl Record {
--- a/crates/limiter-core/src/wire/host.rs
+++ b/crates/limiter-core/src/wire/host.rs
@@ -1,4 +1,4 @@
-//! Hosts many gateways that share nothing, and carries frames between them and the wire.
+//! Hosts independent gateways and translates between protocol frames and their events and actions.
 
 use super::frame::{Fields, Record};
 use super::{parse_settings, WireError};
@@ -7,8 +7,11 @@
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 
+/// Length of a frame header, bytes.
 const HEADER: usize = 16;
+/// Length of an event record, bytes.
 const EVENT: usize = 48;
+/// Length of a server list entry, bytes.
 const ENTRY: usize = 22;
 
 /// The gateways of one process, by instance number.
@@ -19,10 +22,10 @@
 }
 
 impl Host {
-    /// Answers frames until the input ends between two of them.
+    /// Answers frames until the input ends at a frame boundary.
     ///
     /// # Errors
-    /// On input that does not hold to the protocol, or when reading or writing fails.
+    /// Fails on input that violates the protocol, and on read and write errors.
     pub fn run(&mut self, mut input: impl Read, mut output: impl Write) -> Result<(), WireError> {
         let io = |what: &str, e: std::io::Error| WireError(format!("{what}: {e}"));
         let mut frame = 0u64;
@@ -34,7 +37,7 @@
             while got < size.len() {
                 match input.read(&mut size[got..]) {
                     Ok(0) if got == 0 => return Ok(()),
-                    Ok(0) => return Err(at(WireError("cut short in its length".into()))),
+                    Ok(0) => return Err(at(WireError("cut short in its length field".into()))),
                     Ok(n) => got += n,
                     Err(e) if e.kind() == ErrorKind::Interrupted => {}
                     Err(e) => return Err(io("standard input", e)),
@@ -46,7 +49,7 @@
             }
             bytes.clear();
             bytes.extend_from_slice(&size);
-            // Grows only as bytes arrive, so a wild length allocates nothing.
+            // The buffer grows only as bytes arrive, so a bogus length allocates nothing.
             let rest = (want - size.len()) as u64;
             let read =
                 input.by_ref().take(rest).read_to_end(&mut bytes).map_err(|e| io("standard input", e))?;
@@ -59,10 +62,10 @@
         }
     }
 
-    /// The reply to one whole frame.
+    /// Handles one complete frame and returns the reply.
     ///
     /// # Errors
-    /// When the frame does not hold to the protocol.
+    /// Fails if the frame violates the protocol.
     pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
         let head = Fields { bytes: frame, what: "header" };
         let (count, now) = (head.u32(4)? as usize, head.f64(8)?);
@@ -112,7 +115,7 @@
                     1 => ListUpdate::Full,
                     2 => ListUpdate::Cached,
                     3 => ListUpdate::Failed,
-                    kind => return Err(WireError(format!("list of unknown kind {kind}"))),
+                    kind => return Err(WireError(format!("server list of unknown kind {kind}"))),
                 },
                 entries: tail
                     .slice(r.u32(11)?, r.u32(15)?, ENTRY)?
@@ -156,7 +159,7 @@
                 took: r.f64(6)?,
                 total: r.f32(23)?,
             },
-            // Gateways of this library do not talk to each other.
+            // Gateway-to-gateway message: gateways of this library send none and ignore them.
             1050 => return Ok(()),
             _ => return Err(WireError(format!("unknown event code {code}"))),
         };
@@ -199,18 +202,18 @@
 fn stats(r: Fields<'_>, at: usize) -> Result<Vec<f64>, WireError> {
     let n = usize::from(r.u8(at)?);
     if n > 4 {
-        return Err(WireError(format!("load report of {n} values")));
+        return Err(WireError(format!("load report of {n} values, at most 4 are allowed")));
     }
     (0..n).map(|i| r.f32(at + 1 + 4 * i)).collect()
 }
 
-/// The record of an action, if the wire has one.
+/// Encodes an action; returns nothing for actions that the protocol does not have.
 fn encode(who: u32, action: &Action) -> Option<Record> {
     Some(match *action {
         Action::Send { id, server, timeout } => {
             Record::new(1000, who).u32(6, id.0).u32(10, number(server)).f64(14, timeout)
         }
-        // Here every body is there with its request, so that none is waited for.
+        // In this protocol a request always includes its body.
         Action::Await { .. } => return None,
         Action::Refuse { id, retry_after } => Record::new(1010, who).u32(6, id.0).f64(10, retry_after),
         Action::Fail(id) => Record::new(1020, who).u32(6, id.0),
@@ -225,7 +228,7 @@
     })
 }
 
-/// A server's number as the wire has it; all of them came from there.
+/// Returns a server's number in the protocol. All server ids were decoded from 32-bit numbers.
 fn number(server: ServerId) -> u32 {
     server.0 as u32
 }
--- a/crates/limiter-core/src/wire/mod.rs
+++ b/crates/limiter-core/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The adapter protocol: frames, codes and settings text. Translation only; it decides nothing.
+//! The adapter protocol: frames, codes and settings text. It translates and contains no decision logic.
 
 mod frame;
 mod host;
--- a/crates/limiter-core/src/wire/settings.rs
+++ b/crates/limiter-core/src/wire/settings.rs
@@ -1,10 +1,10 @@
-//! Reads the `path=value` lines an instance is handed at its start.
+//! Parses the `path=value` lines that configure an instance.
 
 use super::WireError;
 use crate::interface::*;
 use std::collections::HashMap;
 
-/// Parsed lines, with typed look-ups that name the key in their errors.
+/// Values by key, with typed lookups whose errors name the key.
 struct Lines<'a>(HashMap<&'a str, &'a str>);
 
 impl Lines<'_> {
@@ -12,7 +12,7 @@
         self.0.get(key).copied()
     }
 
-    /// A number that may be left out.
+    /// Returns an optional number, or `absent`; fails if it is not a finite number.
     fn num(&self, key: &str, absent: f64) -> Result<f64, WireError> {
         let Some(text) = self.text(key) else { return Ok(absent) };
         let value: f64 =
@@ -23,7 +23,7 @@
         Ok(value)
     }
 
-    /// A number that must be there.
+    /// Returns a required number; fails if it is missing or not finite.
     fn must(&self, key: &str) -> Result<f64, WireError> {
         if self.text(key).is_none() {
             return Err(WireError(format!("setting {key}: missing")));
@@ -35,20 +35,20 @@
         self.text(key).map_or(absent, |v| matches!(v.trim(), "true" | "1"))
     }
 
-    /// Length of a list of objects, bounded by the number of lines there are.
+    /// Returns the length of a list of objects; fails if it exceeds the number of lines.
     fn count(&self, key: &str) -> Result<usize, WireError> {
         let n = self.must(key)?;
         if n < 0.0 || n.fract() != 0.0 || n > self.0.len() as f64 {
-            return Err(WireError(format!("setting {key}: {n} is no count of the lines given")));
+            return Err(WireError(format!("setting {key}: {n} is not a valid list length")));
         }
         Ok(n as usize)
     }
 }
 
-/// Turns the settings text into [`Settings`]; unknown keys are passed over.
+/// Parses the settings text; unknown keys are ignored.
 ///
 /// # Errors
-/// When a required key is missing or a number cannot be read.
+/// Fails if a required key is missing, a number is not valid or a keyword is unknown.
 pub fn parse_settings(text: &str) -> Result<Settings, WireError> {
     let lines =
         Lines(text.lines().filter_map(|l| l.split_once('=')).map(|(k, v)| (k.trim(), v.trim())).collect());
@@ -64,13 +64,15 @@
                     Some("zone") => Group::Zone,
                     Some("cell") => Group::Cell,
                     other => {
-                        return Err(WireError(format!("setting {}: {other:?} is unknown", key("group"))))
+                        return Err(WireError(format!("setting {}: unknown value {other:?}", key("group"))))
                     }
                 },
                 window: lines.num(&key("repeat_window"), 0.0)?,
             },
             Some("single_shot") => Repeat::Unsafe,
-            other => return Err(WireError(format!("setting {}: {other:?} is unknown", key("idempotency")))),
+            other => {
+                return Err(WireError(format!("setting {}: unknown value {other:?}", key("idempotency"))))
+            }
         };
         classes.push(Class {
             target: lines.num(&key("goal_time"), deadline)?,
