--- a/crates/limiter-core/src/wire/frame.rs
+++ b/crates/limiter-core/src/wire/frame.rs
@@ -72,8 +72,8 @@
 pub(super) struct Record([u8; 32]);
 
 impl Record {
-    pub fn new(code: u16, who: u32) -> Self {
-        Record([0; 32]).put(0, &code.to_le_bytes()).put(2, &who.to_le_bytes())
+    pub fn new(code: u16, instance: u32) -> Self {
+        Record([0; 32]).put(0, &code.to_le_bytes()).put(2, &instance.to_le_bytes())
     }
     pub fn put(mut self, at: usize, bytes: &[u8]) -> Self {
         self.0[at..at + bytes.len()].copy_from_slice(bytes);
--- a/crates/limiter-core/src/wire/host.rs
+++ b/crates/limiter-core/src/wire/host.rs
@@ -8,11 +8,11 @@
 use std::io::{ErrorKind, Read, Write};
 
 /// Length of a frame header, bytes.
-const HEADER: usize = 16;
+const HEADER_LEN: usize = 16;
 /// Length of an event record, bytes.
-const EVENT: usize = 48;
+const EVENT_LEN: usize = 48;
 /// Length of a server list entry, bytes.
-const ENTRY: usize = 22;
+const ENTRY_LEN: usize = 22;
 
 /// The gateways of one process, by instance number.
 #[derive(Default)]
@@ -44,7 +44,7 @@
                 }
             }
             let want = u32::from_le_bytes(size) as usize;
-            if want < HEADER {
+            if want < HEADER_LEN {
                 return Err(at(WireError(format!("length {want} is shorter than a header"))));
             }
             bytes.clear();
@@ -69,20 +69,20 @@
     pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
         let head = Fields { bytes: frame, what: "header" };
         let (count, now) = (head.u32(4)? as usize, head.f64(8)?);
-        let body = frame.get(HEADER..).unwrap_or(&[]);
-        let records = count.checked_mul(EVENT).filter(|&n| n <= body.len());
+        let body = frame.get(HEADER_LEN..).unwrap_or(&[]);
+        let records = count.checked_mul(EVENT_LEN).filter(|&n| n <= body.len());
         let records = records.ok_or_else(|| WireError(format!("header: {count} records do not fit")))?;
         let (events, tail) = body.split_at(records);
         let tail = Fields { bytes: tail, what: "tail" };
         let mut reply = vec![0u8; 8];
         let mut written = 0u32;
-        for (i, record) in events.chunks_exact(EVENT).enumerate() {
+        for (i, record) in events.chunks_exact(EVENT_LEN).enumerate() {
             let at = |e: WireError| WireError(format!("record {i}: {e}"));
             let event = Fields { bytes: record, what: "event" };
-            let who = event.u32(2).map_err(at)?;
+            let instance = event.u32(2).map_err(at)?;
             self.actions.clear();
-            self.event(now, who, event, tail).map_err(at)?;
-            for record in self.actions.iter().filter_map(|action| encode(who, action)) {
+            self.event(now, instance, event, tail).map_err(at)?;
+            for record in self.actions.iter().filter_map(|action| encode(instance, action)) {
                 reply.extend_from_slice(record.bytes());
                 written += 1;
             }
@@ -93,20 +93,28 @@
         Ok(reply)
     }
 
-    fn event(&mut self, now: Millis, who: u32, r: Fields<'_>, tail: Fields<'_>) -> Result<(), WireError> {
+    fn event(
+        &mut self,
+        now: Millis,
+        instance: u32,
+        r: Fields<'_>,
+        tail: Fields<'_>,
+    ) -> Result<(), WireError> {
         let code = r.u16(0)?;
         if code == 1040 {
             let text = tail.slice(r.u32(14)?, r.u32(18)?, 1)?;
             let text = std::str::from_utf8(text).map_err(|_| WireError("settings: not UTF-8".into()))?;
-            self.gateways.insert(who, Gateway::new(parse_settings(text)?, r.u64(6)?));
+            self.gateways.insert(instance, Gateway::new(parse_settings(text)?, r.u64(6)?));
             return Ok(());
         }
         if code == 1020 {
-            self.gateways.remove(&who);
+            self.gateways.remove(&instance);
             return Ok(());
         }
-        let Some(gateway) = self.gateways.get_mut(&who) else {
-            return Err(WireError(format!("event {code} for instance {who}, which was never provisioned")));
+        let Some(gateway) = self.gateways.get_mut(&instance) else {
+            return Err(WireError(format!(
+                "event {code} for instance {instance}, which was never provisioned"
+            )));
         };
         let event = match code {
             1080 => Event::Servers {
@@ -118,8 +126,8 @@
                     kind => return Err(WireError(format!("server list of unknown kind {kind}"))),
                 },
                 entries: tail
-                    .slice(r.u32(11)?, r.u32(15)?, ENTRY)?
-                    .chunks_exact(ENTRY)
+                    .slice(r.u32(11)?, r.u32(15)?, ENTRY_LEN)?
+                    .chunks_exact(ENTRY_LEN)
                     .map(|e| entry(Fields { bytes: e, what: "list entry" }))
                     .collect::<Result<_, _>>()?,
             },
@@ -142,7 +150,7 @@
                 complete: r.u8(27)? != 0,
                 took: r.f64(14)?,
                 settled: r.u16(12)?.into(),
-                load: stats(r, 29)?,
+                load: load_report(r, 29)?,
             },
             1090 => Event::Streaming { id: RequestId(r.u32(6)?), attempt: r.u8(10)? },
             1100 => Event::Gone(RequestId(r.u32(6)?)),
@@ -151,7 +159,7 @@
                 server: ServerId(r.u32(7)?.into()),
                 outcome: outcome(r.u8(6)?)?,
                 took: r.f64(11)?,
-                load: stats(r, 19)?,
+                load: load_report(r, 19)?,
             },
             1060 => Event::Counted {
                 name: CountName(r.u64(15)?),
@@ -199,7 +207,7 @@
     })
 }
 
-fn stats(r: Fields<'_>, at: usize) -> Result<Vec<f64>, WireError> {
+fn load_report(r: Fields<'_>, at: usize) -> Result<Vec<f64>, WireError> {
     let n = usize::from(r.u8(at)?);
     if n > 4 {
         return Err(WireError(format!("load report of {n} values, at most 4 are allowed")));
@@ -208,23 +216,25 @@
 }
 
 /// Encodes an action; returns nothing for actions that the protocol does not have.
-fn encode(who: u32, action: &Action) -> Option<Record> {
+fn encode(instance: u32, action: &Action) -> Option<Record> {
     Some(match *action {
         Action::Send { id, server, timeout } => {
-            Record::new(1000, who).u32(6, id.0).u32(10, number(server)).f64(14, timeout)
+            Record::new(1000, instance).u32(6, id.0).u32(10, number(server)).f64(14, timeout)
         }
         // In this protocol a request always includes its body.
         Action::Await { .. } => return None,
-        Action::Refuse { id, retry_after } => Record::new(1010, who).u32(6, id.0).f64(10, retry_after),
-        Action::Fail(id) => Record::new(1020, who).u32(6, id.0),
-        Action::Cancel { id, attempt } => Record::new(1030, who).u32(6, id.0).put(10, &[attempt]),
-        Action::Probe(server) => Record::new(1050, who).u32(6, number(server)),
-        Action::Count { name, add, ttl } => Record::new(1120, who)
+        Action::Refuse { id, retry_after } => Record::new(1010, instance).u32(6, id.0).f64(10, retry_after),
+        Action::Fail(id) => Record::new(1020, instance).u32(6, id.0),
+        Action::Cancel { id, attempt } => Record::new(1030, instance).u32(6, id.0).put(10, &[attempt]),
+        Action::Probe(server) => Record::new(1050, instance).u32(6, number(server)),
+        Action::Count { name, add, ttl } => Record::new(1120, instance)
             .put(6, &name.0.to_le_bytes())
             .put(14, &(add as f32).to_le_bytes())
             .f64(18, ttl),
-        Action::Timer { after, name } => Record::new(1040, who).f64(6, after).put(14, &name.to_le_bytes()),
-        Action::Watch => Record::new(1100, who).put(6, &[1]),
+        Action::Timer { after, name } => {
+            Record::new(1040, instance).f64(6, after).put(14, &name.to_le_bytes())
+        }
+        Action::Watch => Record::new(1100, instance).put(6, &[1]),
     })
 }
 
--- a/crates/limiter-core/src/wire/settings.rs
+++ b/crates/limiter-core/src/wire/settings.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns a required number; fails if it is missing or not finite.
-    fn must(&self, key: &str) -> Result<f64, WireError> {
+    fn required(&self, key: &str) -> Result<f64, WireError> {
         if self.text(key).is_none() {
             return Err(WireError(format!("setting {key}: missing")));
         }
@@ -37,7 +37,7 @@
 
     /// Returns the length of a list of objects; fails if it exceeds the number of lines.
     fn count(&self, key: &str) -> Result<usize, WireError> {
-        let n = self.must(key)?;
+        let n = self.required(key)?;
         if n < 0.0 || n.fract() != 0.0 || n > self.0.len() as f64 {
             return Err(WireError(format!("setting {key}: {n} is not a valid list length")));
         }
@@ -55,7 +55,7 @@
     let mut classes = Vec::new();
     for i in 0..lines.count("classes.count")? {
         let key = |name: &str| format!("classes.{i}.{name}");
-        let deadline = lines.must(&key("deadline"))?;
+        let deadline = lines.required(&key("deadline"))?;
         let repeat = match lines.text(&key("idempotency")) {
             Some("free") => Repeat::Safe,
             Some("guarded") => Repeat::Keyed {
