--- a/crates/limiter-core/src/logic/admission.rs
+++ b/crates/limiter-core/src/logic/admission.rs
@@ -64,21 +64,21 @@
     }
 
     /// Drops old window buckets and refills the buckets of quota and ceiling up to `now`.
-    pub(super) fn age(&mut self, now: Millis, part: f64) {
+    pub(super) fn advance(&mut self, now: Millis, part: f64) {
         self.counts.drop_before(now - self.window(), BUCKET);
         let past = (now - self.drained_at).max(0.0) / 1000.0;
         self.drained_at = now;
-        self.used = (self.used - past * self.plan.rate).max(0.0);
+        self.deficit = (self.deficit - past * self.plan.rate).max(0.0);
         let part = part / self.spread;
         self.tokens =
             (self.tokens + past * self.plan.ceiling_rate * part).min(self.plan.ceiling_burst * part);
     }
 
-    /// Records units at a time within the window, `mine` of them by this gateway.
-    pub(super) fn add(&mut self, kind: usize, at: Millis, units: f64, mine: f64) {
-        self.counts.add(at, BUCKET, kind, units, mine);
+    /// Records units at a time within the window, `own` of them by this gateway.
+    pub(super) fn add(&mut self, kind: usize, at: Millis, units: f64, own: f64) {
+        self.counts.add(at, BUCKET, kind, units, own);
         if kind == ACCEPTED {
-            self.used = (self.used + units).min((1.0 + self.plan.debt) * self.plan.burst);
+            self.deficit = (self.deficit + units).min((1.0 + self.plan.debt) * self.plan.burst);
         }
     }
 
@@ -90,7 +90,7 @@
     /// Returns this gateway's share of the customer's use, smoothed towards 1 / spread for few samples.
     /// Unless `max_age` is `STALE`, the share at the last read is used, as later estimates would bias it.
     pub(super) fn share(&self, max_age: Millis) -> f64 {
-        let seen = (self.counts.mine() + 1.0) / (self.accepted() + self.spread);
+        let seen = (self.counts.own() + 1.0) / (self.accepted() + self.spread);
         let last = self.share.filter(|_| max_age != STALE);
         last.unwrap_or(seen.clamp(1.0 / (4.0 * self.spread), 1.0))
     }
@@ -99,7 +99,7 @@
     pub(super) fn pace(&self, now: Millis, pace: f64) -> f64 {
         let asked = match self.sampled {
             true => self.reading.map_or(0.0, |_| self.demand(now) / self.plan.rate),
-            false => self.counts.all() / self.plan.burst,
+            false => self.counts.total() / self.plan.burst,
         };
         pace.powf(1.0 - NEAR_QUOTA_RELIEF * asked.min(1.0))
     }
@@ -110,7 +110,7 @@
     }
 
     fn refuse(&self, units: f64) -> Verdict {
-        Verdict::Refuse { retry_after: self.refill(units).max(TICK) }
+        Verdict::Refuse { retry_after: self.refill_time(units).max(TICK) }
     }
 
     /// Whether the customer can be dropped because its state equals that of a new one.
@@ -120,7 +120,7 @@
         let rest = full(plan.burst, plan.rate).max(full(plan.ceiling_burst, plan.ceiling_rate)).max(IDLE);
         now - self.seen_at >= rest
             && self.open <= 0.0
-            && !self.busy()
+            && !self.call_pending()
             && (!self.sampled || self.demand(now) < self.plan.rate)
     }
 
@@ -142,7 +142,7 @@
         self.counts.add_estimate(now, BUCKET, kind, others);
         if kind == ACCEPTED {
             let most = if max_age == STALE { 1.0 } else { MAX_DEFICIT };
-            self.used = (self.used + others).min(most.max(1.0 + self.plan.debt) * self.plan.burst);
+            self.deficit = (self.deficit + others).min(most.max(1.0 + self.plan.debt) * self.plan.burst);
         }
         self.syncs[kind].pending += units;
     }
@@ -189,7 +189,7 @@
     ) {
         let estimated = if settled { self.counts.remove_estimates(kind) } else { 0.0 };
         if kind == ACCEPTED {
-            self.used = (self.used - estimated).max(0.0);
+            self.deficit = (self.deficit - estimated).max(0.0);
         }
         if units <= 0.0 {
             return;
@@ -224,7 +224,7 @@
     pub fn set_process_share(&mut self, now: Millis, part: f64) {
         // Refill up to now used the previous share.
         let before = std::mem::replace(&mut self.part, part);
-        self.customers.values_mut().for_each(|c| c.age(now, before));
+        self.customers.values_mut().for_each(|c| c.advance(now, before));
     }
 
     /// Registers an arriving request: creates its customer if unknown and may start a counter call.
@@ -258,7 +258,7 @@
     pub(super) fn add(&mut self, now: Millis, customer: CustomerId, units: f64, sent: bool) -> bool {
         let (part, max_age) = (self.part, self.caller.max_age(now));
         let Some(c) = self.customers.get_mut(&customer).filter(|c| c.plan.rate > 0.0) else { return false };
-        c.age(now, part);
+        c.advance(now, part);
         c.record(now, if sent { ACCEPTED } else { DECLINED }, units, max_age);
         true
     }
@@ -266,14 +266,14 @@
     /// Decides on a registered request; repeated for one that waits. If the caller has spare capacity
     /// (`calm`), a request beyond the quota may pass where it earns more than it costs.
     pub fn evaluate(&mut self, now: Millis, request: &mut QuotaRequest, spare: bool) -> Verdict {
-        let roll = self.chance();
+        let random = self.chance();
         let (counter, max_age, part) = (self.set.counter, self.caller.max_age(now), self.part);
         let (units, waited) = (request.units, now - request.arrived);
         let unknown = Verdict::Refuse { retry_after: TICK };
         let Some(c) = self.customers.get_mut(&request.customer) else { return unknown };
         let plan = c.plan.clone();
         if plan.rate > 0.0 {
-            c.age(now, part);
+            c.advance(now, part);
         }
         // Each gateway's share of the ceiling is its own and empty at first, so that it holds when gateways
         // are partitioned, restart or lose the counter. Traffic concentrated on one gateway has to wait.
@@ -283,7 +283,7 @@
                 return Verdict::Wait;
             }
             let rate = c.demand(now);
-            let within = rate * c.window() / 1000.0 + units <= plan.burst || roll >= 1.0 - plan.rate / rate;
+            let within = rate * c.window() / 1000.0 + units <= plan.burst || random >= 1.0 - plan.rate / rate;
             // A repeat was refused by another gateway, so an unknown customer is probably over its quota.
             let doubtful = request.repeat && c.reading.is_none() && counter;
             request.admitted |= within && !doubtful || plan.over_worth > plan.over_cost && spare;
@@ -308,17 +308,17 @@
         let reserve = if c.over_quota(now) { kept.max(RESERVE * plan.burst) } else { 0.0 };
         let units = units + reserve;
         // The window ignores the refill; after a burst, what fits into the token bucket passes as well.
-        if plan.debt > 0.0 && c.used > plan.burst {
+        if plan.debt > 0.0 && c.deficit > plan.burst {
             return c.refuse(request.units);
         }
-        if plan.rate <= 0.0 || c.accepted().min(c.used) + units <= plan.burst {
+        if plan.rate <= 0.0 || c.accepted().min(c.deficit) + units <= plan.burst {
             return Verdict::Within;
         }
         if plan.over_worth > plan.over_cost && plan.ceiling_rate <= 0.0 && spare {
             return Verdict::Beyond;
         }
         let past = c.observed_since(now - c.window()) >= plan.burst * HARD_FACTOR;
-        if past || roll < c.suppression(now) {
+        if past || random < c.suppression(now) {
             return c.refuse(request.units);
         }
         Verdict::Within
--- a/crates/limiter-core/src/logic/choice.rs
+++ b/crates/limiter-core/src/logic/choice.rs
@@ -84,7 +84,7 @@
                 self.servers.remove(&entry.server);
                 continue;
             }
-            let (started, fleet, roll) = (entry.started, self.stats.mean, self.chance());
+            let (started, fleet, random) = (entry.started, self.stats.mean, self.chance());
             let known = self.servers.entry(entry.server).or_default();
             if known.sampled_at == 0.0 || known.entry.started != started {
                 // The server restarted: old statistics are invalid, but open attempts will still end.
@@ -92,7 +92,7 @@
                 let sent_at = if self.set.max_cold_rate > 0.0 { known.sent_at } else { 0.0 };
                 // A random first token, so that the gateways do not all send to it at the same moment.
                 let own = Server { out, mean, sent_at, sampled_at: now, ..Server::default() };
-                *known = Server { tokens: roll, tokens_at: now, ..own };
+                *known = Server { tokens: random, tokens_at: now, ..own };
             }
             known.entry = entry;
         }
@@ -150,7 +150,7 @@
             if subset && candidates.len() as f64 >= size {
                 break;
             }
-            let roll = self.chance();
+            let random = self.chance();
             let warmth = Self::warmth(&self.set, now, &self.servers[&id]);
             let Some(s) = self.servers.get_mut(&id) else { continue };
             if s.entry.state != ServerState::Ready || s.paused_until > now || !s.within(within) {
@@ -186,7 +186,7 @@
             let usual = if s.entry.zone == self.set.zone { 1.0 } else { CROSS_ZONE };
             let set = self.set.zone_cost.get(usize::from(s.entry.zone)).copied();
             let (zone, draw_divisor) = (set.unwrap_or(usual), set.unwrap_or(1.0));
-            candidates.push(Candidate { id, warmth, zone, draw_divisor, roll });
+            candidates.push(Candidate { id, warmth, zone, draw_divisor, random });
         }
         let mut candidates = self.filter_by_health(now, open, candidates);
         if subset && candidates.len() > 2 {
@@ -204,7 +204,8 @@
             let mean = fleet + (denoised(s.mean) - fleet) * stale;
             let fade = (-(now - s.reported_at).max(0.0) / (FAST_SPAN * slack * slack)).exp();
             let reported = usual + (s.reported - usual) * fade;
-            let turn = TURN_COST * (-(now - s.sent_at).max(0.0) / round).exp() + RANDOM_COST * candidate.roll;
+            let turn =
+                TURN_COST * (-(now - s.sent_at).max(0.0) / round).exp() + RANDOM_COST * candidate.random;
             // In a subset, the age of the oldest open attempt counts before it ends, and the draw has already
             // weighted warmth. An idle cold server costs as much as a warm one, since its tokens protect it.
             let (mean, warmth) = match subset {
--- a/crates/limiter-core/src/logic/counter.rs
+++ b/crates/limiter-core/src/logic/counter.rs
@@ -50,7 +50,7 @@
     /// new customers, at the price of noise in the totals.
     pub(super) fn sample(&mut self, now: Millis, request: &QuotaRequest, actions: &mut Vec<Action>) -> bool {
         let (customer, units) = (request.customer, request.units);
-        let roll = self.chance();
+        let random = self.chance();
         let counting = self.set.counter && now >= self.caller.after;
         let Some(c) = self.customers.get_mut(&customer).filter(|c| c.sampled && counting) else {
             return false;
@@ -66,7 +66,7 @@
             t.pending += units;
             return old;
         }
-        if roll >= chance {
+        if random >= chance {
             return false;
         }
         if t.epoch != epoch as i64 {
@@ -101,7 +101,7 @@
         let least = if flush { 0.0 } else { share * pace.min(PACE_SHARE) };
         let due = new > 0.0 && new >= least && waited >= every * pace.min(PACE_SHARE);
         if !(first || due) {
-            if new <= 0.0 && !c.busy() {
+            if new <= 0.0 && !c.call_pending() {
                 self.unreported.remove(&customer);
             }
             return;
@@ -165,7 +165,7 @@
             return;
         }
         self.unreported.insert(customer);
-        c.age(now, self.part);
+        c.advance(now, self.part);
         c.was_read = true;
         if c.syncs[kind].closing.is_some_and(|(n, _)| n == name) {
             let Some((_, last)) = c.syncs[kind].closing.take() else { return };
@@ -177,8 +177,8 @@
             c.read(now, kind, total, settled);
         } else {
             // In an outage, units that left the window are dropped; reported later, they would look current.
-            let mine = if kind == ACCEPTED { c.counts.mine() } else { c.counts.of(kind) };
-            let kept = if self.caller.unavailable { mine } else { f64::INFINITY };
+            let own = if kind == ACCEPTED { c.counts.own() } else { c.counts.units(kind) };
+            let kept = if self.caller.unavailable { own } else { f64::INFINITY };
             let t = &mut c.syncs[kind];
             let sent = t.in_flight.take().unwrap_or(0.0);
             (t.pending, t.unacked) = (t.pending.min(kept), t.unacked.min(kept));
--- a/crates/limiter-core/src/logic/retries.rs
+++ b/crates/limiter-core/src/logic/retries.rs
@@ -155,7 +155,7 @@
             self.mean(open).max(TICK)
         };
         let customer = self.quotas.customers.get(&open.request.customer);
-        customer.map_or(0.0, |c| c.refill(open.request.units)).max(least).min(self.set.max_retry_after)
+        customer.map_or(0.0, |c| c.refill_time(open.request.units)).max(least).min(self.set.max_retry_after)
     }
 
     /// Periodic work: restarts the timer, reports quota use and sends hedged attempts.
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -57,7 +57,7 @@
     pub(crate) share: Option<f64>,
 
     /// Units missing from the token bucket, as of `drained_at`.
-    pub(crate) used: f64,
+    pub(crate) deficit: f64,
     pub(crate) drained_at: Millis,
     /// Whether the first call has ended, successfully or not.
     pub(crate) was_read: bool,
@@ -86,12 +86,12 @@
 
     /// Accepted units in the window.
     pub(crate) fn accepted(&self) -> f64 {
-        self.counts.of(ACCEPTED)
+        self.counts.units(ACCEPTED)
     }
 
     /// Time until the quota has room for `units`.
-    pub(crate) fn refill(&self, units: f64) -> Millis {
-        let short = if self.sampled { units } else { (self.used + units - self.plan.burst).max(0.0) };
+    pub(crate) fn refill_time(&self, units: f64) -> Millis {
+        let short = if self.sampled { units } else { (self.deficit + units - self.plan.burst).max(0.0) };
         if self.plan.rate > 0.0 {
             1000.0 * short / self.plan.rate
         } else {
@@ -100,7 +100,7 @@
     }
 
     /// Whether a call to the counter is outstanding.
-    pub(crate) fn busy(&self) -> bool {
+    pub(crate) fn call_pending(&self) -> bool {
         self.syncs.iter().any(|t| t.in_flight.is_some() || t.closing.is_some())
     }
 }
@@ -215,7 +215,7 @@
     /// Divisor of its probability to be drawn: the configured zone cost, or 1.
     pub(crate) draw_divisor: f64,
     /// Random number from 0 to 1 that breaks ties.
-    pub(crate) roll: f64,
+    pub(crate) random: f64,
 }
 
 /// Returns the counter key of a customer's count of one kind in an epoch; equal at all gateways.
--- a/crates/limiter-core/src/window.rs
+++ b/crates/limiter-core/src/window.rs
@@ -8,7 +8,7 @@
 struct Bucket {
     index: i64,
     /// Units of this gateway.
-    mine: f64,
+    own: f64,
     /// Units of all gateways by kind, observed or estimated.
     seen: [f64; 2],
     /// Part of `seen` that is an estimate, until the next read of the counter.
@@ -30,11 +30,11 @@
         }
     }
 
-    /// Adds `units` of one kind at time `at`, `mine` of them by this gateway.
-    pub(crate) fn add(&mut self, at: Millis, width: Millis, kind: usize, units: f64, mine: f64) {
+    /// Adds `units` of one kind at time `at`, `own` of them by this gateway.
+    pub(crate) fn add(&mut self, at: Millis, width: Millis, kind: usize, units: f64, own: f64) {
         let bucket = self.bucket(at, width);
         bucket.seen[kind] += units;
-        bucket.mine += mine;
+        bucket.own += own;
     }
 
     /// Adds estimated units of one kind, which [`Window::remove_estimates`] removes.
@@ -65,18 +65,18 @@
     }
 
     /// Returns the units of one kind in the window.
-    pub(crate) fn of(&self, kind: usize) -> f64 {
+    pub(crate) fn units(&self, kind: usize) -> f64 {
         self.buckets.iter().map(|b| b.seen[kind]).sum()
     }
 
     /// Returns the units of both kinds in the window.
-    pub(crate) fn all(&self) -> f64 {
-        self.of(0) + self.of(1)
+    pub(crate) fn total(&self) -> f64 {
+        self.units(0) + self.units(1)
     }
 
     /// Returns this gateway's units in the window.
-    pub(crate) fn mine(&self) -> f64 {
-        self.buckets.iter().map(|b| b.mine).sum()
+    pub(crate) fn own(&self) -> f64 {
+        self.buckets.iter().map(|b| b.own).sum()
     }
 
     /// Returns the units of both kinds in the buckets that began after `from`.
