--- a/crates/limiter-core/tests/failing.rs
+++ b/crates/limiter-core/tests/failing.rs
@@ -1,5 +1,5 @@
-//! Servers that fail a part of their answers, before several gateways, in virtual time and from fixed seeds: where the
-//! traffic goes, and what of it is lost.
+//! Simulates several gateways with servers that fail part of their requests, in virtual time and from fixed seeds, and
+//! measures where the traffic goes and how much of it is lost.
 
 mod events;
 
@@ -10,13 +10,15 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Three zones of three servers; the gateways stand in the first.
+/// Number of zones; the gateways are in the first.
 const ZONES: u64 = 3;
+/// Servers per zone.
 const EACH: u64 = 3;
-/// Requests a second over all gateways; an answer's time, ms.
+/// Requests per second over all gateways.
 const RATE: f64 = 240.0;
+/// Mean service time, ms.
 const SERVICE: f64 = 8.0;
-/// The failing begins here, s.
+/// Time at which the failures begin, s.
 const ONSET: f64 = 10.0;
 
 fn settings(gateways: usize) -> Settings {
@@ -33,10 +35,10 @@
     }
 }
 
-/// Share of answers that a server fails at a time, s.
+/// Returns the fraction of requests that a server fails at a time in seconds.
 type Failing<'a> = &'a dyn Fn(ServerId, f64) -> f64;
 
-/// One request as it ended: when it came, s, where it was sent, and whether it was served.
+/// A finished request: time of arrival in seconds, server, and whether it succeeded.
 struct Done {
     at: f64,
     server: ServerId,
@@ -98,7 +100,7 @@
     done
 }
 
-/// Share of what came in this span that went to zone `a`, and share of it that was served.
+/// Returns the fraction of the requests of a span that went to the first zone, and the fraction that succeeded.
 fn shares(done: &[Done], from: f64, to: f64) -> (f64, f64) {
     let span: Vec<&Done> = done.iter().filter(|d| (from..to).contains(&d.at)).collect();
     let all = span.len().max(1) as f64;
@@ -106,7 +108,7 @@
     (there / all, span.iter().filter(|d| d.served).count() as f64 / all)
 }
 
-/// The share of a span that goes to the first zone and the share that is served, over some seeds.
+/// Returns, for each span, the fractions sent to the first zone and served, averaged over four seeds.
 fn over(gateways: usize, failing: Failing, spans: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let mut rows = vec![(0.0, 0.0); spans.len()];
     for seed in 1..=4 {
@@ -119,7 +121,7 @@
     rows
 }
 
-/// A zone that fails this share of its answers from the onset on; all fail two in a thousand.
+/// The first zone fails this fraction of its requests from the onset on; all other requests fail at 0.002.
 fn first_zone(share: f64) -> impl Fn(ServerId, f64) -> f64 {
     move |server, at| if zone(server) == 0 && at >= ONSET { share } else { 0.002 }
 }
@@ -128,11 +130,12 @@
 
 #[test]
 fn servers_that_fail_a_quarter_of_their_answers_lose_their_traffic() {
-    // Before: 87 to 95% of it stayed with 6 gateways and all of it with 24, as three failures in a row are rare.
+    // Regression: ejection after three consecutive failures, which are rare, left 87 to 95% of the traffic there with
+    // 6 gateways and all of it with 24.
     for gateways in [6, 24] {
         let rows = over(gateways, &first_zone(0.25), &SPANS);
         println!("{gateways} gateways: {rows:.3?}");
-        assert!(rows[0].0 > 0.95, "the near zone is used while it is sound: {rows:.3?}");
+        assert!(rows[0].0 > 0.95, "the near zone is used while it is healthy: {rows:.3?}");
         for (there, served) in &rows[2..] {
             assert!(*there < 0.06 && *served >= 0.97, "{gateways} gateways: {rows:.3?}");
         }
@@ -145,7 +148,7 @@
     let rows = over(6, &all, &SPANS);
     println!("{rows:.3?}");
     for (there, served) in &rows[2..] {
-        // The near zone is no worse than the others, so it may have all of it.
+        // The near zone is no worse than the others, so it may get all of the traffic.
         assert!(*there > 0.15 && (0.72..0.78).contains(served), "{rows:.3?}");
     }
 }
--- a/crates/limiter-core/tests/fleet.rs
+++ b/crates/limiter-core/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A hundred gateways before sixty servers, in virtual time and from fixed seeds: what is harmless in one gateway
-//! and adds up over all.
+//! Simulates a hundred gateways and sixty servers in virtual time, from fixed seeds, to find effects that are harmless
+//! in one gateway and add up over all.
 
 mod events;
 
@@ -12,8 +12,9 @@
 
 const GATEWAYS: usize = 100;
 const SERVERS: u64 = 60;
-/// Requests a second over all gateways, and how long a server takes for one, ms.
+/// Requests per second over all gateways.
 const RATE: f64 = 800.0;
+/// Service time of a request, ms.
 const SERVICE: f64 = 300.0;
 const COLD_SHARE: f64 = 0.16;
 const WARM_AFTER: f64 = 16_000.0;
@@ -33,22 +34,22 @@
     }
 }
 
-/// What becomes of an attempt at a server, and after how long.
+/// Returns the outcome of an attempt at a server and its duration in ms.
 type Fate = fn(ServerId) -> (Outcome, f64);
 
 struct Play {
-    /// Sends to each server, by time.
+    /// Times, in ms, at which attempts were sent to each server.
     sends: BTreeMap<u64, Vec<f64>>,
     asked: usize,
     refused: usize,
 }
 
-/// Plays `seconds` of requests that come by chance to `gateways` equal gateways, which have this list from the start.
+/// Simulates `seconds` of Poisson arrivals at `gateways` equal gateways that have this server list from the start.
 fn play(gateways: usize, seconds: f64, entries: &[ServerEntry], fate: Fate, seed: u64) -> Play {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut fleet: Vec<Gateway> =
         (0..gateways).map(|n| Gateway::new(settings(), seed << 16 | n as u64)).collect();
-    // What comes to which gateway, by time (us) and by when it was thought of; without an event, a new request.
+    // Pending events by time (us) and order of creation, with their gateway; no event stands for a new request.
     let (mut due, mut serial) = (BTreeMap::new(), 0u64);
     let mut out = Play { sends: BTreeMap::new(), asked: 0, refused: 0 };
     let begin = 10_000.0;
@@ -111,8 +112,8 @@
 
 #[test]
 fn cold_servers_get_what_they_can_do_and_no_more_over_all_gateways() {
-    // Found at six in ten servers replaced at once: not one request went to a newcomer for seconds, and what was
-    // warm was overrun. With half as much again for each, one of them toppled.
+    // Regression: when six in ten servers were replaced at once, the new ones got no request for seconds and the warm
+    // ones were overloaded. With 1.5 times the rate to each new server, one of them was overloaded.
     const CHILLED: u64 = 36;
     for seed in [11, 12, 13] {
         let list = entries(|n| if n <= CHILLED { 9500.0 } else { 0.0 });
@@ -122,15 +123,18 @@
         let cold: Vec<&Vec<f64>> = (1..=CHILLED).filter_map(|n| played.sends.get(&(n * 7919))).collect();
         let sent = cold.iter().map(|s| s.len()).sum::<usize>() as f64;
         let could = CHILLED as f64 * fair * 5.0 * warmth(2500.0);
-        assert!(sent >= 0.4 * could && sent <= 1.1 * could, "seed {seed}: {sent} sent where {could:.0} fit");
+        assert!(
+            sent >= 0.4 * could && sent <= 1.1 * could,
+            "seed {seed}: {sent} requests sent to cold servers with capacity for {could:.0}"
+        );
         for sends in cold {
             for from in sends {
                 let within = sends.iter().filter(|t| (*from..*from + 1000.0).contains(*t)).count() as f64;
-                // A warm server here can do half as much again as its part; twice what is present may come.
+                // A warm server can handle 1.5 times its share; a cold one may get twice its present capacity.
                 let most = 2.0 * 1.5 * fair * warmth(*from) + 3.0;
                 assert!(
                     within <= most,
-                    "seed {seed}: {within} in the second from {from:.0} ms, {most:.1} at most"
+                    "seed {seed}: {within} requests in the second from {from:.0} ms, at most {most:.1} allowed"
                 );
             }
         }
@@ -147,8 +151,8 @@
 
 #[test]
 fn an_old_list_costs_detours_and_no_answers() {
-    // Found at a mass restart: half of the old list was gone, and once the ten spare attempts were used up,
-    // each refused connection was a refused request.
+    // Regression: after a mass restart half of the listed servers were gone, and once the retry budget of ten attempts
+    // was used up, each refused connection became a refused request.
     for seed in [21, 22, 23] {
         let played = play(20, 10.0, &entries(|_| 0.0), half_gone, seed);
         let lost = played.refused as f64 / played.asked as f64;
--- a/crates/limiter-core/tests/logic.rs
+++ b/crates/limiter-core/tests/logic.rs
@@ -1,9 +1,9 @@
-//! Each failure found, as one small script through the module's interface.
+//! Regression tests of the decision module, each a short sequence of events and expected actions.
 
 use oatbank_limiter_core::interface::*;
 use oatbank_limiter_core::logic::Gateway;
 
-/// A gateway with its clock, and helpers that drive it.
+/// A gateway with helpers that send it events.
 struct Rig {
     gateway: Gateway,
     actions: Vec<Action>,
@@ -84,7 +84,7 @@
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
-/// Sends `n` requests at once, answering each before the next; returns how many were let in.
+/// Sends `n` requests at time `now`, answering each before the next, and returns how many were admitted.
 fn burst(rig: &mut Rig, now: f64, n: usize) -> usize {
     let mut let_in = 0;
     for _ in 0..n {
@@ -101,7 +101,7 @@
 fn all_under_capacity_pass_and_the_hard_multiple_refuses() {
     let mut rig = Rig::new(settings(), 4);
     assert_eq!(burst(&mut rig, 1000.0, 10), 10);
-    // Between the marks the chance decides; past the hard multiple nothing passes.
+    // Requests above the quota pass with a probability; above the hard limit none passes.
     burst(&mut rig, 1000.0, 10);
     assert_eq!(burst(&mut rig, 1000.0, 50), 0);
 }
@@ -110,7 +110,7 @@
 fn a_new_customer_is_read_once_off_the_path() {
     let mut rig = Rig::new(settings(), 4);
     let (_, first) = rig.ask(1000.0);
-    assert!(sent(&first).is_some(), "the read is not waited for");
+    assert!(sent(&first).is_some(), "the request does not wait for the counter");
     assert_eq!(counts(&first).len(), 1);
     let (_, second) = rig.ask(1001.0);
     assert!(counts(&second).is_empty());
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_try_too_short_for_housekeeping_is_answered_at_once() {
-    // Found on a bench drill: a client's repeat with a few ms left was held and never answered.
+    // Regression: a repeat with a few ms left was held and never answered.
     let mut rig = Rig::new(settings(), 0);
     let request = Request { id: RequestId(5), units: 1.0, time_left: 6.0, spread: 2.0, ..Request::default() };
     let actions = rig.feed(1000.0, Event::Request(request));
@@ -199,14 +199,14 @@
 
 #[test]
 fn a_refusal_never_says_come_back_now() {
-    // Found in use: engines that answer in well under a millisecond, then none: "come back after 0.000 s".
+    // Regression: servers that answered in well under a millisecond and then disappeared gave a retry-after of 0.000 s.
     let mut set = settings();
     set.plans[0] = Plan { rate: 1e6, burst: 1e6, ..set.plans[0].clone() };
     set.max_retry_after = 60_000.0;
     let mut rig = Rig::new(set, 4);
     for i in 0..400u32 {
         let (id, actions) = rig.ask(1000.0 + f64::from(i));
-        let server = sent(&actions).expect("a server");
+        let server = sent(&actions).expect("an attempt is sent");
         let (outcome, load) = (Outcome::Ok, Vec::new());
         let (attempt, complete, took, settled) = (0, true, 0.2, 0.0);
         rig.feed(
@@ -221,8 +221,8 @@
         })
     };
     let late = Request { id: RequestId(9000), units: 1.0, time_left: 6.0, spread: 3.0, ..Request::default() };
-    let at_once = wait(&rig.feed(1500.0, Event::Request(late))).expect("a refusal");
-    assert!(at_once >= 20.0, "{at_once} ms while servers take requests");
+    let at_once = wait(&rig.feed(1500.0, Event::Request(late))).expect("the request is refused");
+    assert!(at_once >= 20.0, "retry-after is {at_once} ms while servers accept requests");
     rig.feed(1600.0, Event::Servers { update: ListUpdate::Full, entries: Vec::new() });
     let (_, mut actions) = rig.ask(1600.0);
     let mut now = 1600.0;
@@ -230,7 +230,7 @@
         now += 20.0;
         actions = rig.feed(now, Event::Timer(0));
     }
-    assert_eq!(wait(&actions), Some(500.0), "without servers: the class's aim");
+    assert_eq!(wait(&actions), Some(500.0), "without servers, retry-after is the target of the class");
 }
 
 #[test]
@@ -256,7 +256,7 @@
         to_cold += usize::from(to == ServerId(1));
         rig.end(now + 1.0, RequestId(i as u32), to, Outcome::Ok);
     }
-    assert!(to_cold <= 8, "{to_cold} of 60 in the first second");
+    assert!(to_cold <= 8, "{to_cold} of 60 requests went to the cold server in the first second");
 }
 
 #[test]
@@ -266,7 +266,7 @@
     let (name, _) = counts(&first)[0];
     rig.feed(1050.0, Event::Counted { name, outcome: Outcome::TimedOut, took: 50.0, total: 0.0 });
     let let_in = burst(&mut rig, 1060.0, 40);
-    assert!(let_in <= 6, "{let_in} of a burst of 10 by one of three gateways");
+    assert!(let_in <= 6, "one of three gateways admitted {let_in} of a burst of 10");
 }
 
 #[test]
@@ -276,7 +276,7 @@
         Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, ceiling_slack: 2.0, ..set.plans[0].clone() };
     let mut total = 0;
     for _ in 0..3 {
-        // The counter answers nothing, and every instance starts without memory.
+        // The counter is unreachable, and every instance starts without state.
         let mut rig = Rig::new(set.clone(), 4);
         for step in 0..200 {
             let now = 1000.0 + f64::from(step) * 5.0;
@@ -289,7 +289,7 @@
             total += burst(&mut rig, now, 1);
         }
     }
-    assert!(total <= 20 + 10 + 2, "{total} units in a second by three gateways");
+    assert!(total <= 20 + 10 + 2, "three gateways admitted {total} units in a second");
 }
 
 #[test]
@@ -307,7 +307,7 @@
 
 #[test]
 fn an_open_cap_holds_what_exceeds_the_fair_share() {
-    // Found on a bench day: estimates of the others' attempts let 4% of the units out beyond the cap.
+    // Regression: estimating the attempts of other gateways let 4% of the units exceed the limit.
     let mut set = settings();
     set.plans[0].max_open = 6.0;
     let mut rig = Rig::new(set, 4);
@@ -315,7 +315,7 @@
     let (_, b) = rig.ask(1000.0);
     let (third, c) = rig.ask(1000.0);
     assert!(sent(&a).is_some() && sent(&b).is_some());
-    assert!(sent(&c).is_none() && !refused(&c), "held, not refused");
+    assert!(sent(&c).is_none() && !refused(&c), "the third request is held, not refused");
     let after = rig.end(1050.0, first, sent(&a).unwrap(), Outcome::Ok);
     assert!(after.iter().any(|x| matches!(x, Action::Send { id, .. } if *id == third)));
 }
@@ -324,13 +324,13 @@
 fn the_refill_of_the_store_passes_though_the_window_is_full() {
     let mut rig = Rig::new(settings(), 4);
     assert_eq!(burst(&mut rig, 1000.0, 9), 9);
-    // 0.8 s later the window still holds nine, the store has four more.
+    // After 0.8 s the window still holds nine units, while the token bucket has refilled by four.
     assert!(burst(&mut rig, 1800.0, 4) >= 3);
 }
 
 #[test]
 fn a_pressed_gateway_keeps_sending_two_attempts_a_server() {
-    // Found on an incident: the limit fell for ever while slowness had another cause.
+    // Regression: the concurrency limit decreased without bound while the slowness had another cause.
     let mut rig = Rig::new(Settings { gateways: 1.0, ..settings() }, 6);
     for i in 0..400u32 {
         let request = Request {
@@ -358,12 +358,12 @@
         };
         out += usize::from(sent(&rig.feed(9000.0, Event::Request(request))).is_some());
     }
-    assert!((12..40).contains(&out), "{out} out");
+    assert!((12..40).contains(&out), "{out} attempts in progress");
 }
 
 #[test]
 fn between_the_marks_refusals_follow_the_factor() {
-    // 10 units of capacity, 10.2 observed: the factor is 1 - 5 / 10.2 over the last second. The hard mark is 10.5.
+    // Burst 10 and observed use 10.2: the factor is 1 - 5 / 10.2 over the last second. The hard limit is 10.5.
     let mut passed = 0;
     let runs = 400;
     for seed in 0..runs {
@@ -385,7 +385,7 @@
         passed += usize::from(sent(&actions).is_some());
     }
     let share = passed as f64 / runs as f64;
-    assert!((0.40..0.58).contains(&share), "passed {share}");
+    assert!((0.40..0.58).contains(&share), "fraction admitted: {share}");
 }
 
 #[test]
@@ -397,7 +397,7 @@
     assert!(counts(&rig.ask(1001.0).1).is_empty());
 }
 
-/// Hundreds of gateways share a customer of which each sees a request a minute.
+/// Settings of 500 gateways that share a customer, each of which receives few of its requests.
 fn crowd(rate: f64, burst: f64) -> Settings {
     let plan = Plan { rate, burst, price: 1.0, over_cost: 0.6, ..Plan::default() };
     Settings { gateways: 500.0, plans: vec![plan], ..settings() }
@@ -444,8 +444,8 @@
         let (_, actions) = ask_thin(&mut rig, 7400.0, 3);
         let Some(&(name, _)) = counts(&actions).first() else { continue };
         waited += 1;
-        assert!(sent(&actions).is_none(), "its count is waited for");
-        // Four times the quota since the name began at 3750 ms: a quarter passes.
+        assert!(sent(&actions).is_none(), "the request waits for the counter reply");
+        // Use is four times the quota since the key's epoch began at 3750 ms, so a quarter of the requests passes.
         let event = Event::Counted { name, outcome: Outcome::Ok, took: 4.0, total: 58.4 };
         passed += usize::from(sent(&rig.feed(7404.0, event)).is_some());
     }
@@ -470,14 +470,15 @@
             let took = 480.0;
             let ended = Event::Ended { id, attempt: 0, server, outcome, complete, took, settled: 0.0, load };
             rig.feed(now + took, ended);
-            // Eight attempts a server over 500 gateways are more than one each at first, two are not.
+            // Over 500 gateways, the initial limit of eight attempts per server is more than one attempt each; the
+            // lower bound of two is less.
             if second > 80 {
                 let (_, next) = ask_thin(&mut rig, now + took + 20.0, 1);
-                assert!(sent(&next).is_none(), "the gateway rests after an attempt");
+                assert!(sent(&next).is_none(), "the gateway pauses after an attempt");
             }
         }
     }
-    assert!(last > 80, "it goes on sending, last at {last} s");
+    assert!(last > 80, "the gateway keeps sending; last attempt at {last} s");
 }
 
 #[test]
@@ -486,7 +487,7 @@
     rig.gateway = Gateway::new(Settings { counter: false, ..crowd(1000.0, 3000.0) }, 5);
     rig.feed(0.0, Event::Servers { update: ListUpdate::Full, entries: (1..=100).map(server).collect() });
     let (id, actions) = ask_thin(&mut rig, 1000.0, 1);
-    let bad = sent(&actions).expect("sent");
+    let bad = sent(&actions).expect("the request is sent");
     rig.end(1003.0, id, bad, Outcome::ConnectFailed);
     for n in 0..20 {
         let (_, actions) = ask_thin(&mut rig, 1100.0 + 50.0 * f64::from(n), 1);
@@ -494,8 +495,8 @@
     }
 }
 
-/// One request each of new customers, 10 ms apart with the housekeeping; calls are answered by `outcome`
-/// after 5 ms. Returns how many calls were made.
+/// Sends one request from each of `many` new customers, 10 ms apart, with a timer event after each. Counter calls end
+/// with `outcome` after 5 ms. Returns the number of calls.
 fn newcomers(rig: &mut Rig, from: f64, many: usize, outcome: impl Fn(usize) -> Outcome) -> usize {
     let mut calls = 0;
     for i in 0..many {
@@ -535,8 +536,8 @@
     assert!(10 * later >= 9 * at_first, "{at_first} calls in the first second, {later} in the fifth");
 }
 
-/// A customer that uses one gateway only, three requests within 0.4 s every 3 s for 20 s, at a counter that adds
-/// and answers late. Returns how many of its requests were refused.
+/// Simulates a customer that uses one gateway only, with three requests within 0.4 s every 3 s for 20 s, and a counter
+/// that replies after 60 ms. Returns the number of refused requests.
 fn refused_alone(rig: &mut Rig, customer: u64, spread: f64) -> usize {
     let (mut totals, mut due) = (std::collections::BTreeMap::new(), Vec::new());
     let (mut refusals, mut asked) = (0, 0);
@@ -571,18 +572,19 @@
 
 #[test]
 fn what_others_were_presumed_to_use_is_taken_back_once_a_read_shows_that_they_did_not() {
-    // Found on a day with a crowded counter: a customer whose traffic had gathered on one of its four gateways
-    // was refused at half of its quota, as each request went on counting for four after the reads.
+    // Regression with an overloaded counter: a customer whose traffic all came through one of its four gateways was
+    // refused at half of its quota, since each request still counted four times after the reads.
     let mut set = settings();
     set.plans[0] = Plan { rate: 1.4, burst: 5.0, price: 1.0, over_cost: 1.2, ..Plan::default() };
     let mut rig = Rig::new(set, 4);
     newcomers(&mut rig, 1000.0, 400, |i| if i % 4 == 0 { Outcome::Ok } else { Outcome::Full });
     let refusals = refused_alone(&mut rig, 1, 4.0);
-    assert_eq!(refusals, 0, "of 21 requests at seven tenths of the quota");
+    assert_eq!(refusals, 0, "none of 21 requests at 0.7 of the quota is refused");
 }
 
-/// Four gateways share a customer that asks every `every` x 10 ms, several times its quota, for 40 s, at a crowded
-/// counter that answers after 60 ms. Returns how many requests were sent on inside the quota and how many beyond.
+/// Simulates four gateways and a customer that sends a request every `every` x 10 ms, several times its quota, for
+/// 40 s, with an overloaded counter that replies after 60 ms. Returns the requests sent on within the quota and
+/// beyond it.
 fn contested(every: i32) -> (u32, u32) {
     let plan = Plan { rate: 1.4, burst: 5.0, price: 1.0, over_cost: 1.2, ..Plan::default() };
     let set = Settings { plans: vec![plan], gateways: 4.0, ..settings() };
@@ -599,7 +601,7 @@
         store = f64::min(5.0, store + 0.014);
         for (i, rig) in rigs.iter_mut().enumerate() {
             let mut acts = rig.feed(now, Event::Timer(0));
-            // Dealt out in turn.
+            // Requests go to the gateways in turn.
             if step % every == 0 && (step / every) % 4 == i as i32 {
                 let id = RequestId(rig.next);
                 rig.next += 1;
@@ -628,13 +630,13 @@
 
 #[test]
 fn a_refill_is_granted_about_once_though_all_gateways_meet_it_before_they_hear_of_each_other() {
-    // Found on a day with a crowded counter: customers beyond their quota got a quarter more than it, as each of
-    // four gateways granted the same refill between two reads.
+    // Regression with an overloaded counter: customers over their quota got 1.25 times their quota, since each of four
+    // gateways granted the same refill between two reads.
     let runs: Vec<_> = (13..21).map(contested).collect();
     let (inside, beyond) = runs.iter().fold((0, 0), |sum, run| (sum.0 + run.0, sum.1 + run.1));
-    // The quota holds 40 s at 1.4 a second and the full store at first.
-    assert!(inside >= 8 * 55, "{inside} of {} inside the quota, {beyond} beyond", 8 * 61);
-    assert!(3 * beyond <= inside, "{beyond} beyond the quota, {inside} inside");
+    // The quota allows 40 s at 1.4 per second and a full token bucket at first.
+    assert!(inside >= 8 * 55, "{inside} of {} requests sent within the quota, {beyond} beyond it", 8 * 61);
+    assert!(3 * beyond <= inside, "{beyond} requests sent beyond the quota, {inside} within it");
 }
 
 #[test]
@@ -643,25 +645,25 @@
     newcomers(&mut rig, 1000.0, 2000, |_| Outcome::Ok);
     assert!(rig.gateway.customer_count() >= 1990);
     newcomers(&mut rig, 21_000.0, 4000, |_| Outcome::Ok);
-    // One comes every 10 ms and is kept for 30 s.
+    // A customer arrives every 10 ms and is kept for 30 s.
     let kept = rig.gateway.customer_count();
-    assert!(kept <= 3200, "{kept} customers are remembered");
+    assert!(kept <= 3200, "{kept} customers are kept");
 }
 
 #[test]
 fn an_open_request_keeps_the_class_and_the_attempts_it_came_with() {
     let mut rig = Rig::new(settings(), 4);
     let (id, actions) = rig.ask(1000.0);
-    let first = sent(&actions).expect("an attempt");
-    // From now on one attempt only, and the class may not be repeated.
+    let first = sent(&actions).expect("an attempt is sent");
+    // The new settings allow one attempt only and no repeats for the class.
     let mut new = settings();
     new.max_attempts = 1;
     new.classes[0].repeat = Repeat::Unsafe;
     rig.feed(1010.0, Event::Settings(Box::new(new)));
     let again = rig.end(1020.0, id, first, Outcome::Reset);
-    assert!(sent(&again).is_some(), "it came as one that may be sent again");
+    assert!(sent(&again).is_some(), "the request keeps the rules of its arrival");
     let (id, actions) = rig.ask(1030.0);
-    let server = sent(&actions).expect("an attempt");
+    let server = sent(&actions).expect("an attempt is sent");
     let ended = rig.end(1040.0, id, server, Outcome::Reset);
     assert!(sent(&ended).is_none() && ended.contains(&Action::Fail(id)), "{ended:?}");
 }
@@ -674,7 +676,7 @@
     wider.plans[0].burst = 15.0;
     rig.feed(1001.0, Event::Settings(Box::new(wider)));
     let more = burst(&mut rig, 1001.0, 50);
-    assert!((1..=6).contains(&more), "{more} more of a burst of 15, of which 10 are used");
+    assert!((1..=6).contains(&more), "{more} more admitted, of a burst of 15 with 10 used");
 }
 
 #[test]
@@ -701,7 +703,7 @@
         uploading: true,
         ..Request::default()
     };
-    // Far more than may be out at one server.
+    // Far more than the concurrency limit of one server.
     let ids: Vec<u32> = (1000..1040).collect();
     for id in &ids {
         let actions = rig.feed(1000.0, Event::Request(upload(*id)));
@@ -710,8 +712,8 @@
     }
     let uploaded = rig.feed(9000.0, Event::Uploaded { id: RequestId(1000), attempt: 0 });
     let waits = |a: &Action| matches!(a, Action::Await { timeout, .. } if (*timeout - 500.0).abs() < 1.0);
-    assert!(uploaded.iter().any(waits), "the aim counts from now: {uploaded:?}");
-    // It breaks before its last byte: not run, and not to be had again once it is spent.
+    assert!(uploaded.iter().any(waits), "the target time starts now: {uploaded:?}");
+    // The connection fails before the last byte: the request did not run, and its body cannot be sent again.
     rig.feed(9001.0, Event::NotReplayable(RequestId(1001)));
     let ended = rig.end(9002.0, RequestId(1001), ServerId(1), Outcome::ConnectFailed);
     assert!(sent(&ended).is_none() && refused(&ended), "{ended:?}");
@@ -737,5 +739,5 @@
         parts.iter().map(one).sum()
     };
     let (whole, halves) = (let_in(&[1.0]), let_in(&[0.5, 0.5]));
-    assert!(whole > 0 && halves <= whole, "{halves} of two processes, {whole} of one");
+    assert!(whole > 0 && halves <= whole, "two processes admitted {halves}, one admitted {whole}");
 }
--- a/crates/limiter-core/tests/quota.rs
+++ b/crates/limiter-core/tests/quota.rs
@@ -1,5 +1,5 @@
-//! One account asked at several gateways behind one counter, in virtual time and from fixed seeds: how much of it is
-//! sent on, as a multiple of its quota's rate.
+//! Simulates several gateways with one shared counter in virtual time, from fixed seeds, and measures how much of one
+//! customer's traffic is sent on, as a multiple of its quota rate.
 
 mod events;
 
@@ -13,24 +13,26 @@
 const RATE: f64 = 50.0;
 const BURST: f64 = 100.0;
 
-/// What the counter does with calls in a span of the play.
+/// State of the counter service in a span of the simulation.
 #[derive(Clone, Copy, PartialEq)]
 enum Counter {
+    /// Answers every call.
     Well,
-    /// It answers nothing, and adds nothing.
+    /// Calls time out and add nothing.
     Silent,
 }
 
-/// Requests a second at each gateway, and the spans (until, s) in which the counter is this.
+/// Parameters of a simulation: requests per second at each gateway, and the state of the counter in each span, given
+/// with its end in seconds.
 struct Play<'a> {
     asked: &'a [f64],
     spans: &'a [(f64, Counter)],
-    /// Requests come at even steps, not by chance.
+    /// Whether requests arrive at fixed intervals instead of as a Poisson process.
     even: bool,
     seed: u64,
 }
 
-/// What was asked and sent on in each span.
+/// Requests received and sent on in a span.
 #[derive(Clone, Copy, Debug, Default)]
 struct Part {
     seconds: f64,
@@ -39,7 +41,7 @@
 }
 
 impl Part {
-    /// Sent on beside what the quota's rate gives.
+    /// Returns the requests sent on as a multiple of what the quota rate allows.
     fn over(&self) -> f64 {
         self.sent / (self.seconds * RATE)
     }
@@ -74,7 +76,7 @@
         serial += 1;
         due.insert(((at * 1000.0) as u64, serial), (n, what));
     };
-    // Names of the counter end at whole 30 s: a play that begins in the middle meets one.
+    // Counter keys expire at multiples of 30 s, so a random start in between covers an expiry.
     let begin = 40_000.0 + chance() * 15_000.0;
     for n in 0..count {
         let entries =
@@ -131,12 +133,12 @@
     parts
 }
 
-/// The spans of a play: the first burst, a counter that is well, silent, and back.
+/// Spans of a simulation: first burst, counter available, unavailable and available again.
 const SPANS: [(f64, Counter); 4] =
     [(2.0, Counter::Well), (12.0, Counter::Well), (32.0, Counter::Silent), (42.0, Counter::Well)];
 
-/// What is sent on in each span as a multiple of the quota's rate, over some seeds, where 240 a second are asked at
-/// gateways alike.
+/// Returns the rate sent on in each span as a multiple of the quota rate, averaged over five seeds, with 240 requests
+/// per second distributed evenly over the gateways.
 fn over(gateways: usize, even: bool) -> [f64; 4] {
     let asked = vec![240.0 / gateways as f64; gateways];
     let mut mean = [0.0; 4];
@@ -149,7 +151,8 @@
 
 #[test]
 fn a_quota_holds_over_gateways_while_the_counter_is_well_silent_and_back() {
-    // Before, in the same order: 1.64 and 1.58 with 6 and 12 gateways, 1.99 and 2.82, 1.48 and 1.48.
+    // Regression: with 6 and 12 gateways the multiples were 1.64 and 1.58 with the counter available, 1.99 and 2.82
+    // without it, and 1.48 and 1.48 after its return.
     let mut wrong = Vec::new();
     for gateways in [1, 2, 3, 6, 12] {
         for even in [true, false] {
@@ -169,13 +172,16 @@
 
 #[test]
 fn what_comes_to_one_gateway_alone_inside_its_quota_is_served_through_a_silence() {
-    // Before: 0.80 while the counter was silent and 0.95 after it. What was presumed of others drew this
-    // gateway's share to one in six.
+    // Regression: 0.80 was served during an outage of the counter and 0.95 after it, because the estimated use of
+    // other gateways reduced this gateway's share to one sixth.
     let asked = [45.0, 0.0, 0.0, 0.0, 0.0, 0.0];
     for seed in 1..=5 {
         for part in play(&Play { asked: &asked, spans: &SPANS, even: false, seed }) {
             let served = part.sent / part.asked;
-            assert!(served >= 0.98, "seed {seed}: {served:.3} of what is inside the quota: {part:?}");
+            assert!(
+                served >= 0.98,
+                "seed {seed}: {served:.3} of the requests within the quota were served: {part:?}"
+            );
         }
     }
 }
--- a/crates/limiter-core/tests/quotas.rs
+++ b/crates/limiter-core/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas kept alone, for a caller that decides all else itself.
+//! Tests `Quotas` alone, for callers that make all other decisions themselves.
 
 use oatbank_limiter_core::interface::*;
 use oatbank_limiter_core::logic::Quotas;
@@ -31,7 +31,7 @@
     }
 }
 
-/// Asks so many times and books what is said; returns how many were let in.
+/// Sends `n` requests, records each decision, and returns how many were admitted.
 fn ask(quotas: &mut Quotas, now: Millis, customer: u64, plan: usize, n: usize) -> usize {
     let mut told = Vec::new();
     let mut one = || {
@@ -47,7 +47,7 @@
     quotas.tick(now, &mut actions);
     let count = |action| match action {
         Action::Count { name, add, .. } => (name, add),
-        other => panic!("{other:?} is no call to the counter"),
+        other => panic!("{other:?} is not a counter call"),
     };
     actions.into_iter().map(count).collect()
 }
@@ -61,8 +61,8 @@
         Verdict::Refuse { retry_after } => assert!((20.0..=2000.0).contains(&retry_after), "{retry_after}"),
         other => panic!("{other:?}"),
     }
-    assert_eq!(ask(&mut quotas, 1000.0, 2, 0, 10), 10, "another customer has its own");
-    assert_eq!(ask(&mut quotas, 1000.0, 3, 1, 100), 100, "and without a quota all pass");
+    assert_eq!(ask(&mut quotas, 1000.0, 2, 0, 10), 10, "another customer has its own quota");
+    assert_eq!(ask(&mut quotas, 1000.0, 3, 1, 100), 100, "without a quota all requests pass");
     assert_eq!(quotas.customer_count(), 3);
 }
 
@@ -70,7 +70,7 @@
 fn over_a_minute_a_customer_gets_its_rate() {
     let mut quotas = quotas();
     let within: usize = (0..3000).map(|i| ask(&mut quotas, f64::from(i) * 20.0, 1, 0, 1)).sum();
-    assert!((270..=340).contains(&within), "{within} of 300 and a burst of 10");
+    assert!((270..=340).contains(&within), "{within} admitted, of 300 by rate and a burst of 10");
 }
 
 #[test]
@@ -79,8 +79,8 @@
     ask(&mut quotas, 1000.0, 1, 0, 4);
     let told = tick(&mut quotas, 1020.0);
     assert_eq!(told.iter().map(|(_, add)| add).sum::<f64>(), 4.0);
-    assert!(tick(&mut quotas, 1040.0).is_empty(), "once");
-    // Others have used the whole burst.
+    assert!(tick(&mut quotas, 1040.0).is_empty(), "use is reported once");
+    // Other gateways have used the whole burst.
     quotas.handle_reply(1050.0, told[0].0, Outcome::Ok, 5.0, 24.0);
     assert_eq!(ask(&mut quotas, 1060.0, 1, 0, 5), 0);
 }
@@ -93,7 +93,7 @@
     let told: Vec<f64> =
         [1020.0, 3000.0].iter().flat_map(|at| tick(&mut quotas, *at)).map(|(_, add)| add).collect();
     assert!(told.contains(&1.0), "{told:?}");
-    // It took nothing from the store.
+    // The declined request took no tokens.
     assert_eq!(ask(&mut quotas, 10_000.0, 1, 0, 10), 10);
 }
 
@@ -116,8 +116,8 @@
     assert_eq!(ask(&mut quotas, 1000.0, 1, 0, 90), 90);
 }
 
-/// One of two gateways that are asked alike, 100 times a second, and hear of each other 200 ms late; returns what both let
-/// in during 10 s, by turns of two seconds in which they are asked and three in which they are not.
+/// Simulates one of two gateways with equal traffic of 100 requests per second that learn of each other's use 200 ms
+/// late, and returns the requests that both admit in 10 s, with two seconds of traffic in every five.
 fn let_in_by_two(debt: f64) -> usize {
     let plan = Plan { rate: 20.0, burst: 10.0, debt, ..Plan::default() };
     let set = QuotaSettings {
@@ -142,7 +142,7 @@
         quotas.tick(now, &mut actions);
         for action in actions {
             let Action::Count { name, add, .. } = action else { continue };
-            // The other has told as much.
+            // The other gateway has reported the same amount.
             let total = totals.entry(name).or_insert(0.0);
             *total += 2.0 * add;
             calls.push((now + 200.0, name, *total));
@@ -161,7 +161,7 @@
 #[test]
 fn what_passed_before_gateways_heard_of_each_other_is_paid_back_where_the_plan_says_so() {
     let (paid, forgotten) = (let_in_by_two(4.0), let_in_by_two(0.0));
-    // Twice a burst of 10 and two seconds of 20 a second, and what passes in 0.3 s before both hear.
+    // Two bursts of 10, two seconds at 20 per second each, and what passes in 0.3 s before both are informed.
     assert!(paid <= 120, "{paid}");
-    assert!(forgotten > paid + 10, "{paid} with the debt, {forgotten} without: the check can fail");
+    assert!(forgotten > paid + 10, "{paid} with debt, {forgotten} without: debt has to make a difference");
 }
--- a/crates/limiter-core/tests/settings.rs
+++ b/crates/limiter-core/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that may be left out: what each does, and that nothing changes without it.
+//! Tests the effect of each optional setting, and the default behaviour without it.
 
 mod events;
 
@@ -51,12 +51,12 @@
         (id, self.feed(now, ask))
     }
 
-    /// Asks every 20 ms for so many times, each served within 5 ms; returns where they went.
+    /// Sends `times` requests, one every 20 ms, each served within 5 ms, and returns their servers.
     fn serve(&mut self, from: Millis, times: u32, within: u64) -> Vec<ServerId> {
         let one = |i| {
             let now = from + 20.0 * f64::from(i);
             let (id, actions) = self.ask(now, within);
-            let server = sent(&actions).expect("sent on");
+            let server = sent(&actions).expect("the request is sent");
             self.feed(now + 5.0, ended(id, 0, server, Outcome::Ok, 5.0));
             server
         };
@@ -83,7 +83,7 @@
     };
     assert!(served(vec![]).iter().all(|s| *s == ServerId(0)));
     assert!(served(vec![1.5, 1.5, 1.0]).iter().all(|s| *s == ServerId(2)));
-    // A zone left out costs what it would without.
+    // A zone that is left out has its default cost.
     assert!(served(vec![2.0]).iter().all(|s| *s != ServerId(0)));
 }
 
@@ -93,7 +93,7 @@
     let mut rig = Rig::new(settings(), entries());
     assert!(rig.serve(0.0, 50, 0b010).iter().all(|s| s.0 % 3 == 1));
     assert!(rig.serve(2000.0, 50, 0b110).iter().all(|s| s.0 % 3 != 0));
-    // So do its further attempts, as long as there is one.
+    // Retries stay in the allowed zones as well, until no server is left.
     let (id, actions) = rig.ask(4000.0, 0b100);
     let first = sent(&actions).unwrap();
     let again = sent(&rig.feed(4001.0, ended(id, 0, first, Outcome::Error, 1.0))).unwrap();
@@ -109,7 +109,7 @@
         let (_, actions) = rig.ask(0.0, within);
         assert!(sent(&actions).is_none() && refused(&actions), "{actions:?}");
     }
-    // And the others are as they were.
+    // Requests for other zones are not affected.
     assert_eq!(rig.serve(10.0, 1, 0b1), [ServerId(1)]);
 }
 
@@ -120,7 +120,7 @@
     for i in 0..12 {
         let now = f64::from(i) * 20.0;
         let (id, actions) = rig.ask(now, 0b10);
-        let server = sent(&actions).expect("sent on");
+        let server = sent(&actions).expect("the request is sent");
         assert!(server.0 > 4);
         rig.feed(now + 1.0, ended(id, 0, server, Outcome::Error, 1.0));
         rig.feed(now + 2.0, Event::Gone(id));
@@ -145,10 +145,10 @@
         }
         further
     };
-    // One at first, and one more by each four: at the fifth and the ninth.
+    // One retry at first, and one more after every four requests: at the fifth and the ninth.
     assert_eq!(further(1.0, 0.25), 3);
-    assert_eq!(further(0.5, 0.25), 0, "less than one is none");
-    assert_eq!(further(0.0, 0.0), 10, "ten are there, and of nine no whole one is earned");
+    assert_eq!(further(0.5, 0.25), 0, "a budget of less than one allows no retry");
+    assert_eq!(further(0.0, 0.0), 10, "the initial budget of ten; nine requests earn less than one retry");
 }
 
 #[test]
@@ -159,10 +159,10 @@
         let mut rig = Rig::new(Settings { max_cold_rate, cold_start: 0.95, ..settings() }, entries);
         rig.serve(10.0, 500, 0).iter().filter(|s| **s == ServerId(1)).count()
     };
-    assert!(to_cold(0.0) > 20, "{} in ten seconds", to_cold(0.0));
+    assert!(to_cold(0.0) > 20, "{} requests in ten seconds", to_cold(0.0));
     let bounded = to_cold(0.5);
-    assert!((2..=6).contains(&bounded), "{bounded} in ten seconds");
-    assert_eq!(to_cold(1000.0), to_cold(0.0), "no more than without");
+    assert!((2..=6).contains(&bounded), "{bounded} requests in ten seconds");
+    assert_eq!(to_cold(1000.0), to_cold(0.0), "a high limit does not exceed the default");
 }
 
 #[test]
@@ -173,7 +173,7 @@
         rig.ask(0.0, 0);
         (1..25).map(|i| 20.0 * f64::from(i)).find(|now| sent(&rig.feed(*now, Event::Timer(0))).is_some())
     };
-    // The class's answers are held to take a fifth of its aim, 100 ms, until some came.
+    // Without samples, the mean response time of a class is taken as a fifth of its target, 100 ms.
     assert_eq!(hedged_at(2.0), Some(220.0));
-    assert_eq!(hedged_at(0.0), None, "eight of them are past the aim");
+    assert_eq!(hedged_at(0.0), None, "eight mean response times exceed the target");
 }
--- a/crates/limiter-core/tests/spread.rs
+++ b/crates/limiter-core/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How evenly equal engines are used: the module before model engines, in virtual time, from fixed seeds.
+//! Measures how evenly a gateway loads equal servers, in virtual time and from fixed seeds.
 
 use oatbank_limiter_core::interface::*;
 use oatbank_limiter_core::logic::Gateway;
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Engines that each work on everything at once, as idle ones do.
+/// Model of equal servers that process all their requests in parallel.
 #[derive(Clone, Copy)]
 struct Model {
     engines: u64,
@@ -24,7 +24,7 @@
         plans: vec![Plan { rate: 1e9, burst: 1e9, price: 1.0, ..Plan::default() }],
         max_units: 1.0,
         max_attempts: 3,
-        // The model ends one attempt a request.
+        // The model supports one attempt per request.
         parallel_tries: false,
         cancelling: true,
         cold_start: 0.2,
@@ -37,7 +37,7 @@
     (ms * 1000.0) as u64
 }
 
-/// Plays clients that ask again at once, and gives the requests that each engine served.
+/// Simulates clients that send the next request at once, and returns the requests served by each server.
 fn play(model: Model, requests: usize) -> Vec<u64> {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let mut gateway = Gateway::new(settings(), 3);
@@ -47,7 +47,7 @@
         .collect();
     gateway.handle(1.0, Event::Servers { update: ListUpdate::Full, entries }, &mut actions);
     let mut served = vec![0u64; model.engines as usize];
-    // Requests that begin (0), attempts that end (1) and ticks (2), by time.
+    // Pending events by time: start of a request (0), end of an attempt (1), tick (2).
     let mut due: BinaryHeap<Reverse<(u64, u8, u32)>> = BinaryHeap::new();
     let mut out: HashMap<u32, (ServerId, f64)> = HashMap::new();
     (0..model.clients).for_each(|id| due.push(Reverse((micros(1000.0), 0, id))));
@@ -108,10 +108,10 @@
     served
 }
 
-/// The busiest and the least busy engine beside the mean.
+/// Returns the largest and the smallest load relative to the mean.
 fn spread(served: &[u64]) -> (f64, f64) {
     let mean = served.iter().sum::<u64>() as f64 / served.len() as f64;
-    let (least, most) = (served.iter().min().expect("engines"), served.iter().max().expect("engines"));
+    let (least, most) = (served.iter().min().expect("servers"), served.iter().max().expect("servers"));
     (*most as f64 / mean, *least as f64 / mean)
 }
 
@@ -123,14 +123,14 @@
             for service in [0.2, 5.0, 100.0] {
                 for exponential in [false, true] {
                     let model = Model { engines, clients, service, exponential };
-                    // Where each engine would be met too rarely, the module keeps to a part of them.
+                    // With fewer requests per server the gateway would use only a subset.
                     let rate = f64::from(clients) / service;
                     if rate * 3000.0 < 2.0 * engines as f64 {
                         continue;
                     }
                     let (most, least) = spread(&play(model, 1000 * engines as usize));
                     println!(
-                        "{engines:>4} engines {clients:>3} clients {service:>5} ms exponential {exponential:<5}: \
+                        "{engines:>4} servers {clients:>3} clients {service:>5} ms exponential {exponential:<5}: \
                          most {most:.2}, least {least:.2} of the mean"
                     );
                     if most > 1.3 || least < 0.7 {
--- a/crates/limiter-core/tests/standing.rs
+++ b/crates/limiter-core/tests/standing.rs
@@ -1,10 +1,11 @@
-//! Where requests go when the gateways have agreed that a server is ill.
+//! Tests where requests go when the gateways agree that a server is unhealthy.
 
 use oatbank_limiter_core::interface::*;
 use oatbank_limiter_core::logic::Gateway;
 use std::collections::BTreeMap;
 
-/// Sends so many requests, 20 ms apart, each answered before the next: how many went to each server.
+/// Sends `count` requests, 20 ms apart, each answered before the next, and returns the number sent to each server.
+/// Server 0 succeeds; attempts at the others end with `out`.
 fn shares(standings: &[Standing], repeat: Repeat, count: u32, out: Outcome) -> BTreeMap<u64, u32> {
     shares_of(false, standings, repeat, count, out)
 }
@@ -59,8 +60,8 @@
     assert_eq!(once.keys().copied().collect::<Vec<_>>(), [0, 1]);
     let reads = shares(&all, Repeat::Safe, 300, Outcome::Ok);
     assert_eq!(reads.keys().copied().collect::<Vec<_>>(), [0, 1, 2, 5]);
-    assert!(reads[&2] < 30, "a returning one gets a trickle: {reads:?}");
-    assert!((10..=16).contains(&reads[&5]), "6 s, one in 0.4 s: {reads:?}");
+    assert!(reads[&2] < 30, "a returning server gets a reduced share: {reads:?}");
+    assert!((10..=16).contains(&reads[&5]), "one probe per 0.4 s for 6 s: {reads:?}");
     assert_eq!(shares(&[Well; 3], Repeat::Safe, 300, Outcome::Ok).len(), 3);
 }
 
@@ -71,7 +72,7 @@
         let sent = shares(&ill, repeat, 60, Outcome::Ok);
         assert_eq!(sent.values().sum::<u32>(), 60, "{sent:?}");
     }
-    // The only well one is out of reach: the ill one takes all.
+    // The only healthy server is unreachable, so the unhealthy one gets all requests.
     let left = shares(&[Standing::Ejected, Standing::Well], Repeat::Safe, 60, Outcome::ConnectFailed);
     assert!(left[&0] > 30, "{left:?}");
 }
@@ -84,5 +85,5 @@
         shares_of(true, &all, Repeat::Safe, 1400, Outcome::Ok)[&6]
     };
     let (well, returning) = (drawn(Well), drawn(Returning));
-    assert!(2 * returning < well, "{returning} returning, {well} well");
+    assert!(2 * returning < well, "{returning} requests to the returning server, {well} to a healthy one");
 }
--- a/crates/limiter-core/tests/wire.rs
+++ b/crates/limiter-core/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on frames of the project's own making: legal ones, and each kind of malformed one.
+//! Tests the adapter protocol with valid frames and with each kind of malformed frame.
 
 use oatbank_limiter_core::wire::{parse_settings, Host};
 
@@ -59,9 +59,9 @@
 
 fn fails(input: &[u8], word: &str) {
     let (result, output) = run(input);
-    let error = result.expect_err("accepted");
+    let error = result.expect_err("malformed input is rejected");
     assert!(error.contains(word) && !error.contains('\n'), "{error}");
-    assert!(output.is_empty(), "a partial reply");
+    assert!(output.is_empty(), "no reply is written for malformed input");
 }
 
 #[test]
@@ -115,7 +115,7 @@
 
 #[test]
 fn one_process_and_several_reply_alike() {
-    // Each instance alone gives the bytes it gives beside another.
+    // An instance replies with the same bytes alone and beside another instance.
     let script = |who: u32| {
         let mut input = start(who, SETTINGS);
         for i in 0..40 {
