--- a/crates/limiter-core/tests/failing.rs
+++ b/crates/limiter-core/tests/failing.rs
@@ -13,7 +13,7 @@
 /// Number of zones; the gateways are in the first.
 const ZONES: u64 = 3;
 /// Servers per zone.
-const EACH: u64 = 3;
+const SERVERS_PER_ZONE: u64 = 3;
 /// Requests per second over all gateways.
 const RATE: f64 = 240.0;
 /// Mean service time, ms.
@@ -39,17 +39,17 @@
 type Failing<'a> = &'a dyn Fn(ServerId, f64) -> f64;
 
 /// A finished request: time of arrival in seconds, server, and whether it succeeded.
-struct Done {
+struct FinishedRequest {
     at: f64,
     server: ServerId,
     served: bool,
 }
 
 fn zone(server: ServerId) -> u64 {
-    (server.0 - 1) / EACH
+    (server.0 - 1) / SERVERS_PER_ZONE
 }
 
-fn play(gateways: usize, seconds: f64, failing: Failing, seed: u64) -> Vec<Done> {
+fn simulate(gateways: usize, seconds: f64, failing: Failing, seed: u64) -> Vec<FinishedRequest> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut chance = move || (f64::from(rng.next_u32()) + 1.0) / (f64::from(u32::MAX) + 2.0);
     let mut fleet: Vec<Gateway> =
@@ -63,7 +63,7 @@
     for n in 0..gateways {
         let line =
             |s| ServerEntry { server: ServerId(s), zone: zone(ServerId(s)) as u16, ..Default::default() };
-        let entries = (1..=ZONES * EACH).map(line).collect();
+        let entries = (1..=ZONES * SERVERS_PER_ZONE).map(line).collect();
         post(&mut due, begin, (n, Some(Event::Servers { update: ListUpdate::Full, entries })));
         post(&mut due, begin + 1.0, (n, None));
     }
@@ -87,7 +87,7 @@
             match action {
                 Action::Send { id, server, .. } => {
                     let served = chance() >= failing(server, second);
-                    done.push(Done { at: second, server, served });
+                    done.push(FinishedRequest { at: second, server, served });
                     let outcome = if served { Outcome::Ok } else { Outcome::Error };
                     let took = SERVICE * (0.5 + chance());
                     post(&mut due, now + took, (n, Some(ended(id, 0, server, outcome, took))));
@@ -101,21 +101,21 @@
 }
 
 /// Returns the fraction of the requests of a span that went to the first zone, and the fraction that succeeded.
-fn shares(done: &[Done], from: f64, to: f64) -> (f64, f64) {
-    let span: Vec<&Done> = done.iter().filter(|d| (from..to).contains(&d.at)).collect();
+fn shares(done: &[FinishedRequest], from: f64, to: f64) -> (f64, f64) {
+    let span: Vec<&FinishedRequest> = done.iter().filter(|d| (from..to).contains(&d.at)).collect();
     let all = span.len().max(1) as f64;
-    let there = span.iter().filter(|d| zone(d.server) == 0).count() as f64;
-    (there / all, span.iter().filter(|d| d.served).count() as f64 / all)
+    let in_first_zone = span.iter().filter(|d| zone(d.server) == 0).count() as f64;
+    (in_first_zone / all, span.iter().filter(|d| d.served).count() as f64 / all)
 }
 
 /// Returns, for each span, the fractions sent to the first zone and served, averaged over four seeds.
-fn over(gateways: usize, failing: Failing, spans: &[(f64, f64)]) -> Vec<(f64, f64)> {
+fn mean_shares(gateways: usize, failing: Failing, spans: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let mut rows = vec![(0.0, 0.0); spans.len()];
     for seed in 1..=4 {
-        let done = play(gateways, spans.last().map_or(0.0, |s| s.1), failing, seed);
+        let done = simulate(gateways, spans.last().map_or(0.0, |s| s.1), failing, seed);
         for (row, (from, to)) in rows.iter_mut().zip(spans) {
-            let (there, served) = shares(&done, *from, *to);
-            (row.0, row.1) = (row.0 + there / 4.0, row.1 + served / 4.0);
+            let (in_first_zone, served) = shares(&done, *from, *to);
+            (row.0, row.1) = (row.0 + in_first_zone / 4.0, row.1 + served / 4.0);
         }
     }
     rows
@@ -129,32 +129,32 @@
 const SPANS: [(f64, f64); 4] = [(5.0, 10.0), (10.0, 13.0), (13.0, 20.0), (20.0, 60.0)];
 
 #[test]
-fn servers_that_fail_a_quarter_of_their_answers_lose_their_traffic() {
+fn servers_that_fail_a_quarter_of_their_requests_lose_their_traffic() {
     // Regression: ejection after three consecutive failures, which are rare, left 87 to 95% of the traffic there with
     // 6 gateways and all of it with 24.
     for gateways in [6, 24] {
-        let rows = over(gateways, &first_zone(0.25), &SPANS);
+        let rows = mean_shares(gateways, &first_zone(0.25), &SPANS);
         println!("{gateways} gateways: {rows:.3?}");
         assert!(rows[0].0 > 0.95, "the near zone is used while it is healthy: {rows:.3?}");
-        for (there, served) in &rows[2..] {
-            assert!(*there < 0.06 && *served >= 0.97, "{gateways} gateways: {rows:.3?}");
+        for (in_first_zone, served) in &rows[2..] {
+            assert!(*in_first_zone < 0.06 && *served >= 0.97, "{gateways} gateways: {rows:.3?}");
         }
     }
 }
 
 #[test]
-fn where_all_fail_alike_nobody_is_left_and_all_is_sent() {
+fn servers_keep_their_traffic_when_all_fail_alike() {
     let all = |_: ServerId, at: f64| if at >= ONSET { 0.25 } else { 0.002 };
-    let rows = over(6, &all, &SPANS);
+    let rows = mean_shares(6, &all, &SPANS);
     println!("{rows:.3?}");
-    for (there, served) in &rows[2..] {
+    for (in_first_zone, served) in &rows[2..] {
         // The near zone is no worse than the others, so it may get all of the traffic.
-        assert!(*there > 0.15 && (0.72..0.78).contains(served), "{rows:.3?}");
+        assert!(*in_first_zone > 0.15 && (0.72..0.78).contains(served), "{rows:.3?}");
     }
 }
 
 #[test]
-fn a_zone_that_is_sound_again_gets_its_traffic_back() {
+fn a_recovered_zone_gets_its_traffic_back() {
     let while_bad = |server: ServerId, at: f64| {
         if zone(server) == 0 && (ONSET..ONSET + 10.0).contains(&at) {
             0.25
@@ -162,7 +162,7 @@
             0.0
         }
     };
-    let rows = over(6, &while_bad, &[(5.0, 10.0), (13.0, 20.0), (90.0, 120.0)]);
+    let rows = mean_shares(6, &while_bad, &[(5.0, 10.0), (13.0, 20.0), (90.0, 120.0)]);
     println!("{rows:.3?}");
     assert!(rows[1].0 < 0.06 && rows[2].0 > 0.9, "{rows:.3?}");
 }
@@ -174,7 +174,7 @@
         for share in [0.0, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0] {
             println!(
                 "{gateways:>3} gateways, {share:>4}: {:.3?}",
-                over(gateways, &first_zone(share), &SPANS)
+                mean_shares(gateways, &first_zone(share), &SPANS)
             );
         }
     }
--- a/crates/limiter-core/tests/fleet.rs
+++ b/crates/limiter-core/tests/fleet.rs
@@ -35,9 +35,9 @@
 }
 
 /// Returns the outcome of an attempt at a server and its duration in ms.
-type Fate = fn(ServerId) -> (Outcome, f64);
+type AttemptResult = fn(ServerId) -> (Outcome, f64);
 
-struct Play {
+struct SimulationResult {
     /// Times, in ms, at which attempts were sent to each server.
     sends: BTreeMap<u64, Vec<f64>>,
     asked: usize,
@@ -45,13 +45,19 @@
 }
 
 /// Simulates `seconds` of Poisson arrivals at `gateways` equal gateways that have this server list from the start.
-fn play(gateways: usize, seconds: f64, entries: &[ServerEntry], fate: Fate, seed: u64) -> Play {
+fn simulate(
+    gateways: usize,
+    seconds: f64,
+    entries: &[ServerEntry],
+    result_of: AttemptResult,
+    seed: u64,
+) -> SimulationResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut fleet: Vec<Gateway> =
         (0..gateways).map(|n| Gateway::new(settings(), seed << 16 | n as u64)).collect();
     // Pending events by time (us) and order of creation, with their gateway; no event stands for a new request.
     let (mut due, mut serial) = (BTreeMap::new(), 0u64);
-    let mut out = Play { sends: BTreeMap::new(), asked: 0, refused: 0 };
+    let mut out = SimulationResult { sends: BTreeMap::new(), asked: 0, refused: 0 };
     let begin = 10_000.0;
     let list = Event::Servers { update: ListUpdate::Full, entries: entries.to_vec() };
     let mut post = |due: &mut BTreeMap<(u64, u64), _>, at: f64, what: (usize, Option<Event>)| {
@@ -84,7 +90,7 @@
                 Action::Send { id, server, .. } => {
                     out.sends.entry(server.0).or_default().push(now - begin);
                     let attempt = *tries.entry((n, id.0)).and_modify(|t| *t += 1).or_insert(0);
-                    let (outcome, took) = fate(server);
+                    let (outcome, took) = result_of(server);
                     post(&mut due, now + took, (n, Some(ended(id, attempt, server, outcome, took))));
                 }
                 Action::Refuse { .. } | Action::Fail(_) => out.refused += 1,
@@ -111,18 +117,18 @@
 }
 
 #[test]
-fn cold_servers_get_what_they_can_do_and_no_more_over_all_gateways() {
+fn all_gateways_together_load_cold_servers_according_to_their_capacity() {
     // Regression: when six in ten servers were replaced at once, the new ones got no request for seconds and the warm
     // ones were overloaded. With 1.5 times the rate to each new server, one of them was overloaded.
-    const CHILLED: u64 = 36;
+    const COLD: u64 = 36;
     for seed in [11, 12, 13] {
-        let list = entries(|n| if n <= CHILLED { 9500.0 } else { 0.0 });
-        let played = play(GATEWAYS, 5.0, &list, answers, seed);
+        let list = entries(|n| if n <= COLD { 9500.0 } else { 0.0 });
+        let result = simulate(GATEWAYS, 5.0, &list, answers, seed);
         let fair = RATE / SERVERS as f64;
         let warmth = |t: f64| COLD_SHARE + (1.0 - COLD_SHARE) * (t + 500.0) / WARM_AFTER;
-        let cold: Vec<&Vec<f64>> = (1..=CHILLED).filter_map(|n| played.sends.get(&(n * 7919))).collect();
+        let cold: Vec<&Vec<f64>> = (1..=COLD).filter_map(|n| result.sends.get(&(n * 7919))).collect();
         let sent = cold.iter().map(|s| s.len()).sum::<usize>() as f64;
-        let could = CHILLED as f64 * fair * 5.0 * warmth(2500.0);
+        let could = COLD as f64 * fair * 5.0 * warmth(2500.0);
         assert!(
             sent >= 0.4 * could && sent <= 1.1 * could,
             "seed {seed}: {sent} requests sent to cold servers with capacity for {could:.0}"
@@ -150,12 +156,12 @@
 }
 
 #[test]
-fn an_old_list_costs_detours_and_no_answers() {
+fn an_outdated_server_list_causes_retries_and_few_refusals() {
     // Regression: after a mass restart half of the listed servers were gone, and once the retry budget of ten attempts
     // was used up, each refused connection became a refused request.
     for seed in [21, 22, 23] {
-        let played = play(20, 10.0, &entries(|_| 0.0), half_gone, seed);
-        let lost = played.refused as f64 / played.asked as f64;
-        assert!(lost < 0.04, "seed {seed}: {} of {} refused", played.refused, played.asked);
+        let result = simulate(20, 10.0, &entries(|_| 0.0), half_gone, seed);
+        let lost = result.refused as f64 / result.asked as f64;
+        assert!(lost < 0.04, "seed {seed}: {} of {} refused", result.refused, result.asked);
     }
 }
--- a/crates/limiter-core/tests/quota.rs
+++ b/crates/limiter-core/tests/quota.rs
@@ -24,7 +24,7 @@
 
 /// Parameters of a simulation: requests per second at each gateway, and the state of the counter in each span, given
 /// with its end in seconds.
-struct Play<'a> {
+struct Simulation<'a> {
     asked: &'a [f64],
     spans: &'a [(f64, Counter)],
     /// Whether requests arrive at fixed intervals instead of as a Poisson process.
@@ -34,15 +34,15 @@
 
 /// Requests received and sent on in a span.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct SpanCounts {
     seconds: f64,
     asked: f64,
     sent: f64,
 }
 
-impl Part {
+impl SpanCounts {
     /// Returns the requests sent on as a multiple of what the quota rate allows.
-    fn over(&self) -> f64 {
+    fn rate_multiple(&self) -> f64 {
         self.sent / (self.seconds * RATE)
     }
 }
@@ -60,19 +60,19 @@
     }
 }
 
-enum What {
-    Ask,
-    Tell(Event),
+enum Input {
+    Arrival,
+    Deliver(Event),
 }
 
-fn play(play: &Play) -> Vec<Part> {
-    let count = play.asked.len();
-    let mut rng = Pcg64Mcg::seed_from_u64(play.seed);
+fn simulate(simulation: &Simulation) -> Vec<SpanCounts> {
+    let count = simulation.asked.len();
+    let mut rng = Pcg64Mcg::seed_from_u64(simulation.seed);
     let mut chance = move || (f64::from(rng.next_u32()) + 1.0) / (f64::from(u32::MAX) + 2.0);
     let mut gateways: Vec<Gateway> =
-        (0..count).map(|n| Gateway::new(settings(count), play.seed << 16 | n as u64)).collect();
+        (0..count).map(|n| Gateway::new(settings(count), simulation.seed << 16 | n as u64)).collect();
     let (mut due, mut serial) = (BTreeMap::new(), 0u64);
-    let mut post = |due: &mut BTreeMap<(u64, u64), (usize, What)>, at: f64, n: usize, what: What| {
+    let mut post = |due: &mut BTreeMap<(u64, u64), (usize, Input)>, at: f64, n: usize, what: Input| {
         serial += 1;
         due.insert(((at * 1000.0) as u64, serial), (n, what));
     };
@@ -81,26 +81,28 @@
     for n in 0..count {
         let entries =
             (1..=4).map(|s| ServerEntry { server: ServerId(s), ..ServerEntry::default() }).collect();
-        post(&mut due, begin, n, What::Tell(Event::Servers { update: ListUpdate::Full, entries }));
-        if play.asked[n] > 0.0 {
-            post(&mut due, begin + 1.0 + chance() * 1000.0 / play.asked[n], n, What::Ask);
+        post(&mut due, begin, n, Input::Deliver(Event::Servers { update: ListUpdate::Full, entries }));
+        if simulation.asked[n] > 0.0 {
+            post(&mut due, begin + 1.0 + chance() * 1000.0 / simulation.asked[n], n, Input::Arrival);
         }
     }
-    let mut parts = vec![Part::default(); play.spans.len()];
+    let mut parts = vec![SpanCounts::default(); simulation.spans.len()];
     let mut from = 0.0;
-    for (part, (until, _)) in parts.iter_mut().zip(play.spans) {
+    for (part, (until, _)) in parts.iter_mut().zip(simulation.spans) {
         part.seconds = until - std::mem::replace(&mut from, *until);
     }
     let (mut totals, mut actions, mut number) = (BTreeMap::<u64, f64>::new(), Vec::new(), 0u32);
     while let Some(((at, _), (n, what))) = due.pop_first() {
         let now = at as f64 / 1000.0;
-        let Some(span) = play.spans.iter().position(|(until, _)| now - begin < 1000.0 * until) else { break };
+        let Some(span) = simulation.spans.iter().position(|(until, _)| now - begin < 1000.0 * until) else {
+            break;
+        };
         let event = match what {
-            What::Tell(event) => event,
-            What::Ask => {
-                let gap = 1000.0 / play.asked[n];
-                let next = now + gap * if play.even { 1.0 } else { -chance().ln() };
-                post(&mut due, next, n, What::Ask);
+            Input::Deliver(event) => event,
+            Input::Arrival => {
+                let gap = 1000.0 / simulation.asked[n];
+                let next = now + gap * if simulation.even { 1.0 } else { -chance().ln() };
+                post(&mut due, next, n, Input::Arrival);
                 number += 1;
                 parts[span].asked += 1.0;
                 asks(RequestId(number), CustomerId(1), count as f64, 2000.0)
@@ -113,18 +115,18 @@
                 Action::Send { id, server, .. } => {
                     parts[span].sent += 1.0;
                     let took = 5.0;
-                    post(&mut due, now + took, n, What::Tell(ended(id, 0, server, Outcome::Ok, took)));
+                    post(&mut due, now + took, n, Input::Deliver(ended(id, 0, server, Outcome::Ok, took)));
                 }
                 Action::Count { name, add, .. } => {
-                    let well = play.spans[span].1 == Counter::Well;
+                    let well = simulation.spans[span].1 == Counter::Well;
                     let (outcome, took) = if well { (Outcome::Ok, 1.0) } else { (Outcome::TimedOut, 200.0) };
                     let total = totals.entry(name.0).or_default();
                     *total += if well { add } else { 0.0 };
                     let counted = Event::Counted { name, outcome, took, total: *total };
-                    post(&mut due, now + took, n, What::Tell(counted));
+                    post(&mut due, now + took, n, Input::Deliver(counted));
                 }
                 Action::Timer { after, name } => {
-                    post(&mut due, now + after, n, What::Tell(Event::Timer(name)));
+                    post(&mut due, now + after, n, Input::Deliver(Event::Timer(name)));
                 }
                 _ => {}
             }
@@ -139,24 +141,24 @@
 
 /// Returns the rate sent on in each span as a multiple of the quota rate, averaged over five seeds, with 240 requests
 /// per second distributed evenly over the gateways.
-fn over(gateways: usize, even: bool) -> [f64; 4] {
+fn rate_multiples(gateways: usize, even: bool) -> [f64; 4] {
     let asked = vec![240.0 / gateways as f64; gateways];
     let mut mean = [0.0; 4];
     for seed in 1..=5 {
-        let parts = play(&Play { asked: &asked, spans: &SPANS, even, seed });
-        mean.iter_mut().zip(&parts).for_each(|(m, part)| *m += part.over() / 5.0);
+        let parts = simulate(&Simulation { asked: &asked, spans: &SPANS, even, seed });
+        mean.iter_mut().zip(&parts).for_each(|(m, part)| *m += part.rate_multiple() / 5.0);
     }
     mean
 }
 
 #[test]
-fn a_quota_holds_over_gateways_while_the_counter_is_well_silent_and_back() {
+fn a_quota_holds_across_gateways_before_during_and_after_a_counter_outage() {
     // Regression: with 6 and 12 gateways the multiples were 1.64 and 1.58 with the counter available, 1.99 and 2.82
     // without it, and 1.48 and 1.48 after its return.
     let mut wrong = Vec::new();
     for gateways in [1, 2, 3, 6, 12] {
         for even in [true, false] {
-            let [_, well, silent, back] = over(gateways, even);
+            let [_, well, silent, back] = rate_multiples(gateways, even);
             println!(
                 "{gateways:>3} gateways, even {even:<5}: well {well:.2}, silent {silent:.2}, back {back:.2}"
             );
@@ -171,12 +173,12 @@
 }
 
 #[test]
-fn what_comes_to_one_gateway_alone_inside_its_quota_is_served_through_a_silence() {
+fn traffic_of_one_gateway_within_quota_is_served_during_a_counter_outage() {
     // Regression: 0.80 was served during an outage of the counter and 0.95 after it, because the estimated use of
     // other gateways reduced this gateway's share to one sixth.
     let asked = [45.0, 0.0, 0.0, 0.0, 0.0, 0.0];
     for seed in 1..=5 {
-        for part in play(&Play { asked: &asked, spans: &SPANS, even: false, seed }) {
+        for part in simulate(&Simulation { asked: &asked, spans: &SPANS, even: false, seed }) {
             let served = part.sent / part.asked;
             assert!(
                 served >= 0.98,
@@ -191,7 +193,7 @@
 fn table() {
     for gateways in [1, 2, 3, 6, 12, 30, 100] {
         for even in [true, false] {
-            let [first, well, silent, back] = over(gateways, even);
+            let [first, well, silent, back] = rate_multiples(gateways, even);
             println!(
                 "{gateways:>3} gateways, even {even:<5}: first 2 s {first:.2}, well {well:.2}, silent {silent:.2}, \
                  back {back:.2}"
--- a/crates/limiter-core/tests/quotas.rs
+++ b/crates/limiter-core/tests/quotas.rs
@@ -21,7 +21,7 @@
     )
 }
 
-fn draw(customer: u64, plan: usize) -> QuotaRequest {
+fn request(customer: u64, plan: usize) -> QuotaRequest {
     QuotaRequest {
         customer: CustomerId(customer),
         plan: PlanId(plan),
@@ -33,9 +33,9 @@
 
 /// Sends `n` requests, records each decision, and returns how many were admitted.
 fn ask(quotas: &mut Quotas, now: Millis, customer: u64, plan: usize, n: usize) -> usize {
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     let mut one = || {
-        let within = quotas.admit(now, draw(customer, plan), &mut told) == Verdict::Within;
+        let within = quotas.admit(now, request(customer, plan), &mut reported) == Verdict::Within;
         quotas.record(now, CustomerId(customer), 1.0, within);
         within
     };
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn a_burst_passes_and_what_follows_is_told_when_to_come_back() {
+fn a_burst_passes_and_further_requests_get_a_retry_after() {
     let mut quotas = quotas();
     assert_eq!(ask(&mut quotas, 1000.0, 1, 0, 10), 10);
     ask(&mut quotas, 1000.0, 1, 0, 10);
-    match quotas.admit(1000.0, draw(1, 0), &mut Vec::new()) {
+    match quotas.admit(1000.0, request(1, 0), &mut Vec::new()) {
         Verdict::Refuse { retry_after } => assert!((20.0..=2000.0).contains(&retry_after), "{retry_after}"),
         other => panic!("{other:?}"),
     }
@@ -74,41 +74,41 @@
 }
 
 #[test]
-fn what_is_booked_is_told_and_what_others_told_counts() {
+fn use_is_reported_once_and_use_of_other_gateways_counts() {
     let mut quotas = quotas();
     ask(&mut quotas, 1000.0, 1, 0, 4);
-    let told = tick(&mut quotas, 1020.0);
-    assert_eq!(told.iter().map(|(_, add)| add).sum::<f64>(), 4.0);
+    let reported = tick(&mut quotas, 1020.0);
+    assert_eq!(reported.iter().map(|(_, add)| add).sum::<f64>(), 4.0);
     assert!(tick(&mut quotas, 1040.0).is_empty(), "use is reported once");
     // Other gateways have used the whole burst.
-    quotas.handle_reply(1050.0, told[0].0, Outcome::Ok, 5.0, 24.0);
+    quotas.handle_reply(1050.0, reported[0].0, Outcome::Ok, 5.0, 24.0);
     assert_eq!(ask(&mut quotas, 1060.0, 1, 0, 5), 0);
 }
 
 #[test]
-fn a_refused_request_is_told_as_declined() {
+fn a_refused_request_is_reported_as_declined() {
     let mut quotas = quotas();
-    quotas.admit(1000.0, draw(1, 0), &mut Vec::new());
+    quotas.admit(1000.0, request(1, 0), &mut Vec::new());
     quotas.record(1000.0, CustomerId(1), 1.0, false);
-    let told: Vec<f64> =
+    let reported: Vec<f64> =
         [1020.0, 3000.0].iter().flat_map(|at| tick(&mut quotas, *at)).map(|(_, add)| add).collect();
-    assert!(told.contains(&1.0), "{told:?}");
+    assert!(reported.contains(&1.0), "{reported:?}");
     // The declined request took no tokens.
     assert_eq!(ask(&mut quotas, 10_000.0, 1, 0, 10), 10);
 }
 
 #[test]
-fn what_is_out_counts_against_the_open_cap() {
+fn attempts_in_progress_count_against_max_open() {
     let mut quotas = quotas();
-    quotas.admit(0.0, draw(1, 2), &mut Vec::new());
+    quotas.admit(0.0, request(1, 2), &mut Vec::new());
     quotas.adjust_open_attempts(CustomerId(1), 2.0);
-    assert_eq!(quotas.admit(1.0, draw(1, 2), &mut Vec::new()), Verdict::Wait);
+    assert_eq!(quotas.admit(1.0, request(1, 2), &mut Vec::new()), Verdict::Wait);
     quotas.adjust_open_attempts(CustomerId(1), -1.0);
-    assert_eq!(quotas.admit(2.0, draw(1, 2), &mut Vec::new()), Verdict::Within);
+    assert_eq!(quotas.admit(2.0, request(1, 2), &mut Vec::new()), Verdict::Within);
 }
 
 #[test]
-fn new_plans_hold_for_known_customers() {
+fn new_plans_apply_to_known_customers() {
     let mut quotas = quotas();
     ask(&mut quotas, 1000.0, 1, 0, 10);
     let plans = vec![Plan { rate: 50.0, burst: 100.0, ..Plan::default() }];
@@ -118,7 +118,7 @@
 
 /// Simulates one of two gateways with equal traffic of 100 requests per second that learn of each other's use 200 ms
 /// late, and returns the requests that both admit in 10 s, with two seconds of traffic in every five.
-fn let_in_by_two(debt: f64) -> usize {
+fn admitted_by_two_gateways(debt: f64) -> usize {
     let plan = Plan { rate: 20.0, burst: 10.0, debt, ..Plan::default() };
     let set = QuotaSettings {
         plans: vec![plan],
@@ -129,15 +129,15 @@
         ..QuotaSettings::default()
     };
     let mut quotas = Quotas::new(set, 3);
-    let (mut let_in, mut calls, mut totals) = (0, Vec::new(), std::collections::BTreeMap::new());
+    let (mut admitted, mut calls, mut totals) = (0, Vec::new(), std::collections::BTreeMap::new());
     for tick in 0..1000 {
         let now = 60_000.0 + f64::from(tick) * 10.0;
         let mut actions = Vec::new();
         if tick % 500 < 200 {
-            let sent = quotas.admit(now, QuotaRequest { spread: 2.0, ..draw(1, 0) }, &mut actions)
+            let sent = quotas.admit(now, QuotaRequest { spread: 2.0, ..request(1, 0) }, &mut actions)
                 == Verdict::Within;
             quotas.record(now, CustomerId(1), 1.0, sent);
-            let_in += 2 * usize::from(sent);
+            admitted += 2 * usize::from(sent);
         }
         quotas.tick(now, &mut actions);
         for action in actions {
@@ -155,12 +155,12 @@
             !comes
         });
     }
-    let_in
+    admitted
 }
 
 #[test]
-fn what_passed_before_gateways_heard_of_each_other_is_paid_back_where_the_plan_says_so() {
-    let (paid, forgotten) = (let_in_by_two(4.0), let_in_by_two(0.0));
+fn overuse_from_delayed_counts_is_paid_back_where_the_plan_has_debt() {
+    let (paid, forgotten) = (admitted_by_two_gateways(4.0), admitted_by_two_gateways(0.0));
     // Two bursts of 10, two seconds at 20 per second each, and what passes in 0.3 s before both are informed.
     assert!(paid <= 120, "{paid}");
     assert!(forgotten > paid + 10, "{paid} with debt, {forgotten} without: debt has to make a difference");
--- a/crates/limiter-core/tests/spread.rs
+++ b/crates/limiter-core/tests/spread.rs
@@ -10,7 +10,7 @@
 /// Model of equal servers that process all their requests in parallel.
 #[derive(Clone, Copy)]
 struct Model {
-    engines: u64,
+    servers: u64,
     clients: u32,
     /// Mean service time, ms.
     service: f64,
@@ -38,15 +38,15 @@
 }
 
 /// Simulates clients that send the next request at once, and returns the requests served by each server.
-fn play(model: Model, requests: usize) -> Vec<u64> {
+fn simulate(model: Model, requests: usize) -> Vec<u64> {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let mut gateway = Gateway::new(settings(), 3);
     let mut actions = Vec::new();
-    let entries = (1..=model.engines)
+    let entries = (1..=model.servers)
         .map(|n| ServerEntry { server: ServerId(n), weight: 1.0, ..ServerEntry::default() })
         .collect();
     gateway.handle(1.0, Event::Servers { update: ListUpdate::Full, entries }, &mut actions);
-    let mut served = vec![0u64; model.engines as usize];
+    let mut served = vec![0u64; model.servers as usize];
     // Pending events by time: start of a request (0), end of an attempt (1), tick (2).
     let mut due: BinaryHeap<Reverse<(u64, u8, u32)>> = BinaryHeap::new();
     let mut out: HashMap<u32, (ServerId, f64)> = HashMap::new();
@@ -116,25 +116,25 @@
 }
 
 #[test]
-fn equal_engines_get_equal_load() {
+fn equal_servers_get_equal_load() {
     let mut uneven = Vec::new();
-    for engines in [10, 100] {
+    for servers in [10, 100] {
         for clients in [1, 8, 64] {
             for service in [0.2, 5.0, 100.0] {
                 for exponential in [false, true] {
-                    let model = Model { engines, clients, service, exponential };
+                    let model = Model { servers, clients, service, exponential };
                     // With fewer requests per server the gateway would use only a subset.
                     let rate = f64::from(clients) / service;
-                    if rate * 3000.0 < 2.0 * engines as f64 {
+                    if rate * 3000.0 < 2.0 * servers as f64 {
                         continue;
                     }
-                    let (most, least) = spread(&play(model, 1000 * engines as usize));
+                    let (most, least) = spread(&simulate(model, 1000 * servers as usize));
                     println!(
-                        "{engines:>4} servers {clients:>3} clients {service:>5} ms exponential {exponential:<5}: \
+                        "{servers:>4} servers {clients:>3} clients {service:>5} ms exponential {exponential:<5}: \
                          most {most:.2}, least {least:.2} of the mean"
                     );
                     if most > 1.3 || least < 0.7 {
-                        uneven.push((engines, clients, service, exponential, most, least));
+                        uneven.push((servers, clients, service, exponential, most, least));
                     }
                 }
             }
--- a/crates/limiter-core/tests/standing.rs
+++ b/crates/limiter-core/tests/standing.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_runs_once_goes_to_well_servers_and_reads_to_returning_ones_too() {
+fn non_idempotent_requests_use_healthy_servers_only_and_reads_also_returning_ones() {
     use Standing::{Ejected, Probing, Returning, Suspect, Well};
     let all = [Well, Well, Returning, Suspect, Ejected, Probing];
     let once = shares(&all, Repeat::Unsafe, 300, Outcome::Ok);
@@ -66,10 +66,10 @@
 }
 
 #[test]
-fn no_verdict_leaves_a_request_without_a_server() {
-    let ill = [Standing::Ejected, Standing::Suspect, Standing::Ejected];
+fn unhealthy_servers_are_used_when_no_other_is_available() {
+    let unhealthy = [Standing::Ejected, Standing::Suspect, Standing::Ejected];
     for repeat in [Repeat::Safe, Repeat::Unsafe] {
-        let sent = shares(&ill, repeat, 60, Outcome::Ok);
+        let sent = shares(&unhealthy, repeat, 60, Outcome::Ok);
         assert_eq!(sent.values().sum::<u32>(), 60, "{sent:?}");
     }
     // The only healthy server is unreachable, so the unhealthy one gets all requests.
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn in_a_sparse_list_too_a_returning_one_is_drawn_more_rarely() {
+fn a_returning_server_in_a_sparse_list_gets_fewer_requests() {
     use Standing::{Returning, Well};
     let drawn = |standing| {
         let all = [Well, Well, Well, Well, Well, Well, standing];
--- a/crates/limiter-core/tests/wire.rs
+++ b/crates/limiter-core/tests/wire.rs
@@ -6,10 +6,10 @@
     classes.0.idempotency=free\nplans.count=1\nplans.0.rate=5.0\nplans.0.store_size=10.0\nbalancers=3\n\
     family_info.shared_counter=true\nfuture.key=whatever\n";
 
-fn record(code: u16, who: u32, fields: &[(usize, &[u8])]) -> Vec<u8> {
+fn record(code: u16, instance: u32, fields: &[(usize, &[u8])]) -> Vec<u8> {
     let mut r = vec![0u8; 48];
     r[..2].copy_from_slice(&code.to_le_bytes());
-    r[2..6].copy_from_slice(&who.to_le_bytes());
+    r[2..6].copy_from_slice(&instance.to_le_bytes());
     for (at, bytes) in fields {
         r[*at..at + bytes.len()].copy_from_slice(bytes);
     }
@@ -26,22 +26,23 @@
     f
 }
 
-fn start(who: u32, text: &str) -> Vec<u8> {
-    let provision = record(1040, who, &[(6, &7u64.to_le_bytes()), (18, &(text.len() as u32).to_le_bytes())]);
+fn start(instance: u32, text: &str) -> Vec<u8> {
+    let provision =
+        record(1040, instance, &[(6, &7u64.to_le_bytes()), (18, &(text.len() as u32).to_le_bytes())]);
     let mut entry = 1f32.to_le_bytes().to_vec();
     entry.extend(1u32.to_le_bytes());
     entry.extend([0u8; 13]);
     entry.extend([1]);
     assert_eq!(entry.len(), 22);
     let at = (text.len() as u32).to_le_bytes();
-    let list = record(1080, who, &[(6, &[2]), (11, &at), (15, &1u32.to_le_bytes())]);
+    let list = record(1080, instance, &[(6, &[2]), (11, &at), (15, &1u32.to_le_bytes())]);
     frame(1000.0, &[provision, list], &[text.as_bytes(), &entry].concat())
 }
 
-fn ask(who: u32, id: u32) -> Vec<u8> {
+fn ask(instance: u32, id: u32) -> Vec<u8> {
     record(
         1010,
-        who,
+        instance,
         &[
             (6, &id.to_le_bytes()),
             (16, &2f32.to_le_bytes()),
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn an_empty_batch_and_the_end_between_frames() {
+fn an_empty_frame_and_empty_input_are_accepted() {
     let (result, output) = run(&frame(5.0, &[], &[]));
     assert!(result.is_ok());
     assert_eq!(output, [0, 0, 0, 0, 8, 0, 0, 0]);
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn malformed_frames_are_named_and_answered_with_nothing() {
+fn malformed_frames_are_rejected_without_a_reply() {
     fails(&[16, 0], "cut short");
     fails(&frame(0.0, &[], &[])[..12], "cut short");
     fails(&[3, 0, 0, 0], "shorter than a header");
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn bad_events_and_settings_are_named() {
+fn invalid_events_and_settings_are_rejected_with_a_reason() {
     let after = |second: Vec<u8>| {
         let mut input = start(1, SETTINGS);
         input.extend(frame(1001.0, &[second], &[]));
@@ -114,25 +115,25 @@
 }
 
 #[test]
-fn one_process_and_several_reply_alike() {
+fn an_instance_replies_the_same_alone_and_beside_others() {
     // An instance replies with the same bytes alone and beside another instance.
-    let script = |who: u32| {
-        let mut input = start(who, SETTINGS);
+    let script = |instance: u32| {
+        let mut input = start(instance, SETTINGS);
         for i in 0..40 {
-            input.extend(frame(1001.0 + f64::from(i) * 9.0, &[ask(who, i as u32)], &[]));
+            input.extend(frame(1001.0 + f64::from(i) * 9.0, &[ask(instance, i as u32)], &[]));
         }
         input
     };
     let (one, two) = (run(&script(1)).1, run(&script(2)).1);
     let mut host = Host::default();
     let mut together: [Vec<u8>; 2] = Default::default();
-    for who in [1u32, 2] {
-        together[who as usize - 1].extend(host.answer(&start(who, SETTINGS)).unwrap());
+    for instance in [1u32, 2] {
+        together[instance as usize - 1].extend(host.answer(&start(instance, SETTINGS)).unwrap());
     }
     for i in 0..40 {
-        for who in [1u32, 2] {
-            let f = frame(1001.0 + f64::from(i) * 9.0, &[ask(who, i as u32)], &[]);
-            together[who as usize - 1].extend(host.answer(&f).unwrap());
+        for instance in [1u32, 2] {
+            let f = frame(1001.0 + f64::from(i) * 9.0, &[ask(instance, i as u32)], &[]);
+            together[instance as usize - 1].extend(host.answer(&f).unwrap());
         }
     }
     assert_eq!([one, two], together);
