--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -314,7 +314,7 @@
     /// Whether the body is still being received; the time limits then start at [`Event::Uploaded`].
     pub uploading: bool,
     /// Bit mask of the allowed zones, by zone number; 0: all. Zones numbered 64 and above match no mask.
-    pub within: u64,
+    pub allowed_zones: u64,
     /// Rules in force at the arrival; without them, the current settings apply.
     pub rules: Option<Arc<Rules>>,
 }
--- a/crates/limiter-core/src/logic/choice.rs
+++ b/crates/limiter-core/src/logic/choice.rs
@@ -117,10 +117,10 @@
     pub(super) fn choose(&mut self, now: Millis, open: &OpenRequest) -> Option<ServerId> {
         let ran = open.attempts.iter().find(|a| a.may_have_run).copied();
         let bound = ran.and_then(|a| self.servers.get(&a.server)).map(|s| (s.entry.zone, s.entry.cell));
-        let within = open.request.within;
-        let (ready, in_reach) = (self.ready(0).count(), self.ready(within).count());
+        let zones = open.request.allowed_zones;
+        let (ready, in_reach) = (self.ready(0).count(), self.ready(zones).count());
         let is_healthy = |s: &Server| s.ejected_until <= now && (s.failures < EJECT_AFTER || s.out < 1.0);
-        let healthy = self.servers.values().filter(|s| s.within(within) && is_healthy(s)).count();
+        let healthy = self.servers.values().filter(|s| s.is_in(zones) && is_healthy(s)).count();
         // Subsetting: in a large fleet, samples of each server would be too rare to act on. Two servers of
         // the subset, in this gateway's own order, are compared; comparing all would send many gateways to
         // the same server. Shares become uneven, which load reports compensate.
@@ -153,7 +153,7 @@
             let random = self.chance();
             let warmth = Self::warmth(&self.set, now, &self.servers[&id]);
             let Some(s) = self.servers.get_mut(&id) else { continue };
-            if s.entry.state != ServerState::Ready || s.paused_until > now || !s.within(within) {
+            if s.entry.state != ServerState::Ready || s.paused_until > now || !s.is_in(zones) {
                 continue;
             }
             let allowed = match open.class.repeat {
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -118,12 +118,12 @@
         let Some(open) = self.open.get_mut(&id) else { return };
         let verdict = self.quotas.evaluate(now, &mut open.quota, spare);
         open.beyond = verdict == Verdict::Beyond;
-        let within = open.request.within;
+        let zones = open.request.allowed_zones;
         match verdict {
             Verdict::Refuse { .. } => self.reject(now, id),
             Verdict::Wait => self.hold(id),
             // No allowed server accepts requests, so waiting would only delay the refusal.
-            _ if self.ready(within).next().is_none() && !self.servers.is_empty() => self.reject(now, id),
+            _ if self.ready(zones).next().is_none() && !self.servers.is_empty() => self.reject(now, id),
             _ => {
                 if !self.try_send(now, id) {
                     self.hold(id);
--- a/crates/limiter-core/src/logic/retries.rs
+++ b/crates/limiter-core/src/logic/retries.rs
@@ -149,7 +149,7 @@
     /// Returns the retry-after time: until the quota has refilled, at least a mean response time.
     pub(super) fn retry_after_for(&self, open: &OpenRequest) -> Millis {
         // Without servers response times are no guide; responses faster than a tick would give about 0.
-        let least = if self.ready(open.request.within).next().is_none() {
+        let least = if self.ready(open.request.allowed_zones).next().is_none() {
             open.class.target
         } else {
             self.mean(open).max(TICK)
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -73,7 +73,7 @@
 
 impl Server {
     /// Whether the server is in one of these zones, a bit mask in which 0 means all.
-    pub(crate) fn within(&self, zones: u64) -> bool {
+    pub(crate) fn is_in(&self, zones: u64) -> bool {
         zones == 0 || self.entry.zone < 64 && zones >> self.entry.zone & 1 == 1
     }
 }
@@ -348,7 +348,7 @@
 
     /// Returns the servers in these zones that accept requests.
     pub(crate) fn ready(&self, zones: u64) -> impl Iterator<Item = &Server> {
-        self.servers.values().filter(move |s| s.entry.state == ServerState::Ready && s.within(zones))
+        self.servers.values().filter(move |s| s.entry.state == ServerState::Ready && s.is_in(zones))
     }
 
     /// Returns the mean response time of a request's class.
--- a/crates/limiter-core/tests/settings.rs
+++ b/crates/limiter-core/tests/settings.rs
@@ -41,21 +41,21 @@
         actions
     }
 
-    fn ask(&mut self, now: Millis, within: u64) -> (RequestId, Vec<Action>) {
+    fn ask(&mut self, now: Millis, allowed_zones: u64) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = RequestId(self.next);
         let mut ask = asks(id, CustomerId(1), 1.0, 1500.0);
         if let Event::Request(request) = &mut ask {
-            request.within = within;
+            request.allowed_zones = allowed_zones;
         }
         (id, self.handle(now, ask))
     }
 
     /// Sends `times` requests, one every 20 ms, each served within 5 ms, and returns their servers.
-    fn serve(&mut self, from: Millis, times: u32, within: u64) -> Vec<ServerId> {
+    fn serve(&mut self, from: Millis, times: u32, allowed_zones: u64) -> Vec<ServerId> {
         let one = |i| {
             let now = from + 20.0 * f64::from(i);
-            let (id, actions) = self.ask(now, within);
+            let (id, actions) = self.ask(now, allowed_zones);
             let server = sent(&actions).expect("the request is sent");
             self.handle(now + 5.0, ended(id, 0, server, Outcome::Ok, 5.0));
             server
@@ -105,8 +105,8 @@
 #[test]
 fn a_request_without_an_allowed_server_is_refused_at_once() {
     let mut harness = Harness::new(settings(), vec![server(1, 0), server(2, 70)]);
-    for within in [0b10, 1 << 6] {
-        let (_, actions) = harness.ask(0.0, within);
+    for allowed_zones in [0b10, 1 << 6] {
+        let (_, actions) = harness.ask(0.0, allowed_zones);
         assert!(sent(&actions).is_none() && refused(&actions), "{actions:?}");
     }
     // Requests for other zones are not affected.
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -357,7 +357,7 @@
             spread: 1.0,
             uploading: body.is_stream(),
             rules: Some(Arc::new(rules)),
-            within: allowed_zones,
+            allowed_zones,
             ..Request::default()
         };
         let headers = forwarded_headers(&head.headers, tenant.map(|tenant| tenant.name.as_str()));
