--- a/crates/limiter-core/src/logic/admission.rs
+++ b/crates/limiter-core/src/logic/admission.rs
@@ -231,8 +231,8 @@
     pub fn register(&mut self, now: Millis, request: &mut QuotaRequest, actions: &mut Vec<Action>) {
         let plan = self.set.plans.get(request.plan.0).cloned().unwrap_or_default();
         let most = self.set.max_units.max(1.0);
-        let fresh = || Customer { plan_id: request.plan, ..Customer::new(plan, request.spread, most, now) };
-        self.customers.entry(request.customer).or_insert_with(fresh).seen_at = now;
+        let create = || Customer { plan_id: request.plan, ..Customer::new(plan, request.spread, most, now) };
+        self.customers.entry(request.customer).or_insert_with(create).seen_at = now;
         (request.arrived, request.admitted) = (now, false);
         request.awaits_reply = self.sample(now, request, actions);
         self.unreported.insert(request.customer);
--- a/crates/limiter-core/src/logic/counter.rs
+++ b/crates/limiter-core/src/logic/counter.rs
@@ -5,7 +5,7 @@
 /// Customers checked for removal per tick, which bounds the time of a tick.
 const IDLE_BATCH: usize = 32;
 /// Lifetime of a counter key, ms; the longest that counter services keep one.
-const NAME_TTL: Millis = 60_000.0;
+const KEY_TTL: Millis = 60_000.0;
 /// Epoch of a sampled customer's key, in windows: long enough to average, short enough to follow spikes.
 const SAMPLED_EPOCH: f64 = 1.5;
 /// Age up to which a sampled customer's rate is used without waiting for a counter call, ms.
@@ -74,9 +74,9 @@
         }
         let add = std::mem::take(&mut t.pending) + units / chance;
         t.in_flight = Some(add);
-        let name = count_name(customer, ACCEPTED, t.epoch);
+        let name = counter_key(customer, ACCEPTED, t.epoch);
         self.calls.insert(name, (customer, ACCEPTED));
-        actions.push(Action::Count { name, add, ttl: NAME_TTL });
+        actions.push(Action::Count { name, add, ttl: KEY_TTL });
         old
     }
 
@@ -114,19 +114,19 @@
                 continue;
             }
             if t.epoch != epoch {
-                let old = count_name(customer, kind, t.epoch);
+                let old = counter_key(customer, kind, t.epoch);
                 if !first && t.closing.is_none() && pace <= OVERLOADED {
                     t.closing = Some((old, t.total));
                     self.calls.insert(old, (customer, kind));
-                    actions.push(Action::Count { name: old, add: 0.0, ttl: NAME_TTL });
+                    actions.push(Action::Count { name: old, add: 0.0, ttl: KEY_TTL });
                 }
                 (t.epoch, t.total, t.unacked) = (epoch, 0.0, 0.0);
             }
             let add = std::mem::take(&mut t.pending);
             t.in_flight = Some(add);
-            let name = count_name(customer, kind, epoch);
+            let name = counter_key(customer, kind, epoch);
             self.calls.insert(name, (customer, kind));
-            actions.push(Action::Count { name, add, ttl: NAME_TTL });
+            actions.push(Action::Count { name, add, ttl: KEY_TTL });
             c.last_sync = now;
         }
     }
--- a/crates/limiter-core/src/logic/mod.rs
+++ b/crates/limiter-core/src/logic/mod.rs
@@ -19,7 +19,7 @@
 const FLUSH_AFTER: Millis = 1000.0;
 /// Span of the short-term rate, which is part of the perceived rate, ms.
 const FAST_SPAN: Millis = 1000.0;
-/// Epoch of a counter key, ms; half of NAME_TTL, so that an expired key can still be read once.
+/// Epoch of a counter key, ms; half of KEY_TTL, so that an expired key can still be read once.
 const EPOCH: Millis = 30_000.0;
 /// Pace above which the counter counts as overloaded.
 const OVERLOADED: f64 = 1.5;
@@ -79,9 +79,9 @@
     /// kept. A class with deadline 0 does not exist, so one that replaces it starts with new statistics.
     fn apply_settings(&mut self, set: Settings) {
         for (i, class) in set.classes.iter().enumerate() {
-            let stood = self.set.classes.get(i).is_some_and(|c| c.deadline > 0.0);
+            let existed = self.set.classes.get(i).is_some_and(|c| c.deadline > 0.0);
             match self.class_mean.get_mut(i) {
-                Some(_) if stood => {}
+                Some(_) if existed => {}
                 Some(mean) => *mean = class.target / 5.0,
                 None => self.class_mean.push(class.target / 5.0),
             }
@@ -92,9 +92,9 @@
     }
 
     fn arrive(&mut self, now: Millis, request: Request) {
-        let of = || self.set.classes.get(request.class.0).cloned().unwrap_or_default();
+        let current = || self.set.classes.get(request.class.0).cloned().unwrap_or_default();
         let rules = request.rules.as_ref();
-        let class = rules.map_or_else(of, |r| r.class.clone());
+        let class = rules.map_or_else(current, |r| r.class.clone());
         let max_tries = rules.map_or(self.set.max_attempts, |r| r.max_attempts);
         let (id, customer) = (request.id, request.customer);
         let (due_at, ends_at) = (now + class.target.min(request.time_left), now + request.time_left);
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -219,7 +219,7 @@
 }
 
 /// Returns the counter key of a customer's count of one kind in an epoch; equal at all gateways.
-pub(crate) fn count_name(customer: CustomerId, kind: usize, epoch: i64) -> CountName {
+pub(crate) fn counter_key(customer: CustomerId, kind: usize, epoch: i64) -> CountName {
     let mut x = customer.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((epoch as u64) << 1 | kind as u64);
     for _ in 0..2 {
         x = (x ^ (x >> 31)).wrapping_mul(0xd6e8_feb8_6659_fd93);
@@ -366,23 +366,24 @@
         open: &OpenRequest,
         mut candidates: Vec<Candidate>,
     ) -> Vec<Candidate> {
-        let of = |a: &Candidate| self.servers.get(&a.id).map_or(Standing::Well, |s| s.entry.standing);
-        if candidates.iter().all(|a| of(a) == Standing::Well) {
+        let standing = |a: &Candidate| self.servers.get(&a.id).map_or(Standing::Well, |s| s.entry.standing);
+        if candidates.iter().all(|a| standing(a) == Standing::Well) {
             return candidates;
         }
-        let again = open.class.repeat == Repeat::Safe;
+        let idempotent = open.class.repeat == Repeat::Safe;
         let due = |a: &Candidate| self.servers.get(&a.id).is_some_and(|s| now - s.sent_at > PROBE_INTERVAL);
-        if again && open.attempts.is_empty() {
-            if let Some(at) = candidates.iter().position(|a| of(a) == Standing::Probing && due(a)) {
+        if idempotent && open.attempts.is_empty() {
+            if let Some(at) = candidates.iter().position(|a| standing(a) == Standing::Probing && due(a)) {
                 return vec![candidates.swap_remove(at)];
             }
         }
-        let fits = |a: &Candidate| of(a) == Standing::Well || again && of(a) == Standing::Returning;
-        if candidates.iter().any(fits) {
-            candidates.retain(fits);
+        let eligible =
+            |a: &Candidate| standing(a) == Standing::Well || idempotent && standing(a) == Standing::Returning;
+        if candidates.iter().any(eligible) {
+            candidates.retain(eligible);
         }
         for a in &mut candidates {
-            a.warmth *= if of(a) == Standing::Returning { RETURNING_SHARE } else { 1.0 };
+            a.warmth *= if standing(a) == Standing::Returning { RETURNING_SHARE } else { 1.0 };
         }
         candidates
     }
--- a/crates/limiter-core/tests/quota.rs
+++ b/crates/limiter-core/tests/quota.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Counter {
     /// Answers every call.
-    Well,
+    Available,
     /// Calls time out and add nothing.
-    Silent,
+    Unavailable,
 }
 
 /// Parameters of a simulation: requests per second at each gateway, and the state of the counter in each span, given
@@ -72,9 +72,9 @@
     let mut gateways: Vec<Gateway> =
         (0..count).map(|n| Gateway::new(settings(count), simulation.seed << 16 | n as u64)).collect();
     let (mut due, mut serial) = (BTreeMap::new(), 0u64);
-    let mut post = |due: &mut BTreeMap<(u64, u64), (usize, Input)>, at: f64, n: usize, what: Input| {
+    let mut post = |due: &mut BTreeMap<(u64, u64), (usize, Input)>, at: f64, n: usize, input: Input| {
         serial += 1;
-        due.insert(((at * 1000.0) as u64, serial), (n, what));
+        due.insert(((at * 1000.0) as u64, serial), (n, input));
     };
     // Counter keys expire at multiples of 30 s, so a random start in between covers an expiry.
     let begin = 40_000.0 + chance() * 15_000.0;
@@ -86,25 +86,25 @@
             post(&mut due, begin + 1.0 + chance() * 1000.0 / simulation.asked[n], n, Input::Arrival);
         }
     }
-    let mut parts = vec![SpanCounts::default(); simulation.spans.len()];
+    let mut counts = vec![SpanCounts::default(); simulation.spans.len()];
     let mut from = 0.0;
-    for (part, (until, _)) in parts.iter_mut().zip(simulation.spans) {
+    for (part, (until, _)) in counts.iter_mut().zip(simulation.spans) {
         part.seconds = until - std::mem::replace(&mut from, *until);
     }
     let (mut totals, mut actions, mut number) = (BTreeMap::<u64, f64>::new(), Vec::new(), 0u32);
-    while let Some(((at, _), (n, what))) = due.pop_first() {
+    while let Some(((at, _), (n, input))) = due.pop_first() {
         let now = at as f64 / 1000.0;
         let Some(span) = simulation.spans.iter().position(|(until, _)| now - begin < 1000.0 * until) else {
             break;
         };
-        let event = match what {
+        let event = match input {
             Input::Deliver(event) => event,
             Input::Arrival => {
                 let gap = 1000.0 / simulation.asked[n];
                 let next = now + gap * if simulation.even { 1.0 } else { -chance().ln() };
                 post(&mut due, next, n, Input::Arrival);
                 number += 1;
-                parts[span].asked += 1.0;
+                counts[span].asked += 1.0;
                 asks(RequestId(number), CustomerId(1), count as f64, 2000.0)
             }
         };
@@ -113,15 +113,16 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { id, server, .. } => {
-                    parts[span].sent += 1.0;
+                    counts[span].sent += 1.0;
                     let took = 5.0;
                     post(&mut due, now + took, n, Input::Deliver(ended(id, 0, server, Outcome::Ok, took)));
                 }
                 Action::Count { name, add, .. } => {
-                    let well = simulation.spans[span].1 == Counter::Well;
-                    let (outcome, took) = if well { (Outcome::Ok, 1.0) } else { (Outcome::TimedOut, 200.0) };
+                    let available = simulation.spans[span].1 == Counter::Available;
+                    let (outcome, took) =
+                        if available { (Outcome::Ok, 1.0) } else { (Outcome::TimedOut, 200.0) };
                     let total = totals.entry(name.0).or_default();
-                    *total += if well { add } else { 0.0 };
+                    *total += if available { add } else { 0.0 };
                     let counted = Event::Counted { name, outcome, took, total: *total };
                     post(&mut due, now + took, n, Input::Deliver(counted));
                 }
@@ -132,12 +133,16 @@
             }
         }
     }
-    parts
+    counts
 }
 
 /// Spans of a simulation: first burst, counter available, unavailable and available again.
-const SPANS: [(f64, Counter); 4] =
-    [(2.0, Counter::Well), (12.0, Counter::Well), (32.0, Counter::Silent), (42.0, Counter::Well)];
+const SPANS: [(f64, Counter); 4] = [
+    (2.0, Counter::Available),
+    (12.0, Counter::Available),
+    (32.0, Counter::Unavailable),
+    (42.0, Counter::Available),
+];
 
 /// Returns the rate sent on in each span as a multiple of the quota rate, averaged over five seeds, with 240 requests
 /// per second distributed evenly over the gateways.
@@ -145,8 +150,8 @@
     let asked = vec![240.0 / gateways as f64; gateways];
     let mut mean = [0.0; 4];
     for seed in 1..=5 {
-        let parts = simulate(&Simulation { asked: &asked, spans: &SPANS, even, seed });
-        mean.iter_mut().zip(&parts).for_each(|(m, part)| *m += part.rate_multiple() / 5.0);
+        let counts = simulate(&Simulation { asked: &asked, spans: &SPANS, even, seed });
+        mean.iter_mut().zip(&counts).for_each(|(m, part)| *m += part.rate_multiple() / 5.0);
     }
     mean
 }
@@ -158,14 +163,14 @@
     let mut wrong = Vec::new();
     for gateways in [1, 2, 3, 6, 12] {
         for even in [true, false] {
-            let [_, well, silent, back] = rate_multiples(gateways, even);
+            let [_, available, unavailable, back] = rate_multiples(gateways, even);
             println!(
-                "{gateways:>3} gateways, even {even:<5}: well {well:.2}, silent {silent:.2}, back {back:.2}"
+                "{gateways:>3} gateways, even {even:<5}: well {available:.2}, silent {unavailable:.2}, back {back:.2}"
             );
             let most_back = if gateways > 6 { 1.35 } else { 1.1 };
-            let least = [well, silent, back].into_iter().fold(f64::INFINITY, f64::min);
-            if well > 1.05 || silent > 1.08 || back > most_back || least < 0.95 {
-                wrong.push((gateways, even, well, silent, back));
+            let least = [available, unavailable, back].into_iter().fold(f64::INFINITY, f64::min);
+            if available > 1.05 || unavailable > 1.08 || back > most_back || least < 0.95 {
+                wrong.push((gateways, even, available, unavailable, back));
             }
         }
     }
@@ -193,9 +198,9 @@
 fn table() {
     for gateways in [1, 2, 3, 6, 12, 30, 100] {
         for even in [true, false] {
-            let [first, well, silent, back] = rate_multiples(gateways, even);
+            let [first, available, unavailable, back] = rate_multiples(gateways, even);
             println!(
-                "{gateways:>3} gateways, even {even:<5}: first 2 s {first:.2}, well {well:.2}, silent {silent:.2}, \
+                "{gateways:>3} gateways, even {even:<5}: first 2 s {first:.2}, well {available:.2}, silent {unavailable:.2}, \
                  back {back:.2}"
             );
         }
