--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -403,7 +403,7 @@
     Request(Request),
     /// An attempt has ended.
     Ended {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// Number of the attempt, from 0.
         attempt: u8,
@@ -424,14 +424,14 @@
     NotReplayable(RequestId),
     /// The last byte of a streamed body was forwarded with this attempt; from now on the request may be executed.
     Uploaded {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u8,
     },
     /// A streamed response has started on this attempt.
     Streaming {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u8,
@@ -442,7 +442,7 @@
     Timer(u64),
     /// A probe has ended.
     Probed {
-        /// The server.
+        /// Id of the server.
         server: ServerId,
         /// Result.
         outcome: Outcome,
@@ -469,7 +469,7 @@
 pub enum Action {
     /// Start an attempt; attempts of a request are numbered from 0 in this order.
     Send {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// Server to send it to.
         server: ServerId,
@@ -478,7 +478,7 @@
     },
     /// Start the timeout of an attempt whose body has been sent completely.
     Await {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u8,
@@ -487,7 +487,7 @@
     },
     /// Final response: refused; the client may safely retry.
     Refuse {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// Time after which the client may retry; 0: not stated.
         retry_after: Millis,
@@ -496,7 +496,7 @@
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u8,
--- a/crates/limiter-core/tests/quota.rs
+++ b/crates/limiter-core/tests/quota.rs
@@ -165,7 +165,7 @@
         for even in [true, false] {
             let [_, available, unavailable, back] = rate_multiples(gateways, even);
             println!(
-                "{gateways:>3} gateways, even {even:<5}: well {available:.2}, silent {unavailable:.2}, back {back:.2}"
+                "{gateways:>3} gateways, even {even:<5}: available {available:.2}, unavailable {unavailable:.2}, back {back:.2}"
             );
             let most_back = if gateways > 6 { 1.35 } else { 1.1 };
             let least = [available, unavailable, back].into_iter().fold(f64::INFINITY, f64::min);
@@ -200,7 +200,7 @@
         for even in [true, false] {
             let [first, available, unavailable, back] = rate_multiples(gateways, even);
             println!(
-                "{gateways:>3} gateways, even {even:<5}: first 2 s {first:.2}, well {available:.2}, silent {unavailable:.2}, \
+                "{gateways:>3} gateways, even {even:<5}: first 2 s {first:.2}, available {available:.2}, unavailable {unavailable:.2}, \
                  back {back:.2}"
             );
         }
