--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -158,7 +158,7 @@
     /// Whether server lists are sent only on request.
     pub list_on_request: bool,
     /// A server list that was not requested within this time counts as known.
-    pub list_max_age: Millis,
+    pub list_request_window: Millis,
     /// Fraction of its capacity that a server has when it starts.
     pub cold_start: f64,
     /// Time after its start at which a server reaches full capacity.
--- a/crates/limiter-core/src/wire/settings.rs
+++ b/crates/limiter-core/src/wire/settings.rs
@@ -124,7 +124,7 @@
         counter: lines.flag("family_info.shared_counter", false),
         counter_timeout: lines.num("family_info.counter_timeout", 0.0)?,
         list_on_request: lines.text("discovery") == Some("on_request"),
-        list_max_age: lines.num("safety.ask_within", 0.0)?,
+        list_request_window: lines.num("safety.ask_within", 0.0)?,
         cold_start: lines.num("safety.start_capacity", 1.0)?,
         warm_after: lines.num("safety.warm_after", 0.0)?,
         overload_factor: lines.num("safety.overload_factor", 0.0)?,
