--- a/benches/src/scale/decisions.rs
+++ b/benches/src/scale/decisions.rs
@@ -286,14 +286,14 @@
 
 fn choice(servers: usize) -> f64 {
     let classes =
-        vec![Class { aim: 500.0, deadline: 2000.0, worth: 1.0, repeat: Repeat::Safe, ..Class::default() }];
+        vec![Class { target: 500.0, deadline: 2000.0, worth: 1.0, repeat: Repeat::Safe, ..Class::default() }];
     let set = Settings {
         gateways: 16_000.0,
         classes,
         plans: vec![Plan { price: 1.0, ..Plan::default() }],
         max_attempts: 2,
         sparse: true,
-        least_limit: 64.0,
+        min_limit: 64.0,
         ..Settings::default()
     };
     let mut gateway = Gateway::new(set, 1);
@@ -342,12 +342,12 @@
     let mut wait_until_applied = Vec::new();
     took(|n| {
         let (now, customer) = (1.0 + n as f64 * 0.01, CustomerId((n * 7919 % tenants) as u64));
-        let draw = Draw { customer, units: 1.0, spread: 16_000.0, ..Draw::default() };
+        let draw = QuotaRequest { customer, units: 1.0, spread: 16_000.0, ..QuotaRequest::default() };
         let verdict = quotas.admit(now, draw, &mut wait_until_applied);
         quotas.record(now, customer, 1.0, !matches!(verdict, Verdict::Refuse { .. }));
         for act in wait_until_applied.drain(..) {
             if let Action::Count { name, add, .. } = act {
-                quotas.counted(now, name, Outcome::Ok, 2.0, add);
+                quotas.handle_reply(now, name, Outcome::Ok, 2.0, add);
             }
         }
     })
--- a/crates/limiter-core/src/logic/pressure.rs
+++ b/crates/limiter-core/src/logic/pressure.rs
@@ -1,28 +1,28 @@
-//! Pressure: what is sent on, what is held, and which of that is worthiest.
+//! Load shedding: sends attempts within the concurrency limit and orders held requests by value.
 
 use super::*;
 
-/// Requests held at once, as a share of the concurrency limit; past it the least worthy are refused early.
+/// Maximum held requests, as a fraction of the concurrency limit; beyond it the least valuable are refused.
 const HELD_SHARE: f64 = 0.5;
 
-impl Open {
-    /// How long an attempt is waited for from now: as long as its answer may earn something.
+impl OpenRequest {
+    /// Returns the timeout of an attempt from now: as long as a response may still earn something.
     pub(super) fn time_out(&self, now: Millis) -> Millis {
-        let until = if self.class.late_worth > 0.0 { self.ends_at } else { self.aim_at };
+        let until = if self.class.late_worth > 0.0 { self.ends_at } else { self.due_at };
         (until - now).max(1.0)
     }
 }
 
 impl Gateway {
     /// Sends a request's next attempt if the concurrency limit and some server allow it.
-    pub(super) fn place(&mut self, now: Millis, id: RequestId) -> bool {
+    pub(super) fn try_send(&mut self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.remove(&id) else { return false };
-        let free = self.flow.out < self.flow.limit.max(1.0) && now >= self.flow.rest_until;
+        let free = self.stats.out < self.stats.limit.max(1.0) && now >= self.stats.idle_until;
         let chosen = if free { self.choose(now, &open) } else { None };
         let open = self.open.entry(id).or_insert(open);
         let Some(server) = chosen else { return false };
-        // While a body is coming its server does nothing yet: it counts as out, also among its customer's,
-        // and its time runs, once it is whole.
+        // While a body is being received, its server is idle: the attempt counts towards concurrency, also of
+        // the customer, and its timeout starts once the body is complete.
         let whole = !open.request.uploading;
         let counts = f64::from(u8::from(whole));
         if let Some(s) = self.servers.get_mut(&server) {
@@ -31,50 +31,52 @@
             s.sent_at = now;
         }
         let timeout = if whole { open.time_out(now) } else { 0.0 };
-        self.acts.push(Action::Send { id, server, timeout });
+        self.actions.push(Action::Send { id, server, timeout });
         let first = open.attempts.is_empty();
         open.attempts.push(Attempt { server, sent: now, live: true, may_have_run: true, whole });
         if !whole {
-            (open.aim_at, open.ends_at) = (f64::INFINITY, f64::INFINITY);
+            (open.due_at, open.ends_at) = (f64::INFINITY, f64::INFINITY);
         }
-        self.flow.out += counts;
-        self.quotas.out(open.request.customer, counts);
+        self.stats.out += counts;
+        self.quotas.adjust_open_attempts(open.request.customer, counts);
         if first {
-            self.quotas.book(now, open.request.customer, open.request.units, !open.beyond);
-            let (earn, most) =
-                (given(self.set.retry_earn, RETRY_EARN), given(self.set.retry_saved, RETRY_SAVED));
-            self.flow.retries = (self.flow.retries + earn).min(most);
-            let fade = (-(now - self.flow.sent_at).max(0.0) / 2000.0).exp();
-            self.flow.send_rate = self.flow.send_rate * fade + 1.0 / 2000.0;
-            self.flow.sent_at = now;
+            self.quotas.add(now, open.request.customer, open.request.units, !open.beyond);
+            let (earn, most) = (
+                setting_or(self.set.retry_ratio, RETRY_RATIO),
+                setting_or(self.set.retry_burst, RETRY_BURST),
+            );
+            self.stats.retries = (self.stats.retries + earn).min(most);
+            let fade = (-(now - self.stats.sent_at).max(0.0) / 2000.0).exp();
+            self.stats.send_rate = self.stats.send_rate * fade + 1.0 / 2000.0;
+            self.stats.sent_at = now;
         }
         true
     }
 
-    /// Sends what is held, worthiest first, and refuses what can no longer meet its aim.
+    /// Sends held requests, most valuable first, and refuses those that can no longer meet their target.
     pub(super) fn serve_held(&mut self, now: Millis) {
         let mut order: Vec<(f64, RequestId)> = Vec::new();
         for id in std::mem::take(&mut self.held) {
             let Some(open) = self.open.get(&id) else { continue };
             let mean = self.mean(open);
-            if open.aim_at - now < 2.0 * mean + 2.0 * TICK {
-                self.finish(now, id);
+            if open.due_at - now < 2.0 * mean + 2.0 * TICK {
+                self.reject(now, id);
                 continue;
             }
             let price = self.set.plans.get(open.request.plan.0).map_or(1.0, |p| p.price);
             let worth = open.class.worth * price * open.request.units / mean.max(1.0);
-            // Newer first among equals: under pressure the oldest would only just miss their aim.
-            order.push((worth * (1.2 - (now - open.draw.arrived) / (open.aim_at - open.draw.arrived)), id));
+            // Newer requests first among equals: under overload the oldest would just miss their target.
+            order.push((worth * (1.2 - (now - open.quota.arrived) / (open.due_at - open.quota.arrived)), id));
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         for (place, (_, id)) in order.into_iter().enumerate() {
-            if (!self.flow.subset || self.flow.out >= self.flow.limit)
-                && place as f64 > HELD_SHARE * self.flow.limit
+            if (!self.stats.subset || self.stats.out >= self.stats.limit)
+                && place as f64 > HELD_SHARE * self.stats.limit
             {
-                self.finish(now, id);
+                self.reject(now, id);
             } else if self.open.get(&id).is_some_and(|o| o.attempts.is_empty()) {
                 self.decide(now, id);
-            } else if !self.place(now, id) {
+            } else if !self.try_send(now, id) {
                 self.hold(id);
             }
         }
--- a/crates/limiter-core/tests/fleet.rs
+++ b/crates/limiter-core/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A hundred gateways before sixty servers, in virtual time and from fixed seeds: what is harmless in one gateway
-//! and adds up over all.
+//! Simulates a hundred gateways and sixty servers in virtual time, from fixed seeds, to find effects that are harmless
+//! in one gateway and add up over all.
 
 mod events;
 
@@ -12,8 +12,9 @@
 
 const GATEWAYS: usize = 100;
 const SERVERS: u64 = 60;
-/// Requests a second over all gateways, and how long a server takes for one, ms.
+/// Requests per second over all gateways.
 const RATE: f64 = 800.0;
+/// Service time of a request, ms.
 const SERVICE: f64 = 300.0;
 const COLD_SHARE: f64 = 0.16;
 const WARM_AFTER: f64 = 16_000.0;
@@ -21,7 +22,7 @@
 fn settings() -> Settings {
     Settings {
         gateways: GATEWAYS as f64,
-        classes: vec![Class { aim: 1500.0, deadline: 4000.0, worth: 1.0, ..Class::default() }],
+        classes: vec![Class { target: 1500.0, deadline: 4000.0, worth: 1.0, ..Class::default() }],
         plans: vec![Plan { rate: 1e9, burst: 1e9, price: 1.0, ..Plan::default() }],
         max_units: 1.0,
         max_attempts: 4,
@@ -33,24 +34,30 @@
     }
 }
 
-/// What becomes of an attempt at a server, and after how long.
-type Fate = fn(ServerId) -> (Outcome, f64);
+/// Returns the outcome of an attempt at a server and its duration in ms.
+type AttemptResult = fn(ServerId) -> (Outcome, f64);
 
-struct Play {
-    /// Sends to each server, by time.
+struct SimulationResult {
+    /// Times, in ms, at which attempts were sent to each server.
     sends: BTreeMap<u64, Vec<f64>>,
     asked: usize,
     refused: usize,
 }
 
-/// Plays `seconds` of requests that come by chance to `gateways` equal gateways, which have this list from the start.
-fn play(gateways: usize, seconds: f64, entries: &[ServerEntry], fate: Fate, seed: u64) -> Play {
+/// Simulates `seconds` of Poisson arrivals at `gateways` equal gateways that have this server list from the start.
+fn simulate(
+    gateways: usize,
+    seconds: f64,
+    entries: &[ServerEntry],
+    result_of: AttemptResult,
+    seed: u64,
+) -> SimulationResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut fleet: Vec<Gateway> =
         (0..gateways).map(|n| Gateway::new(settings(), seed << 16 | n as u64)).collect();
-    // What comes to which gateway, by time (us) and by when it was thought of; without an event, a new request.
+    // Pending events by time (us) and order of creation, with their gateway; no event stands for a new request.
     let (mut due, mut serial) = (BTreeMap::new(), 0u64);
-    let mut out = Play { sends: BTreeMap::new(), asked: 0, refused: 0 };
+    let mut out = SimulationResult { sends: BTreeMap::new(), asked: 0, refused: 0 };
     let begin = 10_000.0;
     let list = Event::Servers { update: ListUpdate::Full, entries: entries.to_vec() };
     let mut post = |due: &mut BTreeMap<(u64, u64), _>, at: f64, what: (usize, Option<Event>)| {
@@ -83,7 +90,7 @@
                 Action::Send { id, server, .. } => {
                     out.sends.entry(server.0).or_default().push(now - begin);
                     let attempt = *tries.entry((n, id.0)).and_modify(|t| *t += 1).or_insert(0);
-                    let (outcome, took) = fate(server);
+                    let (outcome, took) = result_of(server);
                     post(&mut due, now + took, (n, Some(ended(id, attempt, server, outcome, took))));
                 }
                 Action::Refuse { .. } | Action::Fail(_) => out.refused += 1,
@@ -110,27 +117,30 @@
 }
 
 #[test]
-fn cold_servers_get_what_they_can_do_and_no_more_over_all_gateways() {
-    // Found at six in ten servers replaced at once: not one request went to a newcomer for seconds, and what was
-    // warm was overrun. With half as much again for each, one of them toppled.
-    const CHILLED: u64 = 36;
+fn all_gateways_together_load_cold_servers_according_to_their_capacity() {
+    // Regression: when six in ten servers were replaced at once, the new ones got no request for seconds and the warm
+    // ones were overloaded. With 1.5 times the rate to each new server, one of them was overloaded.
+    const COLD: u64 = 36;
     for seed in [11, 12, 13] {
-        let list = entries(|n| if n <= CHILLED { 9500.0 } else { 0.0 });
-        let played = play(GATEWAYS, 5.0, &list, answers, seed);
+        let list = entries(|n| if n <= COLD { 9500.0 } else { 0.0 });
+        let result = simulate(GATEWAYS, 5.0, &list, answers, seed);
         let fair = RATE / SERVERS as f64;
         let warmth = |t: f64| COLD_SHARE + (1.0 - COLD_SHARE) * (t + 500.0) / WARM_AFTER;
-        let cold: Vec<&Vec<f64>> = (1..=CHILLED).filter_map(|n| played.sends.get(&(n * 7919))).collect();
+        let cold: Vec<&Vec<f64>> = (1..=COLD).filter_map(|n| result.sends.get(&(n * 7919))).collect();
         let sent = cold.iter().map(|s| s.len()).sum::<usize>() as f64;
-        let could = CHILLED as f64 * fair * 5.0 * warmth(2500.0);
-        assert!(sent >= 0.4 * could && sent <= 1.1 * could, "seed {seed}: {sent} sent where {could:.0} fit");
+        let could = COLD as f64 * fair * 5.0 * warmth(2500.0);
+        assert!(
+            sent >= 0.4 * could && sent <= 1.1 * could,
+            "seed {seed}: {sent} requests sent to cold servers with capacity for {could:.0}"
+        );
         for sends in cold {
             for from in sends {
                 let within = sends.iter().filter(|t| (*from..*from + 1000.0).contains(*t)).count() as f64;
-                // A warm server here can do half as much again as its part; twice what is present may come.
+                // A warm server can handle 1.5 times its share; a cold one may get twice its present capacity.
                 let most = 2.0 * 1.5 * fair * warmth(*from) + 3.0;
                 assert!(
                     within <= most,
-                    "seed {seed}: {within} in the second from {from:.0} ms, {most:.1} at most"
+                    "seed {seed}: {within} requests in the second from {from:.0} ms, at most {most:.1} allowed"
                 );
             }
         }
@@ -146,12 +156,12 @@
 }
 
 #[test]
-fn an_old_list_costs_detours_and_no_answers() {
-    // Found at a mass restart: half of the old list was gone, and once the ten spare attempts were used up,
-    // each refused connection was a refused request.
+fn an_outdated_server_list_causes_retries_and_few_refusals() {
+    // Regression: after a mass restart half of the listed servers were gone, and once the retry budget of ten attempts
+    // was used up, each refused connection became a refused request.
     for seed in [21, 22, 23] {
-        let played = play(20, 10.0, &entries(|_| 0.0), half_gone, seed);
-        let lost = played.refused as f64 / played.asked as f64;
-        assert!(lost < 0.04, "seed {seed}: {} of {} refused", played.refused, played.asked);
+        let result = simulate(20, 10.0, &entries(|_| 0.0), half_gone, seed);
+        let lost = result.refused as f64 / result.asked as f64;
+        assert!(lost < 0.04, "seed {seed}: {} of {} refused", result.refused, result.asked);
     }
 }
--- a/crates/limiter-core/tests/standing.rs
+++ b/crates/limiter-core/tests/standing.rs
@@ -1,10 +1,11 @@
-//! Where requests go when the gateways have agreed that a server is ill.
+//! Tests where requests go when the gateways agree that a server is unhealthy.
 
 use oatbank_limiter_core::interface::*;
 use oatbank_limiter_core::logic::Gateway;
 use std::collections::BTreeMap;
 
-/// Sends so many requests, 20 ms apart, each answered before the next: how many went to each server.
+/// Sends `count` requests, 20 ms apart, each answered before the next, and returns the number sent to each server.
+/// Server 0 succeeds; attempts at the others end with `out`.
 fn shares(standings: &[Standing], repeat: Repeat, count: u32, out: Outcome) -> BTreeMap<u64, u32> {
     shares_of(false, standings, repeat, count, out)
 }
@@ -16,7 +17,7 @@
     count: u32,
     out: Outcome,
 ) -> BTreeMap<u64, u32> {
-    let class = Class { aim: 500.0, deadline: 1500.0, worth: 1.0, repeat, ..Class::default() };
+    let class = Class { target: 500.0, deadline: 1500.0, worth: 1.0, repeat, ..Class::default() };
     let settings =
         Settings { gateways: 1.0, classes: vec![class], max_units: 1.0, sparse, ..Settings::default() };
     let mut gateway = Gateway::new(settings, 5);
@@ -52,37 +53,37 @@
 }
 
 #[test]
-fn what_runs_once_goes_to_well_servers_and_reads_to_returning_ones_too() {
-    use Standing::{Doubtful, Returning, Shunned, Tried, Well};
-    let all = [Well, Well, Returning, Doubtful, Shunned, Tried];
+fn non_idempotent_requests_use_healthy_servers_only_and_reads_also_returning_ones() {
+    use Standing::{Ejected, Probing, Returning, Suspect, Well};
+    let all = [Well, Well, Returning, Suspect, Ejected, Probing];
     let once = shares(&all, Repeat::Unsafe, 300, Outcome::Ok);
     assert_eq!(once.keys().copied().collect::<Vec<_>>(), [0, 1]);
     let reads = shares(&all, Repeat::Safe, 300, Outcome::Ok);
     assert_eq!(reads.keys().copied().collect::<Vec<_>>(), [0, 1, 2, 5]);
-    assert!(reads[&2] < 30, "a returning one gets a trickle: {reads:?}");
-    assert!((10..=16).contains(&reads[&5]), "6 s, one in 0.4 s: {reads:?}");
+    assert!(reads[&2] < 30, "a returning server gets a reduced share: {reads:?}");
+    assert!((10..=16).contains(&reads[&5]), "one probe per 0.4 s for 6 s: {reads:?}");
     assert_eq!(shares(&[Well; 3], Repeat::Safe, 300, Outcome::Ok).len(), 3);
 }
 
 #[test]
-fn no_verdict_leaves_a_request_without_a_server() {
-    let ill = [Standing::Shunned, Standing::Doubtful, Standing::Shunned];
+fn unhealthy_servers_are_used_when_no_other_is_available() {
+    let unhealthy = [Standing::Ejected, Standing::Suspect, Standing::Ejected];
     for repeat in [Repeat::Safe, Repeat::Unsafe] {
-        let sent = shares(&ill, repeat, 60, Outcome::Ok);
+        let sent = shares(&unhealthy, repeat, 60, Outcome::Ok);
         assert_eq!(sent.values().sum::<u32>(), 60, "{sent:?}");
     }
-    // The only well one is out of reach: the ill one takes all.
-    let left = shares(&[Standing::Shunned, Standing::Well], Repeat::Safe, 60, Outcome::ConnectFailed);
+    // The only healthy server is unreachable, so the unhealthy one gets all requests.
+    let left = shares(&[Standing::Ejected, Standing::Well], Repeat::Safe, 60, Outcome::ConnectFailed);
     assert!(left[&0] > 30, "{left:?}");
 }
 
 #[test]
-fn in_a_sparse_list_too_a_returning_one_is_drawn_more_rarely() {
+fn a_returning_server_in_a_sparse_list_gets_fewer_requests() {
     use Standing::{Returning, Well};
     let drawn = |standing| {
         let all = [Well, Well, Well, Well, Well, Well, standing];
         shares_of(true, &all, Repeat::Safe, 1400, Outcome::Ok)[&6]
     };
     let (well, returning) = (drawn(Well), drawn(Returning));
-    assert!(2 * returning < well, "{returning} returning, {well} well");
+    assert!(2 * returning < well, "{returning} requests to the returning server, {well} to a healthy one");
 }
--- a/crates/proxy/src/quota_counter.rs
+++ b/crates/proxy/src/quota_counter.rs
@@ -18,7 +18,7 @@
 use oatbank_engine::counters::local::Numbers;
 use oatbank_engine::ports::counter::{Call, CallEnd, CallId};
 use oatbank_limiter_core::interface::{
-    Action, CountName, CustomerId, Draw, Millis, Outcome, Plan, PlanId, QuotaSettings, Verdict,
+    Action, CountName, CustomerId, Millis, Outcome, Plan, PlanId, QuotaRequest, QuotaSettings, Verdict,
 };
 use oatbank_limiter_core::logic::Quotas;
 use oatbank_node_runtime::log;
@@ -142,7 +142,7 @@
 
     /// Sets the plans and each tenant's bounds, for quotas shared by this number of limiters.
     pub fn set_plans(&self, plans: Vec<Plan>, bounds: HashMap<CustomerId, QuotaBounds>, limiters: f64) {
-        self.quotas.borrow_mut().settle(quota_settings(plans, limiters));
+        self.quotas.borrow_mut().apply_settings(quota_settings(plans, limiters));
         self.credits.borrow_mut().set_bounds(bounds);
     }
 
@@ -157,7 +157,7 @@
         plan: PlanId,
         limiters: f64,
     ) -> Result<(), Millis> {
-        let draw = Draw { customer, plan, units: 1.0, spread: limiters, ..Draw::default() };
+        let draw = QuotaRequest { customer, plan, units: 1.0, spread: limiters, ..QuotaRequest::default() };
         let deadline = Instant::now() + OWNER_WAIT;
         let mut has_asked = false;
         loop {
@@ -192,7 +192,7 @@
 
     /// Passes a request to the decision module and returns its verdict. If `retry_after` is set, the request is rejected with
     /// that retry time whatever the verdict.
-    fn decide(self: &Rc<Self>, draw: Draw, retry_after: Option<Millis>) -> Result<(), Millis> {
+    fn decide(self: &Rc<Self>, draw: QuotaRequest, retry_after: Option<Millis>) -> Result<(), Millis> {
         let (now, customer) = (self.view.cluster_time(), draw.customer);
         let mut actions = Vec::new();
         let (result, is_sampled) = {
@@ -323,7 +323,7 @@
             let mut quotas = self.quotas.borrow_mut();
             for (add, (outcome, total)) in adds.iter().zip(outcomes_of(adds.len(), answer)) {
                 if add.name != NO_COUNTER {
-                    quotas.counted(now, CountName(add.name), outcome, took, total);
+                    quotas.handle_reply(now, CountName(add.name), outcome, took, total);
                 }
             }
         }
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -306,7 +306,7 @@
                 } else {
                     // The limiter that probes an unhealthy server is drawn from all, so the server may be outside its
                     // subset.
-                    is_in_subset || standing(row) == Standing::Tried
+                    is_in_subset || standing(row) == Standing::Probing
                 };
                 if !is_selected {
                     continue;
@@ -413,12 +413,12 @@
 
 /// Whether two settings agree in all fields that this module varies.
 fn same_settings(a: &Settings, b: &Settings) -> bool {
-    let class = |class: &Class| (class.aim, class.deadline, class.worth, class.repeat == Repeat::Safe);
+    let class = |class: &Class| (class.target, class.deadline, class.worth, class.repeat == Repeat::Safe);
     a.gateways == b.gateways
         && a.sparse == b.sparse
         && a.zone == b.zone
         && a.zone_cost == b.zone_cost
         && a.warm_after == b.warm_after
-        && a.cold_rate == b.cold_rate
+        && a.max_cold_rate == b.max_cold_rate
         && a.classes.iter().map(class).eq(b.classes.iter().map(class))
 }
--- a/crates/proxy/tests/apart.rs
+++ b/crates/proxy/tests/apart.rs
@@ -127,7 +127,7 @@
         if random() < if ms < scenario.overload_start { 0.62 } else { 7.5 * 0.62 } * RATE / 1000.0 {
             let (at, mut actions) = ((random() * limiters as f64) as usize % limiters, Vec::new());
             let spread = if planned_partitions[at].is_alone { 1.0 } else { limiters as f64 };
-            let draw = Draw { customer: CustomerId(1), units: 1.0, spread, ..Draw::default() };
+            let draw = QuotaRequest { customer: CustomerId(1), units: 1.0, spread, ..QuotaRequest::default() };
             let within = all[at].admit(now, draw, &mut actions) == Verdict::Within;
             all[at].record(now, CustomerId(1), 1.0, within);
             if within {
@@ -139,11 +139,11 @@
             for at in 0..limiters {
                 let partition = scenario.partition(ms, at, limiters);
                 if partition != planned_partitions[at] {
-                    all[at].settle(settings(partition));
+                    all[at].apply_settings(settings(partition));
                     planned_partitions[at] = partition;
                 }
                 // Owners of other tenants' counters answer; only the owner of this tenant's counters is unreachable.
-                all[at].counted(now, CountName(0), Outcome::Ok, ROUND_TRIP, 0.0);
+                all[at].handle_reply(now, CountName(0), Outcome::Ok, ROUND_TRIP, 0.0);
                 let mut actions = Vec::new();
                 all[at].tick(now, &mut actions);
                 queue_adds(&mut adds, actions, now, at);
@@ -170,7 +170,7 @@
                     Some(_) => (Outcome::Ok, ROUND_TRIP),
                     None => (Outcome::TimedOut, 400.0),
                 };
-                all[call.from].counted(now, call.name, outcome, took, call.total.unwrap_or(0.0));
+                all[call.from].handle_reply(now, call.name, outcome, took, call.total.unwrap_or(0.0));
             }
             !is_due
         });
--- a/crates/proxy/tests/calm.rs
+++ b/crates/proxy/tests/calm.rs
@@ -17,7 +17,7 @@
 /// Simulates 20 s with bursts of four requests twice a second, each of which takes 200 ms at a server. Returns the number of
 /// rejected requests.
 fn count_rejections(settings: Settings) -> u32 {
-    let class = Class { aim: 600.0, deadline: 2500.0, late_worth: 0.3, worth: 0.5, repeat: Repeat::Safe };
+    let class = Class { target: 600.0, deadline: 2500.0, late_worth: 0.3, worth: 0.5, repeat: Repeat::Safe };
     let mut module = Gateway::new(Settings { gateways: 9.0, ..Settings::default() }, 7);
     let mut actions = Vec::new();
     // The server list arrives before the settings and grows one by one, as servers send their first heartbeats.
@@ -84,6 +84,6 @@
 #[test]
 fn without_the_tuned_settings_the_same_bursts_are_rejected() {
     let tuned = limiter_settings::settings(&node(), 9.0, 3.0, 3.6);
-    let untuned = Settings { slow_mark: 0.0, least_limit: 0.0, subset_least: 0.0, ..tuned };
+    let untuned = Settings { slow_threshold: 0.0, min_limit: 0.0, min_subset_size: 0.0, ..tuned };
     assert!(count_rejections(untuned) > 10, "without the tuned settings, bursts must be rejected");
 }
--- a/crates/proxy/tests/cold.rs
+++ b/crates/proxy/tests/cold.rs
@@ -139,7 +139,7 @@
     let (limiters, servers) = (spread(&node, "l", scenario.limiters), spread(&node, "s", scenario.servers));
     let places: Vec<(&str, &str)> = servers.iter().map(|(id, zone)| (id.as_str(), zone.as_str())).collect();
     let shares = WarmupShares::new(&node.bounds, scenario.warmup_rate, scenario.limiters);
-    let class = Class { aim: 800.0, deadline: 3000.0, late_worth: 0.3, worth: 1.0, repeat: Repeat::Safe };
+    let class = Class { target: 800.0, deadline: 3000.0, late_worth: 0.3, worth: 1.0, repeat: Repeat::Safe };
     let number = |zone: &str| node.zones.iter().position(|(z, _)| z == zone).unwrap_or(0) as u16;
     let list = |at: usize, started: f64| -> Vec<ServerEntry> {
         let placement = placement(&node, &limiters, at);
@@ -172,7 +172,7 @@
             );
             (settings.classes, settings.sparse) = (vec![class.clone()], scenario.limiters > 20);
             if scenario.knows_no_peers {
-                settings.cold_rate = 1.2 * scenario.warmup_rate;
+                settings.max_cold_rate = 1.2 * scenario.warmup_rate;
             }
             Gateway::new(settings, scenario.seed << 20 | at as u64)
         })
--- a/crates/proxy/tests/counting.rs
+++ b/crates/proxy/tests/counting.rs
@@ -4,7 +4,7 @@
 use oatbank_cluster_state::clock::MonotonicClock;
 use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_cluster_state::messages::{QuotaAdd, QuotaAdds, QuotaTotals};
-use oatbank_limiter_core::interface::{Action, CustomerId, Draw, Outcome, Plan, Verdict};
+use oatbank_limiter_core::interface::{Action, CustomerId, Outcome, Plan, QuotaRequest, Verdict};
 use oatbank_limiter_core::logic::Quotas;
 use oatbank_node_runtime::rpc::RpcError;
 use oatbank_proxy::quota_counter::{outcomes_of, quota_settings, QuotaCounter};
@@ -93,7 +93,7 @@
         let now = 2000.0 + f64::from(tick) * 10.0;
         let mut actions = Vec::new();
         if tick % 2 == 0 && tick < 120 {
-            let draw = Draw { customer: CustomerId(1), units: 1.0, spread: 1.0, ..Draw::default() };
+            let draw = QuotaRequest { customer: CustomerId(1), units: 1.0, spread: 1.0, ..QuotaRequest::default() };
             assert!(!matches!(quotas.admit(now, draw, &mut actions), Verdict::Refuse { .. }));
             quotas.record(now, CustomerId(1), 1.0, true);
         }
@@ -114,7 +114,7 @@
                 _ => Err(RpcError::Lost),
             };
             let (outcome, total) = outcomes_of(1, &answer)[0];
-            quotas.counted(now + 5.0, name, outcome, 5.0, total);
+            quotas.handle_reply(now + 5.0, name, outcome, 5.0, total);
         }
     }
     assert!(calls > nth + 1, "{calls} calls");
--- a/crates/proxy/tests/ninety.rs
+++ b/crates/proxy/tests/ninety.rs
@@ -43,7 +43,7 @@
     let mut calls: Vec<(f64, usize, CountName, f64)> = Vec::new();
     let mut adds: Vec<(f64, usize, CountName, f64)> = Vec::new();
     let (mut admitted_at, mut calm_requests, mut rejected) = (Vec::new(), 0.0, 0.0);
-    let draw = |n| Draw { customer: CustomerId(n), units: 1.0, spread: limiters as f64, ..Draw::default() };
+    let draw = |n| QuotaRequest { customer: CustomerId(n), units: 1.0, spread: limiters as f64, ..QuotaRequest::default() };
     for ms in 0..END_MS {
         let now = 60_000.0 + ms as f64;
         let usual_rate = 0.62 * RATE / 1000.0;
@@ -79,7 +79,7 @@
         calls.retain(|(when, at, name, total)| {
             let is_due = *when <= now;
             if is_due {
-                all[*at].counted(now, *name, Outcome::Ok, ROUND_TRIP, *total);
+                all[*at].handle_reply(now, *name, Outcome::Ok, ROUND_TRIP, *total);
             }
             !is_due
         });
--- a/crates/proxy/tests/steering.rs
+++ b/crates/proxy/tests/steering.rs
@@ -202,7 +202,7 @@
     let relays = tables.split_off(scenario.proxies);
     let mut relays: Vec<StateTable> = relays;
     let class =
-        |repeat| Class { aim: LATENCY_TARGET, deadline: 2500.0, worth: 1.0, repeat, ..Class::default() };
+        |repeat| Class { target: LATENCY_TARGET, deadline: 2500.0, worth: 1.0, repeat, ..Class::default() };
     let mut proxies: Vec<Proxy> = tables
         .into_iter()
         .enumerate()
