--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -6,7 +6,7 @@
 use oatbank_engine::body::{Body, Room, Upload};
 use oatbank_engine::classify::{self, Rejection};
 use oatbank_engine::engine::{Answer, Engine};
-use oatbank_engine::front::{self, Desk, Judged};
+use oatbank_engine::front::{self, HeadDecision, HttpHandler};
 use oatbank_engine::open_ids::OpenIds;
 use oatbank_engine::respond::{self, plain, ComeBack};
 use oatbank_engine::upstreams::http1::{Forward, Http1};
@@ -37,20 +37,20 @@
     headers: HeaderMap,
 }
 
-impl Desk for PlatformDesk {
+impl HttpHandler for PlatformDesk {
     type Ticket = Ticket;
 
     fn now(&self) -> Millis {
         self.engine.now()
     }
 
-    fn names_requests_by(&self) -> HeaderName {
+    fn request_id_header(&self) -> HeaderName {
         classify::CORRELATION
     }
 
-    fn judge(&self, head: &Parts) -> Result<Judged<Ticket>, Rejection> {
+    fn check_head(&self, head: &Parts) -> Result<HeadDecision<Ticket>, Rejection> {
         if head.uri.path() == "/healthz" {
-            return Ok(Judged::Answer(if self.engine.is_ready() {
+            return Ok(HeadDecision::Respond(if self.engine.is_ready() {
                 plain(StatusCode::OK, "ok\n")
             } else {
                 plain(StatusCode::SERVICE_UNAVAILABLE, "starting\n")
@@ -58,13 +58,13 @@
         }
         if let Some(wait) = self.engine.closed() {
             let refused = respond::answered(Answer::Refused(wait), self.come_back, Response::new);
-            return Ok(Judged::Answer(refused));
+            return Ok(HeadDecision::Respond(refused));
         }
         let revision = self.engine.revision();
         let mut request = classify::by_path(head, revision.names(), revision.settings())?;
         // Its body may take seconds, and the settings may change meanwhile.
         request.rules = revision.rules(request.class);
-        Ok(Judged::Taken(Ticket { request, headers: classify::headers_on(&head.headers) }))
+        Ok(HeadDecision::Accept(Ticket { request, headers: classify::headers_on(&head.headers) }))
     }
 
     async fn serve(
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -217,7 +217,7 @@
     control: Option<Rc<Control>>,
     plan: Plan,
 ) -> Option<Rc<Upgrade>> {
-    serving.front().take_clients(false);
+    serving.front().set_accepting(false);
     let budget = Box::new(move |part| plan.budget(part));
     match Upgrade::start(engine.clone(), serving.front(), budget).await {
         Ok(upgrade) => {
@@ -229,7 +229,7 @@
         Err(e) => {
             tracing::error!("upgrade: TMPDIR {:?}: {e}; other processes are not met", std::env::temp_dir());
             engine.hold(false);
-            serving.front().take_clients(true);
+            serving.front().set_accepting(true);
             None
         }
     }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -133,7 +133,7 @@
         let accepting = front.clone();
         let accepting = keep_running("accept", move || accepting.clone().accept(listener.clone()));
         let looking = front.clone();
-        keep_running("look round", move || looking.clone().look_round());
+        keep_running("look round", move || looking.clone().close_stalled_connections());
         tracing::info!(limiter = plan.name, "{} serves {address}", plan.name);
         Ok(Serving { name: plan.name.clone(), engine, address, front, accepting })
     }
--- a/crates/daemon/src/upgrade.rs
+++ b/crates/daemon/src/upgrade.rs
@@ -209,13 +209,13 @@
                     "upgrade: {}",
                     if accepts { "takes clients" } else { "yields to another" }
                 );
-                self.front.take_clients(accepts);
+                self.front.set_accepting(accepts);
                 self.engine.hold(false);
             }
             Do::Part(part) => {
                 let budget = (self.budget)(part);
                 self.engine.use_part(part, budget);
-                self.front.use_no_more_than(budget);
+                self.front.apply_budget(budget);
             }
             Do::Settled => tracing::info!("upgrade: {} servers are out", self.out()),
             Do::Held(ticket) => {
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -236,7 +236,7 @@
     /// Uses this part of what is a limiter's own: another process uses the rest.
     pub fn use_part(self: &Rc<Self>, part: f64, budget: Budget) {
         self.change(|core, now| core.use_part(now, part));
-        self.upstream.use_no_more_than(budget.servers, budget.answers_kib);
+        self.upstream.set_limits(budget.servers, budget.answers_kib);
     }
 
     /// From now on nothing is read or sent without asking this.
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -1,6 +1,6 @@
 //! Clients: accepts their connections, reads requests and writes each one answer.
 //!
-//! What comes of a request is its [`Desk`]'s. Here it is seen to that what is read can be read in one way only, that who
+//! What comes of a request is its [`HttpHandler`]'s. Here it is seen to that what is read can be read in one way only, that who
 //! is slow or silent holds up nobody, and that an answer which breaks off ends its connection.
 
 pub mod connection_ends;
@@ -98,18 +98,18 @@
 
 /// What a head alone decides.
 #[derive(Debug)]
-pub enum Judged<T> {
+pub enum HeadDecision<T> {
     /// The answer, whatever its body; that is not kept.
-    Answer(Response<Body>),
+    Respond(Response<Body>),
     /// Its body is wanted, and goes on with this.
-    Taken(T),
+    Accept(T),
 }
 
 /// Where requests are handed in: decides what comes of each.
 ///
 /// The error of either step is an answer too, after which the connection is closed: what stands behind a request that
 /// cannot be used may be anything.
-pub trait Desk: 'static {
+pub trait HttpHandler: 'static {
     /// What is known of a request from its head, while its body comes.
     type Ticket;
 
@@ -118,16 +118,16 @@
 
     /// The header by whose value a request's head can be told from what else has come on its connection. Of a request
     /// with a coded body it may stand once only.
-    fn names_requests_by(&self) -> HeaderName;
+    fn request_id_header(&self) -> HeaderName;
 
     /// Whether several requests of one connection may be in hand at once; answers keep their order.
-    fn several_at_once(&self) -> bool {
+    fn supports_pipelining(&self) -> bool {
         false
     }
 
     /// Whether a request without a body may be begun while others before it on its connection wait for their answers: one
     /// that ends the connection makes all behind it count as not read, so what runs once may not.
-    fn may_overtake(&self, head: &Parts) -> bool {
+    fn may_pipeline(&self, head: &Parts) -> bool {
         matches!(head.method, Method::GET | Method::HEAD)
     }
 
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     /// The answer to what is turned away.
-    fn judge(&self, head: &Parts) -> Result<Judged<Self::Ticket>, Rejection>;
+    fn check_head(&self, head: &Parts) -> Result<HeadDecision<Self::Ticket>, Rejection>;
 
     /// Answers a request whose body is there, or has begun to come; the URI is path and query. Dropped before its end:
     /// the client has left.
@@ -294,7 +294,7 @@
     desk: Rc<D>,
 }
 
-impl<D: Desk> AsyncRead for Watched<D> {
+impl<D: HttpHandler> AsyncRead for Watched<D> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         loop {
@@ -312,7 +312,7 @@
     }
 }
 
-impl<D: Desk> AsyncWrite for Watched<D> {
+impl<D: HttpHandler> AsyncWrite for Watched<D> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.write(cx, |stream| stream.try_write(buf))
     }
@@ -340,7 +340,7 @@
     }
 }
 
-impl<D: Desk> Watched<D> {
+impl<D: HttpHandler> Watched<D> {
     fn write(
         &self,
         cx: &mut Context<'_>,
@@ -385,7 +385,7 @@
     ends: ConnectionEnds,
 }
 
-impl<D: Desk> Front<D> {
+impl<D: HttpHandler> Front<D> {
     /// A front that stays within its parts of the budget.
     pub fn new(desk: D, budget: Budget, limits: FrontLimits) -> Rc<Self> {
         Rc::new(Front {
@@ -449,7 +449,7 @@
     }
 
     /// Ends what does not get on, for the life of the process.
-    pub async fn look_round(self: Rc<Self>) {
+    pub async fn close_stalled_connections(self: Rc<Self>) {
         loop {
             tokio::time::sleep(LOOK).await;
             let now = self.desk.now();
@@ -464,14 +464,14 @@
 
     /// Whether new connections are taken. While none are, another process takes them: answers end their
     /// connections, so that clients move on to it.
-    pub fn take_clients(&self, taking: bool) {
+    pub fn set_accepting(&self, taking: bool) {
         self.taking.set(taking);
         self.stopping.set(!taking);
         self.turned.notify_one();
     }
 
     /// From now on stays within its parts of this budget; connections over it give way, from the idlest on.
-    pub fn use_no_more_than(&self, budget: Budget) {
+    pub fn apply_budget(&self, budget: Budget) {
         self.most.set(budget.clients);
         self.rooms.resize(budget.uploads_kib);
         for _ in self.most.get()..self.peers.borrow().len() {
@@ -534,7 +534,7 @@
             }
         });
         let stream = Rc::new(stream);
-        if self.desk.several_at_once() {
+        if self.desk.supports_pipelining() {
             return pipelined::serve(self.clone(), stream, peer).await;
         }
         let watched = Watched { stream: stream.clone(), peer: peer.clone(), desk: self.desk.clone() };
@@ -585,11 +585,11 @@
         let (mut head, body) = request.into_parts();
         framing(&head.headers, &*self.desk, peer)?;
         let ticket = match self.look(&mut head)? {
-            Judged::Answer(answer) => {
+            HeadDecision::Respond(answer) => {
                 peer.enter(Phase::Busy, self.desk.now());
                 return Ok(answer);
             }
-            Judged::Taken(ticket) => ticket,
+            HeadDecision::Accept(ticket) => ticket,
         };
         if head.method == Method::CONNECT {
             return Err(NO_TUNNEL);
@@ -600,12 +600,12 @@
     }
 
     /// Judges a head before its body is read: nothing is kept for what is turned away.
-    fn look(&self, head: &mut Parts) -> Result<Judged<D::Ticket>, Rejection> {
+    fn look(&self, head: &mut Parts) -> Result<HeadDecision<D::Ticket>, Rejection> {
         // The host of an absolute form counts, whatever `Host` says (RFC 9112, 3.2.2).
         if let (Some(_), Some(host)) = (head.uri.scheme(), host_of(&head.uri)) {
             head.headers.insert(HOST, host);
         }
-        let judged = self.desk.judge(head)?;
+        let judged = self.desk.check_head(head)?;
         // A server is asked by path and query, however the client put it.
         if let (Some(_), Some(path)) = (head.uri.scheme(), head.uri.path_and_query()) {
             head.uri = path.clone().into();
@@ -696,7 +696,7 @@
 
 /// Turns away what can be read in two ways, and may so hide a second request: a length beside a coding, or a coding
 /// beside `chunked`.
-fn framing<D: Desk>(headers: &HeaderMap, desk: &D, peer: &Peer) -> Result<(), Rejection> {
+fn framing<D: HttpHandler>(headers: &HeaderMap, desk: &D, peer: &Peer) -> Result<(), Rejection> {
     if headers.contains_key(TRANSFER_ENCODING) {
         let coding = classify::single(headers, &TRANSFER_ENCODING)?.unwrap_or_default();
         if !coding.trim().eq_ignore_ascii_case("chunked") {
@@ -707,7 +707,7 @@
         }
         // The parser does not show a length that stands behind the coding, so the bytes are looked at. The name of a
         // request is its own.
-        let id = classify::single(headers, &desk.names_requests_by())?.unwrap_or_default();
+        let id = classify::single(headers, &desk.request_id_header())?.unwrap_or_default();
         if headers.contains_key(CONTENT_LENGTH) || !peer.said.borrow().has_no_length(id.as_bytes()) {
             return Err(Rejection::bad("Content-Length beside Transfer-Encoding\n"));
         }
--- a/crates/engine/src/front/pipelined/mod.rs
+++ b/crates/engine/src/front/pipelined/mod.rs
@@ -15,7 +15,7 @@
 mod write;
 
 use super::connection_ends::ConnectionEnd;
-use super::{unread, Desk, Front, Peer, Phase};
+use super::{unread, Front, HttpHandler, Peer, Phase};
 use crate::body::Body;
 use bytes::BytesMut;
 use http::Response;
@@ -88,7 +88,7 @@
 }
 
 /// Serves a connection to its end.
-pub(super) async fn serve<D: Desk>(front: Rc<Front<D>>, stream: Rc<TcpStream>, peer: Rc<Peer>) {
+pub(super) async fn serve<D: HttpHandler>(front: Rc<Front<D>>, stream: Rc<TcpStream>, peer: Rc<Peer>) {
     let connection = Connection {
         front,
         stream,
@@ -108,7 +108,7 @@
     }
 }
 
-impl<D: Desk> Connection<D> {
+impl<D: HttpHandler> Connection<D> {
     fn now(&self) -> f64 {
         self.front.desk.now()
     }
--- a/crates/engine/src/front/pipelined/read.rs
+++ b/crates/engine/src/front/pipelined/read.rs
@@ -1,7 +1,7 @@
 //! Reading: takes requests off a connection and begins them.
 
 use super::super::heads::{self, Ends, Head};
-use super::super::{closing, receive, Desk, Judged, Phase, NO_ROOM, NO_TUNNEL, ROOM_WITHIN};
+use super::super::{closing, receive, HeadDecision, HttpHandler, Phase, NO_ROOM, NO_TUNNEL, ROOM_WITHIN};
 use super::{Answering, Connection, Running, Turn};
 use crate::body::{self, Feed, Room, Start, Upload};
 use crate::classify::Rejection;
@@ -47,7 +47,7 @@
     }
 }
 
-impl<D: Desk> Connection<D> {
+impl<D: HttpHandler> Connection<D> {
     /// Reads and begins requests to the end of the connection.
     pub(super) async fn read(&self, turns: mpsc::Sender<Turn>) -> ReadEnd {
         let mut buffer = BytesMut::new();
@@ -65,7 +65,7 @@
                     return ReadEnd::NothingMore;
                 }
             };
-            let waits = head.ends != Ends::Over || !self.front.desk.may_overtake(&head.parts);
+            let waits = head.ends != Ends::Over || !self.front.desk.may_pipeline(&head.parts);
             if waits && self.while_open(&mut buffer, self.all_answered()).await.is_none() {
                 return ReadEnd::ClientClosed;
             }
@@ -132,14 +132,14 @@
         let (bare, old) = (head.parts.method == Method::HEAD, head.parts.version == Version::HTTP_10);
         let turn = |answer, last| Turn { answer, bare, old, last };
         let ticket = match self.front.look(&mut head.parts)? {
-            Judged::Answer(answer) => {
+            HeadDecision::Respond(answer) => {
                 // A body that nobody wants is not read, and what stands in it is no request.
                 let has_body = head.ends != Ends::Over;
                 let answer = if has_body { closing(answer) } else { answer };
                 let turn = turn(Answering::Now(Box::new(answer)), head.last || has_body);
                 return Ok(Begun { turn, rest: None });
             }
-            Judged::Taken(ticket) => ticket,
+            HeadDecision::Accept(ticket) => ticket,
         };
         if head.parts.method == Method::CONNECT {
             return Err(NO_TUNNEL.into());
--- a/crates/engine/src/front/pipelined/write.rs
+++ b/crates/engine/src/front/pipelined/write.rs
@@ -1,7 +1,7 @@
 //! Writing: gives each request its answer, in the order of the requests.
 
 use super::super::heads::{self, Framing};
-use super::super::{closing, Desk, Phase};
+use super::super::{closing, HttpHandler, Phase};
 use super::{Answering, Connection, Turn};
 use crate::body::{self, Body};
 use crate::respond::plain;
@@ -20,7 +20,7 @@
     Failed,
 }
 
-impl<D: Desk> Connection<D> {
+impl<D: HttpHandler> Connection<D> {
     /// Writes answers to the end of the connection.
     pub(super) async fn write(&self, mut turns: mpsc::Receiver<Turn>) -> WriteEnd {
         while let Some(mut turn) = turns.recv().await {
--- a/crates/engine/src/ports/upstream.rs
+++ b/crates/engine/src/ports/upstream.rs
@@ -70,7 +70,7 @@
     fn keep_only(&self, _ready: &dyn Fn(ServerId) -> bool) {}
 
     /// From now on so many connections are open at most, and the bodies of answers take so many KiB together.
-    fn use_no_more_than(&self, _connections: usize, _bodies_kib: usize) {}
+    fn set_limits(&self, _connections: usize, _bodies_kib: usize) {}
 
     /// Called about twice a second: for looking after connections.
     fn upkeep(&self, _now: Millis) {}
--- a/crates/engine/src/upstreams/http1.rs
+++ b/crates/engine/src/upstreams/http1.rs
@@ -438,7 +438,7 @@
         self.shared.pool.keep_only(ready, self.shared.clock.now());
     }
 
-    fn use_no_more_than(&self, connections: usize, bodies_kib: usize) {
+    fn set_limits(&self, connections: usize, bodies_kib: usize) {
         self.shared.pool.most.set(connections);
         self.shared.rooms.resize(bodies_kib);
     }
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -6,7 +6,7 @@
 use oatbank_engine::body::{Body, Room, Upload};
 use oatbank_engine::classify::Rejection;
 use oatbank_engine::engine::{Answer, Engine};
-use oatbank_engine::front::{Desk, Front, FrontLimits, Judged};
+use oatbank_engine::front::{Front, FrontLimits, HeadDecision, HttpHandler};
 use oatbank_engine::members::fixed;
 use oatbank_engine::ports::clock::SystemClock;
 use oatbank_engine::ports::membership::Member;
@@ -49,36 +49,36 @@
     head.method == Method::POST || head.uri.path().starts_with("/once")
 }
 
-impl Desk for Hall {
+impl HttpHandler for Hall {
     type Ticket = Request;
 
     fn now(&self) -> Millis {
         self.engine.now() + self.ahead.get()
     }
 
-    fn names_requests_by(&self) -> HeaderName {
+    fn request_id_header(&self) -> HeaderName {
         HeaderName::from_static("try-id")
     }
 
-    fn several_at_once(&self) -> bool {
+    fn supports_pipelining(&self) -> bool {
         self.in_hand == InHand::Several
     }
 
-    fn may_overtake(&self, head: &Parts) -> bool {
+    fn may_pipeline(&self, head: &Parts) -> bool {
         !is_at_most_once(head)
     }
 
-    fn judge(&self, head: &Parts) -> Result<Judged<Request>, Rejection> {
+    fn check_head(&self, head: &Parts) -> Result<HeadDecision<Request>, Rejection> {
         if head.uri.path() == "/closed" {
-            return Ok(Judged::Answer(respond::plain(StatusCode::SERVICE_UNAVAILABLE, "closed\n")));
+            return Ok(HeadDecision::Respond(respond::plain(StatusCode::SERVICE_UNAVAILABLE, "closed\n")));
         }
         let request = Request { units: 1.0, spread: 1.0, time_left: 3000.0, ..Request::default() };
         if self.in_hand == InHand::One {
-            return Ok(Judged::Taken(request));
+            return Ok(HeadDecision::Accept(request));
         }
         let repeat = if is_at_most_once(head) { Repeat::Unsafe } else { Repeat::Safe };
         let rules = Rules { class: Class { repeat, ..class() }, max_attempts: 1 };
-        Ok(Judged::Taken(Request { rules: Some(Arc::new(rules)), ..request }))
+        Ok(HeadDecision::Accept(Request { rules: Some(Arc::new(rules)), ..request }))
     }
 
     async fn serve(
@@ -125,7 +125,7 @@
                 let front = Front::new(hall(address, in_hand), budget(), FrontLimits::default());
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
                 tell.send(listener.local_addr().expect("an address")).expect("the test");
-                tokio::task::spawn_local(front.clone().look_round());
+                tokio::task::spawn_local(front.clone().close_stalled_connections());
                 tokio::task::spawn_local(front.clone().accept(Rc::new(listener)));
                 while let Some(action) = wanted.recv().await {
                     action(&front);
--- a/crates/proxy/src/front_desk.rs
+++ b/crates/proxy/src/front_desk.rs
@@ -7,40 +7,40 @@
 use oatbank_cluster_state::state::Millis;
 use oatbank_engine::body::{Body, Room, Upload};
 use oatbank_engine::classify::{self, Rejection};
-use oatbank_engine::front::{Desk, Judged};
+use oatbank_engine::front::{HeadDecision, HttpHandler};
 use std::rc::Rc;
 
 /// Hands requests from the front to the handler.
 pub struct FrontDesk(pub Rc<RequestHandler>);
 
-impl Desk for FrontDesk {
+impl HttpHandler for FrontDesk {
     type Ticket = RoutedRequest;
 
     fn now(&self) -> Millis {
         self.0.now()
     }
 
-    fn names_requests_by(&self) -> HeaderName {
+    fn request_id_header(&self) -> HeaderName {
         TRY_ID
     }
 
-    fn several_at_once(&self) -> bool {
+    fn supports_pipelining(&self) -> bool {
         true
     }
 
-    fn may_overtake(&self, head: &Parts) -> bool {
+    fn may_pipeline(&self, head: &Parts) -> bool {
         let is_plain = matches!(head.method, Method::GET | Method::HEAD);
         // Before the first edition every request is rejected, and runs nowhere.
         is_plain && !self.0.is_at_most_once(head).unwrap_or(false)
     }
 
-    fn judge(&self, head: &Parts) -> Result<Judged<RoutedRequest>, Rejection> {
+    fn check_head(&self, head: &Parts) -> Result<HeadDecision<RoutedRequest>, Rejection> {
         if classify::single(&head.headers, &TRY_ID)?.is_none_or(str::is_empty) {
             return Err(Rejection::bad("Try-Id is missing\n"));
         }
         Ok(match self.0.route(head) {
-            Ok(routed) => Judged::Taken(routed),
-            Err(rejection) => Judged::Answer(rejection.response()),
+            Ok(routed) => HeadDecision::Accept(routed),
+            Err(rejection) => HeadDecision::Respond(rejection.response()),
         })
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -146,7 +146,7 @@
         tokio::task::spawn_local(self.session.clone().run());
         self.session.follow_limiters();
         tokio::task::spawn_local(self.counter.clone().run());
-        tokio::task::spawn_local(self.front.clone().look_round());
+        tokio::task::spawn_local(self.front.clone().close_stalled_connections());
         // What changes is taken in at once; what changes by time alone, a little later.
         let handler = self.handler.clone();
         self.view.on_change(Rc::new(move || handler.refresh()));
