--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -3,7 +3,7 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
-use oatbank_engine::body::{Body, Room, Upload};
+use oatbank_engine::body::{Body, BodyPermit, Upload};
 use oatbank_engine::classify::{self, Rejection};
 use oatbank_engine::engine::{Answer, Engine};
 use oatbank_engine::front::{self, HeadDecision, HttpHandler};
@@ -72,7 +72,7 @@
         ticket: Ticket,
         head: Parts,
         body: Upload,
-        room: Option<Room>,
+        room: Option<BodyPermit>,
     ) -> Result<Response<Body>, Rejection> {
         let Ticket { mut request, headers } = ticket;
         if head.method == Method::GET && !matches!(&body, Upload::Whole(bytes) if bytes.is_empty()) {
--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -1,11 +1,11 @@
 //! Bodies: held whole while they are small, and passed on piece by piece where they are not.
 //!
-//! A stream's pieces wait in a channel of [`PIECES`] at most: whoever reads slowly holds up whoever writes, and the
+//! A stream's pieces wait in a channel of [`CHANNEL_CAPACITY`] at most: whoever reads slowly holds up whoever writes, and the
 //! window of a stream is bounded whatever its length. A small body is held so that it can be sent, or answered, again.
 
 mod feed;
 
-pub use feed::{pieces, Feed, NotTaken, Pieces, PIECES};
+pub use feed::{body_channel, BodyReceiver, BodySender, ReceiverClosed, CHANNEL_CAPACITY};
 
 use bytes::{Bytes, BytesMut};
 use http_body::{Body as HttpBody, Frame, SizeHint};
@@ -18,28 +18,28 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// A body up to this is held whole; of a longer one the start, until the rest is asked for.
-pub const HELD: usize = 64 * 1024;
+pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Longest body that is passed on, bytes: twice what users announced.
-pub const LONGEST: u64 = 64 * 1024 * 1024;
+pub const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Room for bodies: what they may take of the memory together. Whoever finds none waits, in turn.
+/// BodyPermit for bodies: what they may take of the memory together. Whoever finds none waits, in turn.
 #[derive(Clone, Debug)]
-pub struct Rooms {
+pub struct BodyBudget {
     kib: Arc<Semaphore>,
     /// How much there is in all.
     most: Rc<Cell<usize>>,
 }
 
-/// Room that a body has, until it is dropped.
+/// BodyPermit that a body has, until it is dropped.
 #[derive(Debug)]
-pub struct Room {
+pub struct BodyPermit {
     _permit: OwnedSemaphorePermit,
 }
 
-impl Rooms {
-    /// Room for so many KiB.
+impl BodyBudget {
+    /// BodyPermit for so many KiB.
     pub fn new(kib: usize) -> Self {
-        Rooms { kib: Arc::new(Semaphore::new(kib)), most: Rc::new(Cell::new(kib)) }
+        BodyBudget { kib: Arc::new(Semaphore::new(kib)), most: Rc::new(Cell::new(kib)) }
     }
 
     /// From now on there is room for so many KiB; what is taken stays taken until it is given back.
@@ -57,12 +57,12 @@
 
     /// Waits for room for a body of so many bytes, or for a stream's window where it is longer or not known. A small body
     /// has its room with its connection.
-    pub async fn take(&self, length: Option<u64>) -> Option<Room> {
-        self.take_held(length, HELD).await
+    pub async fn take(&self, length: Option<u64>) -> Option<BodyPermit> {
+        self.acquire_buffered(length, MAX_BUFFERED_BYTES).await
     }
 
-    /// As [`Rooms::take`], where a body is held whole up to so many bytes.
-    pub async fn take_held(&self, length: Option<u64>, held: usize) -> Option<Room> {
+    /// As [`BodyBudget::take`], where a body is held whole up to so many bytes.
+    pub async fn acquire_buffered(&self, length: Option<u64>, held: usize) -> Option<BodyPermit> {
         let kib = match length {
             Some(length) if length <= SMALL as u64 => return None,
             Some(length) if length <= held as u64 => length as usize / 1024 + 1,
@@ -72,44 +72,44 @@
         // More than there is in all could never be had.
         let kib = kib.min(self.most.get()).max(1) as u32;
         // The semaphore is never closed.
-        self.kib.clone().acquire_many_owned(kib).await.ok().map(|permit| Room { _permit: permit })
+        self.kib.clone().acquire_many_owned(kib).await.ok().map(|permit| BodyPermit { _permit: permit })
     }
 }
 
 /// Why a body has ended before it was whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum BodyError {
     /// Its sender has left, or broke the rules of HTTP.
     Left,
     /// It did not get on for so long that it was given up.
     Stalled,
-    /// It is longer than [`LONGEST`].
+    /// It is longer than [`MAX_BODY_BYTES`].
     TooLong,
     /// Part of it has gone to a server already and is held no more.
     Spent,
 }
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for BodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Broken::Left => "the body is not whole",
-            Broken::Stalled => "the body does not get on",
-            Broken::TooLong => "the body is too long",
-            Broken::Spent => "the body is held no more",
+            BodyError::Left => "the body is not whole",
+            BodyError::Stalled => "the body does not get on",
+            BodyError::TooLong => "the body is too long",
+            BodyError::Spent => "the body is held no more",
         })
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyError {}
 
 /// The start of a body, put together from its pieces. One that came in one piece, as most do, is not copied.
 #[derive(Debug, Default)]
-pub struct Start {
+pub struct BodyPrefix {
     first: Bytes,
     all: BytesMut,
 }
 
-impl Start {
+impl BodyPrefix {
     /// The next piece.
     pub fn push(&mut self, piece: Bytes) {
         if self.first.is_empty() {
@@ -149,19 +149,19 @@
         /// How many bytes it has in all, where that is told.
         length: Option<u64>,
         /// What is still to come.
-        rest: Pieces,
+        rest: BodyReceiver,
         /// Its room.
-        room: Option<Room>,
+        room: Option<BodyPermit>,
     },
 }
 
 impl Body {
     /// A body that is all there, and has room.
-    pub fn held(bytes: Bytes, room: Option<Room>) -> Self {
+    pub fn held(bytes: Bytes, room: Option<BodyPermit>) -> Self {
         if room.is_none() {
             return Body::Whole(bytes);
         }
-        let (feed, rest) = pieces();
+        let (feed, rest) = body_channel();
         feed.finish();
         Body::Stream { length: Some(bytes.len() as u64), held: bytes, rest, room }
     }
@@ -178,16 +178,16 @@
     ///
     /// # Errors
     /// When it breaks off, or is longer than `most` bytes.
-    pub async fn collect(self, most: usize) -> Result<Bytes, Broken> {
+    pub async fn collect(self, most: usize) -> Result<Bytes, BodyError> {
         match self {
-            Body::Whole(bytes) if bytes.len() > most => Err(Broken::TooLong),
+            Body::Whole(bytes) if bytes.len() > most => Err(BodyError::TooLong),
             Body::Whole(bytes) => Ok(bytes),
             Body::Stream { held, mut rest, .. } => {
                 let mut all = BytesMut::from(&held[..]);
                 while let Some(piece) = rest.recv().await {
                     all.extend_from_slice(&piece?);
                     if all.len() > most {
-                        return Err(Broken::TooLong);
+                        return Err(BodyError::TooLong);
                     }
                 }
                 Ok(all.freeze())
@@ -216,12 +216,12 @@
 
 impl HttpBody for Body {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
             Body::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Body::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
@@ -262,13 +262,13 @@
         /// How many bytes it has in all, where that is told.
         length: Option<u64>,
         /// The rest, until an attempt takes it.
-        rest: Mutex<Option<Pieces>>,
+        rest: Mutex<Option<BodyReceiver>>,
     },
 }
 
 impl Upload {
     /// A body whose start is held and whose rest is coming.
-    pub fn stream(held: Bytes, length: Option<u64>, rest: Pieces) -> Self {
+    pub fn stream(held: Bytes, length: Option<u64>, rest: BodyReceiver) -> Self {
         Upload::Stream { held, length, rest: Mutex::new(Some(rest)) }
     }
 
@@ -277,7 +277,7 @@
         matches!(self, Upload::Stream { .. })
     }
 
-    fn take_rest(&self) -> Option<Pieces> {
+    fn take_rest(&self) -> Option<BodyReceiver> {
         match self {
             Upload::Whole(_) => None,
             // The one change made under the lock is whole.
@@ -303,7 +303,7 @@
 
 /// What an attempt knows of its body.
 #[derive(Debug, Default)]
-pub struct Gone {
+pub struct SendState {
     /// The last byte has been handed over.
     pub sent: Cell<bool>,
     /// The rest could not be had from the client.
@@ -311,33 +311,33 @@
 }
 
 /// One attempt's sending of an [`Upload`].
-pub struct Sending<Q> {
+pub struct UploadBody<Q> {
     request: Arc<Q>,
     upload: fn(&Q) -> &Upload,
     begun: bool,
-    rest: Option<Pieces>,
+    rest: Option<BodyReceiver>,
     left: Option<u64>,
     tell: Rc<dyn Fn(Progress)>,
-    gone: Rc<Gone>,
+    gone: Rc<SendState>,
 }
 
-impl<Q> Sending<Q> {
+impl<Q> UploadBody<Q> {
     /// Sends the body that `upload` finds in the request; `tell` hears how far a stream has come.
     pub fn new(
         request: Arc<Q>,
         upload: fn(&Q) -> &Upload,
         tell: Rc<dyn Fn(Progress)>,
-        gone: Rc<Gone>,
+        gone: Rc<SendState>,
     ) -> Self {
         let left = match upload(&request) {
             Upload::Whole(bytes) => Some(bytes.len() as u64),
             Upload::Stream { length, .. } => *length,
         };
-        Sending { request, upload, begun: false, rest: None, left, tell, gone }
+        UploadBody { request, upload, begun: false, rest: None, left, tell, gone }
     }
 
     /// A piece goes out; with the last one the body is sent.
-    fn out(&mut self, piece: Bytes) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn out(&mut self, piece: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(left) = &mut self.left {
             *left = left.saturating_sub(piece.len() as u64);
             if *left == 0 {
@@ -353,20 +353,20 @@
         }
     }
 
-    fn fails(&self, why: Broken) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn fails(&self, why: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.gone.failed.set(true);
         Poll::Ready(Some(Err(why)))
     }
 }
 
-impl<Q> HttpBody for Sending<Q> {
+impl<Q> HttpBody for UploadBody<Q> {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = &mut *self;
         if !this.begun {
             this.begun = true;
@@ -384,16 +384,16 @@
         }
         if this.rest.is_none() {
             let Some(rest) = (this.upload)(&this.request).take_rest() else {
-                return this.fails(Broken::Spent);
+                return this.fails(BodyError::Spent);
             };
             this.rest = Some(rest);
             (this.tell)(Progress::Spent);
         }
-        let Some(rest) = &mut this.rest else { return this.fails(Broken::Spent) };
+        let Some(rest) = &mut this.rest else { return this.fails(BodyError::Spent) };
         match ready!(rest.poll_recv(cx)) {
             Some(Ok(piece)) => this.out(piece),
             Some(Err(why)) => this.fails(why),
-            None if this.left.is_some_and(|left| left > 0) => this.fails(Broken::Left),
+            None if this.left.is_some_and(|left| left > 0) => this.fails(BodyError::Left),
             None => {
                 this.sent();
                 Poll::Ready(None)
--- a/crates/engine/src/body/feed.rs
+++ b/crates/engine/src/body/feed.rs
@@ -1,9 +1,9 @@
 //! The way of a stream's pieces, from who reads them to who takes them.
 //!
 //! Invariant: only a stream that was told to be whole ends as one. Whatever else becomes of its reader (its connection
-//! ends, its task is dropped), whoever takes the pieces gets [`Broken::Left`] in place of the end.
+//! ends, its task is dropped), whoever takes the pieces gets [`BodyError::Left`] in place of the end.
 
-use super::Broken;
+use super::BodyError;
 use bytes::Bytes;
 use std::future::poll_fn;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,30 +11,30 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::mpsc;
 
-/// Pieces of a stream that wait for its reader. Each is what one read brought, 16 KiB at most.
-pub const PIECES: usize = 2;
+/// BodyReceiver of a stream that wait for its reader. Each is what one read brought, 16 KiB at most.
+pub const CHANNEL_CAPACITY: usize = 2;
 
 /// A piece, or why there are no more.
-pub type Piece = Result<Bytes, Broken>;
+pub type BodyChunk = Result<Bytes, BodyError>;
 
 /// Whoever took the pieces takes no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotTaken;
+pub struct ReceiverClosed;
 
-/// Where the pieces of a stream are put. Dropped without [`Feed::finish`], the stream has broken off.
+/// Where the pieces of a stream are put. Dropped without [`BodySender::finish`], the stream has broken off.
 #[derive(Debug)]
-pub struct Feed {
-    pieces: mpsc::Sender<Piece>,
+pub struct BodySender {
+    pieces: mpsc::Sender<BodyChunk>,
     is_whole: Arc<AtomicBool>,
 }
 
-impl Feed {
+impl BodySender {
     /// Puts a piece, once there is room for it.
     ///
     /// # Errors
     /// When nobody takes it.
-    pub async fn send(&self, piece: Piece) -> Result<(), NotTaken> {
-        self.pieces.send(piece).await.map_err(|_| NotTaken)
+    pub async fn send(&self, piece: BodyChunk) -> Result<(), ReceiverClosed> {
+        self.pieces.send(piece).await.map_err(|_| ReceiverClosed)
     }
 
     /// Completes when nobody takes pieces any more.
@@ -50,29 +50,29 @@
 
 /// The pieces of a stream.
 #[derive(Debug)]
-pub struct Pieces {
-    pieces: mpsc::Receiver<Piece>,
+pub struct BodyReceiver {
+    pieces: mpsc::Receiver<BodyChunk>,
     is_whole: Arc<AtomicBool>,
 }
 
-impl Pieces {
+impl BodyReceiver {
     /// The next piece; none at the end of a whole stream.
-    pub async fn recv(&mut self) -> Option<Piece> {
+    pub async fn recv(&mut self) -> Option<BodyChunk> {
         poll_fn(|cx| self.poll_recv(cx)).await
     }
 
-    /// As [`Pieces::recv`].
-    pub fn poll_recv(&mut self, cx: &mut Context<'_>) -> Poll<Option<Piece>> {
+    /// As [`BodyReceiver::recv`].
+    pub fn poll_recv(&mut self, cx: &mut Context<'_>) -> Poll<Option<BodyChunk>> {
         let piece = ready!(self.pieces.poll_recv(cx));
         // The flag is set before the sender is dropped.
         let is_cut = piece.is_none() && !self.is_whole.load(Ordering::Acquire);
-        Poll::Ready(if is_cut { Some(Err(Broken::Left)) } else { piece })
+        Poll::Ready(if is_cut { Some(Err(BodyError::Left)) } else { piece })
     }
 }
 
 /// A stream's two ends.
-pub fn pieces() -> (Feed, Pieces) {
-    let (sender, receiver) = mpsc::channel(PIECES);
+pub fn body_channel() -> (BodySender, BodyReceiver) {
+    let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let is_whole = Arc::new(AtomicBool::new(false));
-    (Feed { pieces: sender, is_whole: is_whole.clone() }, Pieces { pieces: receiver, is_whole })
+    (BodySender { pieces: sender, is_whole: is_whole.clone() }, BodyReceiver { pieces: receiver, is_whole })
 }
--- a/crates/engine/src/body/tests.rs
+++ b/crates/engine/src/body/tests.rs
@@ -10,11 +10,11 @@
 
 type Told = Rc<RefCell<Vec<Progress>>>;
 
-fn sending(upload: &Arc<Upload>) -> (Sending<Upload>, Told, Rc<Gone>) {
-    let (told, gone) = (Told::default(), Rc::new(Gone::default()));
+fn sending(upload: &Arc<Upload>) -> (UploadBody<Upload>, Told, Rc<SendState>) {
+    let (told, gone) = (Told::default(), Rc::new(SendState::default()));
     let hears = told.clone();
     let tell = Rc::new(move |p| hears.borrow_mut().push(p));
-    (Sending::new(upload.clone(), |u| u, tell, gone.clone()), told, gone)
+    (UploadBody::new(upload.clone(), |u| u, tell, gone.clone()), told, gone)
 }
 
 #[test]
@@ -33,7 +33,7 @@
 #[test]
 fn a_stream_is_spent_once_more_than_its_start_is_asked_for() {
     for length in [None, Some(6)] {
-        let (feed, rest) = pieces();
+        let (feed, rest) = body_channel();
         let upload = Arc::new(Upload::stream(Bytes::from_static(b"abc"), length, rest));
         runtime().block_on(async {
             // Only the start: another attempt may still send it all.
@@ -47,7 +47,7 @@
             assert_eq!(*told.borrow(), [Progress::Spent, Progress::Sent]);
             assert!(gone.sent.get());
             let (body, _, gone) = sending(&upload);
-            assert!(matches!(body.collect().await, Err(Broken::Spent)));
+            assert!(matches!(body.collect().await, Err(BodyError::Spent)));
             assert!(gone.failed.get() && !gone.sent.get(), "its last byte never went out");
         });
     }
@@ -57,8 +57,8 @@
 fn a_body_that_ends_early_is_never_taken_for_whole() {
     let def = || Ok(Bytes::from_static(b"def"));
     // The last: its connection has ended, and nobody says anything more of it.
-    for (length, piece) in [(Some(7), def()), (None, Err(Broken::Left)), (None, def())] {
-        let (feed, rest) = pieces();
+    for (length, piece) in [(Some(7), def()), (None, Err(BodyError::Left)), (None, def())] {
+        let (feed, rest) = body_channel();
         let upload = Arc::new(Upload::stream(Bytes::from_static(b"abc"), length, rest));
         runtime().block_on(async {
             let (body, _, gone) = sending(&upload);
@@ -71,10 +71,10 @@
 
 #[test]
 fn an_answer_that_breaks_off_is_told_as_broken() {
-    let (feed, rest) = pieces();
+    let (feed, rest) = body_channel();
     let body = Body::Stream { held: Bytes::from_static(b"abc"), length: None, rest, room: None };
     runtime().block_on(async {
-        feed.send(Err(Broken::Stalled)).await.expect("room");
-        assert!(matches!(BodyExt::collect(body).await, Err(Broken::Stalled)));
+        feed.send(Err(BodyError::Stalled)).await.expect("room");
+        assert!(matches!(BodyExt::collect(body).await, Err(BodyError::Stalled)));
     });
 }
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -9,7 +9,7 @@
 mod pipelined;
 mod receive;
 
-use crate::body::{Body, Broken, Room, Rooms, Upload, HELD, LONGEST};
+use crate::body::{Body, BodyBudget, BodyError, BodyPermit, Upload, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use crate::classify::{self, Rejection};
 use crate::respond;
 use bytes::Bytes;
@@ -46,7 +46,7 @@
 /// A streamed answer of which nothing is written for this long is given up: its server has been by then, so it is the
 /// client that takes nothing.
 const STREAM_STALL: Millis = 15_000.0;
-/// Room for a body is waited for this long.
+/// BodyPermit for a body is waited for this long.
 const ROOM_WITHIN: Duration = Duration::from_millis(1000);
 const NO_TUNNEL: Rejection = Rejection { status: StatusCode::NOT_IMPLEMENTED, why: "no tunnels\n" };
 const NO_ROOM: Rejection =
@@ -89,8 +89,8 @@
             whole_within: 2500.0,
             keep_idle: 10_000.0,
             head_bytes: 16 * 1024,
-            body_bytes: LONGEST,
-            held: HELD,
+            body_bytes: MAX_BODY_BYTES,
+            held: MAX_BUFFERED_BYTES,
             silence: Duration::from_millis(2000),
         }
     }
@@ -147,7 +147,7 @@
         ticket: Self::Ticket,
         head: Parts,
         body: Upload,
-        room: Option<Room>,
+        room: Option<BodyPermit>,
     ) -> impl Future<Output = Result<Response<Body>, Rejection>>;
 }
 
@@ -372,7 +372,7 @@
     peers: RefCell<HashMap<u64, Rc<Peer>>>,
     most: Cell<usize>,
     /// For the bodies of requests.
-    rooms: Rooms,
+    rooms: BodyBudget,
     next: Cell<u64>,
     stopping: Cell<bool>,
     /// New connections are taken.
@@ -393,7 +393,7 @@
             limits,
             peers: RefCell::default(),
             most: Cell::new(budget.clients),
-            rooms: Rooms::new(budget.uploads_kib),
+            rooms: BodyBudget::new(budget.uploads_kib),
             next: Cell::new(0),
             stopping: Cell::new(false),
             taking: Cell::new(true),
@@ -613,11 +613,16 @@
         Ok(judged)
     }
 
-    async fn receive(&self, body: Incoming, peer: &Rc<Peer>) -> Result<(Upload, Option<Room>), Rejection> {
+    async fn receive(
+        &self,
+        body: Incoming,
+        peer: &Rc<Peer>,
+    ) -> Result<(Upload, Option<BodyPermit>), Rejection> {
         peer.enter(Phase::Uploading, self.desk.now());
         peer.uploading.set(true);
         let length = if body.is_end_stream() { Some(0) } else { body.size_hint().exact() };
-        let room = tokio::time::timeout(ROOM_WITHIN, self.rooms.take_held(length, self.limits.held)).await;
+        let room =
+            tokio::time::timeout(ROOM_WITHIN, self.rooms.acquire_buffered(length, self.limits.held)).await;
         let room = room.map_err(|_| {
             peer.uploading.set(false);
             NO_ROOM
@@ -652,12 +657,12 @@
 
 impl HttpBody for Given {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         if self.closes && matches!(frame, Some(Err(_))) {
             self.peer.cut.set(true);
--- a/crates/engine/src/front/pipelined/read.rs
+++ b/crates/engine/src/front/pipelined/read.rs
@@ -3,7 +3,7 @@
 use super::super::heads::{self, Ends, Head};
 use super::super::{closing, receive, HeadDecision, HttpHandler, Phase, NO_ROOM, NO_TUNNEL, ROOM_WITHIN};
 use super::{Answering, Connection, Running, Turn};
-use crate::body::{self, Feed, Room, Start, Upload};
+use crate::body::{self, BodyPermit, BodyPrefix, BodySender, Upload};
 use crate::classify::Rejection;
 use crate::respond;
 use bytes::{Bytes, BytesMut};
@@ -23,14 +23,14 @@
 struct Begun {
     turn: Turn,
     /// Where the rest of its body goes.
-    rest: Option<(Feed, Ends)>,
+    rest: Option<(BodySender, Ends)>,
 }
 
 /// A body as far as it has come.
 struct Received {
     upload: Upload,
-    room: Option<Room>,
-    rest: Option<(Feed, Ends)>,
+    room: Option<BodyPermit>,
+    rest: Option<(BodySender, Ends)>,
 }
 
 /// Why a request is not begun.
@@ -169,13 +169,13 @@
         if length.is_some_and(|l| l > limits.body_bytes) {
             return Err(receive::too_long(limits).into());
         }
-        let room = timeout(ROOM_WITHIN, self.front.rooms.take_held(length, limits.held));
+        let room = timeout(ROOM_WITHIN, self.front.rooms.acquire_buffered(length, limits.held));
         let room = self.while_open(buffer, room).await.ok_or(NotBegun::ClientClosed)?;
         let room = room.map_err(|_| NO_ROOM)?;
         if head.waits && buffer.is_empty() && !self.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", b"").await {
             return Err(NotBegun::ClientClosed);
         }
-        let mut start = Start::default();
+        let mut start = BodyPrefix::default();
         while !start.is_longer_than(limits.held) {
             match heads::piece(buffer, &mut ends)? {
                 Some(piece) => start.push(piece),
@@ -189,14 +189,14 @@
                 },
             }
         }
-        let (feed, rest) = body::pieces();
+        let (feed, rest) = body::body_channel();
         let upload = Upload::stream(start.finish(), length, rest);
         Ok(Received { upload, room, rest: Some((feed, ends)) })
     }
 
     /// Passes the rest of a body on as it comes; what nobody takes any more is read all the same. False: the client has
     /// closed, or makes no progress; the body then breaks off with its feed.
-    async fn pass_on(&self, buffer: &mut BytesMut, mut ends: Ends, feed: Feed) -> bool {
+    async fn pass_on(&self, buffer: &mut BytesMut, mut ends: Ends, feed: BodySender) -> bool {
         let limits = &self.front.limits;
         let mut taken = 0u64;
         let mut feed = Some(feed);
@@ -211,7 +211,7 @@
                         }
                         continue;
                     };
-                    let piece = if is_too_long { Err(body::Broken::TooLong) } else { Ok(piece) };
+                    let piece = if is_too_long { Err(body::BodyError::TooLong) } else { Ok(piece) };
                     match self.while_open(buffer, timeout(receive::STALL, to.send(piece))).await {
                         Some(Ok(Ok(()))) if !is_too_long => {}
                         Some(Ok(Err(_))) if !is_too_long => feed = None,
--- a/crates/engine/src/front/pipelined/write.rs
+++ b/crates/engine/src/front/pipelined/write.rs
@@ -113,7 +113,7 @@
         head: &[u8],
         held: Bytes,
         framing: Framing,
-        rest: &mut body::Pieces,
+        rest: &mut body::BodyReceiver,
     ) -> Option<WriteEnd> {
         let mut left = match framing {
             Framing::Length(length) => Some(length),
--- a/crates/engine/src/front/receive.rs
+++ b/crates/engine/src/front/receive.rs
@@ -2,7 +2,7 @@
 //! not the time in all: a client may be slow, but must get on.
 
 use super::FrontLimits;
-use crate::body::{self, Broken, Feed, Start, Upload, LONGEST};
+use crate::body::{self, BodyError, BodyPrefix, BodySender, Upload, MAX_BODY_BYTES};
 use crate::classify::Rejection;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -42,15 +42,17 @@
     }
 
     /// The next piece of a body; none at its end.
-    async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Broken> {
+    async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
         loop {
-            let Ok(frame) = timeout(self.patience(), body.frame()).await else { return Err(Broken::Stalled) };
+            let Ok(frame) = timeout(self.patience(), body.frame()).await else {
+                return Err(BodyError::Stalled);
+            };
             let Some(frame) = frame else { return Ok(None) };
             // Trailers say nothing that is passed on.
-            let Ok(piece) = frame.map_err(|_| Broken::Left)?.into_data() else { continue };
+            let Ok(piece) = frame.map_err(|_| BodyError::Left)?.into_data() else { continue };
             self.bytes += piece.len() as u64;
             if self.bytes > self.limits.body_bytes {
-                return Err(Broken::TooLong);
+                return Err(BodyError::TooLong);
             }
             return Ok(Some(piece));
         }
@@ -58,15 +60,15 @@
 }
 
 pub(super) fn too_long(limits: &FrontLimits) -> Rejection {
-    let why = if limits.body_bytes == LONGEST { "over 64 MiB\n" } else { "the body is too long\n" };
+    let why = if limits.body_bytes == MAX_BODY_BYTES { "over 64 MiB\n" } else { "the body is too long\n" };
     Rejection { status: StatusCode::PAYLOAD_TOO_LARGE, why }
 }
 
-fn rejection(why: Broken, limits: &FrontLimits) -> Rejection {
+fn rejection(why: BodyError, limits: &FrontLimits) -> Rejection {
     match why {
-        Broken::Left | Broken::Spent => Rejection::bad("the body is not whole\n"),
-        Broken::Stalled => TOO_SLOW,
-        Broken::TooLong => too_long(limits),
+        BodyError::Left | BodyError::Spent => Rejection::bad("the body is not whole\n"),
+        BodyError::Stalled => TOO_SLOW,
+        BodyError::TooLong => too_long(limits),
     }
 }
 
@@ -89,7 +91,7 @@
         return Err(too_long(&limits));
     }
     let mut pace = Pace::new(limits);
-    let mut start = Start::default();
+    let mut start = BodyPrefix::default();
     while !start.is_longer_than(limits.held) {
         let Some(piece) = pace.next(&mut body).await.map_err(|why| rejection(why, &limits))? else {
             whole();
@@ -97,7 +99,7 @@
         };
         start.push(piece);
     }
-    let (feed, rest) = body::pieces();
+    let (feed, rest) = body::body_channel();
     tokio::task::spawn_local(async move {
         pass_on(body, pace, feed).await;
         whole();
@@ -106,7 +108,7 @@
 }
 
 /// Passes a body on as it comes, no faster than it is taken.
-async fn pass_on(mut body: Incoming, mut pace: Pace, feed: Feed) {
+async fn pass_on(mut body: Incoming, mut pace: Pace, feed: BodySender) {
     loop {
         let piece = tokio::select! {
             piece = pace.next(&mut body) => piece,
--- a/crates/engine/src/ports/upstream.rs
+++ b/crates/engine/src/ports/upstream.rs
@@ -54,7 +54,7 @@
 /// - nothing is sent after `may_send` has said no; the attempt then ends as [`Outcome::ConnectFailed`];
 /// - a future that is dropped is an attempt called off: its connection is closed, and what it still
 ///   brings is never given to another request;
-/// - an answer is given out once it is whole, or, where it is longer than [`crate::body::HELD`], once it has begun; one
+/// - an answer is given out once it is whole, or, where it is longer than [`crate::body::MAX_BUFFERED_BYTES`], once it has begun; one
 ///   that breaks off after that is told as broken, and is never taken for whole;
 /// - a body that is still coming has not run before [`Progress::Sent`] was told.
 pub trait Upstream: 'static {
--- a/crates/engine/src/upstreams/house.rs
+++ b/crates/engine/src/upstreams/house.rs
@@ -75,7 +75,7 @@
         House {
             names: HeaderNames::default(),
             held: 1024 * 1024,
-            longest: crate::body::LONGEST,
+            longest: crate::body::MAX_BODY_BYTES,
             unconfirmed: Duration::from_millis(2500),
         }
     }
--- a/crates/engine/src/upstreams/http1.rs
+++ b/crates/engine/src/upstreams/http1.rs
@@ -3,7 +3,10 @@
 //! Connections are kept here and not in a pooling client: such a client sends again by itself, and does not
 //! tell whether a request went out. What heads say is a [`Dialect`]'s.
 
-use crate::body::{self, Body, Broken, Feed, Gone, Room, Rooms, Sending, Start, Upload, HELD, LONGEST};
+use crate::body::{
+    self, Body, BodyBudget, BodyError, BodyPermit, BodyPrefix, BodySender, SendState, Upload, UploadBody,
+    MAX_BODY_BYTES, MAX_BUFFERED_BYTES,
+};
 use crate::ports::clock::Clock;
 use crate::ports::upstream::{End, Job, Upstream};
 use crate::ports::Local;
@@ -71,12 +74,12 @@
 
     /// An answer up to this many bytes is read whole before it counts; a longer one is passed on as it comes.
     fn held(&self) -> usize {
-        HELD
+        MAX_BUFFERED_BYTES
     }
 
     /// The longest answer that is passed on, bytes.
     fn longest(&self) -> u64 {
-        LONGEST
+        MAX_BODY_BYTES
     }
 
     /// A connection on which a server confirms nothing for this long is broken; none: the system decides.
@@ -164,7 +167,7 @@
     /// The body.
     pub body: Upload,
     /// The body's room.
-    pub room: Option<Room>,
+    pub room: Option<BodyPermit>,
 }
 
 /// A stream that notes whether anything of the present request has been written. In doubt a request may
@@ -244,7 +247,7 @@
 
 /// A connection to a server. Dropped, it closes at once, whatever is out on it.
 struct Connection {
-    sender: SendRequest<Sending<Forward>>,
+    sender: SendRequest<UploadBody<Forward>>,
     wrote: Rc<Cell<bool>>,
     task: AbortHandle,
     address: SocketAddr,
@@ -388,7 +391,7 @@
     pool: Pool,
     dialect: D,
     /// For the bodies of answers.
-    rooms: Rooms,
+    rooms: BodyBudget,
 }
 
 /// Servers over HTTP/1.1.
@@ -420,7 +423,7 @@
     /// Servers of this dialect; no connections yet.
     pub fn speaking(dialect: D, clock: Rc<dyn Clock>, connections: Connections) -> Self {
         let pool = Pool::new(connections, dialect.unconfirmed());
-        let rooms = Rooms::new(connections.bodies_kib);
+        let rooms = BodyBudget::new(connections.bodies_kib);
         Http1 { shared: Rc::new(Shared { clock, pool, dialect, rooms }) }
     }
 }
@@ -449,7 +452,7 @@
 }
 
 async fn run<D: Dialect>(shared: &Rc<Shared<D>>, job: &Job<Forward>) -> End<D::Answer> {
-    let gone = Rc::new(Gone::default());
+    let gone = Rc::new(SendState::default());
     loop {
         let kept = shared.pool.take(job.server, job.address, shared.clock.now());
         let fresh = kept.is_none();
@@ -491,9 +494,13 @@
     }
 }
 
-fn request<D: Dialect>(dialect: &D, job: &Job<Forward>, gone: &Rc<Gone>) -> hyper::Request<Sending<Forward>> {
+fn request<D: Dialect>(
+    dialect: &D,
+    job: &Job<Forward>,
+    gone: &Rc<SendState>,
+) -> hyper::Request<UploadBody<Forward>> {
     let forward = &job.request;
-    let body = Sending::new(forward.clone(), |f| &f.body, job.progress.clone(), gone.clone());
+    let body = UploadBody::new(forward.clone(), |f| &f.body, job.progress.clone(), gone.clone());
     let mut request = hyper::Request::new(body);
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
@@ -554,7 +561,7 @@
     }
     let load = dialect.load(&head.headers);
     let most = dialect.held();
-    let room = shared.rooms.take_held(body.size_hint().exact(), most).await;
+    let room = shared.rooms.acquire_buffered(body.size_hint().exact(), most).await;
     let held = match hold(&mut body, most).await {
         Ok(held) => held,
         Err(e) => return End { outcome: broken(&e), answer: None, load },
@@ -578,7 +585,7 @@
         }
         Held::Start(held) => {
             let length = body.size_hint().exact().map(|left| left + held.len() as u64);
-            let (feed, rest) = body::pieces();
+            let (feed, rest) = body::body_channel();
             tokio::task::spawn_local(pass_on(body, held.len() as u64, dialect.longest(), feed, begun));
             Body::Stream { held, length, rest, room }
         }
@@ -598,7 +605,7 @@
     if body.size_hint().lower() > most as u64 {
         return Ok(Held::Start(Bytes::new()));
     }
-    let mut start = Start::default();
+    let mut start = BodyPrefix::default();
     while let Some(frame) = body.frame().await {
         let Ok(piece) = frame?.into_data() else { continue };
         start.push(piece);
@@ -634,19 +641,25 @@
 }
 
 /// Passes a long answer on as it comes, no faster than it is taken. When whoever takes it leaves, it ends.
-async fn pass_on<D: Dialect>(mut body: Incoming, mut passed: u64, longest: u64, feed: Feed, begun: Begun<D>) {
+async fn pass_on<D: Dialect>(
+    mut body: Incoming,
+    mut passed: u64,
+    longest: u64,
+    feed: BodySender,
+    begun: Begun<D>,
+) {
     let why = loop {
         let frame = tokio::select! {
             frame = tokio::time::timeout(STALL, body.frame()) => frame,
             () = feed.closed() => return,
         };
         let piece = match frame {
-            Err(_) => break Broken::Stalled,
+            Err(_) => break BodyError::Stalled,
             Ok(None) => {
                 begun.over();
                 return feed.finish();
             }
-            Ok(Some(Err(_))) => break Broken::Left,
+            Ok(Some(Err(_))) => break BodyError::Left,
             Ok(Some(Ok(frame))) => match frame.into_data() {
                 Ok(piece) => piece,
                 // Trailers are not passed on.
@@ -655,12 +668,12 @@
         };
         passed += piece.len() as u64;
         if passed > longest {
-            break Broken::TooLong;
+            break BodyError::TooLong;
         }
         match tokio::time::timeout(STALL, feed.send(Ok(piece))).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return,
-            Err(_) => break Broken::Stalled,
+            Err(_) => break BodyError::Stalled,
         }
     };
     drop(begun);
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -3,7 +3,7 @@
 use super::{class, setup};
 use http::request::Parts;
 use http::{HeaderName, Method, Response, StatusCode};
-use oatbank_engine::body::{Body, Room, Upload};
+use oatbank_engine::body::{Body, BodyPermit, Upload};
 use oatbank_engine::classify::Rejection;
 use oatbank_engine::engine::{Answer, Engine};
 use oatbank_engine::front::{Front, FrontLimits, HeadDecision, HttpHandler};
@@ -86,7 +86,7 @@
         mut request: Request,
         head: Parts,
         body: Upload,
-        room: Option<Room>,
+        room: Option<BodyPermit>,
     ) -> Result<Response<Body>, Rejection> {
         request.uploading = body.is_stream();
         let headers = headers_on(&head.headers);
--- a/crates/engine/tests/once.rs
+++ b/crates/engine/tests/once.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use common::{class, setup};
 use http::{HeaderMap, HeaderValue, Method, Response};
-use oatbank_engine::body::{pieces, Body, Broken, Progress, Upload};
+use oatbank_engine::body::{body_channel, Body, BodyError, Progress, Upload};
 use oatbank_engine::engine::{Answer, Engine, Setup};
 use oatbank_engine::members::fixed;
 use oatbank_engine::ports::clock::SystemClock;
@@ -313,7 +313,7 @@
         for length in [Some(200_006), None] {
             for whole in [false, true] {
                 let rig = Rig::new().await;
-                let (feed, coming) = pieces();
+                let (feed, coming) = body_channel();
                 let start = Bytes::from(vec![b'x'; 200_000]);
                 let attempt = rig.post(1, "a", Upload::stream(start, length, coming));
                 let mut stream = rig.connection().await;
@@ -345,11 +345,11 @@
     on_local_set(async {
         for length in [Some(200_006), None] {
             let rig = Rig::new().await;
-            let (feed, coming) = pieces();
+            let (feed, coming) = body_channel();
             let attempt = rig.post(1, "a", Upload::stream(vec![b'x'; 200_000].into(), length, coming));
             let mut stream = rig.connection().await;
             read(&mut stream, "\r\n\r\n").await;
-            feed.send(Err(Broken::Left)).await.expect("room");
+            feed.send(Err(BodyError::Left)).await.expect("room");
             let got = rest(&mut stream).await;
             assert!(!got.ends_with(b"0\r\n\r\n") && got.len() <= 200_032, "{} bytes", got.len());
             assert_eq!(attempt.outcome().await, Outcome::Moot);
@@ -363,7 +363,7 @@
     on_local_set(async {
         let rig = Rig::new().await;
         reset(rig.kept().await);
-        let (feed, coming) = pieces();
+        let (feed, coming) = body_channel();
         let attempt = rig.post(1, "a", Upload::stream(vec![b'x'; 200_000].into(), Some(200_006), coming));
         feed.send(Ok(Bytes::from_static(b"theend"))).await.expect("room");
         feed.finish();
--- a/crates/proxy/src/front_desk.rs
+++ b/crates/proxy/src/front_desk.rs
@@ -5,7 +5,7 @@
 use http::request::Parts;
 use http::{Method, Response};
 use oatbank_cluster_state::state::Millis;
-use oatbank_engine::body::{Body, Room, Upload};
+use oatbank_engine::body::{Body, BodyPermit, Upload};
 use oatbank_engine::classify::{self, Rejection};
 use oatbank_engine::front::{HeadDecision, HttpHandler};
 use std::rc::Rc;
@@ -49,7 +49,7 @@
         routed: RoutedRequest,
         head: Parts,
         body: Upload,
-        room: Option<Room>,
+        room: Option<BodyPermit>,
     ) -> Result<Response<Body>, Rejection> {
         Ok(self.0.handle(routed, IncomingRequest { head, body, room }).await)
     }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -19,7 +19,7 @@
 use oatbank_cluster_state::messages::{ObservationRow, Table};
 use oatbank_cluster_state::state::Millis;
 use oatbank_config_model::{Customer, Route, RouteKind, RouteTable};
-use oatbank_engine::body::{Body, Room, Upload};
+use oatbank_engine::body::{Body, BodyPermit, Upload};
 use oatbank_engine::engine::{Answer, Departures};
 use oatbank_engine::open_ids::OpenIds;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
@@ -81,7 +81,7 @@
     /// The body, or as much of it as has arrived.
     pub body: Upload,
     /// Memory that is reserved for a long body.
-    pub room: Option<Room>,
+    pub room: Option<BodyPermit>,
 }
 
 /// Handles the requests of clients.
--- a/crates/tower/src/client.rs
+++ b/crates/tower/src/client.rs
@@ -4,7 +4,7 @@
 use crate::start::{Builder, Place, StartError};
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
-use oatbank_engine::body::{Body, LONGEST};
+use oatbank_engine::body::{Body, MAX_BODY_BYTES};
 use oatbank_engine::classify::{self, Rejection};
 use oatbank_engine::config::Config;
 use oatbank_engine::handle::{Handle, Pending};
@@ -73,7 +73,7 @@
     fn take(&self, request: Request<Bytes>) -> Result<(Pending<Forward, Body>, Held), Rejection> {
         let (head, body) = request.into_parts();
         let request = self.extract.extract(&head, self.handle.setup())?;
-        if body.len() as u64 > LONGEST {
+        if body.len() as u64 > MAX_BODY_BYTES {
             return Err(Rejection { status: StatusCode::PAYLOAD_TOO_LARGE, why: "over 64 MiB\n" });
         }
         let id = classify::single(&head.headers, &classify::CORRELATION)?.unwrap_or_default();
