--- a/benches/src/bin/members.rs
+++ b/benches/src/bin/members.rs
@@ -7,7 +7,7 @@
 
 use oatbank_benches::cpu;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
-use oatbank_engine::ports::membership::{News, Told};
+use oatbank_engine::ports::membership::{MembershipSink, News};
 use oatbank_engine::supervise::keep_running;
 use oatbank_testkit::conformance::on_local_set;
 use oatbank_testkit::zookeeper::Coordinator;
@@ -32,7 +32,7 @@
     let coordinator = Coordinator::start(1);
     (0..members).for_each(|i| coordinator.put(&path(i), &node(i)));
     let (tell, mut heard) = unbounded_channel();
-    let told: Told = Rc::new(move |news| _ = tell.send((Instant::now(), news)));
+    let told: MembershipSink = Rc::new(move |news| _ = tell.send((Instant::now(), news)));
     let (cluster, session_timeout) = (coordinator.cluster(), Duration::from_secs(10));
     let config = Config { cluster, path: "/services/quotes".into(), session_timeout, auth: None };
     let (clock, shared) = (Rc::new(SystemClock::new()) as Rc<dyn Clock>, state(&config));
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -179,7 +179,7 @@
             return told(StatusCode::BAD_REQUEST, "the id is no UTF-8\n".into());
         };
         let (call, state) = if out { ("suspend", "out") } else { ("resume", "in") };
-        match self.engine.operate(&id, out) {
+        match self.engine.set_suspended(&id, out) {
             Ok(()) => {
                 tracing::info!(server = %id, call, "control: {call} {id}");
                 if let Some(upgrade) = self.upgrade.get() {
--- a/crates/daemon/src/demo.rs
+++ b/crates/daemon/src/demo.rs
@@ -68,7 +68,7 @@
     tokio::time::sleep(DRAINS_AT - RECOVERS_AT).await;
     println!("  2.5 s  engine-3 drains: it finishes what it has and wants nothing new");
     let leaving = Member { state: ServerState::Draining, ..config.members[2].clone() };
-    running.engine.told()(News::Changes(vec![leaving]));
+    running.engine.membership_sink()(News::Changes(vec![leaving]));
     let told = tokio::time::Instant::now();
     tokio::time::sleep(ENDS_AT - DRAINS_AT).await;
 
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -1,7 +1,7 @@
 //! Carries several sources' news through [`Intake`] to the engine.
 
 use oatbank_engine::ports::clock::Clock;
-use oatbank_engine::ports::membership::{News, Told};
+use oatbank_engine::ports::membership::{MembershipSink, News};
 use oatbank_engine::supervise::keep_running;
 use oatbank_membership::intake::Intake;
 use std::cell::RefCell;
@@ -11,14 +11,14 @@
 /// One list of servers, fed by sources of different rank.
 pub struct Feed {
     intake: RefCell<Intake>,
-    told: Told,
+    told: MembershipSink,
     clock: Rc<dyn Clock>,
     sooner: Notify,
 }
 
 impl Feed {
     /// Tells `told` what passes `intake`, from now on for the life of the process.
-    pub fn start(intake: Intake, told: Told, clock: Rc<dyn Clock>) -> Rc<Self> {
+    pub fn start(intake: Intake, told: MembershipSink, clock: Rc<dyn Clock>) -> Rc<Self> {
         let feed = Rc::new(Feed { intake: RefCell::new(intake), told, clock, sooner: Notify::new() });
         let letting_in = feed.clone();
         keep_running("members held back", move || letting_in.clone().let_in());
@@ -26,7 +26,7 @@
     }
 
     /// Where the source of this rank tells its news. What passes is told before this returns.
-    pub fn source(self: &Rc<Self>, rank: usize) -> Told {
+    pub fn source(self: &Rc<Self>, rank: usize) -> MembershipSink {
         let feed = self.clone();
         Rc::new(move |news| {
             let news = feed.intake.borrow_mut().told(feed.clock.now(), rank, news);
--- a/crates/daemon/src/fleet/apply.rs
+++ b/crates/daemon/src/fleet/apply.rs
@@ -2,7 +2,7 @@
 
 use oatbank_engine::config::{Base, Config};
 use oatbank_engine::engine::{Engine, Shares};
-use oatbank_engine::ports::membership::{News, Told};
+use oatbank_engine::ports::membership::{MembershipSink, News};
 use oatbank_engine::upstreams::http1::Http1;
 use oatbank_fleet::document::{Id, Revision};
 use oatbank_fleet::member::ActiveRules;
@@ -20,7 +20,7 @@
 pub(super) struct Applied {
     base: Base,
     engine: Rc<Engine<Http1>>,
-    servers: Told,
+    servers: MembershipSink,
     /// This limiter's place among all, from 0 to below 1.
     place: f64,
     active_rules: ActiveRules,
@@ -29,7 +29,7 @@
 }
 
 impl Applied {
-    pub(super) fn new(base: Base, engine: Rc<Engine<Http1>>, servers: Told, place: f64) -> Self {
+    pub(super) fn new(base: Base, engine: Rc<Engine<Http1>>, servers: MembershipSink, place: f64) -> Self {
         Applied { base, engine, servers, place, active_rules: ActiveRules::Reject, checked: BTreeMap::new() }
     }
 
@@ -105,12 +105,12 @@
     }
 
     fn give(&self, config: Config) {
-        self.engine.bar(&config.suspended);
+        self.engine.exclude_servers(&config.suspended);
         // The zones' places among the names, as they are from now on.
-        self.engine.revise(&config.setup.names, &config.setup.settings);
+        self.engine.apply_settings(&config.setup.names, &config.setup.settings);
         let place = |zone: &str| config.setup.names.zones.iter().position(|z| z == zone);
         let parts = config.left.iter().filter_map(|l| Some((place(&l.zone)? as u16, l.share)));
-        self.engine.share(Shares { parts: parts.collect(), place: self.place });
+        self.engine.set_zone_shares(Shares { parts: parts.collect(), place: self.place });
         if config.zookeeper.is_none() {
             (self.servers)(News::Complete(config.members));
         }
--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 use oatbank_engine::config::{Base, Fleet as Settings, FleetPeer, FleetTree};
 use oatbank_engine::engine::Engine;
 use oatbank_engine::ports::clock::Clock;
-use oatbank_engine::ports::membership::Told;
+use oatbank_engine::ports::membership::MembershipSink;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::Http1;
 use oatbank_fleet::decider::{Proposal, ProposalOutcome};
@@ -65,7 +65,7 @@
     /// Tells this process from others of its name.
     life: u64,
     led: zones::Led,
-    /// Told when the node may be due sooner than was known.
+    /// MembershipSink when the node may be due sooner than was known.
     sooner: Notify,
 }
 
@@ -79,7 +79,7 @@
         settings: &Settings,
         base: Base,
         engine: Rc<Engine<Http1>>,
-        servers: Told,
+        servers: MembershipSink,
         clock: Rc<dyn Clock>,
     ) -> Result<Rc<Self>, String> {
         let socket = std::net::UdpSocket::bind(settings.listen).and_then(|socket| {
@@ -117,9 +117,9 @@
             led: zones::Led::default(),
             sooner: Notify::new(),
         });
-        engine.hold(true);
+        engine.hold_readiness(true);
         let guard = Rc::downgrade(&fleet);
-        engine.guard_by(Rc::new(move || guard.upgrade().and_then(|fleet| fleet.up_to_date())));
+        engine.set_guard(Rc::new(move || guard.upgrade().and_then(|fleet| fleet.up_to_date())));
         let hearing = fleet.clone();
         keep_running("fleet", move || hearing.clone().hear());
         let ticking = fleet.clone();
@@ -218,7 +218,7 @@
         if !matches!(active_rules, ActiveRules::Current(_)) && self.applied.borrow().is_current() {
             self.lapses.set(self.lapses.get() + 1);
         }
-        self.engine.hold(active_rules == ActiveRules::Reject);
+        self.engine.hold_readiness(active_rules == ActiveRules::Reject);
         self.applied.borrow_mut().act(active_rules, held.as_deref(), other.as_deref());
     }
 
--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -56,7 +56,7 @@
                 plain(StatusCode::SERVICE_UNAVAILABLE, "starting\n")
             }));
         }
-        if let Some(wait) = self.engine.closed() {
+        if let Some(wait) = self.engine.check_guard() {
             let refused = respond::answered(Answer::Refused(wait), self.come_back, Response::new);
             return Ok(HeadDecision::Respond(refused));
         }
@@ -84,7 +84,7 @@
         let forward = Forward { method: head.method, uri: head.uri, headers, body, room };
         let (begun, account) = (self.engine.now(), request.customer.0);
         let span = tracing::debug_span!("request", id, account);
-        let answer = span.in_scope(|| self.engine.ask(request, forward)).await;
+        let answer = span.in_scope(|| self.engine.submit_and_wait(request, forward)).await;
         let ms = self.engine.now() - begun;
         span.in_scope(|| tracing::debug!(ms, outcome = answer.name(), "answered"));
         Ok(respond::answered(answer, self.come_back, Response::new))
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -4,7 +4,7 @@
 use crate::serve::on_one_thread;
 use oatbank_engine::config::{Config, FileServers, ZooKeeper};
 use oatbank_engine::ports::clock::{Clock, SystemClock};
-use oatbank_engine::ports::membership::{Member, News, Told};
+use oatbank_engine::ports::membership::{Member, MembershipSink, News};
 use oatbank_engine::supervise::keep_running;
 use oatbank_limiter_core::interface::{Millis, ServerState};
 use oatbank_membership::damping;
@@ -66,7 +66,7 @@
     let clock: Rc<dyn Clock> = Rc::new(SystemClock::new());
     let (tell, mut heard) = unbounded_channel();
     // This command ends with its process, so somebody reads to the end.
-    let told: Told = Rc::new(move |news| _ = tell.send(news));
+    let told: MembershipSink = Rc::new(move |news| _ = tell.send(news));
     let feed = Feed::start(intake(&config), told, clock.clone());
     feed.source(FILE)(of_file(&config));
     let mut tree = None;
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -8,7 +8,7 @@
 use oatbank_engine::engine::{Engine, Names, Setup};
 use oatbank_engine::members::agent::{self, Agent, ServerList};
 use oatbank_engine::ports::clock::{Clock, SystemClock};
-use oatbank_engine::ports::membership::{News, Told};
+use oatbank_engine::ports::membership::{MembershipSink, News};
 use oatbank_engine::respond::ComeBack;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::Http1;
@@ -148,11 +148,11 @@
     let mut signals = Signals::new()?;
     let clock: Rc<dyn Clock> = Rc::new(SystemClock::new());
     let engine = Serving::engine(&config.plan, clock.clone());
-    let told = engine.told();
+    let told = engine.membership_sink();
     if let Some(known) = &config.known {
         told(News::Remembered(known.members()));
     }
-    let counter = TextCounter::start(config.counter, clock, engine.ends());
+    let counter = TextCounter::start(config.counter, clock, engine.call_end_sink());
     engine.use_counter(Some(counter.clone()));
     let known = config.known.as_ref().map_or(0, |k| k.revision);
     let mut following = Following::start(told, config.agent(), Some(known), config.plan.setup.seed);
@@ -162,7 +162,7 @@
         waiting.set_ready();
     });
     let upgrades = config.plan.passed.is_some();
-    engine.hold(upgrades);
+    engine.hold_readiness(upgrades);
     let control = match config.control {
         Some(address) => Some(Control::start(address, engine.clone())?),
         None => None,
@@ -177,7 +177,7 @@
 
 /// Follows the discovery agent that the configuration names, and moves to another when that changes.
 struct Following {
-    told: Told,
+    told: MembershipSink,
     agent: Agent,
     /// Of its pauses.
     seed: u64,
@@ -185,7 +185,7 @@
 }
 
 impl Following {
-    fn start(told: Told, agent: Agent, known: Option<u64>, seed: u64) -> Self {
+    fn start(told: MembershipSink, agent: Agent, known: Option<u64>, seed: u64) -> Self {
         let telling = told.clone();
         let task = keep_running("discovery", move || agent::follow(telling.clone(), agent, known, seed));
         Following { told, agent, seed, task }
@@ -228,7 +228,7 @@
         }
         Err(e) => {
             tracing::error!("upgrade: TMPDIR {:?}: {e}; other processes are not met", std::env::temp_dir());
-            engine.hold(false);
+            engine.hold_readiness(false);
             serving.front().set_accepting(true);
             None
         }
@@ -265,7 +265,7 @@
     };
     let (discovery, at) = (config.discovery, config.counter);
     if taken["settings"] != config.form["settings"] {
-        engine.revise(&config.plan.setup.names, &config.plan.setup.settings);
+        engine.apply_settings(&config.plan.setup.names, &config.plan.setup.settings);
     }
     let number = engine.revision().number();
     tracing::info!(number, "configuration: settings {number}, discovery {discovery}, counter {at:?}");
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -1,7 +1,7 @@
 //! The life of a serving process: from its listener to the last answer.
 
 use crate::front::{Front, PlatformDesk};
-use oatbank_engine::engine::{finish_within, Engine, Setup};
+use oatbank_engine::engine::{shutdown_timeout, Engine, Setup};
 use oatbank_engine::front::FrontLimits;
 use oatbank_engine::ports::clock::Clock;
 use oatbank_engine::respond::ComeBack;
@@ -156,8 +156,8 @@
     pub async fn stop(self, yielded: bool) {
         let (engine, front) = (&self.engine, &self.front);
         let stopped = Instant::now();
-        tracing::info!("{} stops: {} connections, {} owed", self.name, front.open(), engine.owed());
-        let end = stopped + finish_within(engine.revision().settings());
+        tracing::info!("{} stops: {} connections, {} owed", self.name, front.open(), engine.unanswered());
+        let end = stopped + shutdown_timeout(engine.revision().settings());
         front.stop();
         if yielded {
             let last = end - CLOSING;
--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -9,7 +9,7 @@
 use oatbank_engine::counters::{self, local::Numbers};
 use oatbank_engine::engine::Engine;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
-use oatbank_engine::ports::membership::Told;
+use oatbank_engine::ports::membership::MembershipSink;
 use oatbank_engine::respond::ComeBack;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::Http1;
@@ -26,7 +26,7 @@
     pub engine: Rc<Engine<Http1>>,
     serving: Serving,
     /// Where the servers of the file are told.
-    from_file: Told,
+    from_file: MembershipSink,
     fleet: Option<Rc<Fleet>>,
     registrar: Option<Rc<Registrar>>,
 }
@@ -58,8 +58,13 @@
         let clock: Rc<dyn Clock> = Rc::new(SystemClock::new());
         let plan = plan(config);
         let engine = Serving::engine(&plan, clock.clone());
-        engine.use_counter(counters::start(config.counter, Numbers::default(), clock.clone(), engine.ends()));
-        let feed = Feed::start(members::intake(config), engine.told(), clock.clone());
+        engine.use_counter(counters::start(
+            config.counter,
+            Numbers::default(),
+            clock.clone(),
+            engine.call_end_sink(),
+        ));
+        let feed = Feed::start(members::intake(config), engine.membership_sink(), clock.clone());
         let from_file = feed.source(members::FILE);
         from_file(members::of_file(config));
         if let Some(folder) = &config.zookeeper {
@@ -91,7 +96,7 @@
     }
 }
 
-fn follow(folder: &ZooKeeper, clock: Rc<dyn Clock>, told: Told) {
+fn follow(folder: &ZooKeeper, clock: Rc<dyn Clock>, told: MembershipSink) {
     let source = members::source(folder);
     let state = oatbank_zookeeper::state(&source);
     keep_running("members", move || {
@@ -120,7 +125,7 @@
     settings: &config::Fleet,
     base: Base,
     engine: Rc<Engine<Http1>>,
-    servers: Told,
+    servers: MembershipSink,
     clock: Rc<dyn Clock>,
 ) -> Result<Rc<Fleet>, String> {
     let fleet = Fleet::join(settings, base, engine.clone(), servers, clock)?;
--- a/crates/daemon/src/upgrade.rs
+++ b/crates/daemon/src/upgrade.rs
@@ -210,11 +210,11 @@
                     if accepts { "takes clients" } else { "yields to another" }
                 );
                 self.front.set_accepting(accepts);
-                self.engine.hold(false);
+                self.engine.hold_readiness(false);
             }
             Do::Part(part) => {
                 let budget = (self.budget)(part);
-                self.engine.use_part(part, budget);
+                self.engine.set_budget_part(part, budget);
                 self.front.apply_budget(budget);
             }
             Do::Settled => tracing::info!("upgrade: {} servers are out", self.out()),
--- a/crates/engine/src/counters/local.rs
+++ b/crates/engine/src/counters/local.rs
@@ -1,7 +1,7 @@
 //! A counter within the process, for one limiter alone or for several in one process.
 
 use crate::ports::clock::Clock;
-use crate::ports::counter::{Call, CallEnd, CallId, Counter, Ends};
+use crate::ports::counter::{Call, CallEnd, CallEndSink, CallId, Counter};
 use oatbank_limiter_core::interface::{CountName, Millis};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -72,7 +72,7 @@
 
 impl LocalCounter {
     /// Begins to answer, for as long as the engine's tasks run.
-    pub fn start(numbers: Numbers, clock: Rc<dyn Clock>, ends: Ends) -> Rc<Self> {
+    pub fn start(numbers: Numbers, clock: Rc<dyn Clock>, ends: CallEndSink) -> Rc<Self> {
         // Holds no more than the engine has calls out: one a name at most.
         let (answers, mut due) = unbounded_channel();
         tokio::task::spawn_local(async move {
--- a/crates/engine/src/counters/mod.rs
+++ b/crates/engine/src/counters/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::config::CounterKind;
 use crate::ports::clock::Clock;
-use crate::ports::counter::{Counter, Ends};
+use crate::ports::counter::{CallEndSink, Counter};
 use local::{LocalCounter, Numbers};
 use std::rc::Rc;
 use text::TextCounter;
@@ -16,7 +16,7 @@
     kind: CounterKind,
     numbers: Numbers,
     clock: Rc<dyn Clock>,
-    ends: Ends,
+    ends: CallEndSink,
 ) -> Option<Rc<dyn Counter>> {
     match kind {
         CounterKind::None => None,
--- a/crates/engine/src/counters/text.rs
+++ b/crates/engine/src/counters/text.rs
@@ -2,7 +2,7 @@
 //! come back in order.
 
 use crate::ports::clock::Clock;
-use crate::ports::counter::{Call, CallEnd, CallId, Counter, Ends};
+use crate::ports::counter::{Call, CallEnd, CallEndSink, CallId, Counter};
 use crate::supervise::keep_running;
 use oatbank_limiter_core::interface::Millis;
 use std::cell::{Cell, RefCell};
@@ -85,7 +85,7 @@
 /// A counter that speaks the text protocol.
 pub struct TextCounter {
     clock: Rc<dyn Clock>,
-    ends: Ends,
+    ends: CallEndSink,
     address: Cell<Option<SocketAddr>>,
     links: RefCell<[Option<Rc<Link>>; LINKS]>,
     moved: [Notify; LINKS],
@@ -94,7 +94,7 @@
 impl TextCounter {
     /// Begins to keep connections to `address` up, for as long as the engine's tasks run. Without an address
     /// every call ends at once as [`CallEnd::Unreachable`].
-    pub fn start(address: Option<SocketAddr>, clock: Rc<dyn Clock>, ends: Ends) -> Rc<Self> {
+    pub fn start(address: Option<SocketAddr>, clock: Rc<dyn Clock>, ends: CallEndSink) -> Rc<Self> {
         let counter = Rc::new(TextCounter {
             clock,
             ends,
--- a/crates/engine/src/direct.rs
+++ b/crates/engine/src/direct.rs
@@ -5,10 +5,10 @@
 //! held for one event at a time, never while a handler runs or anything is waited for.
 
 use crate::engine::core::{Core, Output};
-use crate::engine::{finish_within, Answer, Setup};
-use crate::handle::{Ended, FULL_RETRY};
+use crate::engine::{shutdown_timeout, Answer, Setup};
+use crate::handle::{Ended, QUEUE_FULL_RETRY_AFTER};
 use crate::ports::clock::{Clock, SystemClock};
-use crate::ports::counter::{Call, CallEnd, Counter, Ends};
+use crate::ports::counter::{Call, CallEnd, CallEndSink, Counter};
 use crate::ports::membership::{Member, News};
 use crate::ports::upstream::End;
 use oatbank_limiter_core::interface::{Millis, Outcome, Request, RequestId};
@@ -39,7 +39,7 @@
     most: usize,
     /// Calls for the counter's task: one a name at most.
     calls: mpsc::UnboundedSender<Call>,
-    /// Told when an earlier due than all before has been set.
+    /// MembershipSink when an earlier due than all before has been set.
     sooner: Notify,
     /// What the timers sleep until, in whole ms.
     asleep_until: AtomicU64,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Ends the limiter's task with the last that holds it.
+/// CallEndSink the limiter's task with the last that holds it.
 struct Alive(Arc<Shared>);
 
 impl Drop for Alive {
@@ -217,7 +217,7 @@
     /// and completes when all is answered.
     pub async fn shutdown(&self) {
         self.shared().stopping.store(true, Ordering::Release);
-        let end = tokio::time::Instant::now() + finish_within(&self.setup().settings);
+        let end = tokio::time::Instant::now() + shutdown_timeout(&self.setup().settings);
         while self.shared().lock().owed() > 0 && tokio::time::Instant::now() < end {
             tokio::time::sleep(LOOK).await;
         }
@@ -236,7 +236,9 @@
     type Output = Ended<()>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Ended<()>> {
-        let Some((_, answer)) = &mut self.taken else { return Poll::Ready(Ended::NotTaken(FULL_RETRY)) };
+        let Some((_, answer)) = &mut self.taken else {
+            return Poll::Ready(Ended::NotTaken(QUEUE_FULL_RETRY_AFTER));
+        };
         let answer = ready!(Pin::new(answer).poll(cx));
         self.taken = None;
         Poll::Ready(answer.map_or(Ended::Lost, Ended::Answered))
@@ -256,11 +258,11 @@
 impl Work {
     /// Runs timers and the counter until the limiter is dropped. To be run inside a
     /// [`tokio::task::LocalSet`], in which `start` makes the counter.
-    pub async fn run(mut self, start: impl FnOnce(Rc<dyn Clock>, Ends) -> Option<Rc<dyn Counter>>) {
+    pub async fn run(mut self, start: impl FnOnce(Rc<dyn Clock>, CallEndSink) -> Option<Rc<dyn Counter>>) {
         let Some(shared) = self.shared.upgrade() else { return };
         let clock: Rc<dyn Clock> = Rc::new(shared.clock);
         let weak = self.shared.clone();
-        let ends: Ends = Rc::new(move |call, end| {
+        let ends: CallEndSink = Rc::new(move |call, end| {
             if let Some(shared) = weak.upgrade() {
                 shared.change(|core, now| core.call_ended(now, call, end));
             }
@@ -298,7 +300,7 @@
 /// When there is no thread or runtime to be had.
 pub fn spawn(
     work: Work,
-    start: impl FnOnce(Rc<dyn Clock>, Ends) -> Option<Rc<dyn Counter>> + Send + 'static,
+    start: impl FnOnce(Rc<dyn Clock>, CallEndSink) -> Option<Rc<dyn Counter>> + Send + 'static,
 ) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("oatbank".into()).spawn(move || {
--- a/crates/engine/src/engine/book.rs
+++ b/crates/engine/src/engine/book.rs
@@ -164,7 +164,7 @@
     }
 
     /// How many requests that run once at most are out at a server.
-    pub(super) fn out_once(&self) -> usize {
+    pub(super) fn at_most_once_in_flight(&self) -> usize {
         self.entries.values().filter(|e| e.execution.is_at_most_once() && e.execution.is_executing()).count()
     }
 
@@ -195,7 +195,7 @@
         Some(reply)
     }
 
-    /// Ends an attempt. None if it had ended before.
+    /// CallEndSink an attempt. None if it had ended before.
     pub(super) fn end(&mut self, id: RequestId, attempt: u8, now: Millis) -> Option<Ended> {
         let entry = self.entries.get_mut(&id)?;
         let over = entry.over();
--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -91,7 +91,7 @@
     pub warm: bool,
 }
 
-/// Ends that nobody has taken: the newest are left out beyond this.
+/// CallEndSink that nobody has taken: the newest are left out beyond this.
 const MOST_ENDS: usize = 4096;
 /// What an attempt was sent, and the name of its server.
 type Late<Q> = (Arc<Q>, Option<Arc<str>>);
@@ -121,10 +121,10 @@
     /// Attempts that are listened for and no longer waited for.
     late: HashMap<(RequestId, u8), Late<Q>>,
     /// Decisions that were not carried out.
-    kept_from: u64,
+    prevented_violations: u64,
     departures: Departures,
     /// Attempts of requests that may be repeated are cancelled when their client leaves.
-    cancels_departed: bool,
+    cancels_on_disconnect: bool,
 }
 
 impl<Q, A> Core<Q, A> {
@@ -146,31 +146,31 @@
             ends: None,
             witness: None,
             late: HashMap::new(),
-            kept_from: 0,
+            prevented_violations: 0,
             departures: Departures::default(),
-            cancels_departed: false,
+            cancels_on_disconnect: false,
         }
     }
 
     /// From now on what is known of requests that run once is told, their late answers are listened for so
     /// long, ms, and what is repeatable and may have run is never told as refused.
-    pub(crate) fn bear_witness(&mut self, late: Millis) {
+    pub(crate) fn report_executions(&mut self, late: Millis) {
         self.witness = Some(late);
     }
 
     /// How many requests that run once are out at a server.
-    pub(crate) fn out_once(&self) -> usize {
-        self.book.out_once() + self.late.len()
+    pub(crate) fn at_most_once_in_flight(&self) -> usize {
+        self.book.at_most_once_in_flight() + self.late.len()
     }
 
     /// How many decisions of the module were not carried out, as they would have broken the rule.
-    pub(crate) fn kept_from(&self) -> u64 {
-        self.kept_from
+    pub(crate) fn prevented_violations(&self) -> u64 {
+        self.prevented_violations
     }
 
     /// From now on attempts of requests that may be repeated are cancelled when their client leaves.
-    pub(crate) fn cancel_departed(&mut self) {
-        self.cancels_departed = true;
+    pub(crate) fn cancel_on_disconnect(&mut self) {
+        self.cancels_on_disconnect = true;
     }
 
     /// What became of requests whose clients left.
@@ -303,7 +303,7 @@
             entry.departed_at = Some(now);
         }
         self.feed(now, Event::Gone(id));
-        if self.cancels_departed {
+        if self.cancels_on_disconnect {
             self.cancel_attempts(now, id);
         }
         self.book.forget(id);
@@ -381,7 +381,7 @@
     }
 
     fn keep_from(&mut self, request: &Arc<Q>, violation: InvariantViolation) {
-        self.kept_from += 1;
+        self.prevented_violations += 1;
         tracing::error!("{}", violation.text());
         self.note(request, None, Note::Violation(violation));
     }
@@ -496,7 +496,7 @@
         self.drain(now);
     }
 
-    /// Ends an attempt that is still out, and lets the module know.
+    /// CallEndSink an attempt that is still out, and lets the module know.
     fn end(&mut self, now: Millis, id: RequestId, number: u8, outcome: Outcome, load: Vec<f64>) {
         if self.book.is_live(id, number) {
             self.take_down(id, number, how(outcome, false));
--- a/crates/engine/src/engine/core/tests.rs
+++ b/crates/engine/src/engine/core/tests.rs
@@ -56,12 +56,12 @@
 }
 
 /// A core with one server, and a request that is out there at 1000 ms.
-fn one_out(cancels_departed: bool, repeat: Repeat) -> (Core<(), ()>, RequestId) {
+fn one_out(cancels_on_disconnect: bool, repeat: Repeat) -> (Core<(), ()>, RequestId) {
     let class = Class { aim: 500.0, deadline: 3000.0, worth: 1.0, repeat, ..Class::default() };
     let settings = Settings { gateways: 1.0, classes: vec![class], max_units: 1.0, ..Settings::default() };
     let mut core: Core<(), ()> = Core::new(&Setup { settings, ..Setup::default() });
-    if cancels_departed {
-        core.cancel_departed();
+    if cancels_on_disconnect {
+        core.cancel_on_disconnect();
     }
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     core.members(900.0, &News::Complete(vec![crate::ports::membership::Member::ready("s-1", address)]));
@@ -92,7 +92,7 @@
 fn what_runs_at_most_once_is_not_cancelled_and_abandons_nobody() {
     let (mut core, id) = one_out(true, Repeat::Unsafe);
     core.gone(1100.0, id);
-    assert!(!is_called_off(&mut core) && core.out_once() == 1);
+    assert!(!is_called_off(&mut core) && core.at_most_once_in_flight() == 1);
     core.attempt_ended(1900.0, id, 0, End::without_answer(Outcome::Error));
     assert_eq!(core.departures(), Departures { clients: 1, ..Departures::default() });
 }
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -19,9 +19,9 @@
 pub use revision::Revision;
 
 use crate::ports::clock::Clock;
-use crate::ports::counter::{Call, Counter, Ends};
-use crate::ports::membership::{News, Told};
-use crate::ports::upstream::{End, Job, Upstream};
+use crate::ports::counter::{Call, CallEndSink, Counter};
+use crate::ports::membership::{MembershipSink, News};
+use crate::ports::upstream::{AttemptJob, End, Upstream};
 use crate::supervise::keep_running;
 use core::{Core, Output};
 use oatbank_limiter_core::interface::*;
@@ -58,7 +58,7 @@
 pub type Guard = Rc<dyn Fn() -> Option<Millis>>;
 
 /// Hears what is known of a request that runs once at most, and which server (by its name) that is about.
-pub type Witness<Q> = Rc<dyn Fn(&Q, Option<&Arc<str>>, Note)>;
+pub type ExecutionObserver<Q> = Rc<dyn Fn(&Q, Option<&Arc<str>>, Note)>;
 
 /// What an engine is started with.
 #[derive(Clone, Debug, Default)]
@@ -77,7 +77,7 @@
 
 /// How long the end of a limiter waits for answers to what was taken: 0.55 s after the longest deadline, of which
 /// 3 s count at most. After that the rest is failed.
-pub fn finish_within(settings: &Settings) -> Duration {
+pub fn shutdown_timeout(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     Duration::from_secs_f64((longest.min(LONGEST_FINISH) + FINISH_MARGIN) / 1000.0)
 }
@@ -85,21 +85,21 @@
 /// The one owner of a decision module. Guarantees, whatever the ports do:
 /// - each request that was taken on gets exactly one [`Answer`], at the latest 8 ms before its time is up;
 /// - an attempt's end reaches the module once; one that has no end is ended by its time-out;
-/// - no new attempt goes to a server once its departure was told (see [`Told`]).
+/// - no new attempt goes to a server once its departure was told (see [`MembershipSink`]).
 pub struct Engine<U: Upstream> {
     clock: Rc<dyn Clock>,
     revision: RefCell<Rc<Revision>>,
     core: RefCell<Core<U::Request, U::Answer>>,
     /// Attempts that are out.
     tasks: RefCell<HashMap<(RequestId, u8), AbortHandle>>,
-    /// Told when an earlier due than all before has been set.
+    /// MembershipSink when an earlier due than all before has been set.
     sooner: Notify,
     /// What the timers sleep until.
     asleep_until: Cell<Millis>,
     ready: Cell<bool>,
     held: Cell<bool>,
     guard: RefCell<Option<Guard>>,
-    witness: RefCell<Option<Witness<U::Request>>>,
+    witness: RefCell<Option<ExecutionObserver<U::Request>>>,
     upstream: U,
     counter: RefCell<Option<Rc<dyn Counter>>>,
 }
@@ -137,7 +137,7 @@
     }
 
     /// Where a counter tells the ends of this engine's calls.
-    pub fn ends(self: &Rc<Self>) -> Ends {
+    pub fn call_end_sink(self: &Rc<Self>) -> CallEndSink {
         let engine = Rc::downgrade(self);
         Rc::new(move |call, end| {
             if let Some(engine) = engine.upgrade() {
@@ -147,7 +147,7 @@
     }
 
     /// Where a membership source tells its news.
-    pub fn told(self: &Rc<Self>) -> Told {
+    pub fn membership_sink(self: &Rc<Self>) -> MembershipSink {
         let engine = Rc::downgrade(self);
         Rc::new(move |news| {
             if let Some(engine) = engine.upgrade() {
@@ -168,7 +168,7 @@
 
     /// Takes new settings, whole: what comes in from now on is read and decided by them, what is open keeps those
     /// that it came with, and what was learnt and counted stays, by name.
-    pub fn revise(self: &Rc<Self>, names: &Names, settings: &Settings) {
+    pub fn apply_settings(self: &Rc<Self>, names: &Names, settings: &Settings) {
         let next = Rc::new(self.revision().next(names, settings));
         *self.revision.borrow_mut() = next.clone();
         self.change(|core, now| core.revise(now, next.names(), next.settings()));
@@ -179,17 +179,17 @@
     ///
     /// # Errors
     /// When the server was never listed.
-    pub fn operate(self: &Rc<Self>, id: &str, out: bool) -> Result<(), NeverListed> {
+    pub fn set_suspended(self: &Rc<Self>, id: &str, out: bool) -> Result<(), NeverListed> {
         self.change_servers(|core, now| core.operate(now, id, out))
     }
 
-    /// The rules take these servers out, and none else: as [`Engine::operate`], beside what that says.
-    pub fn bar(self: &Rc<Self>, ids: &BTreeSet<String>) {
+    /// The rules take these servers out, and none else: as [`Engine::set_suspended`], beside what that says.
+    pub fn exclude_servers(self: &Rc<Self>, ids: &BTreeSet<String>) {
         self.change_servers(|core, now| core.bar(now, ids));
     }
 
-    /// Only these parts of zones are used from now on, as [`Engine::bar`].
-    pub fn share(self: &Rc<Self>, shares: Shares) {
+    /// Only these parts of zones are used from now on, as [`Engine::exclude_servers`].
+    pub fn set_zone_shares(self: &Rc<Self>, shares: Shares) {
         self.change_servers(|core, now| core.share(now, shares));
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// How attempts have ended since this was last asked; watched from the first time on.
-    pub fn ends_of_attempts(&self) -> Vec<Finished> {
+    pub fn take_finished_attempts(&self) -> Vec<Finished> {
         self.core.borrow_mut().ends()
     }
 
@@ -229,44 +229,44 @@
     }
 
     /// Whether the limiter is kept from saying that it can serve.
-    pub fn hold(&self, held: bool) {
+    pub fn hold_readiness(&self, held: bool) {
         self.held.set(held);
     }
 
     /// Uses this part of what is a limiter's own: another process uses the rest.
-    pub fn use_part(self: &Rc<Self>, part: f64, budget: Budget) {
+    pub fn set_budget_part(self: &Rc<Self>, part: f64, budget: Budget) {
         self.change(|core, now| core.use_part(now, part));
         self.upstream.set_limits(budget.servers, budget.answers_kib);
     }
 
     /// From now on nothing is read or sent without asking this.
-    pub fn guard_by(&self, guard: Guard) {
+    pub fn set_guard(&self, guard: Guard) {
         *self.guard.borrow_mut() = Some(guard);
     }
 
     /// From now on this hears what becomes of requests that run once at most. Their late answers are listened
     /// for so much longer, ms, than they are waited for; and what is repeatable and may have run is told as
     /// failed, not as refused.
-    pub fn witness_by(&self, late: Millis, witness: Witness<U::Request>) {
-        self.core.borrow_mut().bear_witness(late);
+    pub fn observe_executions(&self, late: Millis, witness: ExecutionObserver<U::Request>) {
+        self.core.borrow_mut().report_executions(late);
         *self.witness.borrow_mut() = Some(witness);
     }
 
     /// How many requests that run once at most are out at a server, those of clients that have left included.
-    pub fn out_once(&self) -> usize {
-        self.core.borrow().out_once()
+    pub fn at_most_once_in_flight(&self) -> usize {
+        self.core.borrow().at_most_once_in_flight()
     }
 
     /// How many decisions of the module were not carried out, as something would have run twice or been
     /// denied by them.
-    pub fn kept_from(&self) -> u64 {
-        self.core.borrow().kept_from()
+    pub fn prevented_violations(&self) -> u64 {
+        self.core.borrow().prevented_violations()
     }
 
     /// From now on attempts of requests that may be repeated are cancelled when their client leaves: no server works on for
     /// nobody. What runs at most once goes on.
-    pub fn cancel_departed(&self) {
-        self.core.borrow_mut().cancel_departed();
+    pub fn cancel_on_disconnect(&self) {
+        self.core.borrow_mut().cancel_on_disconnect();
     }
 
     /// What became of requests whose clients left before their answer.
@@ -276,7 +276,7 @@
 
     /// Whether this limiter may act by no rules now, and how long (ms) to stay away then. After it, the rules are those
     /// of the moment.
-    pub fn closed(&self) -> Option<Millis> {
+    pub fn check_guard(&self) -> Option<Millis> {
         // Not held while it is asked: it changes the rules of this engine.
         let guard = self.guard.borrow().clone();
         guard.and_then(|guard| guard())
@@ -288,18 +288,18 @@
     }
 
     /// Requests that still owe an answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered(&self) -> usize {
         self.core.borrow().owed()
     }
 
     /// Customers of which something is remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn remembered_customers(&self) -> usize {
         self.core.borrow().remembered()
     }
 
-    /// Takes on a request; its id is set here. `reply` is called exactly once, unless [`Engine::gone`] comes
+    /// Takes on a request; its id is set here. `reply` is called exactly once, unless [`Engine::client_left`] comes
     /// before; it must not call back into the engine.
-    pub fn arrive(
+    pub fn submit(
         self: &Rc<Self>,
         request: Request,
         forward: U::Request,
@@ -309,7 +309,7 @@
     }
 
     /// Takes on a request at once, and waits for its answer. Dropped before that: the client has left.
-    pub fn ask(
+    pub fn submit_and_wait(
         self: &Rc<Self>,
         request: Request,
         forward: U::Request,
@@ -320,7 +320,7 @@
         let (sender, receiver) = oneshot::channel();
         // A client that has just left needs no answer.
         let reply = Box::new(move |answer| drop(sender.send(answer)));
-        let id = self.arrive(request, forward, reply);
+        let id = self.submit(request, forward, reply);
         let watch = Watch { engine: self.clone(), id, answered: false };
         async move {
             // The sender is only lost with the request's entry, and that is a defect: it has then failed.
@@ -331,7 +331,7 @@
     }
 
     /// The client has left; nothing more is owed.
-    pub fn gone(self: &Rc<Self>, id: RequestId) {
+    pub fn client_left(self: &Rc<Self>, id: RequestId) {
         self.change(|core, now| core.gone(now, id));
     }
 
@@ -359,13 +359,18 @@
         match output {
             Output::Attempt { id, number, server, name, address, request, span } => {
                 let asked = self.clone();
-                let may_send =
-                    Rc::new(move || asked.closed().is_none() && asked.core.borrow().fleet().is_ready(server));
+                let may_send = Rc::new(move || {
+                    asked.check_guard().is_none() && asked.core.borrow().fleet().is_ready(server)
+                });
                 let told = self.clone();
                 let progress = Rc::new(move |progress| {
                     told.change(|core, now| core.progress(now, id, number, progress));
                 });
-                self.attempt(id, number, Job { server, name, address, request, span, may_send, progress });
+                self.attempt(
+                    id,
+                    number,
+                    AttemptJob { server, name, address, request, span, may_send, progress },
+                );
             }
             Output::CallOff { id, number } => {
                 if let Some(task) = self.tasks.borrow_mut().remove(&(id, number)) {
@@ -382,7 +387,7 @@
         }
     }
 
-    fn attempt(self: &Rc<Self>, id: RequestId, number: u8, job: Job<U::Request>) {
+    fn attempt(self: &Rc<Self>, id: RequestId, number: u8, job: AttemptJob<U::Request>) {
         let mut report = Report { engine: self.clone(), id, number, done: false };
         let attempting = self.upstream.attempt(job);
         let task = tokio::task::spawn_local(async move { report.send(attempting.await) });
@@ -467,7 +472,7 @@
 impl<U: Upstream> Drop for Watch<U> {
     fn drop(&mut self) {
         if !self.answered {
-            self.engine.gone(self.id);
+            self.engine.client_left(self.id);
         }
     }
 }
--- a/crates/engine/src/engine/schedule_tests.rs
+++ b/crates/engine/src/engine/schedule_tests.rs
@@ -72,7 +72,7 @@
         };
         let names = Names { zones: vec!["z".into()], ..Names::default() };
         let mut core = Core::new(&Setup { settings, names, seed });
-        core.bear_witness(300.0);
+        core.report_executions(300.0);
         World {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 1000,
@@ -336,8 +336,8 @@
     for seed in 0..2000 {
         let (wrongs, mut world) = played(seed, true);
         assert!(wrongs.is_empty(), "seed {seed}: {wrongs:#?}");
-        assert_eq!(world.core.out_once(), 0, "seed {seed}: nothing is listened for for ever");
-        kept += world.core.kept_from();
+        assert_eq!(world.core.at_most_once_in_flight(), 0, "seed {seed}: nothing is listened for for ever");
+        kept += world.core.prevented_violations();
         for answers in world.told.lock().unwrap().values() {
             match answers.first() {
                 Some(Answer::Served(_)) => told[0] += 1,
@@ -371,6 +371,6 @@
         let mut world = World::new(seed, true);
         world.errs = false;
         world.play();
-        assert_eq!((world.wrongs(), world.core.kept_from()), (Vec::new(), 0), "seed {seed}");
+        assert_eq!((world.wrongs(), world.core.prevented_violations()), (Vec::new(), 0), "seed {seed}");
     }
 }
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -377,7 +377,7 @@
     stopping: Cell<bool>,
     /// New connections are taken.
     taking: Cell<bool>,
-    /// Told when that changes.
+    /// MembershipSink when that changes.
     turned: Notify,
     /// All connections have a request in hand and another waits to be accepted.
     crowded: Cell<bool>,
--- a/crates/engine/src/handle.rs
+++ b/crates/engine/src/handle.rs
@@ -3,8 +3,8 @@
 //! An engine lives on one thread. A [`Handle`] may be cloned and used from any thread and runtime; what it
 //! sends waits in a bounded queue until the engine takes it.
 
-use crate::engine::{finish_within, Answer, Engine, Setup};
-use crate::ports::membership::{News, Told};
+use crate::engine::{shutdown_timeout, Answer, Engine, Setup};
+use crate::ports::membership::{MembershipSink, News};
 use crate::ports::upstream::Upstream;
 use oatbank_limiter_core::interface::{Millis, Request, RequestId};
 use std::collections::HashMap;
@@ -21,9 +21,9 @@
 /// Requests taken from the queue in one go, before timers and attempts have their turn.
 const BATCH: usize = 64;
 /// Requests that may wait for the engine where nothing else is said: what it works off in some ms.
-pub const USUAL_QUEUE: usize = 4096;
+pub const DEFAULT_QUEUE_CAPACITY: usize = 4096;
 /// A request that finds the queue full is told to come back after this, ms: the queue is then empty again.
-pub const FULL_RETRY: Millis = 50.0;
+pub const QUEUE_FULL_RETRY_AFTER: Millis = 50.0;
 /// How a request ended that was given to a [`Handle`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ended<A> {
@@ -152,7 +152,9 @@
     type Output = Ended<A>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Ended<A>> {
-        let Some(answer) = &mut self.answer else { return Poll::Ready(Ended::NotTaken(FULL_RETRY)) };
+        let Some(answer) = &mut self.answer else {
+            return Poll::Ready(Ended::NotTaken(QUEUE_FULL_RETRY_AFTER));
+        };
         let answer = ready!(Pin::new(answer).poll(cx));
         self.answer = None;
         Poll::Ready(answer.map_or(Ended::Lost, Ended::Answered))
@@ -179,7 +181,7 @@
     /// Works off what the handles send until the last is dropped or one asks for the end; then answers all that
     /// is owed. To be run inside the engine's [`tokio::task::LocalSet`].
     pub async fn run<U: Upstream<Request = Q, Answer = A>>(mut self, engine: Rc<Engine<U>>) {
-        let told = engine.told();
+        let told = engine.membership_sink();
         let tickets = Tickets::default();
         let mut batch = Vec::with_capacity(BATCH);
         let mut asked = Vec::new();
@@ -198,7 +200,7 @@
         &self,
         engine: &Rc<Engine<U>>,
         tickets: &Tickets,
-        told: &Told,
+        told: &MembershipSink,
         command: Command<Q, A>,
         asked: &mut Vec<oneshot::Sender<()>>,
     ) {
@@ -213,7 +215,7 @@
                     // A client that has just left needs no answer.
                     let _ = reply.send(answer);
                 });
-                let id = engine.arrive(request, forward, reply);
+                let id = engine.submit(request, forward, reply);
                 if let Some(number) = lock(tickets).get_mut(&ticket) {
                     *number = Some(id);
                 }
@@ -221,7 +223,7 @@
             Command::Gone(ticket) => {
                 let id = lock(tickets).remove(&ticket).flatten();
                 if let Some(id) = id {
-                    engine.gone(id);
+                    engine.client_left(id);
                 }
             }
             Command::News(news) => told(news),
@@ -234,11 +236,11 @@
         &mut self,
         engine: &Rc<Engine<U>>,
         tickets: &Tickets,
-        told: &Told,
+        told: &MembershipSink,
     ) {
-        let end = Instant::now() + finish_within(engine.revision().settings());
+        let end = Instant::now() + shutdown_timeout(engine.revision().settings());
         let mut more = Vec::new();
-        while (engine.owed() > 0 || !self.commands.is_empty()) && Instant::now() < end {
+        while (engine.unanswered() > 0 || !self.commands.is_empty()) && Instant::now() < end {
             match tokio::time::timeout(Duration::from_millis(5), self.commands.recv()).await {
                 Ok(Some(command)) => self.obey(engine, tickets, told, command, &mut more),
                 Ok(None) => tokio::time::sleep(Duration::from_millis(5)).await,
--- a/crates/engine/src/members/agent.rs
+++ b/crates/engine/src/members/agent.rs
@@ -1,6 +1,6 @@
 //! The platform's discovery agent: a watch over HTTP, taken up again from the last version.
 
-use crate::ports::membership::{Member, News, Told};
+use crate::ports::membership::{Member, MembershipSink, News};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
@@ -142,12 +142,18 @@
 /// 120 ms: whichever of the two it answers once it is back, the limiter hears well within the drain rule's time.
 ///
 /// Pauses are spread by chance, from `seed`: followers that failed together do not ask again together.
-pub async fn follow(told: Told, agent: Agent, known: Option<u64>, seed: u64) {
+pub async fn follow(told: MembershipSink, agent: Agent, known: Option<u64>, seed: u64) {
     follow_on(told, agent, async || TcpStream::connect(agent.address).await, known, seed).await;
 }
 
 /// The same over connections that `dial` opens.
-async fn follow_on<S: Stream>(told: Told, agent: Agent, dial: impl Dial<S>, known: Option<u64>, seed: u64) {
+async fn follow_on<S: Stream>(
+    told: MembershipSink,
+    agent: Agent,
+    dial: impl Dial<S>,
+    known: Option<u64>,
+    seed: u64,
+) {
     let at_hand = !agent.on_request;
     let host = agent.address.to_string();
     let mut state = Follower { told, host, dial, at_hand, since: known, backoff: Backoff::new(seed) };
@@ -267,7 +273,7 @@
 }
 
 struct Follower<D> {
-    told: Told,
+    told: MembershipSink,
     /// The agent's address.
     host: String,
     dial: D,
--- a/crates/engine/src/members/agent/tests.rs
+++ b/crates/engine/src/members/agent/tests.rs
@@ -162,7 +162,7 @@
         let back = down + Duration::from_secs(8);
         let agent = Rc::new(StandIn { how, start, down, back, seen: seen.clone() });
         let (hears, dials) = (seen.clone(), agent.clone());
-        let told: Told = Rc::new(move |news| {
+        let told: MembershipSink = Rc::new(move |news| {
             let (News::Complete(members) | News::Changes(members) | News::Remembered(members)) = news;
             if hears.told.get().is_none() && members.iter().any(|m| m.state == ServerState::Draining) {
                 hears.told.set(Some(start.elapsed() - back));
--- a/crates/engine/src/members/fixed.rs
+++ b/crates/engine/src/members/fixed.rs
@@ -1,8 +1,8 @@
 //! A list that is known at the start and does not change.
 
-use crate::ports::membership::{Member, News, Told};
+use crate::ports::membership::{Member, MembershipSink, News};
 
 /// Tells the list, once.
-pub fn tell(told: &Told, members: Vec<Member>) {
+pub fn tell(told: &MembershipSink, members: Vec<Member>) {
     told(News::Complete(members));
 }
--- a/crates/engine/src/ports/clock.rs
+++ b/crates/engine/src/ports/clock.rs
@@ -1,6 +1,6 @@
 //! The clock that the engine and its ports go by.
 
-use super::Local;
+use super::LocalFuture;
 use oatbank_limiter_core::interface::Millis;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
@@ -16,7 +16,7 @@
     /// Unix time in ms.
     fn now(&self) -> Millis;
     /// Completes once the time has come.
-    fn until(&self, at: Millis) -> Local<()>;
+    fn until(&self, at: Millis) -> LocalFuture<()>;
 }
 
 /// Unix time at the start, and from there on the runtime's monotonic clock.
@@ -53,7 +53,7 @@
         self.unix + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn until(&self, at: Millis) -> Local<()> {
+    fn until(&self, at: Millis) -> LocalFuture<()> {
         let at = self.start + Duration::from_secs_f64(((at - self.unix) / 1000.0).max(0.0));
         Box::pin(tokio::time::sleep_until(at))
     }
--- a/crates/engine/src/ports/counter.rs
+++ b/crates/engine/src/ports/counter.rs
@@ -34,7 +34,7 @@
 }
 
 /// Where a counter tells the ends of calls.
-pub type Ends = Rc<dyn Fn(CallId, CallEnd)>;
+pub type CallEndSink = Rc<dyn Fn(CallId, CallEnd)>;
 
 /// A way to a counter.
 ///
@@ -45,7 +45,7 @@
 /// - calls of one name reach the counter in the order in which they were begun, while one connection stands;
 /// - a call ends at most once. It may end never: time-outs are the engine's, which drops ends that come
 ///   after;
-/// - neither method blocks nor calls into [`Ends`] before it has returned.
+/// - neither method blocks nor calls into [`CallEndSink`] before it has returned.
 pub trait Counter {
     /// Begins a call. Where it can be told at once that nothing will be added, the end comes back.
     ///
--- a/crates/engine/src/ports/membership.rs
+++ b/crates/engine/src/ports/membership.rs
@@ -58,4 +58,4 @@
 /// server that is not ready, also on attempts whose connection is just coming up. The drain rule's 250 ms run
 /// from the moment at which the source's own origin counts the limiter as told, so a source makes this call
 /// as soon as it has read the news, in the order in which it read them, and never holds one back.
-pub type Told = Rc<dyn Fn(News)>;
+pub type MembershipSink = Rc<dyn Fn(News)>;
--- a/crates/engine/src/ports/mod.rs
+++ b/crates/engine/src/ports/mod.rs
@@ -13,4 +13,4 @@
 use std::pin::Pin;
 
 /// A future that stays on the engine's thread.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
--- a/crates/engine/src/ports/upstream.rs
+++ b/crates/engine/src/ports/upstream.rs
@@ -1,6 +1,6 @@
 //! The way to a server: one attempt at a time.
 
-use super::Local;
+use super::LocalFuture;
 use crate::body::Progress;
 use oatbank_limiter_core::interface::{Millis, Outcome, ServerId};
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// An attempt to be made.
-pub struct Job<Q> {
+pub struct AttemptJob<Q> {
     /// The server.
     pub server: ServerId,
     /// Its name in the list.
@@ -64,7 +64,7 @@
     type Answer: 'static;
 
     /// Makes one attempt. The engine sees to the time-out by dropping the future.
-    fn attempt(&self, job: Job<Self::Request>) -> Local<End<Self::Answer>>;
+    fn attempt(&self, job: AttemptJob<Self::Request>) -> LocalFuture<End<Self::Answer>>;
 
     /// The list has changed: what is kept for servers that are not ready may go.
     fn keep_only(&self, _ready: &dyn Fn(ServerId) -> bool) {}
--- a/crates/engine/src/upstreams/house.rs
+++ b/crates/engine/src/upstreams/house.rs
@@ -11,7 +11,7 @@
 
 use super::http1::{Dialect, Forward, Verdict};
 use crate::body::Body;
-use crate::ports::upstream::Job;
+use crate::ports::upstream::AttemptJob;
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::header::{CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, EXPECT, HOST, RETRY_AFTER};
 use http::header::{TE, TRAILER, TRANSFER_ENCODING, UPGRADE};
@@ -83,7 +83,7 @@
 
 impl House {
     /// The answer names the try, and nothing else.
-    fn names_the_try(&self, job: &Job<Forward>, answer: &HeaderMap) -> bool {
+    fn names_the_try(&self, job: &AttemptJob<Forward>, answer: &HeaderMap) -> bool {
         let id = job.request.headers.get(&self.names.try_id);
         let mut told = answer.get_all(&self.names.try_id).iter();
         id.is_some() && told.next() == id && told.next().is_none()
@@ -111,7 +111,7 @@
 impl Dialect for House {
     type Answer = Response<Body>;
 
-    fn address(&self, job: &Job<Forward>, headers: &mut HeaderMap) {
+    fn address(&self, job: &AttemptJob<Forward>, headers: &mut HeaderMap) {
         // An old client may have named no host.
         if !headers.contains_key(HOST) {
             if let Ok(host) = HeaderValue::try_from(job.address.to_string()) {
@@ -125,7 +125,7 @@
         }
     }
 
-    fn judge(&self, job: &Job<Forward>, head: &Parts) -> Verdict {
+    fn judge(&self, job: &AttemptJob<Forward>, head: &Parts) -> Verdict {
         if !self.names_the_try(job, &head.headers) {
             return Verdict::spoilt(Outcome::Reset);
         }
--- a/crates/engine/src/upstreams/http1.rs
+++ b/crates/engine/src/upstreams/http1.rs
@@ -8,8 +8,8 @@
     MAX_BODY_BYTES, MAX_BUFFERED_BYTES,
 };
 use crate::ports::clock::Clock;
-use crate::ports::upstream::{End, Job, Upstream};
-use crate::ports::Local;
+use crate::ports::upstream::{AttemptJob, End, Upstream};
+use crate::ports::LocalFuture;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Incoming};
@@ -59,10 +59,10 @@
     type Answer: 'static;
 
     /// Sets what a server is told beside what goes on from the client.
-    fn address(&self, job: &Job<Forward>, headers: &mut HeaderMap);
+    fn address(&self, job: &AttemptJob<Forward>, headers: &mut HeaderMap);
 
     /// What an answer's head means.
-    fn judge(&self, job: &Job<Forward>, head: &Parts) -> Verdict;
+    fn judge(&self, job: &AttemptJob<Forward>, head: &Parts) -> Verdict;
 
     /// Makes the answer that goes to the client.
     fn answer(&self, head: Parts, body: Body) -> Self::Answer;
@@ -125,7 +125,7 @@
 impl Dialect for Platform {
     type Answer = Body;
 
-    fn address(&self, job: &Job<Forward>, headers: &mut HeaderMap) {
+    fn address(&self, job: &AttemptJob<Forward>, headers: &mut HeaderMap) {
         if let Ok(host) = HeaderValue::try_from(job.address.to_string()) {
             headers.insert(HOST, host);
         }
@@ -134,7 +134,7 @@
         }
     }
 
-    fn judge(&self, _: &Job<Forward>, head: &Parts) -> Verdict {
+    fn judge(&self, _: &AttemptJob<Forward>, head: &Parts) -> Verdict {
         let not_run = head.headers.get(NOT_RUN).is_some_and(|v| v.as_bytes() == b"1");
         Verdict::new(match head.status {
             StatusCode::OK => Outcome::Ok,
@@ -432,7 +432,7 @@
     type Request = Forward;
     type Answer = D::Answer;
 
-    fn attempt(&self, job: Job<Forward>) -> Local<End<D::Answer>> {
+    fn attempt(&self, job: AttemptJob<Forward>) -> LocalFuture<End<D::Answer>> {
         let shared = self.shared.clone();
         Box::pin(async move { run(&shared, &job).await })
     }
@@ -451,7 +451,7 @@
     }
 }
 
-async fn run<D: Dialect>(shared: &Rc<Shared<D>>, job: &Job<Forward>) -> End<D::Answer> {
+async fn run<D: Dialect>(shared: &Rc<Shared<D>>, job: &AttemptJob<Forward>) -> End<D::Answer> {
     let gone = Rc::new(SendState::default());
     loop {
         let kept = shared.pool.take(job.server, job.address, shared.clock.now());
@@ -496,7 +496,7 @@
 
 fn request<D: Dialect>(
     dialect: &D,
-    job: &Job<Forward>,
+    job: &AttemptJob<Forward>,
     gone: &Rc<SendState>,
 ) -> hyper::Request<UploadBody<Forward>> {
     let forward = &job.request;
@@ -545,7 +545,7 @@
 /// spoilt ends its connection at once, however much is still to come. A long one is passed on as it comes.
 async fn receive<D: Dialect>(
     shared: &Rc<Shared<D>>,
-    job: &Job<Forward>,
+    job: &AttemptJob<Forward>,
     connection: Connection,
     answer: Response<Incoming>,
     sent: bool,
--- a/crates/engine/src/upstreams/inprocess.rs
+++ b/crates/engine/src/upstreams/inprocess.rs
@@ -1,7 +1,7 @@
 //! A server that is a handler within the process: the application runs it, and reports how it ended.
 
-use crate::ports::upstream::{End, Job, Upstream};
-use crate::ports::Local;
+use crate::ports::upstream::{AttemptJob, End, Upstream};
+use crate::ports::LocalFuture;
 use oatbank_limiter_core::interface::Outcome;
 use std::cell::RefCell;
 use tokio::sync::oneshot;
@@ -48,7 +48,7 @@
     type Request = Start;
     type Answer = ();
 
-    fn attempt(&self, job: Job<Start>) -> Local<End<()>> {
+    fn attempt(&self, job: AttemptJob<Start>) -> LocalFuture<End<()>> {
         Box::pin(async move {
             let Some(go) = job.request.go.borrow_mut().take() else {
                 // A handler takes its request with it, so there is nothing to run a second time.
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -91,7 +91,7 @@
         request.uploading = body.is_stream();
         let headers = headers_on(&head.headers);
         let forward = Forward { method: head.method, uri: head.uri, headers, body, room };
-        let answer: Answer<Response<Body>> = self.engine.ask(request, forward).await;
+        let answer: Answer<Response<Body>> = self.engine.submit_and_wait(request, forward).await;
         if let Some(on_answer) = &*self.on_answer.borrow() {
             on_answer();
         }
@@ -179,9 +179,9 @@
         Engine::new(&setup(class(), attempts), clock.clone(), Http1::speaking(house, clock, connections));
     engine.start();
     if in_hand == InHand::Several {
-        engine.cancel_departed();
+        engine.cancel_on_disconnect();
     }
-    fixed::tell(&engine.told(), vec![Member::ready("s-1", server)]);
+    fixed::tell(&engine.membership_sink(), vec![Member::ready("s-1", server)]);
     Hall { in_hand, engine, ahead: Cell::new(0.0), on_answer: RefCell::default() }
 }
 
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -75,7 +75,7 @@
                 missed.push(format!("{}, {how:?}: {ended} of {}", case.name, case.at_server));
             }
             let (open, abandoned) = rig.with(|front| {
-                (front.desk().engine.owed(), front.desk().engine.departures().abandoned_attempts)
+                (front.desk().engine.unanswered(), front.desk().engine.departures().abandoned_attempts)
             });
             if open > 0 || abandoned > 0 {
                 missed.push(format!("{}, {how:?}: {open} are owed, {abandoned} abandoned", case.name));
--- a/crates/engine/tests/house.rs
+++ b/crates/engine/tests/house.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt;
 use oatbank_engine::body::Body;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
-use oatbank_engine::ports::upstream::{End, Job, Upstream};
+use oatbank_engine::ports::upstream::{AttemptJob, End, Upstream};
 use oatbank_engine::upstreams::house::House;
 use oatbank_engine::upstreams::http1::{Connections, Forward, Http1};
 use oatbank_limiter_core::interface::{Millis, Outcome, ServerId};
@@ -24,7 +24,7 @@
         self.0.get()
     }
 
-    fn until(&self, at: Millis) -> oatbank_engine::ports::Local<()> {
+    fn until(&self, at: Millis) -> oatbank_engine::ports::LocalFuture<()> {
         SystemClock::starting_at(self.now()).until(at)
     }
 }
@@ -50,7 +50,7 @@
         headers.insert("meant-server", HeaderValue::from_static("forged"));
         let (uri, body) = ("/x?y=1".parse().expect("a path"), Bytes::new().into());
         let request = Arc::new(Forward { method, uri, headers, body, room: None });
-        let job = Job {
+        let job = AttemptJob {
             server: ServerId(1),
             name: "s-1".into(),
             address: self.server.address,
--- a/crates/engine/tests/once.rs
+++ b/crates/engine/tests/once.rs
@@ -11,7 +11,7 @@
 use oatbank_engine::members::fixed;
 use oatbank_engine::ports::clock::SystemClock;
 use oatbank_engine::ports::membership::Member;
-use oatbank_engine::ports::upstream::{End, Job, Upstream};
+use oatbank_engine::ports::upstream::{AttemptJob, End, Upstream};
 use oatbank_engine::upstreams::house::House;
 use oatbank_engine::upstreams::http1::{Connections, Forward, Http1};
 use oatbank_limiter_core::interface::{Class, Outcome, Repeat, Request, ServerId};
@@ -71,7 +71,7 @@
     fn post(&self, server: u64, id: &'static str, body: Upload) -> Attempt {
         let told = Rc::<RefCell<Vec<Progress>>>::default();
         let hears = told.clone();
-        let job = Job {
+        let job = AttemptJob {
             server: ServerId(server),
             name: format!("s-{server}").into(),
             address: self.listener.local_addr().expect("an address"),
@@ -449,9 +449,12 @@
     let engine = Engine::new(&once(repeat), clock, way);
     engine.start();
     let members = addresses.iter().enumerate();
-    fixed::tell(&engine.told(), members.map(|(n, at)| Member::ready(format!("s-{n}"), *at)).collect());
+    fixed::tell(
+        &engine.membership_sink(),
+        members.map(|(n, at)| Member::ready(format!("s-{n}"), *at)).collect(),
+    );
     let request = Request { units: 1.0, spread: 1.0, time_left: 600.0, ..Request::default() };
-    let answer = engine.ask(request, forward("a", Bytes::from_static(b"words").into())).await;
+    let answer = engine.submit_and_wait(request, forward("a", Bytes::from_static(b"words").into())).await;
     (came.get(), answer)
 }
 
--- a/crates/proxy/src/outcome_recorder.rs
+++ b/crates/proxy/src/outcome_recorder.rs
@@ -38,7 +38,7 @@
     pub(crate) fn attach(&self, engine: &ServiceEngine) {
         let (log, view) = (self.log.clone(), self.view.clone());
         let no_server: Arc<str> = Arc::from("");
-        engine.witness_by(
+        engine.observe_executions(
             LATE_ANSWER_SLACK,
             Rc::new(move |forward: &Forward, server, note| {
                 let try_id = forward.headers.get(&TRY_ID).and_then(|value| value.to_str().ok());
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -151,12 +151,12 @@
 
     /// How many requests that run at most once are at a server.
     pub fn at_most_once_in_flight(&self) -> usize {
-        self.pools.all().iter().map(|(_, pool)| pool.engine.out_once()).sum()
+        self.pools.all().iter().map(|(_, pool)| pool.engine.at_most_once_in_flight()).sum()
     }
 
     /// How many requests still have no answer.
     pub fn unanswered(&self) -> usize {
-        self.pools.all().iter().map(|(_, pool)| pool.engine.owed()).sum()
+        self.pools.all().iter().map(|(_, pool)| pool.engine.unanswered()).sum()
     }
 
     /// What became of requests whose clients left before their answer.
@@ -185,7 +185,11 @@
     /// The table of requests that run at most once: how many are recorded, and how often a decision was not carried out.
     pub fn attempts_table(&self) -> Table {
         let row = |(name, pool): &(String, Rc<crate::service_pool::ServicePool>)| {
-            vec![name.clone(), pool.engine.out_once().to_string(), pool.engine.kept_from().to_string()]
+            vec![
+                name.clone(),
+                pool.engine.at_most_once_in_flight().to_string(),
+                pool.engine.prevented_violations().to_string(),
+            ]
         };
         let log = self.outcomes.log().borrow();
         let title = format!("{} tries kept, {} left out for want of room", log.len(), log.dropped());
@@ -262,7 +266,7 @@
             self.plans.update(&snapshot, &node.bounds);
         }
         for (name, pool) in self.pools.all() {
-            let ends = pool.engine.ends_of_attempts();
+            let ends = pool.engine.take_finished_attempts();
             if !ends.is_empty() {
                 self.outliers.record_ends(self.view.now(), &name, &pool.class_names(), &ends);
             }
@@ -362,7 +366,7 @@
         };
         let headers = forwarded_headers(&head.headers, tenant.map(|tenant| tenant.name.as_str()));
         let forward = Forward { method: head.method, uri: head.uri, headers, body, room };
-        match pool.engine.ask(decision, forward).await {
+        match pool.engine.submit_and_wait(decision, forward).await {
             Answer::Served(response) => Ok(response),
             Answer::Refused(wait) => {
                 self.log_unserved("rejected");
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -90,13 +90,13 @@
             return;
         }
         let names = Names { classes: self.class_names(), zones: zone_names(node), ..Names::default() };
-        self.engine.revise(&names, &settings);
+        self.engine.apply_settings(&names, &settings);
         *self.settings.borrow_mut() = settings;
     }
 
     fn apply_members(&self, members: Vec<Member>) {
         if *self.members.borrow() != members {
-            (self.engine.told())(News::Complete(members.clone()));
+            (self.engine.membership_sink())(News::Complete(members.clone()));
             *self.members.borrow_mut() = members;
         }
     }
@@ -243,11 +243,11 @@
         let setup = Setup { seed: random_u64(), ..Setup::default() };
         let engine = Engine::new(&setup, self.clock.clone(), upstream);
         engine.start();
-        engine.cancel_departed();
+        engine.cancel_on_disconnect();
         recorder.attach(&engine);
         let (view, lease) = (self.view.clone(), self.lease);
         engine
-            .guard_by(Rc::new(move || (!lease.is_valid(view.confirmed_ago())).then_some(RETRY_AFTER_LEASE)));
+            .set_guard(Rc::new(move || (!lease.is_valid(view.confirmed_ago())).then_some(RETRY_AFTER_LEASE)));
         log::info!("proxy: service {}", name);
         ServicePool {
             engine,
--- a/crates/testkit/src/conformance/counter.rs
+++ b/crates/testkit/src/conformance/counter.rs
@@ -1,7 +1,7 @@
 //! What every counter must keep.
 
 use super::until;
-use oatbank_engine::ports::counter::{Call, CallEnd, CallId, Counter, Ends};
+use oatbank_engine::ports::counter::{Call, CallEnd, CallEndSink, CallId, Counter};
 use oatbank_limiter_core::interface::CountName;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 
 impl Rig {
     /// Starts an implementation.
-    pub fn new(start: impl FnOnce(Ends) -> Rc<dyn Counter>) -> Self {
+    pub fn new(start: impl FnOnce(CallEndSink) -> Rc<dyn Counter>) -> Self {
         let ends: Rc<RefCell<Vec<(CallId, CallEnd)>>> = Rc::default();
         let inside = Rc::new(Cell::new(false));
         let (told, beginning) = (ends.clone(), inside.clone());
--- a/crates/testkit/src/conformance/membership.rs
+++ b/crates/testkit/src/conformance/membership.rs
@@ -1,7 +1,7 @@
 //! What every source of the list must keep.
 
 use super::until;
-use oatbank_engine::ports::membership::{Member, News, Told};
+use oatbank_engine::ports::membership::{Member, MembershipSink, News};
 use oatbank_limiter_core::interface::ServerState;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 impl Seen {
     /// Where a source tells its news.
-    pub fn told(&self) -> Told {
+    pub fn told(&self) -> MembershipSink {
         let seen = self.0.clone();
         Rc::new(move |news| {
             let mut seen = seen.borrow_mut();
--- a/crates/testkit/src/conformance/upstream.rs
+++ b/crates/testkit/src/conformance/upstream.rs
@@ -1,7 +1,7 @@
 //! What every way to a server must keep.
 
 use super::until;
-use oatbank_engine::ports::upstream::{End, Job, Upstream};
+use oatbank_engine::ports::upstream::{AttemptJob, End, Upstream};
 use oatbank_limiter_core::interface::{Outcome, ServerId};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     let (address, request) = test.server(behaviour);
     let (server, request) = (ServerId(behaviour as u64), Arc::new(request));
     test.way()
-        .attempt(Job {
+        .attempt(AttemptJob {
             server,
             name: "one".into(),
             address,
@@ -96,7 +96,7 @@
     let (address, request) = test.server(Behaviour::Silent);
     let (server, request) = (ServerId(Behaviour::Silent as u64), Arc::new(request));
     let (name, progress) = ("one".into(), Rc::new(|_| ()));
-    let job = Job { server, name, address, request, span: 1000.0, may_send: yes, progress };
+    let job = AttemptJob { server, name, address, request, span: 1000.0, may_send: yes, progress };
     let mut attempting = Box::pin(test.way().attempt(job));
     tokio::select! {
         end = &mut attempting => panic!("a silent server ended as {:?}", end.outcome),
--- a/crates/tower/src/start.rs
+++ b/crates/tower/src/start.rs
@@ -5,7 +5,7 @@
 use oatbank_engine::counters::{self, local::Numbers};
 use oatbank_engine::direct::{self, Direct};
 use oatbank_engine::engine::{Engine, Setup};
-use oatbank_engine::handle::{self, Handle, USUAL_QUEUE};
+use oatbank_engine::handle::{self, Handle, DEFAULT_QUEUE_CAPACITY};
 use oatbank_engine::members::fixed;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
 use oatbank_engine::ports::membership::Member;
@@ -50,7 +50,7 @@
 impl Builder {
     /// Starts from a configuration.
     pub fn new(config: Config) -> Self {
-        Builder { config, queue: USUAL_QUEUE, numbers: Numbers::default() }
+        Builder { config, queue: DEFAULT_QUEUE_CAPACITY, numbers: Numbers::default() }
     }
 
     /// So many requests may wait for a client's engine, or be in hand at a layer; one more is answered 503 at
@@ -173,7 +173,7 @@
 ) -> Rc<Engine<U>> {
     let engine = Engine::new(&config.setup, clock.clone(), upstream);
     engine.start();
-    engine.use_counter(counters::start(config.counter, numbers, clock, engine.ends()));
-    fixed::tell(&engine.told(), members);
+    engine.use_counter(counters::start(config.counter, numbers, clock, engine.call_end_sink()));
+    fixed::tell(&engine.membership_sink(), members);
     engine
 }
--- a/crates/zookeeper/src/lib.rs
+++ b/crates/zookeeper/src/lib.rs
@@ -5,8 +5,8 @@
 pub mod registers;
 
 use oatbank_engine::ports::clock::Clock;
-use oatbank_engine::ports::membership::Told;
-use oatbank_engine::ports::Local;
+use oatbank_engine::ports::membership::MembershipSink;
+use oatbank_engine::ports::LocalFuture;
 use oatbank_limiter_core::interface::Millis;
 use oatbank_membership::reconcile::{Event, Reconciler, Settings, Want};
 use std::cell::{Cell, RefCell};
@@ -63,7 +63,7 @@
 }
 
 /// Follows the folder for the life of the process, inside a [`tokio::task::LocalSet`].
-pub async fn follow(config: Config, clock: Rc<dyn Clock>, told: Told, state: Shared) {
+pub async fn follow(config: Config, clock: Rc<dyn Clock>, told: MembershipSink, state: Shared) {
     let mut pause = PAUSE;
     loop {
         match tokio::time::timeout(PATIENCE, config.connector().connect(&config.cluster)).await {
@@ -88,7 +88,7 @@
 /// One session.
 struct Source {
     clock: Rc<dyn Clock>,
-    told: Told,
+    told: MembershipSink,
     state: Shared,
     heard: UnboundedReceiver<Heard>,
     reader: Reader,
@@ -110,7 +110,13 @@
 }
 
 impl Source {
-    fn new(config: &Config, client: Client, clock: Rc<dyn Clock>, told: Told, state: Shared) -> Self {
+    fn new(
+        config: &Config,
+        client: Client,
+        clock: Rc<dyn Clock>,
+        told: MembershipSink,
+        state: Shared,
+    ) -> Self {
         let (tell, heard) = unbounded_channel();
         let path = config.path.trim_end_matches('/').to_owned();
         let newest = Rc::new(Cell::new(0));
@@ -124,7 +130,7 @@
         let mut states = self.reader.client.state_watcher();
         self.connected();
         loop {
-            let due: Local<()> =
+            let due: LocalFuture<()> =
                 match [self.due, self.give_up_at].into_iter().flatten().min_by(f64::total_cmp) {
                     Some(at) => self.clock.until(at),
                     None => Box::pin(pending()),
--- a/crates/zookeeper/src/register.rs
+++ b/crates/zookeeper/src/register.rs
@@ -6,7 +6,7 @@
 
 use crate::{within, Config, LONGEST_PAUSE, PATIENCE, PAUSE};
 use oatbank_engine::ports::clock::Clock;
-use oatbank_engine::ports::Local;
+use oatbank_engine::ports::LocalFuture;
 use oatbank_limiter_core::interface::Millis;
 use oatbank_membership::register::{Event, Life, Place, Registration, Settings, State, Want};
 use std::cell::RefCell;
@@ -114,7 +114,7 @@
         let mut states = self.client.state_watcher();
         self.connected();
         while registrar.state() != State::Left {
-            let due: Local<()> = match self.due {
+            let due: LocalFuture<()> = match self.due {
                 Some(at) => registrar.clock.until(at),
                 None => Box::pin(pending()),
             };
