--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -3,9 +3,9 @@
 //! A stream's pieces wait in a channel of [`CHANNEL_CAPACITY`] at most: whoever reads slowly holds up whoever writes, and the
 //! window of a stream is bounded whatever its length. A small body is held so that it can be sent, or answered, again.
 
-mod feed;
+mod channel;
 
-pub use feed::{body_channel, BodyReceiver, BodySender, ReceiverClosed, CHANNEL_CAPACITY};
+pub use channel::{body_channel, BodyReceiver, BodySender, ReceiverClosed, CHANNEL_CAPACITY};
 
 use bytes::{Bytes, BytesMut};
 use http_body::{Body as HttpBody, Frame, SizeHint};
@@ -337,7 +337,7 @@
     }
 
     /// A piece goes out; with the last one the body is sent.
-    fn out(&mut self, piece: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn emit(&mut self, piece: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(left) = &mut self.left {
             *left = left.saturating_sub(piece.len() as u64);
             if *left == 0 {
@@ -353,7 +353,7 @@
         }
     }
 
-    fn fails(&self, why: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn fail(&self, why: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.gone.failed.set(true);
         Poll::Ready(Some(Err(why)))
     }
@@ -375,7 +375,7 @@
                 Upload::Stream { held, .. } => held.clone(),
             };
             if !held.is_empty() {
-                return this.out(held);
+                return this.emit(held);
             }
         }
         if !(this.upload)(&this.request).is_stream() || this.left == Some(0) {
@@ -384,16 +384,16 @@
         }
         if this.rest.is_none() {
             let Some(rest) = (this.upload)(&this.request).take_rest() else {
-                return this.fails(BodyError::Spent);
+                return this.fail(BodyError::Spent);
             };
             this.rest = Some(rest);
             (this.tell)(Progress::Spent);
         }
-        let Some(rest) = &mut this.rest else { return this.fails(BodyError::Spent) };
+        let Some(rest) = &mut this.rest else { return this.fail(BodyError::Spent) };
         match ready!(rest.poll_recv(cx)) {
-            Some(Ok(piece)) => this.out(piece),
-            Some(Err(why)) => this.fails(why),
-            None if this.left.is_some_and(|left| left > 0) => this.fails(BodyError::Left),
+            Some(Ok(piece)) => this.emit(piece),
+            Some(Err(why)) => this.fail(why),
+            None if this.left.is_some_and(|left| left > 0) => this.fail(BodyError::Left),
             None => {
                 this.sent();
                 Poll::Ready(None)
--- a/crates/engine/src/direct.rs
+++ b/crates/engine/src/direct.rs
@@ -23,16 +23,16 @@
 use tokio::sync::{mpsc, oneshot, Notify};
 
 /// Between two looks at the counter's connections, ms.
-const UPKEEP: Millis = 500.0;
+const UPKEEP_INTERVAL: Millis = 500.0;
 /// How often the end of a shutdown looks whether all is answered.
-const LOOK: Duration = Duration::from_millis(5);
+const SHUTDOWN_POLL: Duration = Duration::from_millis(5);
 
 /// Where a request's permit goes; taken when it is given.
-type Start = Mutex<Option<oneshot::Sender<Permit>>>;
+type PermitSender = Mutex<Option<oneshot::Sender<Permit>>>;
 
 struct Shared {
     /// Spins for a moment before it sleeps: an event is shorter than a sleep and a wake.
-    core: parking_lot::Mutex<Core<Start, ()>>,
+    core: parking_lot::Mutex<Core<PermitSender, ()>>,
     clock: SystemClock,
     setup: Setup,
     /// So many requests may be in hand.
@@ -40,7 +40,7 @@
     /// Calls for the counter's task: one a name at most.
     calls: mpsc::UnboundedSender<Call>,
     /// MembershipSink when an earlier due than all before has been set.
-    sooner: Notify,
+    earlier_timer: Notify,
     /// What the timers sleep until, in whole ms.
     asleep_until: AtomicU64,
     stopping: AtomicBool,
@@ -48,14 +48,14 @@
 }
 
 impl Shared {
-    fn lock(&self) -> parking_lot::MutexGuard<'_, Core<Start, ()>> {
+    fn lock(&self) -> parking_lot::MutexGuard<'_, Core<PermitSender, ()>> {
         // The core catches the module's panics itself, and leaves nothing half done.
         self.core.lock()
     }
 
     /// When the timers are to wake, at `latest` at the latest. Set under the lock, so that whoever arms an earlier
     /// due is either seen here or sees this.
-    fn fall_asleep(&self, latest: Millis) -> Millis {
+    fn set_wake_time(&self, latest: Millis) -> Millis {
         let core = self.lock();
         let next = core.next_due().map_or(latest, |due| due.min(latest));
         self.asleep_until.store(next as u64, Ordering::Release);
@@ -63,7 +63,7 @@
     }
 
     /// Changes the core, and does what it asks for.
-    fn change<T>(self: &Arc<Self>, how: impl FnOnce(&mut Core<Start, ()>, Millis) -> T) -> T {
+    fn change<T>(self: &Arc<Self>, how: impl FnOnce(&mut Core<PermitSender, ()>, Millis) -> T) -> T {
         let mut core = self.lock();
         let now = self.clock.now();
         let done = how(&mut core, now);
@@ -73,12 +73,17 @@
         let due = core.next_due().map_or(u64::MAX, |at| at as u64);
         drop(core);
         if due < self.asleep_until.load(Ordering::Acquire) {
-            self.sooner.notify_one();
+            self.earlier_timer.notify_one();
         }
         done
     }
 
-    fn carry_out(self: &Arc<Self>, core: &mut Core<Start, ()>, now: Millis, output: Output<Start>) {
+    fn carry_out(
+        self: &Arc<Self>,
+        core: &mut Core<PermitSender, ()>,
+        now: Millis,
+        output: Output<PermitSender>,
+    ) {
         match output {
             Output::Attempt { id, number, request, .. } => {
                 let start = request.lock().unwrap_or_else(PoisonError::into_inner).take();
@@ -95,7 +100,7 @@
                 }
             }
             // Its request's final answer tells the application.
-            Output::CallOff { .. } => {}
+            Output::CancelAttempt { .. } => {}
             // Nobody has asked for it.
             Output::Note { .. } => {}
             Output::Count(call) => {
@@ -137,9 +142,9 @@
 }
 
 /// CallEndSink the limiter's task with the last that holds it.
-struct Alive(Arc<Shared>);
+struct StopOnDrop(Arc<Shared>);
 
-impl Drop for Alive {
+impl Drop for StopOnDrop {
     fn drop(&mut self) {
         self.0.stop.notify_one();
     }
@@ -148,12 +153,12 @@
 /// The limiter. Clones share it; when the last one and the last open request are dropped, its task ends.
 #[derive(Clone)]
 pub struct Direct {
-    alive: Arc<Alive>,
+    alive: Arc<StopOnDrop>,
 }
 
 impl std::fmt::Debug for Direct {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Direct").field("in_hand", &self.shared().lock().owed()).finish()
+        f.debug_struct("Direct").field("in_hand", &self.shared().lock().unanswered()).finish()
     }
 }
 
@@ -177,13 +182,13 @@
         setup,
         most,
         calls: sender,
-        sooner: Notify::new(),
+        earlier_timer: Notify::new(),
         asleep_until: AtomicU64::new(u64::MAX),
         stopping: AtomicBool::new(false),
         stop: Notify::new(),
     });
     let work = Work { shared: Arc::downgrade(&shared), calls };
-    (Direct { alive: Arc::new(Alive(shared)) }, work)
+    (Direct { alive: Arc::new(StopOnDrop(shared)) }, work)
 }
 
 impl Direct {
@@ -203,12 +208,12 @@
         let shared = self.shared();
         let stopping = shared.stopping.load(Ordering::Acquire);
         let taken = shared.change(|core, now| {
-            if stopping || core.owed() >= shared.most {
+            if stopping || core.unanswered() >= shared.most {
                 return None;
             }
             // A client that has just left needs no answer.
             let reply = Box::new(move |answer| _ = reply.send(answer));
-            Some(core.arrive(now, request, Mutex::new(Some(start)), reply))
+            Some(core.submit(now, request, Mutex::new(Some(start)), reply))
         });
         (Admission { limiter: self.clone(), taken: taken.map(|id| (id, answer)) }, permit)
     }
@@ -218,8 +223,8 @@
     pub async fn shutdown(&self) {
         self.shared().stopping.store(true, Ordering::Release);
         let end = tokio::time::Instant::now() + shutdown_timeout(&self.setup().settings);
-        while self.shared().lock().owed() > 0 && tokio::time::Instant::now() < end {
-            tokio::time::sleep(LOOK).await;
+        while self.shared().lock().unanswered() > 0 && tokio::time::Instant::now() < end {
+            tokio::time::sleep(SHUTDOWN_POLL).await;
         }
         self.shared().change(|core, now| core.fail_all(now));
     }
@@ -249,7 +254,7 @@
     fn drop(&mut self) {
         if let Some((id, mut answer)) = self.taken.take() {
             if answer.try_recv().is_err() {
-                self.limiter.shared().change(|core, now| core.gone(now, id));
+                self.limiter.shared().change(|core, now| core.client_left(now, id));
             }
         }
     }
@@ -268,18 +273,18 @@
             }
         });
         let counter = start(clock, ends);
-        let mut upkeep = shared.clock.now() + UPKEEP;
+        let mut upkeep = shared.clock.now() + UPKEEP_INTERVAL;
         loop {
-            while shared.change(|core, now| core.come_due(now)) {}
+            while shared.change(|core, now| core.run_due_timer(now)) {}
             let now = shared.clock.now();
             if let (true, Some(counter)) = (now >= upkeep, &counter) {
                 counter.upkeep(now);
-                upkeep = now + UPKEEP;
+                upkeep = now + UPKEEP_INTERVAL;
             }
-            let next = shared.fall_asleep(now + UPKEEP);
+            let next = shared.set_wake_time(now + UPKEEP_INTERVAL);
             tokio::select! {
                 () = shared.clock.until(next) => {}
-                () = shared.sooner.notified() => {}
+                () = shared.earlier_timer.notified() => {}
                 Some(call) = self.calls.recv() => {
                     let begun = counter.as_ref().map_or(Err(CallEnd::Unreachable), |c| c.begin(call));
                     if let Err(end) = begun {
--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -4,9 +4,9 @@
 //! go through one queue, which keeps them in order even where carrying out an action brings up the next
 //! event at once.
 
-use super::book::{Answer, Book, Reply};
 use super::departures::Departures;
 use super::fleet::{Fleet, Shares};
+use super::request_table::{Answer, Reply, RequestTable};
 use super::timers::Timers;
 use super::{Names, Setup};
 use crate::body::Progress;
@@ -27,16 +27,16 @@
 use std::sync::Arc;
 
 /// What is left for an answer's way back, ms: a client counts its wait from when it sent the request.
-const WAY_BACK: Millis = 20.0;
+const RESPONSE_MARGIN: Millis = 20.0;
 /// A call to the counter is waited for this many of the told time-outs: its answer comes however late its turn,
 /// and a total that is read late is still the total. Less than this would throw away all that a counter with
 /// a long line says, and make its line no shorter.
-const CALL_PATIENCE: f64 = 4.0;
+const COUNTER_TIMEOUT_FACTOR: f64 = 4.0;
 /// A request of which the module has said nothing this long before its client leaves, ms, has failed.
-const LAST_CALL: Millis = 8.0;
+const ANSWER_MARGIN: Millis = 8.0;
 /// Longest time that a body may take to come, ms: the longest that is taken, at 64 kB a second. That it gets on is
 /// looked after where it is read.
-const LONGEST_UPLOAD: Millis = 1_050_000.0;
+const MAX_UPLOAD_TIME: Millis = 1_050_000.0;
 
 /// What the shell is to do, in this order.
 pub(crate) enum Output<Q> {
@@ -51,7 +51,7 @@
         span: Millis,
     },
     /// Call an attempt off; its end is known already.
-    CallOff { id: RequestId, number: u8 },
+    CancelAttempt { id: RequestId, number: u8 },
     /// Begin a call to the counter, and report its end with [`Core::call_ended`].
     Count(Call),
     /// Take down what is known of a request that runs once at most.
@@ -72,7 +72,7 @@
     Module(u64),
     Attempt(RequestId, u8),
     Late(RequestId, u8),
-    LastCall(RequestId),
+    AnswerDeadline(RequestId),
     Call(CallId),
 }
 
@@ -92,7 +92,7 @@
 }
 
 /// CallEndSink that nobody has taken: the newest are left out beyond this.
-const MOST_ENDS: usize = 4096;
+const MAX_FINISHED_ATTEMPTS: usize = 4096;
 /// What an attempt was sent, and the name of its server.
 type Late<Q> = (Arc<Q>, Option<Arc<str>>);
 
@@ -105,7 +105,7 @@
     todo: VecDeque<Action>,
     events: VecDeque<Event>,
     outputs: VecDeque<Output<Q>>,
-    book: Book<Q, A>,
+    requests: RequestTable<Q, A>,
     fleet: Fleet,
     timers: Timers<Due>,
     /// Calls whose end the module has not been told.
@@ -137,7 +137,7 @@
             todo: VecDeque::new(),
             events: VecDeque::new(),
             outputs: VecDeque::new(),
-            book: Book::new(),
+            requests: RequestTable::new(),
             fleet: Fleet::default(),
             timers: Timers::new(),
             calls: HashMap::new(),
@@ -160,7 +160,7 @@
 
     /// How many requests that run once are out at a server.
     pub(crate) fn at_most_once_in_flight(&self) -> usize {
-        self.book.at_most_once_in_flight() + self.late.len()
+        self.requests.at_most_once_in_flight() + self.late.len()
     }
 
     /// How many decisions of the module were not carried out, as they would have broken the rule.
@@ -192,11 +192,11 @@
         &self.fleet
     }
 
-    pub(crate) fn owed(&self) -> usize {
-        self.book.owing()
+    pub(crate) fn unanswered(&self) -> usize {
+        self.requests.unanswered()
     }
 
-    pub(crate) fn remembered(&self) -> usize {
+    pub(crate) fn remembered_customers(&self) -> usize {
         self.gateway.remembered()
     }
 
@@ -245,8 +245,10 @@
         match action {
             Action::Send { id, server, timeout } => self.send(now, id, server, timeout),
             Action::Await { id, attempt, timeout } => self.wait_for(now, id, attempt, timeout),
-            Action::Refuse { id, retry_after } => self.give_up(id, Answer::Refused(retry_after)),
-            Action::Fail(id) => self.give_up(id, Answer::Failed),
+            Action::Refuse { id, retry_after } => {
+                self.answer_without_success(id, Answer::Refused(retry_after))
+            }
+            Action::Fail(id) => self.answer_without_success(id, Answer::Failed),
             Action::Cancel { id, attempt } => self.end(now, id, attempt, Outcome::Cancelled, Vec::new()),
             Action::Count { name, add, ttl } => self.count(now, name, add, ttl),
             Action::Timer { after, name } => self.timers.arm(now + after, Due::Module(name)),
@@ -257,31 +259,31 @@
 
     // ---- Requests -----------------------------------------------------------------------------
 
-    pub(crate) fn arrive(
+    pub(crate) fn submit(
         &mut self,
         now: Millis,
         mut request: Request,
         forward: Q,
         reply: Reply<A>,
     ) -> RequestId {
-        let span = if request.uploading { LONGEST_UPLOAD } else { request.time_left };
+        let span = if request.uploading { MAX_UPLOAD_TIME } else { request.time_left };
         let ends = now + span;
         let most = request.rules.as_ref().map_or(self.settings.max_attempts, |r| r.max_attempts);
-        let execution = RequestAttempts::new(self.repeats(&request));
-        let id = self.book.open(forward, ends, most, execution, reply);
-        self.timers.arm(ends - LAST_CALL, Due::LastCall(id));
-        if let Some(entry) = self.book.get_mut(id) {
+        let execution = RequestAttempts::new(self.idempotency_of(&request));
+        let id = self.requests.open(forward, ends, most, execution, reply);
+        self.timers.arm(ends - ANSWER_MARGIN, Due::AnswerDeadline(id));
+        if let Some(entry) = self.requests.get_mut(id) {
             entry.class = request.class;
             entry.uploading = request.uploading;
             entry.left = request.uploading.then_some(request.time_left);
         }
         request.id = id;
-        request.time_left = (request.time_left - WAY_BACK).max(1.0);
+        request.time_left = (request.time_left - RESPONSE_MARGIN).max(1.0);
         self.feed(now, Event::Request(request));
         id
     }
 
-    fn repeats(&self, request: &Request) -> Idempotency {
+    fn idempotency_of(&self, request: &Request) -> Idempotency {
         let class = match &request.rules {
             Some(rules) => Some(&rules.class),
             None => self.settings.classes.get(request.class.0),
@@ -294,24 +296,24 @@
 
     /// The client has left: nothing more is sent. What is out and runs at most once goes on, as somebody may ask what became
     /// of it; what may be repeated is cancelled, where that is wanted.
-    pub(crate) fn gone(&mut self, now: Millis, id: RequestId) {
-        if self.book.reply(id).is_none() {
+    pub(crate) fn client_left(&mut self, now: Millis, id: RequestId) {
+        if self.requests.reply(id).is_none() {
             return;
         }
         self.departures.clients += 1;
-        if let Some(entry) = self.book.get_mut(id) {
+        if let Some(entry) = self.requests.get_mut(id) {
             entry.departed_at = Some(now);
         }
         self.feed(now, Event::Gone(id));
         if self.cancels_on_disconnect {
             self.cancel_attempts(now, id);
         }
-        self.book.forget(id);
+        self.requests.forget(id);
     }
 
     /// Cancels what is out of a request that may be repeated.
     fn cancel_attempts(&mut self, now: Millis, id: RequestId) {
-        for number in self.book.live_repeatable(id) {
+        for number in self.requests.live_repeatable(id) {
             self.departures.cancelled_attempts += 1;
             self.end(now, id, number, Outcome::Cancelled, Vec::new());
         }
@@ -319,40 +321,40 @@
     }
 
     /// Guards against a module that says nothing: the client is answered while it still waits.
-    fn last_call(&mut self, now: Millis, id: RequestId) {
-        if self.book.get_mut(id).is_none_or(|entry| entry.over()) {
+    fn fail_unanswered(&mut self, now: Millis, id: RequestId) {
+        if self.requests.get_mut(id).is_none_or(|entry| entry.is_answered()) {
             return;
         }
         tracing::debug!("request {} ended by the clock", id.0);
-        self.give_up(id, Answer::TimedOut);
+        self.answer_without_success(id, Answer::TimedOut);
         self.feed(now, Event::Gone(id));
-        self.book.forget(id);
+        self.requests.forget(id);
     }
 
     pub(crate) fn fail_all(&mut self, now: Millis) {
-        for id in self.book.owed() {
-            self.last_call(now, id);
+        for id in self.requests.unanswered_ids() {
+            self.fail_unanswered(now, id);
         }
     }
 
     /// Nothing better comes: what a server said of its own counts more than what the limiter would say. A refusal too,
     /// as what may run again may have run.
-    fn give_up(&mut self, id: RequestId, otherwise: Answer<A>) {
-        let said = self.book.get_mut(id).and_then(|entry| entry.said.take());
+    fn answer_without_success(&mut self, id: RequestId, otherwise: Answer<A>) {
+        let said = self.requests.get_mut(id).and_then(|entry| entry.said.take());
         self.answer(id, said.map_or(otherwise, Answer::Served));
     }
 
     /// Gives a request its final answer, once.
     fn answer(&mut self, id: RequestId, answer: Answer<A>) {
-        if let Some(reply) = self.book.reply(id) {
-            reply(self.true_word(id, answer));
+        if let Some(reply) = self.requests.reply(id) {
+            reply(self.permitted_answer(id, answer));
         }
-        self.book.forget(id);
+        self.requests.forget(id);
     }
 
     /// What a client may be told in place of this: a promise only of what certainly has not run.
-    fn true_word(&mut self, id: RequestId, answer: Answer<A>) -> Answer<A> {
-        let Some(entry) = self.book.get_mut(id) else { return answer };
+    fn permitted_answer(&mut self, id: RequestId, answer: Answer<A>) -> Answer<A> {
+        let Some(entry) = self.requests.get_mut(id) else { return answer };
         let word = match &answer {
             Answer::Served(_) => ClientAnswer::Served,
             Answer::Refused(_) => ClientAnswer::Rejected,
@@ -362,7 +364,7 @@
         let (_, violation) = entry.execution.answer_client(word);
         let (request, once) = (entry.request.clone(), entry.execution.is_at_most_once());
         if let Some(violation) = violation {
-            self.keep_from(&request, violation);
+            self.record_violation(&request, violation);
             return Answer::Failed;
         }
         if once && certain && word != ClientAnswer::Served {
@@ -380,7 +382,7 @@
         }
     }
 
-    fn keep_from(&mut self, request: &Arc<Q>, violation: InvariantViolation) {
+    fn record_violation(&mut self, request: &Arc<Q>, violation: InvariantViolation) {
         self.prevented_violations += 1;
         tracing::error!("{}", violation.text());
         self.note(request, None, Note::Violation(violation));
@@ -396,35 +398,35 @@
     // ---- Attempts -----------------------------------------------------------------------------
 
     fn send(&mut self, now: Millis, id: RequestId, server: ServerId, timeout: Millis) {
-        let Some(entry) = self.book.get_mut(id) else {
+        let Some(entry) = self.requests.get_mut(id) else {
             let (outcome, load) = (Outcome::Moot, Vec::new());
             let (attempt, complete, took, settled) = (0, true, 0.0, 0.0);
             let ended = Event::Ended { id, attempt, server, outcome, complete, took, settled, load };
             return self.events.push_back(ended);
         };
-        let attempt = entry.begin(server, now);
+        let attempt = entry.start_attempt(server, now);
         let Ok(number) = u8::try_from(attempt) else { return };
         let most = entry.most as usize;
         let span = span(entry.ends, now, timeout);
-        if entry.over() || span <= 0.0 || most > 0 && attempt >= most {
+        if entry.is_answered() || span <= 0.0 || most > 0 && attempt >= most {
             return self.end(now, id, number, Outcome::Moot, Vec::new());
         }
         let request = entry.request.clone();
         let Some((name, address)) = self.fleet.place(server) else {
             return self.end(now, id, number, Outcome::ConnectFailed, Vec::new());
         };
-        let Some(entry) = self.book.get_mut(id) else { return };
+        let Some(entry) = self.requests.get_mut(id) else { return };
         let whole = !entry.uploading;
         if let Err(violation) = entry.execution.send(attempt, whole) {
             let out = entry.execution.is_in_flight();
-            self.keep_from(&request, violation);
+            self.record_violation(&request, violation);
             if !out {
                 // Nothing that is out can answer it any more.
                 self.answer(id, Answer::Failed);
             }
             return self.end(now, id, number, Outcome::Moot, Vec::new());
         }
-        entry.sent_to(attempt, &name);
+        entry.set_server_name(attempt, &name);
         if whole && entry.execution.is_at_most_once() {
             self.note(&request, Some(&name), Note::Outcome(ExecutionOutcome::Running, "sent"));
         }
@@ -434,26 +436,26 @@
 
     /// How far a body that is still coming has gone with an attempt.
     pub(crate) fn progress(&mut self, now: Millis, id: RequestId, attempt: u8, progress: Progress) {
-        if !self.book.is_live(id, attempt) {
+        if !self.requests.is_live(id, attempt) {
             return;
         }
         if progress == Progress::Spent {
             return self.feed(now, Event::Spent(id));
         }
-        let Some(entry) = self.book.get_mut(id) else { return };
+        let Some(entry) = self.requests.get_mut(id) else { return };
         entry.execution.mark_fully_sent(usize::from(attempt));
         if entry.execution.is_at_most_once() {
             let (request, name) = (entry.request.clone(), entry.name(attempt).cloned());
             self.note(&request, name.as_ref(), Note::Outcome(ExecutionOutcome::Running, "sent"));
         }
-        let Some(entry) = self.book.get_mut(id) else { return };
-        entry.begin_anew(attempt, now);
+        let Some(entry) = self.requests.get_mut(id) else { return };
+        entry.restart_clock(attempt, now);
         if let Some(left) = entry.left.take() {
             entry.ends = now + left;
-            self.timers.arm(now + left - LAST_CALL, Due::LastCall(id));
+            self.timers.arm(now + left - ANSWER_MARGIN, Due::AnswerDeadline(id));
             if self.witness.is_some() {
                 // The module says nothing more of one whose client has left.
-                self.timers.arm(now + left - WAY_BACK, Due::Attempt(id, attempt));
+                self.timers.arm(now + left - RESPONSE_MARGIN, Due::Attempt(id, attempt));
             }
         }
         self.feed(now, Event::Uploaded { id, attempt });
@@ -461,7 +463,7 @@
 
     /// Waits so long for an attempt whose body has gone out.
     fn wait_for(&mut self, now: Millis, id: RequestId, attempt: u8, timeout: Millis) {
-        if let Some(entry) = self.book.get_mut(id) {
+        if let Some(entry) = self.requests.get_mut(id) {
             let span = span(entry.ends, now, timeout);
             self.timers.arm(now + span, Due::Attempt(id, attempt));
         }
@@ -470,39 +472,39 @@
     /// An attempt has ended by itself; late results of ended ones tell nobody anything but what became of the
     /// request.
     pub(crate) fn attempt_ended(&mut self, now: Millis, id: RequestId, attempt: u8, end: End<A>) {
-        let how = how(end.outcome, end.answer.is_some());
-        if !self.book.is_live(id, attempt) {
+        let how = attempt_end(end.outcome, end.answer.is_some());
+        if !self.requests.is_live(id, attempt) {
             if let Some((request, name)) = self.late.remove(&(id, attempt)) {
-                let (outcome, why) = outcome(how, true);
+                let (outcome, why) = execution_outcome(how, true);
                 self.note(&request, name.as_ref(), Note::Outcome(outcome, why));
             }
             return;
         }
-        self.take_down(id, attempt, how);
+        self.record_end(id, attempt, how);
         match (end.outcome, end.answer) {
             (Outcome::Ok, Some(answer)) => {
-                if let Some(reply) = self.book.reply(id) {
-                    reply(self.true_word(id, Answer::Served(answer)));
+                if let Some(reply) = self.requests.reply(id) {
+                    reply(self.permitted_answer(id, Answer::Served(answer)));
                 }
             }
             (Outcome::Error, Some(answer)) => {
-                if let Some(entry) = self.book.get_mut(id).filter(|entry| !entry.over()) {
+                if let Some(entry) = self.requests.get_mut(id).filter(|entry| !entry.is_answered()) {
                     entry.said = Some(answer);
                 }
             }
             _ => {}
         }
-        self.tell_end(now, id, attempt, end.outcome, end.load);
+        self.report_end(now, id, attempt, end.outcome, end.load);
         self.drain(now);
     }
 
     /// CallEndSink an attempt that is still out, and lets the module know.
     fn end(&mut self, now: Millis, id: RequestId, number: u8, outcome: Outcome, load: Vec<f64>) {
-        if self.book.is_live(id, number) {
-            self.take_down(id, number, how(outcome, false));
+        if self.requests.is_live(id, number) {
+            self.record_end(id, number, attempt_end(outcome, false));
         }
-        if self.tell_end(now, id, number, outcome, load) {
-            self.outputs.push_back(Output::CallOff { id, number });
+        if self.report_end(now, id, number, outcome, load) {
+            self.outputs.push_back(Output::CancelAttempt { id, number });
         }
     }
 
@@ -510,35 +512,35 @@
     /// its answer is listened for as long as its server may take to say so.
     fn time_out(&mut self, now: Millis, id: RequestId, attempt: u8) {
         let listens = self.witness.filter(|_| {
-            self.book.is_live(id, attempt)
-                && self.book.get_mut(id).is_some_and(|e| {
+            self.requests.is_live(id, attempt)
+                && self.requests.get_mut(id).is_some_and(|e| {
                     e.execution.is_at_most_once() && e.execution.is_fully_sent(usize::from(attempt))
                 })
         });
-        let (Some(more), Some(entry)) = (listens, self.book.get_mut(id)) else {
+        let (Some(more), Some(entry)) = (listens, self.requests.get_mut(id)) else {
             return self.end(now, id, attempt, Outcome::TimedOut, Vec::new());
         };
         let told = (entry.request.clone(), entry.name(attempt).cloned());
         entry.execution.end(usize::from(attempt), AttemptEnd::Lost);
         self.late.insert((id, attempt), told);
         self.timers.arm(now + more, Due::Late(id, attempt));
-        self.tell_end(now, id, attempt, Outcome::TimedOut, Vec::new());
+        self.report_end(now, id, attempt, Outcome::TimedOut, Vec::new());
     }
 
     /// Takes down how an attempt has ended.
-    fn take_down(&mut self, id: RequestId, attempt: u8, how: AttemptEnd) {
-        let Some(entry) = self.book.get_mut(id) else { return };
+    fn record_end(&mut self, id: RequestId, attempt: u8, how: AttemptEnd) {
+        let Some(entry) = self.requests.get_mut(id) else { return };
         entry.execution.end(usize::from(attempt), how);
         if !entry.execution.is_at_most_once() {
             return;
         }
         let Some(name) = entry.name(attempt).cloned() else { return };
         let (request, ran) = (entry.request.clone(), entry.execution.may_have_run());
-        let (outcome, why) = outcome(how, ran);
+        let (outcome, why) = execution_outcome(how, ran);
         self.note(&request, Some(&name), Note::Outcome(outcome, why));
     }
 
-    fn tell_end(
+    fn report_end(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -546,16 +548,16 @@
         outcome: Outcome,
         load: Vec<f64>,
     ) -> bool {
-        let Some(ended) = self.book.end(id, attempt, now) else { return false };
+        let Some(ended) = self.requests.end(id, attempt, now) else { return false };
         if let Some(abandoned_at) = ended.abandoned_at {
             self.departures.on_end(now, abandoned_at);
         }
         let (server, complete, took, settled) = (ended.server, ended.over, ended.took, 0.0);
         if let (Some(tally), Some(zone)) = (&mut self.tally, self.fleet.zone(server)) {
-            count(tally.entry(zone).or_default(), outcome);
+            count_outcome(tally.entry(zone).or_default(), outcome);
         }
         if let (Some(ends), Some((name, started))) = (&mut self.ends, self.fleet.started(server)) {
-            if ends.len() < MOST_ENDS {
+            if ends.len() < MAX_FINISHED_ATTEMPTS {
                 let warm = started <= 0.0 || now - took - started >= self.settings.warm_after;
                 ends.push(Finished { server: name, class: ended.class, outcome, took, warm });
             }
@@ -573,7 +575,7 @@
         if !add.is_finite() {
             return self.settle(now, id, CallEnd::Unreachable);
         }
-        let patience = CALL_PATIENCE * self.settings.counter_timeout;
+        let patience = COUNTER_TIMEOUT_FACTOR * self.settings.counter_timeout;
         self.timers.arm(now + patience, Due::Call(id));
         self.outputs.push_back(Output::Count(Call { id, name, add, ttl }));
     }
@@ -606,22 +608,22 @@
 
     /// Takes a server out, or puts it in again. When this returns no first byte of a new attempt goes to one that is
     /// out.
-    pub(crate) fn operate(&mut self, now: Millis, id: &str, out: bool) -> Result<(), NeverListed> {
+    pub(crate) fn set_suspended(&mut self, now: Millis, id: &str, out: bool) -> Result<(), NeverListed> {
         let told = if out { self.fleet.suspend(now, id)? } else { self.fleet.resume(now, id)? };
-        self.relist(now, told.into_iter().collect());
+        self.update_servers(now, told.into_iter().collect());
         Ok(())
     }
 
     /// The rules take these servers out, and none else.
-    pub(crate) fn bar(&mut self, now: Millis, ids: &BTreeSet<String>) {
-        let entries = self.fleet.bar(ids);
-        self.relist(now, entries);
+    pub(crate) fn exclude_servers(&mut self, now: Millis, ids: &BTreeSet<String>) {
+        let entries = self.fleet.exclude_servers(ids);
+        self.update_servers(now, entries);
     }
 
     /// Only these parts of zones are used from now on.
-    pub(crate) fn share(&mut self, now: Millis, shares: Shares) {
-        let entries = self.fleet.share(shares);
-        self.relist(now, entries);
+    pub(crate) fn set_zone_shares(&mut self, now: Millis, shares: Shares) {
+        let entries = self.fleet.set_zone_shares(shares);
+        self.update_servers(now, entries);
     }
 
     /// Counts from now on how attempts end, by zone.
@@ -630,7 +632,7 @@
     }
 
     /// How attempts have ended since this was last asked; watched from the first time on.
-    pub(crate) fn ends(&mut self) -> Vec<Finished> {
+    pub(crate) fn take_finished_attempts(&mut self) -> Vec<Finished> {
         self.ends.replace(Vec::new()).unwrap_or_default()
     }
 
@@ -647,22 +649,22 @@
     /// Takes in what another process was told of servers.
     pub(crate) fn merge(&mut self, now: Millis, marks: &Marks) {
         let entries = self.fleet.merge(marks);
-        self.relist(now, entries);
+        self.update_servers(now, entries);
     }
 
-    fn relist(&mut self, now: Millis, entries: Vec<ServerEntry>) {
+    fn update_servers(&mut self, now: Millis, entries: Vec<ServerEntry>) {
         if !entries.is_empty() {
             self.feed(now, Event::Servers { update: ListUpdate::Delta, entries });
         }
     }
 
     /// From now on the module uses this part of what is a gateway's own.
-    pub(crate) fn use_part(&mut self, now: Millis, part: f64) {
+    pub(crate) fn set_budget_part(&mut self, now: Millis, part: f64) {
         self.feed(now, Event::Part(part));
     }
 
     /// From now on these settings hold for what comes in.
-    pub(crate) fn revise(&mut self, now: Millis, names: &Names, settings: &Settings) {
+    pub(crate) fn apply_settings(&mut self, now: Millis, names: &Names, settings: &Settings) {
         if self.names.zones != names.zones {
             // Counted by place among them.
             self.tally = self.tally.take().map(|_| HashMap::new());
@@ -674,7 +676,7 @@
     // ---- Timers -------------------------------------------------------------------------------
 
     /// Works off one timer that is due; whether there was one.
-    pub(crate) fn come_due(&mut self, now: Millis) -> bool {
+    pub(crate) fn run_due_timer(&mut self, now: Millis) -> bool {
         let Some(due) = self.timers.pop(now) else { return false };
         match due {
             Due::Module(name) => self.feed(now, Event::Timer(name)),
@@ -687,10 +689,10 @@
                     let note =
                         Note::Outcome(ExecutionOutcome::Unknown, "no answer within the server's own time");
                     self.note(&request, name.as_ref(), note);
-                    self.outputs.push_back(Output::CallOff { id, number: attempt });
+                    self.outputs.push_back(Output::CancelAttempt { id, number: attempt });
                 }
             }
-            Due::LastCall(id) => self.last_call(now, id),
+            Due::AnswerDeadline(id) => self.fail_unanswered(now, id),
             Due::Call(id) => {
                 if let Some((name, at)) = self.calls.remove(&id) {
                     let (outcome, took) = (Outcome::TimedOut, now - at);
@@ -704,7 +706,7 @@
 
 /// How long an attempt is waited for of which the module says `timeout` (0: until the client gives up, at `ends`).
 fn span(ends: Millis, now: Millis, timeout: Millis) -> Millis {
-    let left = ends - WAY_BACK - now;
+    let left = ends - RESPONSE_MARGIN - now;
     if timeout > 0.0 {
         timeout.min(left)
     } else {
@@ -713,7 +715,7 @@
 }
 
 /// What an attempt's end says of whether it ran.
-fn how(outcome: Outcome, answered: bool) -> AttemptEnd {
+fn attempt_end(outcome: Outcome, answered: bool) -> AttemptEnd {
     match outcome {
         Outcome::Ok => AttemptEnd::Succeeded,
         Outcome::Error if answered => AttemptEnd::Failed,
@@ -724,7 +726,7 @@
 }
 
 /// What that makes of a request that runs once; `ran`: nothing proves that it did not.
-fn outcome(how: AttemptEnd, ran: bool) -> (ExecutionOutcome, &'static str) {
+fn execution_outcome(how: AttemptEnd, ran: bool) -> (ExecutionOutcome, &'static str) {
     match how {
         AttemptEnd::Succeeded => (ExecutionOutcome::Succeeded, "answered"),
         AttemptEnd::Failed => (ExecutionOutcome::Failed, "answered"),
@@ -738,7 +740,7 @@
 }
 
 /// Which of a zone's counts an attempt's end belongs to. One that was called off or never sent tells nothing.
-fn count(counts: &mut Counts, outcome: Outcome) {
+fn count_outcome(counts: &mut Counts, outcome: Outcome) {
     let which = match outcome {
         Outcome::Ok => &mut counts.ok,
         Outcome::Error => &mut counts.failed,
@@ -754,14 +756,14 @@
 #[cfg(test)]
 impl<Q, A> Core<Q, A> {
     /// Carries out a decision that the module has not made.
-    pub(super) fn err(&mut self, now: Millis, action: Action) {
+    pub(super) fn inject_action(&mut self, now: Millis, action: Action) {
         self.carry_out(now, action);
         self.drain(now);
     }
 
     /// From now on another guard looks after a request.
-    pub(super) fn forget_once(&mut self, id: RequestId, execution: RequestAttempts) {
-        if let Some(entry) = self.book.get_mut(id) {
+    pub(super) fn replace_execution(&mut self, id: RequestId, execution: RequestAttempts) {
+        if let Some(entry) = self.requests.get_mut(id) {
             entry.execution = execution;
         }
     }
--- a/crates/engine/src/engine/core/tests.rs
+++ b/crates/engine/src/engine/core/tests.rs
@@ -28,12 +28,12 @@
 fn ask(core: &mut Core<(), ()>, now: Millis) -> mpsc::Receiver<Answer<()>> {
     let (tell, told) = mpsc::channel();
     let request = Request { units: 1.0, time_left: 1500.0, spread: 1.0, ..Request::default() };
-    core.arrive(now, request, (), Box::new(move |answer| _ = tell.send(answer)));
+    core.submit(now, request, (), Box::new(move |answer| _ = tell.send(answer)));
     told
 }
 
 fn pass(core: &mut Core<(), ()>, until: Millis) {
-    while core.come_due(until) {}
+    while core.run_due_timer(until) {}
 }
 
 #[test]
@@ -49,7 +49,7 @@
 #[test]
 fn a_counter_that_never_answers_is_given_up() {
     let (mut core, call) = asked();
-    pass(&mut core, 1000.0 + CALL_PATIENCE * 50.0 + 1.0);
+    pass(&mut core, 1000.0 + COUNTER_TIMEOUT_FACTOR * 50.0 + 1.0);
     core.call_ended(1300.0, call, CallEnd::Added(100.0));
     let answer = ask(&mut core, 1301.0).try_recv();
     assert!(answer.is_err(), "a total after that is dropped, the request waits for a server: {answer:?}");
@@ -66,21 +66,21 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     core.members(900.0, &News::Complete(vec![crate::ports::membership::Member::ready("s-1", address)]));
     let request = Request { units: 1.0, time_left: 3000.0, spread: 1.0, ..Request::default() };
-    let id = core.arrive(1000.0, request, (), Box::new(|_| ()));
+    let id = core.submit(1000.0, request, (), Box::new(|_| ()));
     let is_out = std::iter::from_fn(|| core.output()).any(|output| matches!(output, Output::Attempt { .. }));
     assert!(is_out, "an attempt");
     (core, id)
 }
 
 fn is_called_off(core: &mut Core<(), ()>) -> bool {
-    std::iter::from_fn(|| core.output()).any(|output| matches!(output, Output::CallOff { .. }))
+    std::iter::from_fn(|| core.output()).any(|output| matches!(output, Output::CancelAttempt { .. }))
 }
 
 #[test]
 fn what_may_be_repeated_is_cancelled_when_its_client_leaves() {
     let (mut core, id) = one_out(true, Repeat::Safe);
-    core.gone(1100.0, id);
-    assert!(is_called_off(&mut core) && core.book.is_empty());
+    core.client_left(1100.0, id);
+    assert!(is_called_off(&mut core) && core.requests.is_empty());
     let departures = Departures { clients: 1, cancelled_attempts: 1, abandoned_attempts: 0 };
     assert_eq!(core.departures(), departures);
     // Its end comes all the same, and changes nothing.
@@ -91,7 +91,7 @@
 #[test]
 fn what_runs_at_most_once_is_not_cancelled_and_abandons_nobody() {
     let (mut core, id) = one_out(true, Repeat::Unsafe);
-    core.gone(1100.0, id);
+    core.client_left(1100.0, id);
     assert!(!is_called_off(&mut core) && core.at_most_once_in_flight() == 1);
     core.attempt_ended(1900.0, id, 0, End::without_answer(Outcome::Error));
     assert_eq!(core.departures(), Departures { clients: 1, ..Departures::default() });
@@ -101,7 +101,7 @@
 fn an_attempt_that_goes_on_for_nobody_is_counted_as_abandoned() {
     for (ends, abandoned) in [(1300.0, 0), (1400.0, 1)] {
         let (mut core, id) = one_out(false, Repeat::Safe);
-        core.gone(1100.0, id);
+        core.client_left(1100.0, id);
         assert!(!is_called_off(&mut core));
         core.attempt_ended(ends, id, 0, End::without_answer(Outcome::Error));
         assert_eq!(core.departures().abandoned_attempts, abandoned, "ended at {ends}");
--- a/crates/engine/src/engine/fleet.rs
+++ b/crates/engine/src/engine/fleet.rs
@@ -86,13 +86,13 @@
     }
 
     /// The rules take these out, and none else; what the module is to be told. They need not be listed.
-    pub(super) fn bar(&mut self, ids: &BTreeSet<String>) -> Vec<ServerEntry> {
+    pub(super) fn exclude_servers(&mut self, ids: &BTreeSet<String>) -> Vec<ServerEntry> {
         let before = std::mem::replace(&mut self.barred, ids.clone());
         before.symmetric_difference(ids).filter_map(|id| self.entry_of(id)).collect()
     }
 
     /// Only these parts of zones are used from now on; what the module is to be told.
-    pub(super) fn share(&mut self, shares: Shares) -> Vec<ServerEntry> {
+    pub(super) fn set_zone_shares(&mut self, shares: Shares) -> Vec<ServerEntry> {
         let before = std::mem::replace(&mut self.shares, shares);
         let differs = |s: &&Known| {
             before.leaves_out(&s.id, s.entry.zone) != self.shares.leaves_out(&s.id, s.entry.zone)
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -3,19 +3,19 @@
 //! One [`Engine`] on one thread, inside a [`tokio::task::LocalSet`]. What it decides is [`core`]'s; here are the
 //! ports, the tasks and the timers' sleep.
 
-mod book;
 pub(crate) mod core;
 mod departures;
 mod fleet;
+mod request_table;
 mod revision;
 #[cfg(test)]
 mod schedule_tests;
 mod timers;
 
-pub use book::{Answer, Reply};
 pub use core::{Finished, Note};
 pub use departures::Departures;
 pub use fleet::Shares;
+pub use request_table::{Answer, Reply};
 pub use revision::Revision;
 
 use crate::ports::clock::Clock;
@@ -38,7 +38,7 @@
 use tokio::task::AbortHandle;
 
 /// Between two looks at the ports' connections, ms.
-const UPKEEP: Millis = 500.0;
+const UPKEEP_INTERVAL: Millis = 500.0;
 
 /// Names on the sockets, in the order by which the decision module counts them.
 #[derive(Clone, Debug, Default)]
@@ -72,14 +72,14 @@
 }
 
 /// Longest deadline that the end of a limiter waits for, ms, and what it waits more.
-const LONGEST_FINISH: Millis = 3000.0;
-const FINISH_MARGIN: Millis = 550.0;
+const MAX_DEADLINE_WAIT: Millis = 3000.0;
+const SHUTDOWN_MARGIN: Millis = 550.0;
 
 /// How long the end of a limiter waits for answers to what was taken: 0.55 s after the longest deadline, of which
 /// 3 s count at most. After that the rest is failed.
 pub fn shutdown_timeout(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
-    Duration::from_secs_f64((longest.min(LONGEST_FINISH) + FINISH_MARGIN) / 1000.0)
+    Duration::from_secs_f64((longest.min(MAX_DEADLINE_WAIT) + SHUTDOWN_MARGIN) / 1000.0)
 }
 
 /// The one owner of a decision module. Guarantees, whatever the ports do:
@@ -93,7 +93,7 @@
     /// Attempts that are out.
     tasks: RefCell<HashMap<(RequestId, u8), AbortHandle>>,
     /// MembershipSink when an earlier due than all before has been set.
-    sooner: Notify,
+    earlier_timer: Notify,
     /// What the timers sleep until.
     asleep_until: Cell<Millis>,
     ready: Cell<bool>,
@@ -112,7 +112,7 @@
             revision: RefCell::new(Rc::new(Revision::first(setup))),
             core: RefCell::new(Core::new(setup)),
             tasks: RefCell::default(),
-            sooner: Notify::new(),
+            earlier_timer: Notify::new(),
             asleep_until: Cell::new(f64::INFINITY),
             ready: Cell::new(false),
             held: Cell::new(false),
@@ -171,7 +171,7 @@
     pub fn apply_settings(self: &Rc<Self>, names: &Names, settings: &Settings) {
         let next = Rc::new(self.revision().next(names, settings));
         *self.revision.borrow_mut() = next.clone();
-        self.change(|core, now| core.revise(now, next.names(), next.settings()));
+        self.change(|core, now| core.apply_settings(now, next.names(), next.settings()));
     }
 
     /// Takes a server out, or puts it in again. From the return on nothing new goes to one that is out, also on
@@ -180,17 +180,17 @@
     /// # Errors
     /// When the server was never listed.
     pub fn set_suspended(self: &Rc<Self>, id: &str, out: bool) -> Result<(), NeverListed> {
-        self.change_servers(|core, now| core.operate(now, id, out))
+        self.change_servers(|core, now| core.set_suspended(now, id, out))
     }
 
     /// The rules take these servers out, and none else: as [`Engine::set_suspended`], beside what that says.
     pub fn exclude_servers(self: &Rc<Self>, ids: &BTreeSet<String>) {
-        self.change_servers(|core, now| core.bar(now, ids));
+        self.change_servers(|core, now| core.exclude_servers(now, ids));
     }
 
     /// Only these parts of zones are used from now on, as [`Engine::exclude_servers`].
     pub fn set_zone_shares(self: &Rc<Self>, shares: Shares) {
-        self.change_servers(|core, now| core.share(now, shares));
+        self.change_servers(|core, now| core.set_zone_shares(now, shares));
     }
 
     /// Counts from now on how attempts end, by zone.
@@ -200,7 +200,7 @@
 
     /// How attempts have ended since this was last asked; watched from the first time on.
     pub fn take_finished_attempts(&self) -> Vec<Finished> {
-        self.core.borrow_mut().ends()
+        self.core.borrow_mut().take_finished_attempts()
     }
 
     /// What was counted so far of each zone.
@@ -235,7 +235,7 @@
 
     /// Uses this part of what is a limiter's own: another process uses the rest.
     pub fn set_budget_part(self: &Rc<Self>, part: f64, budget: Budget) {
-        self.change(|core, now| core.use_part(now, part));
+        self.change(|core, now| core.set_budget_part(now, part));
         self.upstream.set_limits(budget.servers, budget.answers_kib);
     }
 
@@ -289,12 +289,12 @@
 
     /// Requests that still owe an answer.
     pub fn unanswered(&self) -> usize {
-        self.core.borrow().owed()
+        self.core.borrow().unanswered()
     }
 
     /// Customers of which something is remembered.
     pub fn remembered_customers(&self) -> usize {
-        self.core.borrow().remembered()
+        self.core.borrow().remembered_customers()
     }
 
     /// Takes on a request; its id is set here. `reply` is called exactly once, unless [`Engine::client_left`] comes
@@ -305,7 +305,7 @@
         forward: U::Request,
         reply: Reply<U::Answer>,
     ) -> RequestId {
-        self.change(|core, now| core.arrive(now, request, forward, reply))
+        self.change(|core, now| core.submit(now, request, forward, reply))
     }
 
     /// Takes on a request at once, and waits for its answer. Dropped before that: the client has left.
@@ -321,18 +321,18 @@
         // A client that has just left needs no answer.
         let reply = Box::new(move |answer| drop(sender.send(answer)));
         let id = self.submit(request, forward, reply);
-        let watch = Watch { engine: self.clone(), id, answered: false };
+        let guard = DisconnectGuard { engine: self.clone(), id, answered: false };
         async move {
             // The sender is only lost with the request's entry, and that is a defect: it has then failed.
             let answer = receiver.await.unwrap_or(Answer::Failed);
-            watch.over();
+            guard.disarm();
             answer
         }
     }
 
     /// The client has left; nothing more is owed.
     pub fn client_left(self: &Rc<Self>, id: RequestId) {
-        self.change(|core, now| core.gone(now, id));
+        self.change(|core, now| core.client_left(now, id));
     }
 
     /// Fails all that is still owed, at the end of a shutdown.
@@ -350,7 +350,7 @@
         }
         let due = self.core.borrow().next_due();
         if due.is_some_and(|at| at < self.asleep_until.get()) {
-            self.sooner.notify_one();
+            self.earlier_timer.notify_one();
         }
         done
     }
@@ -372,7 +372,7 @@
                     AttemptJob { server, name, address, request, span, may_send, progress },
                 );
             }
-            Output::CallOff { id, number } => {
+            Output::CancelAttempt { id, number } => {
                 if let Some(task) = self.tasks.borrow_mut().remove(&(id, number)) {
                     task.abort();
                 }
@@ -388,7 +388,7 @@
     }
 
     fn attempt(self: &Rc<Self>, id: RequestId, number: u8, job: AttemptJob<U::Request>) {
-        let mut report = Report { engine: self.clone(), id, number, done: false };
+        let mut report = AttemptReporter { engine: self.clone(), id, number, done: false };
         let attempting = self.upstream.attempt(job);
         let task = tokio::task::spawn_local(async move { report.send(attempting.await) });
         self.tasks.borrow_mut().insert((id, number), task.abort_handle());
@@ -424,7 +424,7 @@
 
     async fn run_timers(self: Rc<Self>) {
         loop {
-            while self.change(|core, now| core.come_due(now)) {
+            while self.change(|core, now| core.run_due_timer(now)) {
                 // What has just come in is not to wait for a long row of timers.
                 tokio::task::coop::consume_budget().await;
             }
@@ -433,9 +433,9 @@
             match next {
                 Some(at) => tokio::select! {
                     () = self.clock.until(at) => {}
-                    () = self.sooner.notified() => {}
+                    () = self.earlier_timer.notified() => {}
                 },
-                None => self.sooner.notified().await,
+                None => self.earlier_timer.notified().await,
             }
             // Awake until it has looked again: nothing need wake it.
             self.asleep_until.set(f64::NEG_INFINITY);
@@ -444,7 +444,7 @@
 
     async fn run_upkeep(self: Rc<Self>) {
         loop {
-            self.clock.until(self.now() + UPKEEP).await;
+            self.clock.until(self.now() + UPKEEP_INTERVAL).await;
             let now = self.now();
             self.upstream.upkeep(now);
             let counter = self.counter.borrow().clone();
@@ -456,20 +456,20 @@
 }
 
 /// Tells the engine when whoever waits for an answer leaves before it.
-struct Watch<U: Upstream> {
+struct DisconnectGuard<U: Upstream> {
     engine: Rc<Engine<U>>,
     id: RequestId,
     answered: bool,
 }
 
-impl<U: Upstream> Watch<U> {
+impl<U: Upstream> DisconnectGuard<U> {
     /// The answer has come.
-    fn over(mut self) {
+    fn disarm(mut self) {
         self.answered = true;
     }
 }
 
-impl<U: Upstream> Drop for Watch<U> {
+impl<U: Upstream> Drop for DisconnectGuard<U> {
     fn drop(&mut self) {
         if !self.answered {
             self.engine.client_left(self.id);
@@ -478,14 +478,14 @@
 }
 
 /// Reports that an attempt may have run, should its task die before it has reported anything.
-struct Report<U: Upstream> {
+struct AttemptReporter<U: Upstream> {
     engine: Rc<Engine<U>>,
     id: RequestId,
     number: u8,
     done: bool,
 }
 
-impl<U: Upstream> Report<U> {
+impl<U: Upstream> AttemptReporter<U> {
     fn send(&mut self, end: End<U::Answer>) {
         self.done = true;
         let (id, number) = (self.id, self.number);
@@ -494,7 +494,7 @@
     }
 }
 
-impl<U: Upstream> Drop for Report<U> {
+impl<U: Upstream> Drop for AttemptReporter<U> {
     fn drop(&mut self) {
         if !self.done {
             self.send(End::without_answer(Outcome::Reset));
--- a/crates/engine/src/engine/book.rs
+++ b/crates/engine/src/engine/request_table.rs
@@ -63,30 +63,30 @@
 }
 
 impl<Q, A> Entry<Q, A> {
-    pub(super) fn over(&self) -> bool {
+    pub(super) fn is_answered(&self) -> bool {
         self.reply.is_none()
     }
 
-    fn settled(&self) -> bool {
-        self.over() && self.attempts.iter().all(|a| !a.live)
+    fn is_complete(&self) -> bool {
+        self.is_answered() && self.attempts.iter().all(|a| !a.live)
     }
 
     /// The time of an attempt that is out counts from now.
-    pub(super) fn begin_anew(&mut self, attempt: u8, now: Millis) {
+    pub(super) fn restart_clock(&mut self, attempt: u8, now: Millis) {
         if let Some(a) = self.attempts.get_mut(usize::from(attempt)) {
             a.sent = now;
         }
     }
 
     /// Books a new attempt and gives its number.
-    pub(super) fn begin(&mut self, server: ServerId, sent: Millis) -> usize {
+    pub(super) fn start_attempt(&mut self, server: ServerId, sent: Millis) -> usize {
         self.attempts.push(Attempt { server, name: None, sent, live: true });
         self.execution.begin();
         self.attempts.len() - 1
     }
 
     /// An attempt goes out to the server of this name.
-    pub(super) fn sent_to(&mut self, attempt: usize, name: &Arc<str>) {
+    pub(super) fn set_server_name(&mut self, attempt: usize, name: &Arc<str>) {
         if let Some(a) = self.attempts.get_mut(attempt) {
             a.name = Some(name.clone());
         }
@@ -110,16 +110,16 @@
 }
 
 /// All requests in hand.
-pub(super) struct Book<Q, A> {
+pub(super) struct RequestTable<Q, A> {
     entries: HashMap<RequestId, Entry<Q, A>>,
     next: u32,
     /// Requests that are owed an answer.
     owing: usize,
 }
 
-impl<Q, A> Book<Q, A> {
+impl<Q, A> RequestTable<Q, A> {
     pub(super) fn new() -> Self {
-        Book { entries: HashMap::new(), next: 0, owing: 0 }
+        RequestTable { entries: HashMap::new(), next: 0, owing: 0 }
     }
 
     /// Enters a request and gives it a number that no other has.
@@ -159,7 +159,7 @@
     }
 
     /// How many requests are owed an answer.
-    pub(super) fn owing(&self) -> usize {
+    pub(super) fn unanswered(&self) -> usize {
         self.owing
     }
 
@@ -169,8 +169,8 @@
     }
 
     /// Requests that are owed an answer.
-    pub(super) fn owed(&self) -> Vec<RequestId> {
-        self.entries.iter().filter(|(_, e)| !e.over()).map(|(id, _)| *id).collect()
+    pub(super) fn unanswered_ids(&self) -> Vec<RequestId> {
+        self.entries.iter().filter(|(_, e)| !e.is_answered()).map(|(id, _)| *id).collect()
     }
 
     pub(super) fn is_live(&self, id: RequestId, attempt: u8) -> bool {
@@ -198,7 +198,7 @@
     /// CallEndSink an attempt. None if it had ended before.
     pub(super) fn end(&mut self, id: RequestId, attempt: u8, now: Millis) -> Option<Ended> {
         let entry = self.entries.get_mut(&id)?;
-        let over = entry.over();
+        let over = entry.is_answered();
         let a = entry.attempts.get_mut(usize::from(attempt)).filter(|a| a.live)?;
         a.live = false;
         let (server, took) = (a.server, now - a.sent);
@@ -210,7 +210,7 @@
 
     /// Drops a request that is owed nothing and has nothing out.
     pub(super) fn forget(&mut self, id: RequestId) {
-        if self.entries.get(&id).is_some_and(Entry::settled) {
+        if self.entries.get(&id).is_some_and(Entry::is_complete) {
             self.entries.remove(&id);
         }
     }
--- /dev/null
+++ b/crates/engine/src/engine/request_table/tests.rs
@@ -0,0 +1,38 @@
+//! Tests of the parent module.
+
+use super::*;
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+#[test]
+fn the_right_to_answer_is_had_once_and_an_entry_goes_with_its_last_attempt() {
+    let mut requests: RequestTable<(), ()> = RequestTable::new();
+    let answers = Arc::new(AtomicUsize::new(0));
+    let told = answers.clone();
+    let id = requests.open(
+        (),
+        10.0,
+        0,
+        RequestAttempts::default(),
+        Box::new(move |_| _ = told.fetch_add(1, Ordering::SeqCst)),
+    );
+    let entry = requests.get_mut(id).expect("an entry");
+    assert_eq!((entry.start_attempt(ServerId(1), 1.0), entry.start_attempt(ServerId(2), 2.0)), (0, 1));
+    requests.reply(id).expect("the right")(Answer::Failed);
+    assert!(requests.reply(id).is_none());
+    requests.forget(id);
+    assert!(requests.is_live(id, 0) && requests.is_live(id, 1), "what is out is still to be told of");
+    let ended = requests.end(id, 1, 5.0).expect("an end");
+    assert_eq!((ended.server, ended.took, ended.over), (ServerId(2), 3.0, true));
+    assert!(requests.end(id, 1, 6.0).is_none(), "an attempt ends once");
+    assert!(requests.end(id, 0, 6.0).is_some() && requests.is_empty());
+    assert_eq!(answers.load(Ordering::SeqCst), 1);
+}
+
+#[test]
+fn numbers_in_use_are_passed_over_when_they_come_round() {
+    let mut requests: RequestTable<(), ()> = RequestTable::new();
+    let first = requests.open((), 0.0, 0, RequestAttempts::default(), Box::new(|_| ()));
+    requests.next = u32::MAX;
+    assert_eq!(requests.open((), 0.0, 0, RequestAttempts::default(), Box::new(|_| ())), RequestId(u32::MAX));
+    assert_ne!(requests.open((), 0.0, 0, RequestAttempts::default(), Box::new(|_| ())), first);
+}
--- a/crates/engine/src/engine/schedule_tests.rs
+++ b/crates/engine/src/engine/schedule_tests.rs
@@ -125,7 +125,7 @@
             Request { class, units: 1.0, time_left: 1500.0, spread: 1.0, uploading, ..Request::default() };
         let told = self.told.clone();
         let reply = Box::new(move |answer| told.lock().unwrap().entry(n).or_default().push(answer));
-        let id = self.core.arrive(self.now as f64, request, n, reply);
+        let id = self.core.submit(self.now as f64, request, n, reply);
         if once {
             self.once.insert(n);
         }
@@ -134,7 +134,7 @@
         }
         if !self.guarded {
             // Without the guard: as if all were repeatable.
-            self.core.forget_once(id, RequestAttempts::default());
+            self.core.replace_execution(id, RequestAttempts::default());
         }
         let wait = self.roll(600);
         match self.roll(6) {
@@ -197,7 +197,7 @@
                     self.met.push(server);
                     self.attempt(id, number, *request);
                 }
-                Output::CallOff { id, number } => _ = self.off.insert((id, number)),
+                Output::CancelAttempt { id, number } => _ = self.off.insert((id, number)),
                 Output::Note { request, server, note: Note::Outcome(outcome, why) } => {
                     let server = server.unwrap_or_else(|| "".into());
                     self.outcomes.record(self.now as f64, &request.to_string(), outcome, why, &server);
@@ -232,14 +232,14 @@
             }
             Due::Whole(..) | Due::End(..) => {}
             Due::Arrive(n) => self.arrive(n),
-            Due::Gone(id) => self.core.gone(now, id),
+            Due::Gone(id) => self.core.client_left(now, id),
             Due::List => self.list(),
             Due::Err(id, 0) => {
                 let at = self.roll(self.met.len() as u64 + 1) as usize;
                 let server = self.met.get(at).copied().unwrap_or_default();
-                self.core.err(now, Action::Send { id, server, timeout: 0.0 });
+                self.core.inject_action(now, Action::Send { id, server, timeout: 0.0 });
             }
-            Due::Err(id, _) => self.core.err(now, Action::Refuse { id, retry_after: 1.0 }),
+            Due::Err(id, _) => self.core.inject_action(now, Action::Refuse { id, retry_after: 1.0 }),
         }
     }
 
@@ -271,14 +271,14 @@
             // Timers or what came from outside: either is seen first.
             let timers_first = self.roll(2) == 0;
             if timers_first {
-                while self.core.come_due(self.now as f64) {}
+                while self.core.run_due_timer(self.now as f64) {}
                 self.take_outputs();
             }
             for due in ready {
                 self.pass(due);
                 self.take_outputs();
             }
-            while self.core.come_due(self.now as f64) {}
+            while self.core.run_due_timer(self.now as f64) {}
         }
         self.take_outputs();
     }
--- a/crates/engine/src/front/heads.rs
+++ b/crates/engine/src/front/heads.rs
@@ -9,34 +9,34 @@
 use http::{Method, Request, StatusCode, Uri, Version};
 
 /// Most headers of one head.
-const MOST_HEADERS: usize = 100;
+const MAX_HEADERS: usize = 100;
 /// Longest line of a chunk's size.
-const LONGEST_SIZE: usize = 64;
+const MAX_CHUNK_SIZE_LINE: usize = 64;
 /// Most that trailers take; they say nothing that is passed on.
-const LONGEST_TRAILERS: usize = 8 * 1024;
+const MAX_TRAILER_BYTES: usize = 8 * 1024;
 
-const SMUGGLED: &str = "Content-Length beside Transfer-Encoding\n";
+const LENGTH_AND_CODING: &str = "Content-Length beside Transfer-Encoding\n";
 
 /// Where a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ends {
+pub enum BodyEnd {
     /// After so many bytes.
-    After(u64),
+    AfterBytes(u64),
     /// With its last chunk.
-    Chunks(Chunk),
+    LastChunk(ChunkState),
     /// It has ended.
-    Over,
+    Reached,
 }
 
 /// Where a chunked body stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Chunk {
+pub enum ChunkState {
     /// Before a size.
     Size,
     /// So many bytes of this chunk are to come.
     Data(u64),
     /// Before the line's end behind a chunk's bytes.
-    Behind,
+    DataEnd,
     /// In the trailers, of which so many bytes have come.
     Trailers(usize),
 }
@@ -47,23 +47,23 @@
     /// What it says.
     pub parts: Parts,
     /// Where its body ends.
-    pub ends: Ends,
+    pub ends: BodyEnd,
     /// The connection ends with its answer.
     pub last: bool,
     /// Its sender waits for a word before it sends the body.
-    pub waits: bool,
+    pub expects_continue: bool,
 }
 
 /// Takes a head off the front of what has come; none if it is not whole yet.
 ///
 /// # Errors
 /// When it is no head, or can be read in two ways.
-pub fn head(buffer: &mut BytesMut, most: usize) -> Result<Option<Head>, Rejection> {
+pub fn parse_head(buffer: &mut BytesMut, most: usize) -> Result<Option<Head>, Rejection> {
     // Empty lines before a request are let pass (RFC 9112, 2.2).
     while buffer.first().is_some_and(|b| matches!(b, b'\r' | b'\n')) {
         buffer.advance(1);
     }
-    let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut room);
     let length = match parsed.parse(buffer) {
         Ok(httparse::Status::Complete(length)) if length <= most => length,
@@ -92,31 +92,31 @@
     if headers.get_all(HOST).iter().count() > 1 {
         return Err(Rejection::bad("Host stands twice\n"));
     }
-    let last = if old { !says(&headers, "keep-alive") } else { says(&headers, "close") };
-    let waits = ends != Ends::Over
+    let last = if old { !connection_has(&headers, "keep-alive") } else { connection_has(&headers, "close") };
+    let expects_continue = ends != BodyEnd::Reached
         && headers.get(EXPECT).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"100-continue"));
     let mut request = Request::new(());
     *request.method_mut() = method;
     *request.uri_mut() = uri;
     *request.version_mut() = if old { Version::HTTP_10 } else { Version::HTTP_11 };
     *request.headers_mut() = headers;
-    Ok(Some(Head { parts: request.into_parts().0, ends, last, waits }))
+    Ok(Some(Head { parts: request.into_parts().0, ends, last, expects_continue }))
 }
 
 /// Whether `Connection` names this option.
-pub fn says(headers: &HeaderMap, option: &str) -> bool {
+pub fn connection_has(headers: &HeaderMap, option: &str) -> bool {
     let values = headers.get_all(CONNECTION).iter();
     let mut options = values.flat_map(|v| v.as_bytes().split(|b| *b == b','));
     options.any(|said| said.trim_ascii().eq_ignore_ascii_case(option.as_bytes()))
 }
 
 /// Where a request's body ends. What can be read in two ways may hide a second request, and is turned away.
-fn ends(headers: &HeaderMap, old: bool) -> Result<Ends, Rejection> {
+fn ends(headers: &HeaderMap, old: bool) -> Result<BodyEnd, Rejection> {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     match (codings.next(), lengths.next()) {
-        (None, None) => Ok(Ends::Over),
-        (Some(_), Some(_)) => Err(Rejection::bad(SMUGGLED)),
+        (None, None) => Ok(BodyEnd::Reached),
+        (Some(_), Some(_)) => Err(Rejection::bad(LENGTH_AND_CODING)),
         (Some(coding), None) => {
             if old
                 || codings.next().is_some()
@@ -125,7 +125,7 @@
                 let status = StatusCode::NOT_IMPLEMENTED;
                 return Err(Rejection { status, why: "no other coding than chunked\n" });
             }
-            Ok(Ends::Chunks(Chunk::Size))
+            Ok(BodyEnd::LastChunk(ChunkState::Size))
         }
         (None, Some(length)) => {
             let plain = |v: &HeaderValue| -> Option<u64> {
@@ -136,8 +136,8 @@
                 return Err(Rejection::bad("Content-Length stands twice\n"));
             }
             match plain(length) {
-                Some(0) => Ok(Ends::Over),
-                Some(length) => Ok(Ends::After(length)),
+                Some(0) => Ok(BodyEnd::Reached),
+                Some(length) => Ok(BodyEnd::AfterBytes(length)),
                 None => Err(Rejection::bad("Content-Length is no number\n")),
             }
         }
@@ -148,56 +148,60 @@
 ///
 /// # Errors
 /// When it is no body.
-pub fn piece(buffer: &mut BytesMut, ends: &mut Ends) -> Result<Option<Bytes>, Rejection> {
+pub fn piece(buffer: &mut BytesMut, ends: &mut BodyEnd) -> Result<Option<Bytes>, Rejection> {
     const BAD: Rejection = Rejection::bad("the body cannot be read\n");
     loop {
         match ends {
-            Ends::Over => return Ok(None),
-            Ends::After(left) => {
+            BodyEnd::Reached => return Ok(None),
+            BodyEnd::AfterBytes(left) => {
                 let taken = (buffer.len() as u64).min(*left);
                 if taken == 0 {
                     return Ok(None);
                 }
                 *left -= taken;
                 if *left == 0 {
-                    *ends = Ends::Over;
+                    *ends = BodyEnd::Reached;
                 }
                 return Ok(Some(buffer.split_to(taken as usize).freeze()));
             }
-            Ends::Chunks(Chunk::Size) => {
-                let Some(line) = line(buffer, LONGEST_SIZE).ok_or(BAD)? else { return Ok(None) };
+            BodyEnd::LastChunk(ChunkState::Size) => {
+                let Some(line) = line(buffer, MAX_CHUNK_SIZE_LINE).ok_or(BAD)? else { return Ok(None) };
                 let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
                 let size =
                     std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
                 let size = size.and_then(|d| u64::from_str_radix(d, 16).ok()).ok_or(BAD)?;
-                *ends = Ends::Chunks(if size == 0 { Chunk::Trailers(0) } else { Chunk::Data(size) });
+                *ends = BodyEnd::LastChunk(if size == 0 {
+                    ChunkState::Trailers(0)
+                } else {
+                    ChunkState::Data(size)
+                });
             }
-            Ends::Chunks(Chunk::Data(left)) => {
+            BodyEnd::LastChunk(ChunkState::Data(left)) => {
                 let taken = (buffer.len() as u64).min(*left);
                 if taken == 0 {
                     return Ok(None);
                 }
                 *left -= taken;
                 if *left == 0 {
-                    *ends = Ends::Chunks(Chunk::Behind);
+                    *ends = BodyEnd::LastChunk(ChunkState::DataEnd);
                 }
                 return Ok(Some(buffer.split_to(taken as usize).freeze()));
             }
-            Ends::Chunks(Chunk::Behind) => {
+            BodyEnd::LastChunk(ChunkState::DataEnd) => {
                 let Some(line) = line(buffer, 2).ok_or(BAD)? else { return Ok(None) };
                 if !line.is_empty() {
                     return Err(BAD);
                 }
-                *ends = Ends::Chunks(Chunk::Size);
+                *ends = BodyEnd::LastChunk(ChunkState::Size);
             }
-            Ends::Chunks(Chunk::Trailers(come)) => {
-                let Some(line) = line(buffer, LONGEST_TRAILERS).ok_or(BAD)? else { return Ok(None) };
+            BodyEnd::LastChunk(ChunkState::Trailers(come)) => {
+                let Some(line) = line(buffer, MAX_TRAILER_BYTES).ok_or(BAD)? else { return Ok(None) };
                 *come += line.len() + 2;
-                if *come > LONGEST_TRAILERS {
+                if *come > MAX_TRAILER_BYTES {
                     return Err(BAD);
                 }
                 if line.is_empty() {
-                    *ends = Ends::Over;
+                    *ends = BodyEnd::Reached;
                 }
             }
         }
@@ -232,7 +236,13 @@
 }
 
 /// An answer's head as bytes.
-pub fn answer(status: StatusCode, headers: &HeaderMap, framing: Framing, close: bool, out: &mut BytesMut) {
+pub fn write_head(
+    status: StatusCode,
+    headers: &HeaderMap,
+    framing: Framing,
+    close: bool,
+    out: &mut BytesMut,
+) {
     out.extend_from_slice(b"HTTP/1.1 ");
     out.extend_from_slice(status.as_str().as_bytes());
     out.extend_from_slice(b" ");
--- a/crates/engine/src/front/heads/tests.rs
+++ b/crates/engine/src/front/heads/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 fn read(text: &str) -> Result<Option<Head>, Rejection> {
-    head(&mut BytesMut::from(text), 16 * 1024)
+    parse_head(&mut BytesMut::from(text), 16 * 1024)
 }
 
-fn bodies(text: &str, mut ends: Ends) -> Result<(Vec<u8>, Ends, Vec<u8>), Rejection> {
+fn bodies(text: &str, mut ends: BodyEnd) -> Result<(Vec<u8>, BodyEnd, Vec<u8>), Rejection> {
     // However it comes: byte by byte.
     let (mut buffer, mut body) = (BytesMut::new(), Vec::new());
     let mut rest = text.bytes();
@@ -14,7 +14,7 @@
         while let Some(piece) = piece(&mut buffer, &mut ends)? {
             body.extend_from_slice(&piece);
         }
-        if ends == Ends::Over {
+        if ends == BodyEnd::Reached {
             return Ok((body, ends, rest.collect()));
         }
         match rest.next() {
@@ -40,8 +40,8 @@
     ] {
         assert!(post(lines).is_err(), "{lines:?}");
     }
-    assert!(matches!(post("Content-Length: 3\r\n"), Ok(Some(Head { ends: Ends::After(3), .. }))));
-    assert!(matches!(post("Content-Length: 0\r\n"), Ok(Some(Head { ends: Ends::Over, .. }))));
+    assert!(matches!(post("Content-Length: 3\r\n"), Ok(Some(Head { ends: BodyEnd::AfterBytes(3), .. }))));
+    assert!(matches!(post("Content-Length: 0\r\n"), Ok(Some(Head { ends: BodyEnd::Reached, .. }))));
 }
 
 #[test]
@@ -51,7 +51,7 @@
         assert!(matches!(read(&whole[..cut]), Ok(None)), "{cut}");
     }
     let head = read(whole).expect("a head").expect("whole");
-    assert!(head.last && !head.waits && head.parts.uri.path() == "/a");
+    assert!(head.last && !head.expects_continue && head.parts.uri.path() == "/a");
     let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(17 * 1024));
     assert_eq!(read(&long).expect_err("too long").status, 431);
     assert!(
@@ -61,11 +61,14 @@
 
 #[test]
 fn chunks_are_put_together_and_bad_ones_are_no_body() {
-    let chunks = Ends::Chunks(Chunk::Size);
+    let chunks = BodyEnd::LastChunk(ChunkState::Size);
     let (body, ends, rest) =
         bodies("3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: 1\r\n\r\nGET", chunks).expect("a body");
-    assert_eq!((body.as_slice(), ends, rest.as_slice()), (&b"abc0123456789"[..], Ends::Over, &b"GET"[..]));
-    assert_eq!(bodies("3\r\nab", chunks).expect("part of one").1, Ends::Chunks(Chunk::Data(1)));
+    assert_eq!(
+        (body.as_slice(), ends, rest.as_slice()),
+        (&b"abc0123456789"[..], BodyEnd::Reached, &b"GET"[..])
+    );
+    assert_eq!(bodies("3\r\nab", chunks).expect("part of one").1, BodyEnd::LastChunk(ChunkState::Data(1)));
     for bad in ["x\r\n", "-1\r\n", "\r\n", "3\nabc", "3\r\nabcd\r\n", "11111111111111111\r\n"] {
         assert!(bodies(bad, chunks).is_err(), "{bad:?}");
     }
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -5,16 +5,15 @@
 
 pub mod connection_ends;
 mod heads;
-mod heard;
 mod pipelined;
 mod receive;
+mod recent_bytes;
 
 use crate::body::{Body, BodyBudget, BodyError, BodyPermit, Upload, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use crate::classify::{self, Rejection};
 use crate::respond;
 use bytes::Bytes;
 use connection_ends::ConnectionEnds;
-use heard::Heard;
 use http::request::Parts;
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -25,6 +24,7 @@
 use hyper_util::rt::TokioIo;
 use oatbank_limiter_core::interface::Millis;
 use oatbank_operations::budget::Budget;
+use recent_bytes::RecentBytes;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -47,21 +47,21 @@
 /// client that takes nothing.
 const STREAM_STALL: Millis = 15_000.0;
 /// BodyPermit for a body is waited for this long.
-const ROOM_WITHIN: Duration = Duration::from_millis(1000);
-const NO_TUNNEL: Rejection = Rejection { status: StatusCode::NOT_IMPLEMENTED, why: "no tunnels\n" };
-const NO_ROOM: Rejection =
+const BODY_PERMIT_TIMEOUT: Duration = Duration::from_millis(1000);
+const CONNECT_UNSUPPORTED: Rejection = Rejection { status: StatusCode::NOT_IMPLEMENTED, why: "no tunnels\n" };
+const NO_BODY_MEMORY: Rejection =
     Rejection { status: StatusCode::SERVICE_UNAVAILABLE, why: "too many long bodies at once\n" };
 /// How often connections are looked at for that.
-const LOOK: Duration = Duration::from_millis(100);
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// A first head's time counts from its first byte, but from no later than this after the connection came, ms.
-const LATE_START: Millis = 300.0;
+const MAX_HEAD_START_DELAY: Millis = 300.0;
 /// A connection that never said anything counts as silent for this many times as long.
-const NEVER_SPOKE: f64 = 10.0;
+const SILENT_PEER_WEIGHT: f64 = 10.0;
 /// A new connection's first words are waited for this long, ms, before it may have to give way.
-const FIRST_WORDS: Millis = 100.0;
+const FIRST_BYTE_GRACE: Millis = 100.0;
 
 /// The least buffer that the parser works with.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
 /// What clients may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -176,23 +176,23 @@
     phase: Cell<Phase>,
     since: Cell<Millis>,
     /// Something came while the request before was in hand: the next one has begun.
-    ahead: Cell<bool>,
-    leave: Notify,
+    next_request_started: Cell<bool>,
+    close_requested: Notify,
     /// It has been asked to leave, and has said nothing since.
-    asked: Cell<bool>,
+    asked_to_close: Cell<bool>,
     /// Its time is up: it is dropped, whatever it has sent so far.
-    over: Cell<bool>,
+    aborted: Cell<bool>,
     /// A body is coming.
     uploading: Cell<bool>,
     /// An answer is on its way that comes piece by piece.
     streaming: Cell<bool>,
     /// Its answer broke off and it could take the end of its connection for that of the answer.
-    cut: Cell<bool>,
+    response_cut: Cell<bool>,
     /// When it last said something, or came; whether it has said anything.
-    heard_at: Cell<Millis>,
-    spoke: Cell<bool>,
+    last_read_at: Cell<Millis>,
+    has_sent: Cell<bool>,
     /// What it said.
-    said: RefCell<Heard>,
+    recent_bytes: RefCell<RecentBytes>,
 }
 
 impl Peer {
@@ -202,23 +202,23 @@
     }
 
     /// Bytes have come.
-    fn heard(&self, now: Millis, bytes: &[u8]) {
-        self.asked.set(false);
+    fn on_read(&self, now: Millis, bytes: &[u8]) {
+        self.asked_to_close.set(false);
         // A client may take its time before it begins; but an end is owed within 3 s of its coming.
-        if !self.spoke.replace(true) {
-            self.since.set(now.min(self.since.get() + LATE_START));
+        if !self.has_sent.replace(true) {
+            self.since.set(now.min(self.since.get() + MAX_HEAD_START_DELAY));
         }
-        self.heard_at.set(now);
-        self.said.borrow_mut().push(bytes);
+        self.last_read_at.set(now);
+        self.recent_bytes.borrow_mut().push(bytes);
         match self.phase.get() {
             Phase::Idle => self.enter(Phase::Reading, now),
-            Phase::Busy | Phase::Writing => self.ahead.set(true),
+            Phase::Busy | Phase::Writing => self.next_request_started.set(true),
             Phase::Reading | Phase::Uploading | Phase::Passing | Phase::Draining => {}
         }
     }
 
     /// The body that was coming is whole, or will never be.
-    fn uploaded(&self, now: Millis) {
+    fn on_upload_end(&self, now: Millis) {
         self.uploading.set(false);
         match self.phase.get() {
             Phase::Uploading | Phase::Passing => self.enter(Phase::Busy, now),
@@ -228,28 +228,28 @@
     }
 
     /// Some of an answer has been taken.
-    fn wrote(&self, now: Millis) {
+    fn on_write(&self, now: Millis) {
         if self.phase.get() == Phase::Writing {
             self.since.set(now);
         }
     }
 
     /// All that was written has gone out.
-    fn flushed(&self, now: Millis) {
+    fn on_flush(&self, now: Millis) {
         if self.phase.get() != Phase::Writing || self.streaming.get() {
             return;
         }
         if self.uploading.get() {
             self.enter(Phase::Draining, now);
-        } else if self.ahead.take() {
+        } else if self.next_request_started.take() {
             self.enter(Phase::Reading, now);
         } else {
-            self.said.borrow_mut().forget();
+            self.recent_bytes.borrow_mut().forget();
             self.enter(Phase::Idle, now);
         }
     }
 
-    fn limit(&self) -> Millis {
+    fn time_limit(&self) -> Millis {
         match self.phase.get() {
             Phase::Writing if self.streaming.get() => STREAM_STALL,
             Phase::Reading | Phase::Writing => self.limits.whole_within,
@@ -260,41 +260,43 @@
     }
 
     /// Asks it to leave between two requests.
-    fn ask_to_leave(&self) {
-        self.asked.set(true);
-        self.leave.notify_one();
+    fn request_close(&self) {
+        self.asked_to_close.set(true);
+        self.close_requested.notify_one();
     }
 
-    fn drop_now(&self) {
-        self.over.set(true);
-        self.leave.notify_one();
+    fn abort(&self) {
+        self.aborted.set(true);
+        self.close_requested.notify_one();
     }
 
     /// How readily it gives way to a new connection, by how long it has been silent; none if it may not. One that writes
     /// slowly gets on, one that stopped half way or asked once and stayed does not, and one that never said anything is
     /// worth the least. A newcomer's first words are waited for, if anything else can go.
-    fn gives_way(&self, now: Millis) -> Option<f64> {
-        let silent = now - self.heard_at.get();
+    fn eviction_score(&self, now: Millis) -> Option<f64> {
+        let silent = now - self.last_read_at.get();
         match self.phase.get() {
-            _ if self.asked.get() => None,
+            _ if self.asked_to_close.get() => None,
             Phase::Busy | Phase::Writing | Phase::Passing => None,
-            Phase::Reading | Phase::Uploading if silent <= FIRST_WORDS => Some(silent - FIRST_WORDS),
-            Phase::Reading if self.spoke.get() => Some(silent),
-            Phase::Reading => Some(silent * NEVER_SPOKE),
+            Phase::Reading | Phase::Uploading if silent <= FIRST_BYTE_GRACE => {
+                Some(silent - FIRST_BYTE_GRACE)
+            }
+            Phase::Reading if self.has_sent.get() => Some(silent),
+            Phase::Reading => Some(silent * SILENT_PEER_WEIGHT),
             Phase::Idle | Phase::Draining | Phase::Uploading => Some(silent),
         }
     }
 }
 
 /// A client's stream, which notes when its peer is heard and has been told all.
-struct Watched<D> {
+struct MonitoredStream<D> {
     /// Looked at from outside too, for what has come unread.
     stream: Rc<TcpStream>,
     peer: Rc<Peer>,
     desk: Rc<D>,
 }
 
-impl<D: HttpHandler> AsyncRead for Watched<D> {
+impl<D: HttpHandler> AsyncRead for MonitoredStream<D> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         loop {
@@ -304,7 +306,7 @@
                 Err(e) => return Poll::Ready(Err(e)),
                 Ok(0) => return Poll::Ready(Ok(())),
                 Ok(_) => {
-                    self.peer.heard(self.desk.now(), &buf.filled()[before..]);
+                    self.peer.on_read(self.desk.now(), &buf.filled()[before..]);
                     return Poll::Ready(Ok(()));
                 }
             }
@@ -312,7 +314,7 @@
     }
 }
 
-impl<D: HttpHandler> AsyncWrite for Watched<D> {
+impl<D: HttpHandler> AsyncWrite for MonitoredStream<D> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.write(cx, |stream| stream.try_write(buf))
     }
@@ -331,7 +333,7 @@
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // A socket keeps nothing back.
-        self.peer.flushed(self.desk.now());
+        self.peer.on_flush(self.desk.now());
         Poll::Ready(Ok(()))
     }
 
@@ -340,7 +342,7 @@
     }
 }
 
-impl<D: HttpHandler> Watched<D> {
+impl<D: HttpHandler> MonitoredStream<D> {
     fn write(
         &self,
         cx: &mut Context<'_>,
@@ -351,7 +353,7 @@
             match how(&self.stream) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 done => {
-                    self.peer.wrote(self.desk.now());
+                    self.peer.on_write(self.desk.now());
                     return Poll::Ready(done);
                 }
             }
@@ -370,18 +372,18 @@
     desk: Rc<D>,
     limits: FrontLimits,
     peers: RefCell<HashMap<u64, Rc<Peer>>>,
-    most: Cell<usize>,
+    max_connections: Cell<usize>,
     /// For the bodies of requests.
-    rooms: BodyBudget,
+    body_budget: BodyBudget,
     next: Cell<u64>,
     stopping: Cell<bool>,
     /// New connections are taken.
-    taking: Cell<bool>,
+    accepting: Cell<bool>,
     /// MembershipSink when that changes.
-    turned: Notify,
+    accepting_changed: Notify,
     /// All connections have a request in hand and another waits to be accepted.
-    crowded: Cell<bool>,
-    left: Notify,
+    saturated: Cell<bool>,
+    connection_closed: Notify,
     ends: ConnectionEnds,
 }
 
@@ -392,14 +394,14 @@
             desk: Rc::new(desk),
             limits,
             peers: RefCell::default(),
-            most: Cell::new(budget.clients),
-            rooms: BodyBudget::new(budget.uploads_kib),
+            max_connections: Cell::new(budget.clients),
+            body_budget: BodyBudget::new(budget.uploads_kib),
             next: Cell::new(0),
             stopping: Cell::new(false),
-            taking: Cell::new(true),
-            turned: Notify::new(),
-            crowded: Cell::new(false),
-            left: Notify::new(),
+            accepting: Cell::new(true),
+            accepting_changed: Notify::new(),
+            saturated: Cell::new(false),
+            connection_closed: Notify::new(),
             ends: ConnectionEnds::default(),
         })
     }
@@ -407,20 +409,20 @@
     /// Accepts connections until it is called off.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
-            if !self.taking.get() {
-                self.turned.notified().await;
+            if !self.accepting.get() {
+                self.accepting_changed.notified().await;
                 continue;
             }
-            while self.peers.borrow().len() >= self.most.get() {
-                self.crowded.set(!self.make_room());
+            while self.peers.borrow().len() >= self.max_connections.get() {
+                self.saturated.set(!self.evict_one());
                 // One that was asked to leave may have come by a request; then another is asked.
-                let _ = tokio::time::timeout(ACCEPT_PAUSE, self.left.notified()).await;
+                let _ = tokio::time::timeout(ACCEPT_PAUSE, self.connection_closed.notified()).await;
             }
-            self.crowded.set(false);
+            self.saturated.set(false);
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
                 // Nothing has been accepted then.
-                () = self.turned.notified() => continue,
+                () = self.accepting_changed.notified() => continue,
             };
             match accepted {
                 Ok((stream, _)) => {
@@ -436,27 +438,28 @@
     }
 
     /// Makes one connection give way; false where all have a request in hand, and the newcomer has to wait.
-    fn make_room(&self) -> bool {
+    fn evict_one(&self) -> bool {
         let (peers, now) = (self.peers.borrow(), self.desk.now());
-        let able = peers.values().filter(|p| !p.over.get()).filter_map(|p| Some((p.gives_way(now)?, p)));
+        let able =
+            peers.values().filter(|p| !p.aborted.get()).filter_map(|p| Some((p.eviction_score(now)?, p)));
         match able.max_by(|(a, _), (b, _)| a.total_cmp(b)) {
             // Between two requests it is asked, so that one which has just come in is not lost.
-            Some((_, peer)) if peer.phase.get() == Phase::Idle => peer.ask_to_leave(),
-            Some((_, peer)) => peer.drop_now(),
+            Some((_, peer)) if peer.phase.get() == Phase::Idle => peer.request_close(),
+            Some((_, peer)) => peer.abort(),
             None => return false,
         }
         true
     }
 
-    /// Ends what does not get on, for the life of the process.
+    /// BodyEnd what does not get on, for the life of the process.
     pub async fn close_stalled_connections(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(STALL_CHECK_INTERVAL).await;
             let now = self.desk.now();
-            for peer in self.peers.borrow().values().filter(|p| now - p.since.get() > p.limit()) {
+            for peer in self.peers.borrow().values().filter(|p| now - p.since.get() > p.time_limit()) {
                 match peer.phase.get() {
-                    Phase::Idle => peer.ask_to_leave(),
-                    _ => peer.drop_now(),
+                    Phase::Idle => peer.request_close(),
+                    _ => peer.abort(),
                 }
             }
         }
@@ -465,17 +468,17 @@
     /// Whether new connections are taken. While none are, another process takes them: answers end their
     /// connections, so that clients move on to it.
     pub fn set_accepting(&self, taking: bool) {
-        self.taking.set(taking);
+        self.accepting.set(taking);
         self.stopping.set(!taking);
-        self.turned.notify_one();
+        self.accepting_changed.notify_one();
     }
 
     /// From now on stays within its parts of this budget; connections over it give way, from the idlest on.
     pub fn apply_budget(&self, budget: Budget) {
-        self.most.set(budget.clients);
-        self.rooms.resize(budget.uploads_kib);
-        for _ in self.most.get()..self.peers.borrow().len() {
-            self.make_room();
+        self.max_connections.set(budget.clients);
+        self.body_budget.resize(budget.uploads_kib);
+        for _ in self.max_connections.get()..self.peers.borrow().len() {
+            self.evict_one();
         }
     }
 
@@ -486,7 +489,7 @@
 
     /// Closes connections as soon as they owe nothing.
     pub fn close_idle(&self) {
-        self.peers.borrow().values().for_each(|peer| peer.ask_to_leave());
+        self.peers.borrow().values().for_each(|peer| peer.request_close());
     }
 
     /// Where its requests are handed in.
@@ -507,55 +510,55 @@
     async fn serve(self: Rc<Self>, stream: TcpStream, number: u64) {
         // An answer is one small write, and is wanted now.
         let _ = stream.set_nodelay(true);
-        let buffer = self.limits.head_bytes.max(LEAST_BUFFER);
+        let buffer = self.limits.head_bytes.max(MIN_BUFFER_BYTES);
         let peer = Rc::new(Peer {
             limits: self.limits,
             phase: Cell::new(Phase::Reading),
             since: Cell::new(self.desk.now()),
-            ahead: Cell::new(false),
-            leave: Notify::new(),
-            asked: Cell::new(false),
+            next_request_started: Cell::new(false),
+            close_requested: Notify::new(),
+            asked_to_close: Cell::new(false),
             uploading: Cell::new(false),
             streaming: Cell::new(false),
-            cut: Cell::new(false),
-            heard_at: Cell::new(self.desk.now()),
-            spoke: Cell::new(false),
-            said: RefCell::new(Heard::new(buffer)),
-            over: Cell::new(false),
+            response_cut: Cell::new(false),
+            last_read_at: Cell::new(self.desk.now()),
+            has_sent: Cell::new(false),
+            recent_bytes: RefCell::new(RecentBytes::new(buffer)),
+            aborted: Cell::new(false),
         });
-        let _listed = Listed::new(self.clone(), number, peer.clone());
+        let _listed = ConnectionEntry::new(self.clone(), number, peer.clone());
         let service = service_fn(|request| {
             let (front, peer) = (self.clone(), peer.clone());
             async move {
                 let closes = request.version() == Version::HTTP_10;
                 let answer = front.answer(request, &peer).await;
                 peer.enter(Phase::Writing, front.desk.now());
-                Ok::<_, Infallible>(answer.map(|body| Given::new(body, closes, peer)))
+                Ok::<_, Infallible>(answer.map(|body| ResponseBody::new(body, closes, peer)))
             }
         });
         let stream = Rc::new(stream);
         if self.desk.supports_pipelining() {
             return pipelined::serve(self.clone(), stream, peer).await;
         }
-        let watched = Watched { stream: stream.clone(), peer: peer.clone(), desk: self.desk.clone() };
+        let watched = MonitoredStream { stream: stream.clone(), peer: peer.clone(), desk: self.desk.clone() };
         let mut builder = http1::Builder::new();
         builder.max_buf_size(buffer);
         let mut connection = pin!(builder.serve_connection(TokioIo::new(watched), service));
         loop {
             tokio::select! {
                 _ = connection.as_mut() => {
-                    if peer.cut.get() {
+                    if peer.response_cut.get() {
                         // Reset, or it would look whole.
                         let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                     }
                     return;
                 }
-                () = peer.leave.notified() => {
-                    if peer.over.get() {
+                () = peer.close_requested.notified() => {
+                    if peer.aborted.get() {
                         return;
                     }
                     // A request that has arrived, or has begun to, is read and answered first.
-                    let begun = peer.phase.get() == Phase::Reading && peer.spoke.get();
+                    let begun = peer.phase.get() == Phase::Reading && peer.has_sent.get();
                     if !(begun || unread(&stream)) {
                         connection.as_mut().graceful_shutdown();
                     }
@@ -574,7 +577,7 @@
             }
         };
         // Where none can give way, a connection that is kept would lock out the clients that wait for one.
-        if self.stopping.get() || self.crowded.get() {
+        if self.stopping.get() || self.saturated.get() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
@@ -583,8 +586,8 @@
     /// Answers one request; the error is an answer too, to what is none of the limiter's work.
     async fn handle(&self, request: Request<Incoming>, peer: &Rc<Peer>) -> Result<Response<Body>, Rejection> {
         let (mut head, body) = request.into_parts();
-        framing(&head.headers, &*self.desk, peer)?;
-        let ticket = match self.look(&mut head)? {
+        check_framing(&head.headers, &*self.desk, peer)?;
+        let ticket = match self.decide_head(&mut head)? {
             HeadDecision::Respond(answer) => {
                 peer.enter(Phase::Busy, self.desk.now());
                 return Ok(answer);
@@ -592,7 +595,7 @@
             HeadDecision::Accept(ticket) => ticket,
         };
         if head.method == Method::CONNECT {
-            return Err(NO_TUNNEL);
+            return Err(CONNECT_UNSUPPORTED);
         }
         let (body, room) = self.receive(body, peer).await?;
         peer.enter(if body.is_stream() { Phase::Passing } else { Phase::Busy }, self.desk.now());
@@ -600,7 +603,7 @@
     }
 
     /// Judges a head before its body is read: nothing is kept for what is turned away.
-    fn look(&self, head: &mut Parts) -> Result<HeadDecision<D::Ticket>, Rejection> {
+    fn decide_head(&self, head: &mut Parts) -> Result<HeadDecision<D::Ticket>, Rejection> {
         // The host of an absolute form counts, whatever `Host` says (RFC 9112, 3.2.2).
         if let (Some(_), Some(host)) = (head.uri.scheme(), host_of(&head.uri)) {
             head.headers.insert(HOST, host);
@@ -621,41 +624,44 @@
         peer.enter(Phase::Uploading, self.desk.now());
         peer.uploading.set(true);
         let length = if body.is_end_stream() { Some(0) } else { body.size_hint().exact() };
-        let room =
-            tokio::time::timeout(ROOM_WITHIN, self.rooms.acquire_buffered(length, self.limits.held)).await;
+        let room = tokio::time::timeout(
+            BODY_PERMIT_TIMEOUT,
+            self.body_budget.acquire_buffered(length, self.limits.held),
+        )
+        .await;
         let room = room.map_err(|_| {
             peer.uploading.set(false);
-            NO_ROOM
+            NO_BODY_MEMORY
         })?;
         let (desk, uploading) = (self.desk.clone(), peer.clone());
-        let upload = receive::receive(body, self.limits, move || uploading.uploaded(desk.now())).await;
+        let upload = receive::receive(body, self.limits, move || uploading.on_upload_end(desk.now())).await;
         // What could not be taken is answered, and its connection closed.
         upload.map(|upload| (upload, room)).inspect_err(|_| peer.uploading.set(false))
     }
 }
 
 /// An answer on its way to a client.
-struct Given {
+struct ResponseBody {
     body: Body,
     /// It may end with its connection.
     closes: bool,
     peer: Rc<Peer>,
 }
 
-impl Given {
+impl ResponseBody {
     fn new(body: Body, closes: bool, peer: Rc<Peer>) -> Self {
         peer.streaming.set(matches!(body, Body::Stream { .. }));
-        Given { body, closes, peer }
+        ResponseBody { body, closes, peer }
     }
 }
 
-impl Drop for Given {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
         self.peer.streaming.set(false);
     }
 }
 
-impl HttpBody for Given {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -665,7 +671,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         if self.closes && matches!(frame, Some(Err(_))) {
-            self.peer.cut.set(true);
+            self.peer.response_cut.set(true);
         }
         Poll::Ready(frame)
     }
@@ -680,28 +686,28 @@
 }
 
 /// Takes a connection off the list whichever way it ends.
-struct Listed<D> {
+struct ConnectionEntry<D> {
     front: Rc<Front<D>>,
     number: u64,
 }
 
-impl<D> Listed<D> {
+impl<D> ConnectionEntry<D> {
     fn new(front: Rc<Front<D>>, number: u64, peer: Rc<Peer>) -> Self {
         front.peers.borrow_mut().insert(number, peer);
-        Listed { front, number }
+        ConnectionEntry { front, number }
     }
 }
 
-impl<D> Drop for Listed<D> {
+impl<D> Drop for ConnectionEntry<D> {
     fn drop(&mut self) {
         self.front.peers.borrow_mut().remove(&self.number);
-        self.front.left.notify_one();
+        self.front.connection_closed.notify_one();
     }
 }
 
 /// Turns away what can be read in two ways, and may so hide a second request: a length beside a coding, or a coding
 /// beside `chunked`.
-fn framing<D: HttpHandler>(headers: &HeaderMap, desk: &D, peer: &Peer) -> Result<(), Rejection> {
+fn check_framing<D: HttpHandler>(headers: &HeaderMap, desk: &D, peer: &Peer) -> Result<(), Rejection> {
     if headers.contains_key(TRANSFER_ENCODING) {
         let coding = classify::single(headers, &TRANSFER_ENCODING)?.unwrap_or_default();
         if !coding.trim().eq_ignore_ascii_case("chunked") {
@@ -713,7 +719,7 @@
         // The parser does not show a length that stands behind the coding, so the bytes are looked at. The name of a
         // request is its own.
         let id = classify::single(headers, &desk.request_id_header())?.unwrap_or_default();
-        if headers.contains_key(CONTENT_LENGTH) || !peer.said.borrow().has_no_length(id.as_bytes()) {
+        if headers.contains_key(CONTENT_LENGTH) || !peer.recent_bytes.borrow().has_no_length(id.as_bytes()) {
             return Err(Rejection::bad("Content-Length beside Transfer-Encoding\n"));
         }
     }
--- a/crates/engine/src/front/pipelined/mod.rs
+++ b/crates/engine/src/front/pipelined/mod.rs
@@ -36,20 +36,20 @@
 use write::WriteEnd;
 
 /// Requests in hand at once on one connection.
-const MOST: usize = 8;
+const MAX_PIPELINED: usize = 8;
 /// What is read at a time.
-const READ: usize = 16 * 1024;
+const READ_SIZE: usize = 16 * 1024;
 /// While something is waited for, it is read on until this is there, to see whether the client closes. With what one read
 /// brings it stays within a connection's part of the memory.
 const READ_AHEAD: usize = 8 * 1024;
 /// Where more than that has come, the socket is asked this often.
 const CLOSED_POLL: Duration = Duration::from_millis(50);
 /// After the last answer the client's end is waited for so long: a close with unread bytes would take the answer back.
-const PARTING: Duration = Duration::from_millis(1000);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// A request's turn to be answered.
-struct Turn {
-    answer: Answering,
+struct PendingAnswer {
+    answer: AnswerSource,
     /// Only the head of the answer is wanted.
     bare: bool,
     /// It came by HTTP/1.0.
@@ -58,15 +58,15 @@
     last: bool,
 }
 
-enum Answering {
-    Now(Box<Response<Body>>),
-    Coming(Running),
+enum AnswerSource {
+    Ready(Box<Response<Body>>),
+    Pending(AnswerTask),
 }
 
 /// What works on an answer; ends with its connection.
-struct Running(JoinHandle<Response<Body>>);
+struct AnswerTask(JoinHandle<Response<Body>>);
 
-impl Drop for Running {
+impl Drop for AnswerTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -82,7 +82,7 @@
     /// Notified when one of them has its answer.
     answered: Notify,
     /// A request has come, or a part of one, that is not begun yet.
-    next_has_come: Cell<bool>,
+    next_request_started: Cell<bool>,
     /// The connection ends with the last answer to what was begun, and nothing more is begun.
     closing: Cell<bool>,
 }
@@ -95,14 +95,14 @@
         peer,
         unanswered: Cell::new(0),
         answered: Notify::new(),
-        next_has_come: Cell::new(false),
+        next_request_started: Cell::new(false),
         closing: Cell::new(false),
     };
     let end = connection.run().await;
     connection.front.ends.record(end, connection.unanswered.get());
     match end {
-        ConnectionEnd::LastAnswer => connection.part().await,
-        ConnectionEnd::Idle => connection.part_unread().await,
+        ConnectionEnd::LastAnswer => connection.close_gracefully().await,
+        ConnectionEnd::Idle => connection.close_without_reading().await,
         ConnectionEnd::AnswerCut => _ = SockRef::from(&*connection.stream).set_linger(Some(Duration::ZERO)),
         ConnectionEnd::ClientClosed | ConnectionEnd::WriteFailed | ConnectionEnd::Dropped => {}
     }
@@ -115,7 +115,7 @@
 
     /// Reads requests and writes answers until the connection is to end. What was begun ends with the return.
     async fn run(&self) -> ConnectionEnd {
-        let (turns, next) = mpsc::channel(MOST);
+        let (turns, next) = mpsc::channel(MAX_PIPELINED);
         let mut reading = pin!(self.read(turns));
         let mut writing = pin!(self.write(next));
         let mut reads = true;
@@ -132,11 +132,11 @@
                 },
                 // Nobody else reads any more.
                 () = self.client_closed(), if !reads => return ConnectionEnd::ClientClosed,
-                () = self.peer.leave.notified() => {
-                    if self.peer.over.get() {
+                () = self.peer.close_requested.notified() => {
+                    if self.peer.aborted.get() {
                         return self.dropped();
                     }
-                    if self.owes_nothing() {
+                    if self.is_idle() {
                         return ConnectionEnd::Idle;
                     }
                 }
@@ -153,13 +153,13 @@
     }
 
     /// Whether nothing was begun that has no answer, and nothing has come that could be begun.
-    fn owes_nothing(&self) -> bool {
-        self.unanswered.get() == 0 && !self.next_has_come.get() && !unread(&self.stream)
+    fn is_idle(&self) -> bool {
+        self.unanswered.get() == 0 && !self.next_request_started.get() && !unread(&self.stream)
     }
 
     /// Reads more; false at the end.
-    async fn more(&self, buffer: &mut BytesMut) -> bool {
-        buffer.reserve(READ);
+    async fn read_more(&self, buffer: &mut BytesMut) -> bool {
+        buffer.reserve(READ_SIZE);
         let before = buffer.len();
         loop {
             if self.stream.readable().await.is_err() {
@@ -169,7 +169,7 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) | Ok(0) => return false,
                 Ok(_) => {
-                    self.peer.heard(self.now(), &buffer[before..]);
+                    self.peer.on_read(self.now(), &buffer[before..]);
                     return true;
                 }
             }
@@ -184,8 +184,8 @@
             tokio::select! {
                 biased;
                 done = &mut awaited => return Some(done),
-                is_open = self.more(buffer), if has_room => {
-                    self.next_has_come.set(true);
+                is_open = self.read_more(buffer), if has_room => {
+                    self.next_request_started.set(true);
                     if !is_open {
                         return None;
                     }
@@ -208,24 +208,24 @@
     /// Completes when the client has closed. What it sends before is thrown away.
     async fn client_closed(&self) {
         let mut buffer = BytesMut::new();
-        while self.more(&mut buffer).await {
+        while self.read_more(&mut buffer).await {
             buffer.clear();
         }
     }
 
     /// Says that nothing more comes, and waits until the client has closed, or has sent a request that crosses this. That
     /// is left unread, so that it certainly was not begun; the reset that follows tells its client at once.
-    async fn part_unread(&self) {
+    async fn close_without_reading(&self) {
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
-        let _ = timeout(PARTING, self.stream.readable()).await;
+        let _ = timeout(CLOSE_TIMEOUT, self.stream.readable()).await;
         if unread(&self.stream) {
             self.front.ends.record_crossing();
         }
     }
 
     /// Says that nothing more comes, and waits for the client's end.
-    async fn part(&self) {
+    async fn close_gracefully(&self) {
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
-        let _ = timeout(PARTING, self.client_closed()).await;
+        let _ = timeout(CLOSE_TIMEOUT, self.client_closed()).await;
     }
 }
--- a/crates/engine/src/front/pipelined/write.rs
+++ b/crates/engine/src/front/pipelined/write.rs
@@ -2,7 +2,7 @@
 
 use super::super::heads::{self, Framing};
 use super::super::{closing, HttpHandler, Phase};
-use super::{Answering, Connection, Turn};
+use super::{AnswerSource, Connection, PendingAnswer};
 use crate::body::{self, Body};
 use crate::respond::plain;
 use bytes::{Bytes, BytesMut};
@@ -22,18 +22,20 @@
 
 impl<D: HttpHandler> Connection<D> {
     /// Writes answers to the end of the connection.
-    pub(super) async fn write(&self, mut turns: mpsc::Receiver<Turn>) -> WriteEnd {
+    pub(super) async fn write(&self, mut turns: mpsc::Receiver<PendingAnswer>) -> WriteEnd {
         while let Some(mut turn) = turns.recv().await {
             let answer = match &mut turn.answer {
-                Answering::Now(answer) => std::mem::replace(&mut **answer, Response::new(Body::default())),
+                AnswerSource::Ready(answer) => {
+                    std::mem::replace(&mut **answer, Response::new(Body::default()))
+                }
                 // A task that died may have sent its request.
-                Answering::Coming(task) => (&mut task.0)
+                AnswerSource::Pending(task) => (&mut task.0)
                     .await
                     .unwrap_or_else(|_| closing(plain(StatusCode::BAD_GATEWAY, "no answer can be given\n"))),
             };
             self.peer.enter(Phase::Writing, self.now());
             let is_last = self.is_last(&turn, &answer);
-            if let Some(end) = self.give(answer, &turn, is_last).await {
+            if let Some(end) = self.write_answer(answer, &turn, is_last).await {
                 return end;
             }
             self.on_answered();
@@ -47,11 +49,11 @@
 
     /// Whether the connection ends with this answer. With a reason to end it, nothing more is begun, and it ends once what
     /// was begun before has its answers.
-    fn is_last(&self, turn: &Turn, answer: &Response<Body>) -> bool {
+    fn is_last(&self, turn: &PendingAnswer, answer: &Response<Body>) -> bool {
         let ends = turn.last
-            || heads::says(answer.headers(), "close")
+            || heads::connection_has(answer.headers(), "close")
             || self.front.stopping.get()
-            || self.front.crowded.get();
+            || self.front.saturated.get();
         if ends {
             self.closing.set(true);
         }
@@ -66,24 +68,29 @@
             self.peer.enter(Phase::Busy, self.now());
         } else {
             // What has come of the next request counts, and not what came of the body of this one.
-            self.peer.ahead.set(self.next_has_come.get());
-            self.peer.flushed(self.now());
+            self.peer.next_request_started.set(self.next_request_started.get());
+            self.peer.on_flush(self.now());
         }
     }
 
     /// Writes one answer; why nothing can follow it, if so.
-    async fn give(&self, answer: Response<Body>, turn: &Turn, close: bool) -> Option<WriteEnd> {
+    async fn write_answer(
+        &self,
+        answer: Response<Body>,
+        turn: &PendingAnswer,
+        close: bool,
+    ) -> Option<WriteEnd> {
         let (head, body) = answer.into_parts();
         let bodiless = turn.bare || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let mut out = BytesMut::with_capacity(512);
         let lost = |done: bool| (!done).then_some(WriteEnd::Failed);
         match body {
             _ if bodiless => {
-                heads::answer(head.status, &head.headers, Framing::None, close, &mut out);
+                heads::write_head(head.status, &head.headers, Framing::None, close, &mut out);
                 lost(self.write_all(&out, b"").await)
             }
             Body::Whole(bytes) => {
-                heads::answer(
+                heads::write_head(
                     head.status,
                     &head.headers,
                     Framing::Length(bytes.len() as u64),
@@ -98,7 +105,7 @@
                     None if turn.old => Framing::Close,
                     None => Framing::Chunked,
                 };
-                heads::answer(head.status, &head.headers, framing, close, &mut out);
+                heads::write_head(head.status, &head.headers, framing, close, &mut out);
                 self.peer.streaming.set(length != Some(held.len() as u64));
                 let end = self.stream(&out, held, framing, &mut rest).await;
                 self.peer.streaming.set(false);
@@ -163,7 +170,7 @@
                 Ok(wrote) => {
                     let of_first = wrote.min(first.len());
                     (first, second) = (&first[of_first..], &second[wrote - of_first..]);
-                    self.peer.wrote(self.now());
+                    self.peer.on_write(self.now());
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if self.stream.writable().await.is_err() {
--- a/crates/engine/src/front/receive.rs
+++ b/crates/engine/src/front/receive.rs
@@ -12,39 +12,39 @@
 use tokio::time::{timeout, Instant};
 
 /// What a body may take in all: this long, and a second for so many bytes. A quarter of what slow clients reach.
-const GRACE: Duration = Duration::from_millis(3000);
-const LEAST_RATE: f64 = 16.0 * 1024.0;
+const BODY_GRACE: Duration = Duration::from_millis(3000);
+const MIN_BODY_RATE: f64 = 16.0 * 1024.0;
 /// A server that takes nothing of a body for this long is given up.
-pub(super) const STALL: Duration = Duration::from_secs(10);
+pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// What comes of a body after its answer is read and thrown away while it gets on, for this long at most, so that a client
 /// which writes to the end before it reads gets its answer and keeps its connection.
-const LINGER: Duration = Duration::from_secs(30);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(super) const TOO_SLOW: Rejection =
     Rejection { status: StatusCode::REQUEST_TIMEOUT, why: "the body takes too long\n" };
 
 /// What has come so far, against the time it took.
-struct Pace {
+struct BodyPace {
     begun: Instant,
     bytes: u64,
     limits: FrontLimits,
 }
 
-impl Pace {
+impl BodyPace {
     fn new(limits: FrontLimits) -> Self {
-        Pace { begun: Instant::now(), bytes: 0, limits }
+        BodyPace { begun: Instant::now(), bytes: 0, limits }
     }
 
     /// How long the next piece is waited for.
-    fn patience(&self) -> Duration {
-        let due = GRACE + Duration::from_secs_f64(self.bytes as f64 / LEAST_RATE);
+    fn read_timeout(&self) -> Duration {
+        let due = BODY_GRACE + Duration::from_secs_f64(self.bytes as f64 / MIN_BODY_RATE);
         self.limits.silence.min(due.saturating_sub(self.begun.elapsed()))
     }
 
     /// The next piece of a body; none at its end.
     async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
         loop {
-            let Ok(frame) = timeout(self.patience(), body.frame()).await else {
+            let Ok(frame) = timeout(self.read_timeout(), body.frame()).await else {
                 return Err(BodyError::Stalled);
             };
             let Some(frame) = frame else { return Ok(None) };
@@ -90,7 +90,7 @@
     if length.is_some_and(|l| l > limits.body_bytes) {
         return Err(too_long(&limits));
     }
-    let mut pace = Pace::new(limits);
+    let mut pace = BodyPace::new(limits);
     let mut start = BodyPrefix::default();
     while !start.is_longer_than(limits.held) {
         let Some(piece) = pace.next(&mut body).await.map_err(|why| rejection(why, &limits))? else {
@@ -101,18 +101,18 @@
     }
     let (feed, rest) = body::body_channel();
     tokio::task::spawn_local(async move {
-        pass_on(body, pace, feed).await;
+        forward_body(body, pace, feed).await;
         whole();
     });
     Ok(Upload::stream(start.finish(), length, rest))
 }
 
 /// Passes a body on as it comes, no faster than it is taken.
-async fn pass_on(mut body: Incoming, mut pace: Pace, feed: BodySender) {
+async fn forward_body(mut body: Incoming, mut pace: BodyPace, feed: BodySender) {
     loop {
         let piece = tokio::select! {
             piece = pace.next(&mut body) => piece,
-            () = feed.closed() => return linger(body, pace).await,
+            () = feed.closed() => return discard_rest(body, pace).await,
         };
         let piece = match piece {
             Ok(Some(piece)) => piece,
@@ -124,9 +124,9 @@
             }
         };
         let waits = Instant::now();
-        match timeout(STALL, feed.send(Ok(piece))).await {
+        match timeout(STALL_TIMEOUT, feed.send(Ok(piece))).await {
             Ok(Ok(())) => {}
-            Ok(Err(_)) => return linger(body, pace).await,
+            Ok(Err(_)) => return discard_rest(body, pace).await,
             // The server's end of it breaks off with the feed.
             Err(_) => return,
         }
@@ -136,7 +136,7 @@
 }
 
 /// Takes the rest of a body whose request has been answered.
-async fn linger(mut body: Incoming, mut pace: Pace) {
-    let end = Instant::now() + LINGER;
+async fn discard_rest(mut body: Incoming, mut pace: BodyPace) {
+    let end = Instant::now() + DISCARD_TIMEOUT;
     while let Ok(Ok(Some(_))) = tokio::time::timeout_at(end, pace.next(&mut body)).await {}
 }
--- a/crates/engine/src/front/heard.rs
+++ b/crates/engine/src/front/recent_bytes.rs
@@ -5,22 +5,22 @@
 use memchr::{memchr_iter, memmem};
 
 /// The last bytes that came on a connection.
-pub(super) struct Heard {
+pub(super) struct RecentBytes {
     bytes: Vec<u8>,
     /// The most that is kept: what the parser's own buffer holds, in which a head must fit whole.
-    most: usize,
+    limit: usize,
 }
 
-impl Heard {
+impl RecentBytes {
     /// Nothing has come; so many bytes are kept.
-    pub(super) fn new(most: usize) -> Self {
-        Heard { bytes: Vec::new(), most }
+    pub(super) fn new(limit: usize) -> Self {
+        RecentBytes { bytes: Vec::new(), limit }
     }
 
     /// These bytes have come.
     pub(super) fn push(&mut self, bytes: &[u8]) {
-        let bytes = &bytes[bytes.len().saturating_sub(self.most)..];
-        let over = (self.bytes.len() + bytes.len()).saturating_sub(self.most);
+        let bytes = &bytes[bytes.len().saturating_sub(self.limit)..];
+        let over = (self.bytes.len() + bytes.len()).saturating_sub(self.limit);
         self.bytes.drain(..over);
         self.bytes.extend_from_slice(bytes);
     }
--- a/crates/engine/src/front/heard/tests.rs
+++ b/crates/engine/src/front/recent_bytes/tests.rs
@@ -4,8 +4,8 @@
 
 const MOST: usize = 16 * 1024;
 
-fn heard(pieces: &[&str]) -> Heard {
-    let mut heard = Heard::new(MOST);
+fn heard(pieces: &[&str]) -> RecentBytes {
+    let mut heard = RecentBytes::new(MOST);
     pieces.iter().for_each(|p| heard.push(p.as_bytes()));
     heard
 }
@@ -39,7 +39,7 @@
 
 #[test]
 fn what_is_kept_is_bounded() {
-    let mut heard = Heard::new(MOST);
+    let mut heard = RecentBytes::new(MOST);
     (0..100).for_each(|_| heard.push(&[b'x'; 1000]));
     heard.push(&[b'y'; 20_000]);
     assert_eq!(heard.bytes.len(), MOST);
--- a/crates/engine/src/handle.rs
+++ b/crates/engine/src/handle.rs
@@ -187,16 +187,16 @@
         let mut asked = Vec::new();
         while asked.is_empty() && self.commands.recv_many(&mut batch, BATCH).await > 0 {
             for command in batch.drain(..) {
-                self.obey(&engine, &tickets, &told, command, &mut asked);
+                self.execute(&engine, &tickets, &told, command, &mut asked);
             }
             // Timers and attempts are tasks beside this one.
             tokio::task::yield_now().await;
         }
         self.finish(&engine, &tickets, &told).await;
-        tell_end(asked);
+        notify_stopped(asked);
     }
 
-    fn obey<U: Upstream<Request = Q, Answer = A>>(
+    fn execute<U: Upstream<Request = Q, Answer = A>>(
         &self,
         engine: &Rc<Engine<U>>,
         tickets: &Tickets,
@@ -242,17 +242,17 @@
         let mut more = Vec::new();
         while (engine.unanswered() > 0 || !self.commands.is_empty()) && Instant::now() < end {
             match tokio::time::timeout(Duration::from_millis(5), self.commands.recv()).await {
-                Ok(Some(command)) => self.obey(engine, tickets, told, command, &mut more),
+                Ok(Some(command)) => self.execute(engine, tickets, told, command, &mut more),
                 Ok(None) => tokio::time::sleep(Duration::from_millis(5)).await,
                 Err(_) => {}
             }
         }
         engine.fail_all();
-        tell_end(more);
+        notify_stopped(more);
     }
 }
 
-fn tell_end(asked: Vec<oneshot::Sender<()>>) {
+fn notify_stopped(asked: Vec<oneshot::Sender<()>>) {
     for done in asked {
         // Who asked need not have waited.
         let _ = done.send(());
