--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -25,9 +25,9 @@
 /// BodyPermit for bodies: what they may take of the memory together. Whoever finds none waits, in turn.
 #[derive(Clone, Debug)]
 pub struct BodyBudget {
-    kib: Arc<Semaphore>,
+    available_kib: Arc<Semaphore>,
     /// How much there is in all.
-    most: Rc<Cell<usize>>,
+    total_kib: Rc<Cell<usize>>,
 }
 
 /// BodyPermit that a body has, until it is dropped.
@@ -39,19 +39,19 @@
 impl BodyBudget {
     /// BodyPermit for so many KiB.
     pub fn new(kib: usize) -> Self {
-        BodyBudget { kib: Arc::new(Semaphore::new(kib)), most: Rc::new(Cell::new(kib)) }
+        BodyBudget { available_kib: Arc::new(Semaphore::new(kib)), total_kib: Rc::new(Cell::new(kib)) }
     }
 
     /// From now on there is room for so many KiB; what is taken stays taken until it is given back.
     pub fn resize(&self, kib: usize) {
-        let before = self.most.replace(kib);
+        let before = self.total_kib.replace(kib);
         if kib >= before {
-            self.kib.add_permits(kib - before);
+            self.available_kib.add_permits(kib - before);
         } else {
             let less = before - kib;
-            let gone = self.kib.forget_permits(less);
+            let gone = self.available_kib.forget_permits(less);
             // What is taken now cannot be taken away: the rest counts as there until the next change.
-            self.most.set(kib + (less - gone));
+            self.total_kib.set(kib + (less - gone));
         }
     }
 
@@ -70,9 +70,14 @@
             None => STREAM_KIB.max(held / 1024),
         };
         // More than there is in all could never be had.
-        let kib = kib.min(self.most.get()).max(1) as u32;
+        let kib = kib.min(self.total_kib.get()).max(1) as u32;
         // The semaphore is never closed.
-        self.kib.clone().acquire_many_owned(kib).await.ok().map(|permit| BodyPermit { _permit: permit })
+        self.available_kib
+            .clone()
+            .acquire_many_owned(kib)
+            .await
+            .ok()
+            .map(|permit| BodyPermit { _permit: permit })
     }
 }
 
@@ -314,11 +319,11 @@
 pub struct UploadBody<Q> {
     request: Arc<Q>,
     upload: fn(&Q) -> &Upload,
-    begun: bool,
+    started: bool,
     rest: Option<BodyReceiver>,
     left: Option<u64>,
-    tell: Rc<dyn Fn(Progress)>,
-    gone: Rc<SendState>,
+    on_progress: Rc<dyn Fn(Progress)>,
+    state: Rc<SendState>,
 }
 
 impl<Q> UploadBody<Q> {
@@ -326,14 +331,14 @@
     pub fn new(
         request: Arc<Q>,
         upload: fn(&Q) -> &Upload,
-        tell: Rc<dyn Fn(Progress)>,
-        gone: Rc<SendState>,
+        on_progress: Rc<dyn Fn(Progress)>,
+        state: Rc<SendState>,
     ) -> Self {
         let left = match upload(&request) {
             Upload::Whole(bytes) => Some(bytes.len() as u64),
             Upload::Stream { length, .. } => *length,
         };
-        UploadBody { request, upload, begun: false, rest: None, left, tell, gone }
+        UploadBody { request, upload, started: false, rest: None, left, on_progress, state }
     }
 
     /// A piece goes out; with the last one the body is sent.
@@ -348,13 +353,13 @@
     }
 
     fn sent(&self) {
-        if !self.gone.sent.replace(true) && (self.upload)(&self.request).is_stream() {
-            (self.tell)(Progress::Sent);
+        if !self.state.sent.replace(true) && (self.upload)(&self.request).is_stream() {
+            (self.on_progress)(Progress::Sent);
         }
     }
 
     fn fail(&self, why: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        self.gone.failed.set(true);
+        self.state.failed.set(true);
         Poll::Ready(Some(Err(why)))
     }
 }
@@ -368,8 +373,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = &mut *self;
-        if !this.begun {
-            this.begun = true;
+        if !this.started {
+            this.started = true;
             let held = match (this.upload)(&this.request) {
                 Upload::Whole(bytes) => bytes.clone(),
                 Upload::Stream { held, .. } => held.clone(),
@@ -387,7 +392,7 @@
                 return this.fail(BodyError::Spent);
             };
             this.rest = Some(rest);
-            (this.tell)(Progress::Spent);
+            (this.on_progress)(Progress::Spent);
         }
         let Some(rest) = &mut this.rest else { return this.fail(BodyError::Spent) };
         match ready!(rest.poll_recv(cx)) {
@@ -402,7 +407,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == Some(0) && (self.begun || !(self.upload)(&self.request).is_stream())
+        self.left == Some(0) && (self.started || !(self.upload)(&self.request).is_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/crates/engine/src/direct.rs
+++ b/crates/engine/src/direct.rs
@@ -36,7 +36,7 @@
     clock: SystemClock,
     setup: Setup,
     /// So many requests may be in hand.
-    most: usize,
+    capacity: usize,
     /// Calls for the counter's task: one a name at most.
     calls: mpsc::UnboundedSender<Call>,
     /// MembershipSink when an earlier due than all before has been set.
@@ -168,9 +168,9 @@
     calls: mpsc::UnboundedReceiver<Call>,
 }
 
-/// A limiter that takes `most` requests in hand, and its task. `setup` is what requests are classified by;
+/// A limiter that takes `capacity` requests in hand, and its task. `setup` is what requests are classified by;
 /// `module` is what the decision module is told.
-pub fn pair(setup: Setup, module: &Setup, most: usize) -> (Direct, Work) {
+pub fn pair(setup: Setup, module: &Setup, capacity: usize) -> (Direct, Work) {
     let (sender, calls) = mpsc::unbounded_channel();
     let mut core = Core::new(module);
     let clock = SystemClock::new();
@@ -180,7 +180,7 @@
         core: parking_lot::Mutex::new(core),
         clock,
         setup,
-        most,
+        capacity,
         calls: sender,
         earlier_timer: Notify::new(),
         asleep_until: AtomicU64::new(u64::MAX),
@@ -208,7 +208,7 @@
         let shared = self.shared();
         let stopping = shared.stopping.load(Ordering::Acquire);
         let taken = shared.change(|core, now| {
-            if stopping || core.unanswered() >= shared.most {
+            if stopping || core.unanswered() >= shared.capacity {
                 return None;
             }
             // A client that has just left needs no answer.
--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -71,7 +71,7 @@
 enum Due {
     Module(u64),
     Attempt(RequestId, u8),
-    Late(RequestId, u8),
+    LateAnswer(RequestId, u8),
     AnswerDeadline(RequestId),
     Call(CallId),
 }
@@ -91,10 +91,10 @@
     pub warm: bool,
 }
 
-/// CallEndSink that nobody has taken: the newest are left out beyond this.
+/// Ends that nobody has taken: the newest are left out beyond this.
 const MAX_FINISHED_ATTEMPTS: usize = 4096;
 /// What an attempt was sent, and the name of its server.
-type Late<Q> = (Arc<Q>, Option<Arc<str>>);
+type LateAttempt<Q> = (Arc<Q>, Option<Arc<str>>);
 
 /// One decision module with the requests, servers, calls and timers round it.
 pub(crate) struct Core<Q, A> {
@@ -102,7 +102,7 @@
     names: Names,
     settings: Settings,
     actions: Vec<Action>,
-    todo: VecDeque<Action>,
+    pending_actions: VecDeque<Action>,
     events: VecDeque<Event>,
     outputs: VecDeque<Output<Q>>,
     requests: RequestTable<Q, A>,
@@ -112,14 +112,14 @@
     calls: HashMap<CallId, (CountName, Millis)>,
     next_call: u64,
     /// How attempts ended, by zone, where that is counted.
-    tally: Option<HashMap<u16, Counts>>,
+    zone_counts: Option<HashMap<u16, Counts>>,
     /// How attempts ended since they were last taken, where somebody takes them.
-    ends: Option<Vec<Finished>>,
+    finished_attempts: Option<Vec<Finished>>,
     /// Where requests that run once are told of: an answer is listened for so much longer, ms, than it is
     /// waited for.
-    witness: Option<Millis>,
+    late_answer_wait: Option<Millis>,
     /// Attempts that are listened for and no longer waited for.
-    late: HashMap<(RequestId, u8), Late<Q>>,
+    late_attempts: HashMap<(RequestId, u8), LateAttempt<Q>>,
     /// Decisions that were not carried out.
     prevented_violations: u64,
     departures: Departures,
@@ -134,7 +134,7 @@
             names: setup.names.clone(),
             settings: setup.settings.clone(),
             actions: Vec::new(),
-            todo: VecDeque::new(),
+            pending_actions: VecDeque::new(),
             events: VecDeque::new(),
             outputs: VecDeque::new(),
             requests: RequestTable::new(),
@@ -142,10 +142,10 @@
             timers: Timers::new(),
             calls: HashMap::new(),
             next_call: 0,
-            tally: None,
-            ends: None,
-            witness: None,
-            late: HashMap::new(),
+            zone_counts: None,
+            finished_attempts: None,
+            late_answer_wait: None,
+            late_attempts: HashMap::new(),
             prevented_violations: 0,
             departures: Departures::default(),
             cancels_on_disconnect: false,
@@ -155,12 +155,12 @@
     /// From now on what is known of requests that run once is told, their late answers are listened for so
     /// long, ms, and what is repeatable and may have run is never told as refused.
     pub(crate) fn report_executions(&mut self, late: Millis) {
-        self.witness = Some(late);
+        self.late_answer_wait = Some(late);
     }
 
     /// How many requests that run once are out at a server.
     pub(crate) fn at_most_once_in_flight(&self) -> usize {
-        self.requests.at_most_once_in_flight() + self.late.len()
+        self.requests.at_most_once_in_flight() + self.late_attempts.len()
     }
 
     /// How many decisions of the module were not carried out, as they would have broken the rule.
@@ -209,7 +209,7 @@
     fn drain(&mut self, now: Millis) {
         loop {
             let next = self.events.pop_front();
-            if next.is_none() && self.todo.is_empty() {
+            if next.is_none() && self.pending_actions.is_empty() {
                 break;
             }
             let arrived = match &next {
@@ -229,9 +229,9 @@
     fn step(&mut self, now: Millis, event: Option<Event>) {
         if let Some(event) = event {
             self.gateway.handle(now, event, &mut self.actions);
-            self.todo.extend(self.actions.drain(..));
+            self.pending_actions.extend(self.actions.drain(..));
         }
-        while let Some(action) = self.todo.pop_front() {
+        while let Some(action) = self.pending_actions.pop_front() {
             self.carry_out(now, action);
         }
     }
@@ -267,15 +267,15 @@
         reply: Reply<A>,
     ) -> RequestId {
         let span = if request.uploading { MAX_UPLOAD_TIME } else { request.time_left };
-        let ends = now + span;
+        let deadline = now + span;
         let most = request.rules.as_ref().map_or(self.settings.max_attempts, |r| r.max_attempts);
         let execution = RequestAttempts::new(self.idempotency_of(&request));
-        let id = self.requests.open(forward, ends, most, execution, reply);
-        self.timers.arm(ends - ANSWER_MARGIN, Due::AnswerDeadline(id));
+        let id = self.requests.open(forward, deadline, most, execution, reply);
+        self.timers.arm(deadline - ANSWER_MARGIN, Due::AnswerDeadline(id));
         if let Some(entry) = self.requests.get_mut(id) {
             entry.class = request.class;
             entry.uploading = request.uploading;
-            entry.left = request.uploading.then_some(request.time_left);
+            entry.time_after_upload = request.uploading.then_some(request.time_left);
         }
         request.id = id;
         request.time_left = (request.time_left - RESPONSE_MARGIN).max(1.0);
@@ -340,7 +340,7 @@
     /// Nothing better comes: what a server said of its own counts more than what the limiter would say. A refusal too,
     /// as what may run again may have run.
     fn answer_without_success(&mut self, id: RequestId, otherwise: Answer<A>) {
-        let said = self.requests.get_mut(id).and_then(|entry| entry.said.take());
+        let said = self.requests.get_mut(id).and_then(|entry| entry.error_answer.take());
         self.answer(id, said.map_or(otherwise, Answer::Served));
     }
 
@@ -375,9 +375,9 @@
             );
         }
         match answer {
-            Answer::Refused(_) if !once && !certain && self.witness.is_some() => Answer::Failed,
+            Answer::Refused(_) if !once && !certain && self.late_answer_wait.is_some() => Answer::Failed,
             // It is over, so nothing of it is sent from here on: what is certain may be promised.
-            Answer::TimedOut if once && certain && self.witness.is_some() => Answer::Refused(0.0),
+            Answer::TimedOut if once && certain && self.late_answer_wait.is_some() => Answer::Refused(0.0),
             answer => answer,
         }
     }
@@ -389,7 +389,7 @@
     }
 
     fn note(&mut self, request: &Arc<Q>, server: Option<&Arc<str>>, note: Note) {
-        if self.witness.is_some() {
+        if self.late_answer_wait.is_some() {
             let (request, server) = (request.clone(), server.cloned());
             self.outputs.push_back(Output::Note { request, server, note });
         }
@@ -406,13 +406,13 @@
         };
         let attempt = entry.start_attempt(server, now);
         let Ok(number) = u8::try_from(attempt) else { return };
-        let most = entry.most as usize;
-        let span = span(entry.ends, now, timeout);
+        let most = entry.max_attempts as usize;
+        let span = span(entry.deadline, now, timeout);
         if entry.is_answered() || span <= 0.0 || most > 0 && attempt >= most {
             return self.end(now, id, number, Outcome::Moot, Vec::new());
         }
         let request = entry.request.clone();
-        let Some((name, address)) = self.fleet.place(server) else {
+        let Some((name, address)) = self.fleet.address(server) else {
             return self.end(now, id, number, Outcome::ConnectFailed, Vec::new());
         };
         let Some(entry) = self.requests.get_mut(id) else { return };
@@ -450,10 +450,10 @@
         }
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.restart_clock(attempt, now);
-        if let Some(left) = entry.left.take() {
-            entry.ends = now + left;
+        if let Some(left) = entry.time_after_upload.take() {
+            entry.deadline = now + left;
             self.timers.arm(now + left - ANSWER_MARGIN, Due::AnswerDeadline(id));
-            if self.witness.is_some() {
+            if self.late_answer_wait.is_some() {
                 // The module says nothing more of one whose client has left.
                 self.timers.arm(now + left - RESPONSE_MARGIN, Due::Attempt(id, attempt));
             }
@@ -464,7 +464,7 @@
     /// Waits so long for an attempt whose body has gone out.
     fn wait_for(&mut self, now: Millis, id: RequestId, attempt: u8, timeout: Millis) {
         if let Some(entry) = self.requests.get_mut(id) {
-            let span = span(entry.ends, now, timeout);
+            let span = span(entry.deadline, now, timeout);
             self.timers.arm(now + span, Due::Attempt(id, attempt));
         }
     }
@@ -474,7 +474,7 @@
     pub(crate) fn attempt_ended(&mut self, now: Millis, id: RequestId, attempt: u8, end: End<A>) {
         let how = attempt_end(end.outcome, end.answer.is_some());
         if !self.requests.is_live(id, attempt) {
-            if let Some((request, name)) = self.late.remove(&(id, attempt)) {
+            if let Some((request, name)) = self.late_attempts.remove(&(id, attempt)) {
                 let (outcome, why) = execution_outcome(how, true);
                 self.note(&request, name.as_ref(), Note::Outcome(outcome, why));
             }
@@ -489,7 +489,7 @@
             }
             (Outcome::Error, Some(answer)) => {
                 if let Some(entry) = self.requests.get_mut(id).filter(|entry| !entry.is_answered()) {
-                    entry.said = Some(answer);
+                    entry.error_answer = Some(answer);
                 }
             }
             _ => {}
@@ -511,7 +511,7 @@
     /// An attempt's time is up: it is waited for no longer. Where somebody may still ask what became of it,
     /// its answer is listened for as long as its server may take to say so.
     fn time_out(&mut self, now: Millis, id: RequestId, attempt: u8) {
-        let listens = self.witness.filter(|_| {
+        let listens = self.late_answer_wait.filter(|_| {
             self.requests.is_live(id, attempt)
                 && self.requests.get_mut(id).is_some_and(|e| {
                     e.execution.is_at_most_once() && e.execution.is_fully_sent(usize::from(attempt))
@@ -522,8 +522,8 @@
         };
         let told = (entry.request.clone(), entry.name(attempt).cloned());
         entry.execution.end(usize::from(attempt), AttemptEnd::Lost);
-        self.late.insert((id, attempt), told);
-        self.timers.arm(now + more, Due::Late(id, attempt));
+        self.late_attempts.insert((id, attempt), told);
+        self.timers.arm(now + more, Due::LateAnswer(id, attempt));
         self.report_end(now, id, attempt, Outcome::TimedOut, Vec::new());
     }
 
@@ -552,14 +552,16 @@
         if let Some(abandoned_at) = ended.abandoned_at {
             self.departures.on_end(now, abandoned_at);
         }
-        let (server, complete, took, settled) = (ended.server, ended.over, ended.took, 0.0);
-        if let (Some(tally), Some(zone)) = (&mut self.tally, self.fleet.zone(server)) {
-            count_outcome(tally.entry(zone).or_default(), outcome);
+        let (server, complete, took, settled) = (ended.server, ended.was_answered, ended.took, 0.0);
+        if let (Some(zone_counts), Some(zone)) = (&mut self.zone_counts, self.fleet.zone(server)) {
+            count_outcome(zone_counts.entry(zone).or_default(), outcome);
         }
-        if let (Some(ends), Some((name, started))) = (&mut self.ends, self.fleet.started(server)) {
-            if ends.len() < MAX_FINISHED_ATTEMPTS {
+        if let (Some(finished), Some((name, started))) =
+            (&mut self.finished_attempts, self.fleet.started(server))
+        {
+            if finished.len() < MAX_FINISHED_ATTEMPTS {
                 let warm = started <= 0.0 || now - took - started >= self.settings.warm_after;
-                ends.push(Finished { server: name, class: ended.class, outcome, took, warm });
+                finished.push(Finished { server: name, class: ended.class, outcome, took, warm });
             }
         }
         self.events.push_back(Event::Ended { id, attempt, server, outcome, complete, took, settled, load });
@@ -601,7 +603,7 @@
 
     /// Takes in news of the list; whether they make the limiter ready.
     pub(crate) fn members(&mut self, now: Millis, news: &News) -> bool {
-        let (update, entries) = self.fleet.take(news, &self.names.zones);
+        let (update, entries) = self.fleet.apply(news, &self.names.zones);
         self.feed(now, Event::Servers { update, entries });
         update != ListUpdate::Cached
     }
@@ -616,31 +618,31 @@
 
     /// The rules take these servers out, and none else.
     pub(crate) fn exclude_servers(&mut self, now: Millis, ids: &BTreeSet<String>) {
-        let entries = self.fleet.exclude_servers(ids);
+        let entries = self.fleet.exclude(ids);
         self.update_servers(now, entries);
     }
 
     /// Only these parts of zones are used from now on.
     pub(crate) fn set_zone_shares(&mut self, now: Millis, shares: Shares) {
-        let entries = self.fleet.set_zone_shares(shares);
+        let entries = self.fleet.set_shares(shares);
         self.update_servers(now, entries);
     }
 
     /// Counts from now on how attempts end, by zone.
     pub(crate) fn count_zones(&mut self) {
-        self.tally.get_or_insert_default();
+        self.zone_counts.get_or_insert_default();
     }
 
     /// How attempts have ended since this was last asked; watched from the first time on.
     pub(crate) fn take_finished_attempts(&mut self) -> Vec<Finished> {
-        self.ends.replace(Vec::new()).unwrap_or_default()
+        self.finished_attempts.replace(Vec::new()).unwrap_or_default()
     }
 
     /// What was counted so far, by the zone's name; with it how many of its servers may be used.
     pub(crate) fn zones(&self) -> Vec<Row> {
         let row = |(place, name): (usize, &String)| {
             let zone = place as u16;
-            let counts = self.tally.as_ref().and_then(|t| t.get(&zone)).copied().unwrap_or_default();
+            let counts = self.zone_counts.as_ref().and_then(|t| t.get(&zone)).copied().unwrap_or_default();
             Row { zone: name.clone(), counts, servers: self.fleet.usable(zone) }
         };
         self.names.zones.iter().enumerate().map(row).collect()
@@ -667,7 +669,7 @@
     pub(crate) fn apply_settings(&mut self, now: Millis, names: &Names, settings: &Settings) {
         if self.names.zones != names.zones {
             // Counted by place among them.
-            self.tally = self.tally.take().map(|_| HashMap::new());
+            self.zone_counts = self.zone_counts.take().map(|_| HashMap::new());
         }
         (self.names, self.settings) = (names.clone(), settings.clone());
         self.feed(now, Event::Settings(Box::new(settings.clone())));
@@ -684,8 +686,8 @@
                 self.time_out(now, id, attempt);
                 self.drain(now);
             }
-            Due::Late(id, attempt) => {
-                if let Some((request, name)) = self.late.remove(&(id, attempt)) {
+            Due::LateAnswer(id, attempt) => {
+                if let Some((request, name)) = self.late_attempts.remove(&(id, attempt)) {
                     let note =
                         Note::Outcome(ExecutionOutcome::Unknown, "no answer within the server's own time");
                     self.note(&request, name.as_ref(), note);
--- a/crates/engine/src/engine/fleet.rs
+++ b/crates/engine/src/engine/fleet.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-struct Known {
+struct KnownServer {
     address: SocketAddr,
     /// What its list says, before what operators say.
     entry: ServerEntry,
@@ -24,7 +24,7 @@
 }
 
 impl Shares {
-    fn leaves_out(&self, id: &str, zone: u16) -> bool {
+    fn excludes(&self, id: &str, zone: u16) -> bool {
         let Some(part) = self.parts.get(&zone) else { return false };
         let begins = xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as f64 / 2f64.powi(64);
         (begins + self.place).fract() >= *part
@@ -33,13 +33,13 @@
 
 /// Servers by number.
 pub(super) struct Fleet {
-    known: HashMap<ServerId, Known>,
+    known: HashMap<ServerId, KnownServer>,
     /// Numbers by id, for as long as a server is known.
     numbers: HashMap<String, ServerId>,
     /// What operators have taken out: lies over what the list says, and is there before and after it.
     suspensions: Suspensions,
     /// What the rules take out: lies over that, and an operator's word here does not put it in again.
-    barred: BTreeSet<String>,
+    excluded: BTreeSet<String>,
     /// Zones of which only a part is used.
     shares: Shares,
     /// The n-th number that an id may have.
@@ -54,7 +54,7 @@
             known: HashMap::new(),
             numbers: HashMap::new(),
             suspensions,
-            barred: BTreeSet::new(),
+            excluded: BTreeSet::new(),
             shares: Shares::default(),
             hash,
         }
@@ -67,7 +67,7 @@
     }
 
     /// A server's name and where it listens.
-    pub(super) fn place(&self, server: ServerId) -> Option<(Arc<str>, SocketAddr)> {
+    pub(super) fn address(&self, server: ServerId) -> Option<(Arc<str>, SocketAddr)> {
         self.known.get(&server).map(|s| (s.id.clone(), s.address))
     }
 
@@ -82,22 +82,22 @@
     }
 
     fn is_out(&self, id: &str, entry: &ServerEntry) -> bool {
-        self.suspensions.is_out(id) || self.barred.contains(id) || self.shares.leaves_out(id, entry.zone)
+        self.suspensions.is_out(id) || self.excluded.contains(id) || self.shares.excludes(id, entry.zone)
     }
 
     /// The rules take these out, and none else; what the module is to be told. They need not be listed.
-    pub(super) fn exclude_servers(&mut self, ids: &BTreeSet<String>) -> Vec<ServerEntry> {
-        let before = std::mem::replace(&mut self.barred, ids.clone());
-        before.symmetric_difference(ids).filter_map(|id| self.entry_of(id)).collect()
+    pub(super) fn exclude(&mut self, ids: &BTreeSet<String>) -> Vec<ServerEntry> {
+        let before = std::mem::replace(&mut self.excluded, ids.clone());
+        before.symmetric_difference(ids).filter_map(|id| self.effective_entry_by_id(id)).collect()
     }
 
     /// Only these parts of zones are used from now on; what the module is to be told.
-    pub(super) fn set_zone_shares(&mut self, shares: Shares) -> Vec<ServerEntry> {
+    pub(super) fn set_shares(&mut self, shares: Shares) -> Vec<ServerEntry> {
         let before = std::mem::replace(&mut self.shares, shares);
-        let differs = |s: &&Known| {
-            before.leaves_out(&s.id, s.entry.zone) != self.shares.leaves_out(&s.id, s.entry.zone)
+        let differs = |s: &&KnownServer| {
+            before.excludes(&s.id, s.entry.zone) != self.shares.excludes(&s.id, s.entry.zone)
         };
-        self.known.values().filter(differs).map(|s| self.overlaid(&s.id, s.entry.clone())).collect()
+        self.known.values().filter(differs).map(|s| self.effective_entry(&s.id, s.entry.clone())).collect()
     }
 
     /// The zone of a server, by its number, and how many of each may be used.
@@ -113,19 +113,19 @@
     /// Takes a server out; what the module is to be told.
     pub(super) fn suspend(&mut self, now: Millis, id: &str) -> Result<Option<ServerEntry>, NeverListed> {
         let changed = self.suspensions.suspend(now, id)?;
-        Ok(self.entry_of(id).filter(|_| changed))
+        Ok(self.effective_entry_by_id(id).filter(|_| changed))
     }
 
     /// Puts a server in again; what the module is to be told.
     pub(super) fn resume(&mut self, now: Millis, id: &str) -> Result<Option<ServerEntry>, NeverListed> {
         let changed = self.suspensions.resume(now, id)?;
-        Ok(self.entry_of(id).filter(|_| changed))
+        Ok(self.effective_entry_by_id(id).filter(|_| changed))
     }
 
     /// Takes in what another process was told; what the module is to be told.
     pub(super) fn merge(&mut self, marks: &Marks) -> Vec<ServerEntry> {
         let changed = self.suspensions.merge(marks);
-        changed.iter().filter_map(|id| self.entry_of(id)).collect()
+        changed.iter().filter_map(|id| self.effective_entry_by_id(id)).collect()
     }
 
     pub(super) fn marks(&self) -> Marks {
@@ -133,13 +133,13 @@
     }
 
     /// A known server as the module is to see it.
-    fn entry_of(&self, id: &str) -> Option<ServerEntry> {
+    fn effective_entry_by_id(&self, id: &str) -> Option<ServerEntry> {
         let known = self.known.get(self.numbers.get(id)?)?;
-        Some(self.overlaid(id, known.entry.clone()))
+        Some(self.effective_entry(id, known.entry.clone()))
     }
 
     /// What operators say lies over what the list says. One that is out is, to the module, one that drains.
-    fn overlaid(&self, id: &str, mut entry: ServerEntry) -> ServerEntry {
+    fn effective_entry(&self, id: &str, mut entry: ServerEntry) -> ServerEntry {
         if entry.state == ServerState::Ready && self.is_out(id, &entry) {
             entry.state = ServerState::Draining;
         }
@@ -148,7 +148,7 @@
     }
 
     /// Takes in news of the list, and gives what the module is told.
-    pub(super) fn take(&mut self, news: &News, zones: &[String]) -> (ListUpdate, Vec<ServerEntry>) {
+    pub(super) fn apply(&mut self, news: &News, zones: &[String]) -> (ListUpdate, Vec<ServerEntry>) {
         let (update, members) = match news {
             News::Complete(members) => (ListUpdate::Full, members),
             News::Changes(members) => (ListUpdate::Delta, members),
@@ -157,7 +157,7 @@
         // By id: limiters that read the same list give the same numbers, also where two ids want one.
         let mut members: Vec<&Member> = members.iter().collect();
         members.sort_by(|a, b| a.id.cmp(&b.id));
-        let entries: Vec<ServerEntry> = members.iter().filter_map(|m| self.learn(m, zones)).collect();
+        let entries: Vec<ServerEntry> = members.iter().filter_map(|m| self.apply_member(m, zones)).collect();
         if update != ListUpdate::Delta {
             let named: HashSet<ServerId> = entries.iter().map(|e| e.server).collect();
             self.known.retain(|id, _| named.contains(id));
@@ -177,7 +177,7 @@
     }
 
     /// Takes in one line of a list, unless it makes no sense.
-    fn learn(&mut self, member: &Member, zones: &[String]) -> Option<ServerEntry> {
+    fn apply_member(&mut self, member: &Member, zones: &[String]) -> Option<ServerEntry> {
         let server = self.number(&member.id);
         self.suspensions.listed(&member.id);
         let zone = zones.iter().position(|z| *z == member.zone);
@@ -198,11 +198,11 @@
                 tracing::warn!(server = member.id, "members: {} has no address that can be read", member.id);
                 return None;
             };
-            let known = Known { address, entry: entry.clone(), id: member.id.as_str().into() };
+            let known = KnownServer { address, entry: entry.clone(), id: member.id.as_str().into() };
             self.known.insert(server, known);
             self.numbers.insert(member.id.clone(), server);
         }
-        Some(self.overlaid(&member.id, entry))
+        Some(self.effective_entry(&member.id, entry))
     }
 }
 
--- a/crates/engine/src/engine/fleet/tests.rs
+++ b/crates/engine/src/engine/fleet/tests.rs
@@ -11,29 +11,29 @@
     let shares = |n: u32, part: f64| Shares { parts: [(0, part)].into(), place: f64::from(n) / 24.0 };
     for part in [0.0, 1.0 / 24.0, 0.25, 0.5, 1.0] {
         for id in ["engine-1", "engine-2", "engine-3"] {
-            let using = (0..24).filter(|n| !shares(*n, part).leaves_out(id, 0)).count();
+            let using = (0..24).filter(|n| !shares(*n, part).excludes(id, 0)).count();
             assert_eq!(using, (24.0 * part) as usize, "{id}, {part}");
         }
     }
-    assert!(!shares(3, 0.0).leaves_out("engine-1", 1), "another zone");
+    assert!(!shares(3, 0.0).excludes("engine-1", 1), "another zone");
 }
 
 #[test]
 fn a_whole_list_removes_what_it_does_not_name_and_changes_do_not() {
     let mut fleet = Fleet::default();
-    fleet.take(&News::Complete(vec![member("s-00000001"), member("s-00000002")]), &[]);
-    fleet.take(&News::Changes(vec![member("s-00000003")]), &[]);
+    fleet.apply(&News::Complete(vec![member("s-00000001"), member("s-00000002")]), &[]);
+    fleet.apply(&News::Changes(vec![member("s-00000003")]), &[]);
     let ids = ["s-00000001", "s-00000002", "s-00000003"];
     let numbers = ids.map(|id| fleet.number(id));
     assert_eq!(numbers.map(|n| fleet.is_ready(n)), [true; 3]);
-    fleet.take(&News::Complete(vec![member("s-00000002")]), &[]);
+    fleet.apply(&News::Complete(vec![member("s-00000002")]), &[]);
     assert_eq!(numbers.map(|n| fleet.is_ready(n)), [false, true, false]);
     assert_eq!(fleet.numbers.len(), 1, "what has gone is not remembered");
 }
 
 /// The numbers of a list, by id.
 fn numbers(fleet: &mut Fleet, ids: &[&str]) -> Vec<ServerId> {
-    let (_, entries) = fleet.take(&News::Complete(ids.iter().map(|id| member(id)).collect()), &[]);
+    let (_, entries) = fleet.apply(&News::Complete(ids.iter().map(|id| member(id)).collect()), &[]);
     assert_eq!(entries.len(), ids.len(), "nobody is left out");
     let mut ids = ids.to_vec();
     ids.sort_unstable();
@@ -69,9 +69,9 @@
 fn a_server_without_an_address_is_left_out() {
     let mut fleet = Fleet::default();
     let nowhere = Member { address: None, ..member("s-00000002") };
-    let (_, entries) = fleet.take(&News::Complete(vec![member("s-00000001"), nowhere]), &[]);
+    let (_, entries) = fleet.apply(&News::Complete(vec![member("s-00000001"), nowhere]), &[]);
     assert_eq!(entries.len(), 1);
     let gone = Member { state: ServerState::Gone, address: None, ..member("s-00000001") };
-    assert_eq!(fleet.take(&News::Changes(vec![gone]), &[]).1.len(), 1, "one that goes needs no address");
+    assert_eq!(fleet.apply(&News::Changes(vec![gone]), &[]).1.len(), 1, "one that goes needs no address");
     assert!(fleet.is_empty());
 }
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -97,7 +97,7 @@
     /// What the timers sleep until.
     asleep_until: Cell<Millis>,
     ready: Cell<bool>,
-    held: Cell<bool>,
+    readiness_held: Cell<bool>,
     guard: RefCell<Option<Guard>>,
     witness: RefCell<Option<ExecutionObserver<U::Request>>>,
     upstream: U,
@@ -115,7 +115,7 @@
             earlier_timer: Notify::new(),
             asleep_until: Cell::new(f64::INFINITY),
             ready: Cell::new(false),
-            held: Cell::new(false),
+            readiness_held: Cell::new(false),
             guard: RefCell::default(),
             witness: RefCell::default(),
             upstream,
@@ -220,7 +220,7 @@
 
     /// The limiter can serve.
     pub fn is_ready(&self) -> bool {
-        self.has_list() && !self.held.get()
+        self.has_list() && !self.readiness_held.get()
     }
 
     /// It knows which servers there are.
@@ -230,7 +230,7 @@
 
     /// Whether the limiter is kept from saying that it can serve.
     pub fn hold_readiness(&self, held: bool) {
-        self.held.set(held);
+        self.readiness_held.set(held);
     }
 
     /// Uses this part of what is a limiter's own: another process uses the rest.
@@ -341,8 +341,8 @@
     }
 
     /// Changes the core, and does what it asks for.
-    fn change<T>(self: &Rc<Self>, how: impl FnOnce(&mut Core<U::Request, U::Answer>, Millis) -> T) -> T {
-        let done = how(&mut self.core.borrow_mut(), self.now());
+    fn change<T>(self: &Rc<Self>, change: impl FnOnce(&mut Core<U::Request, U::Answer>, Millis) -> T) -> T {
+        let done = change(&mut self.core.borrow_mut(), self.now());
         loop {
             // Not held while it is carried out: a port may look at the engine.
             let Some(output) = self.core.borrow_mut().output() else { break };
@@ -413,9 +413,9 @@
     /// Changes which servers may be sent something.
     fn change_servers<T>(
         self: &Rc<Self>,
-        how: impl FnOnce(&mut Core<U::Request, U::Answer>, Millis) -> T,
+        change: impl FnOnce(&mut Core<U::Request, U::Answer>, Millis) -> T,
     ) -> T {
-        let done = how(&mut self.core.borrow_mut(), self.now());
+        let done = change(&mut self.core.borrow_mut(), self.now());
         // Before anything new goes out: idle connections to what has left are not to be taken.
         self.upstream.keep_only(&|id| self.core.borrow().fleet().is_ready(id));
         self.change(|_, _| ());
--- a/crates/engine/src/engine/request_table.rs
+++ b/crates/engine/src/engine/request_table.rs
@@ -45,13 +45,13 @@
 pub(super) struct Entry<Q, A> {
     reply: Option<Reply<A>>,
     pub(super) request: Arc<Q>,
-    pub(super) ends: Millis,
+    pub(super) deadline: Millis,
     /// While its body is coming: how long its client waits from when that is whole, ms.
-    pub(super) left: Option<Millis>,
+    pub(super) time_after_upload: Option<Millis>,
     /// What a server answered that is no success.
-    pub(super) said: Option<A>,
+    pub(super) error_answer: Option<A>,
     /// Attempts it may have; 0: no limit.
-    pub(super) most: u32,
+    pub(super) max_attempts: u32,
     pub(super) class: ClassId,
     /// Its body is coming as it goes on.
     pub(super) uploading: bool,
@@ -103,7 +103,7 @@
     pub(super) server: ServerId,
     pub(super) took: Millis,
     /// Its request had its answer before.
-    pub(super) over: bool,
+    pub(super) was_answered: bool,
     pub(super) class: ClassId,
     /// When the client of a request that may be repeated left without an answer.
     pub(super) abandoned_at: Option<Millis>,
@@ -114,20 +114,20 @@
     entries: HashMap<RequestId, Entry<Q, A>>,
     next: u32,
     /// Requests that are owed an answer.
-    owing: usize,
+    unanswered: usize,
 }
 
 impl<Q, A> RequestTable<Q, A> {
     pub(super) fn new() -> Self {
-        RequestTable { entries: HashMap::new(), next: 0, owing: 0 }
+        RequestTable { entries: HashMap::new(), next: 0, unanswered: 0 }
     }
 
     /// Enters a request and gives it a number that no other has.
     pub(super) fn open(
         &mut self,
         request: Q,
-        ends: Millis,
-        most: u32,
+        deadline: Millis,
+        max_attempts: u32,
         execution: RequestAttempts,
         reply: Reply<A>,
     ) -> RequestId {
@@ -139,10 +139,10 @@
         let entry = Entry {
             reply: Some(reply),
             request: Arc::new(request),
-            ends,
-            left: None,
-            said: None,
-            most,
+            deadline,
+            time_after_upload: None,
+            error_answer: None,
+            max_attempts,
             class: ClassId::default(),
             uploading: false,
             execution,
@@ -150,7 +150,7 @@
             attempts: Vec::new(),
         };
         self.entries.insert(id, entry);
-        self.owing += 1;
+        self.unanswered += 1;
         id
     }
 
@@ -160,7 +160,7 @@
 
     /// How many requests are owed an answer.
     pub(super) fn unanswered(&self) -> usize {
-        self.owing
+        self.unanswered
     }
 
     /// How many requests that run once at most are out at a server.
@@ -190,20 +190,20 @@
         let entry = self.entries.get_mut(&id)?;
         let reply = entry.reply.take()?;
         // Nobody asks for it any more.
-        entry.said = None;
-        self.owing -= 1;
+        entry.error_answer = None;
+        self.unanswered -= 1;
         Some(reply)
     }
 
     /// CallEndSink an attempt. None if it had ended before.
     pub(super) fn end(&mut self, id: RequestId, attempt: u8, now: Millis) -> Option<Ended> {
         let entry = self.entries.get_mut(&id)?;
-        let over = entry.is_answered();
+        let was_answered = entry.is_answered();
         let a = entry.attempts.get_mut(usize::from(attempt)).filter(|a| a.live)?;
         a.live = false;
         let (server, took) = (a.server, now - a.sent);
         let abandoned_at = entry.departed_at.filter(|_| !entry.execution.is_at_most_once());
-        let ended = Ended { server, took, over, class: entry.class, abandoned_at };
+        let ended = Ended { server, took, was_answered, class: entry.class, abandoned_at };
         self.forget(id);
         Some(ended)
     }
--- a/crates/engine/src/engine/request_table/tests.rs
+++ b/crates/engine/src/engine/request_table/tests.rs
@@ -22,7 +22,7 @@
     requests.forget(id);
     assert!(requests.is_live(id, 0) && requests.is_live(id, 1), "what is out is still to be told of");
     let ended = requests.end(id, 1, 5.0).expect("an end");
-    assert_eq!((ended.server, ended.took, ended.over), (ServerId(2), 3.0, true));
+    assert_eq!((ended.server, ended.took, ended.was_answered), (ServerId(2), 3.0, true));
     assert!(requests.end(id, 1, 6.0).is_none(), "an attempt ends once");
     assert!(requests.end(id, 0, 6.0).is_some() && requests.is_empty());
     assert_eq!(answers.load(Ordering::SeqCst), 1);
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -174,7 +174,7 @@
 struct Peer {
     limits: FrontLimits,
     phase: Cell<Phase>,
-    since: Cell<Millis>,
+    phase_since: Cell<Millis>,
     /// Something came while the request before was in hand: the next one has begun.
     next_request_started: Cell<bool>,
     close_requested: Notify,
@@ -198,7 +198,7 @@
 impl Peer {
     fn enter(&self, phase: Phase, now: Millis) {
         self.phase.set(phase);
-        self.since.set(now);
+        self.phase_since.set(now);
     }
 
     /// Bytes have come.
@@ -206,7 +206,7 @@
         self.asked_to_close.set(false);
         // A client may take its time before it begins; but an end is owed within 3 s of its coming.
         if !self.has_sent.replace(true) {
-            self.since.set(now.min(self.since.get() + MAX_HEAD_START_DELAY));
+            self.phase_since.set(now.min(self.phase_since.get() + MAX_HEAD_START_DELAY));
         }
         self.last_read_at.set(now);
         self.recent_bytes.borrow_mut().push(bytes);
@@ -230,7 +230,7 @@
     /// Some of an answer has been taken.
     fn on_write(&self, now: Millis) {
         if self.phase.get() == Phase::Writing {
-            self.since.set(now);
+            self.phase_since.set(now);
         }
     }
 
@@ -384,7 +384,7 @@
     /// All connections have a request in hand and another waits to be accepted.
     saturated: Cell<bool>,
     connection_closed: Notify,
-    ends: ConnectionEnds,
+    connection_ends: ConnectionEnds,
 }
 
 impl<D: HttpHandler> Front<D> {
@@ -402,7 +402,7 @@
             accepting_changed: Notify::new(),
             saturated: Cell::new(false),
             connection_closed: Notify::new(),
-            ends: ConnectionEnds::default(),
+            connection_ends: ConnectionEnds::default(),
         })
     }
 
@@ -451,12 +451,12 @@
         true
     }
 
-    /// BodyEnd what does not get on, for the life of the process.
+    /// Ends what does not get on, for the life of the process.
     pub async fn close_stalled_connections(self: Rc<Self>) {
         loop {
             tokio::time::sleep(STALL_CHECK_INTERVAL).await;
             let now = self.desk.now();
-            for peer in self.peers.borrow().values().filter(|p| now - p.since.get() > p.time_limit()) {
+            for peer in self.peers.borrow().values().filter(|p| now - p.phase_since.get() > p.time_limit()) {
                 match peer.phase.get() {
                     Phase::Idle => peer.request_close(),
                     _ => peer.abort(),
@@ -499,7 +499,7 @@
 
     /// How connections have ended on which several requests may be in hand at once.
     pub fn ends(&self) -> &ConnectionEnds {
-        &self.ends
+        &self.connection_ends
     }
 
     /// Connections that are open.
@@ -514,7 +514,7 @@
         let peer = Rc::new(Peer {
             limits: self.limits,
             phase: Cell::new(Phase::Reading),
-            since: Cell::new(self.desk.now()),
+            phase_since: Cell::new(self.desk.now()),
             next_request_started: Cell::new(false),
             close_requested: Notify::new(),
             asked_to_close: Cell::new(false),
--- a/crates/engine/src/front/pipelined/mod.rs
+++ b/crates/engine/src/front/pipelined/mod.rs
@@ -99,7 +99,7 @@
         closing: Cell::new(false),
     };
     let end = connection.run().await;
-    connection.front.ends.record(end, connection.unanswered.get());
+    connection.front.connection_ends.record(end, connection.unanswered.get());
     match end {
         ConnectionEnd::LastAnswer => connection.close_gracefully().await,
         ConnectionEnd::Idle => connection.close_without_reading().await,
@@ -219,7 +219,7 @@
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
         let _ = timeout(CLOSE_TIMEOUT, self.stream.readable()).await;
         if unread(&self.stream) {
-            self.front.ends.record_crossing();
+            self.front.connection_ends.record_crossing();
         }
     }
 
--- a/crates/engine/src/handle.rs
+++ b/crates/engine/src/handle.rs
@@ -50,7 +50,7 @@
     /// request at most, or an operator's.
     waiting: Arc<AtomicUsize>,
     stopping: AtomicBool,
-    most: usize,
+    capacity: usize,
     next: AtomicU64,
     setup: Setup,
 }
@@ -79,16 +79,16 @@
     waiting: Arc<AtomicUsize>,
 }
 
-/// A handle whose queue holds `most` requests, and the engine's side of it. `setup` is what requests are
+/// A handle whose queue holds `capacity` requests, and the engine's side of it. `setup` is what requests are
 /// classified by.
-pub fn pair<Q, A>(setup: Setup, most: usize) -> (Handle<Q, A>, Work<Q, A>) {
+pub fn pair<Q, A>(setup: Setup, capacity: usize) -> (Handle<Q, A>, Work<Q, A>) {
     let (sender, commands) = mpsc::unbounded_channel();
     let waiting = Arc::new(AtomicUsize::new(0));
     let shared = Shared {
         commands: sender,
         waiting: waiting.clone(),
         stopping: AtomicBool::new(false),
-        most,
+        capacity,
         next: AtomicU64::new(0),
         setup,
     };
@@ -110,7 +110,7 @@
     /// what was not sent to a server never will be, and what was is called off.
     pub fn call(&self, request: Request, forward: Q) -> Pending<Q, A> {
         let shared = &self.shared;
-        let full = shared.waiting.fetch_add(1, Ordering::AcqRel) >= shared.most;
+        let full = shared.waiting.fetch_add(1, Ordering::AcqRel) >= shared.capacity;
         let ticket = shared.next.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         let command = Command::Arrive { ticket, at: Instant::now(), request, forward, reply };
@@ -265,7 +265,7 @@
 /// When there is no thread or runtime to be had, or `build` fails; its error comes back as it is.
 pub fn spawn<U, B>(
     setup: Setup,
-    most: usize,
+    capacity: usize,
     build: B,
 ) -> Result<Handle<U::Request, U::Answer>, std::io::Error>
 where
@@ -274,7 +274,7 @@
     U::Answer: Send,
     B: FnOnce() -> Result<Rc<Engine<U>>, std::io::Error> + Send + 'static,
 {
-    let (handle, work) = pair(setup, most);
+    let (handle, work) = pair(setup, capacity);
     let (up, started) = std::sync::mpsc::channel();
     std::thread::Builder::new().name("oatbank".into()).spawn(move || {
         let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
