--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -65,7 +65,7 @@
     /// Tells this process from others of its name.
     life: u64,
     led: zones::Led,
-    /// MembershipSink when the node may be due sooner than was known.
+    /// Told when the node may be due sooner than was known.
     sooner: Notify,
 }
 
--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -1,7 +1,7 @@
-//! Bodies: held whole while they are small, and passed on piece by piece where they are not.
+//! Request and response bodies: small ones are buffered, large ones are streamed.
 //!
-//! A stream's pieces wait in a channel of [`CHANNEL_CAPACITY`] at most: whoever reads slowly holds up whoever writes, and the
-//! window of a stream is bounded whatever its length. A small body is held so that it can be sent, or answered, again.
+//! A stream goes through a channel of [`CHANNEL_CAPACITY`] chunks: a slow reader slows down the writer, and the memory
+//! of a stream is bounded whatever its length. A buffered body can be sent again.
 
 mod channel;
 
@@ -17,32 +17,32 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// A body up to this is held whole; of a longer one the start, until the rest is asked for.
+/// Largest body that is buffered completely, bytes. Of a longer one, the start is buffered until the rest is read.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// Longest body that is passed on, bytes: twice what users announced.
+/// Largest body that is forwarded, bytes: twice the size that users announced.
 pub const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// BodyPermit for bodies: what they may take of the memory together. Whoever finds none waits, in turn.
+/// Memory budget shared by all bodies. Waiters are served in order.
 #[derive(Clone, Debug)]
 pub struct BodyBudget {
     available_kib: Arc<Semaphore>,
-    /// How much there is in all.
+    /// Size of the budget, KiB.
     total_kib: Rc<Cell<usize>>,
 }
 
-/// BodyPermit that a body has, until it is dropped.
+/// Share of the budget held by a body; released on drop.
 #[derive(Debug)]
 pub struct BodyPermit {
     _permit: OwnedSemaphorePermit,
 }
 
 impl BodyBudget {
-    /// BodyPermit for so many KiB.
+    /// Creates a budget of `kib` KiB.
     pub fn new(kib: usize) -> Self {
         BodyBudget { available_kib: Arc::new(Semaphore::new(kib)), total_kib: Rc::new(Cell::new(kib)) }
     }
 
-    /// From now on there is room for so many KiB; what is taken stays taken until it is given back.
+    /// Changes the size of the budget. Permits that are held stay valid until they are dropped.
     pub fn resize(&self, kib: usize) {
         let before = self.total_kib.replace(kib);
         if kib >= before {
@@ -50,18 +50,18 @@
         } else {
             let less = before - kib;
             let gone = self.available_kib.forget_permits(less);
-            // What is taken now cannot be taken away: the rest counts as there until the next change.
+            // Permits in use cannot be revoked, so they still count towards the size until the next change.
             self.total_kib.set(kib + (less - gone));
         }
     }
 
-    /// Waits for room for a body of so many bytes, or for a stream's window where it is longer or not known. A small body
-    /// has its room with its connection.
+    /// Waits for a permit for a body of `length` bytes, or for a stream's window if it is longer or of unknown length.
+    /// Returns `None` for a small body, whose memory belongs to its connection's budget.
     pub async fn take(&self, length: Option<u64>) -> Option<BodyPermit> {
         self.acquire_buffered(length, MAX_BUFFERED_BYTES).await
     }
 
-    /// As [`BodyBudget::take`], where a body is held whole up to so many bytes.
+    /// Like [`BodyBudget::take`], for a body that is buffered up to `held` bytes.
     pub async fn acquire_buffered(&self, length: Option<u64>, held: usize) -> Option<BodyPermit> {
         let kib = match length {
             Some(length) if length <= SMALL as u64 => return None,
@@ -69,7 +69,7 @@
             Some(_) => STREAM_KIB,
             None => STREAM_KIB.max(held / 1024),
         };
-        // More than there is in all could never be had.
+        // A request for more than the whole budget would never succeed.
         let kib = kib.min(self.total_kib.get()).max(1) as u32;
         // The semaphore is never closed.
         self.available_kib
@@ -81,33 +81,33 @@
     }
 }
 
-/// Why a body has ended before it was whole.
+/// Why a body ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// Its sender has left, or broke the rules of HTTP.
+    /// The sender disconnected or violated HTTP.
     Left,
-    /// It did not get on for so long that it was given up.
+    /// No progress within the time limit.
     Stalled,
-    /// It is longer than [`MAX_BODY_BYTES`].
+    /// The body is longer than allowed.
     TooLong,
-    /// Part of it has gone to a server already and is held no more.
+    /// Part of it was sent to a server and is no longer buffered.
     Spent,
 }
 
 impl std::fmt::Display for BodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            BodyError::Left => "the body is not whole",
-            BodyError::Stalled => "the body does not get on",
+            BodyError::Left => "the body is incomplete",
+            BodyError::Stalled => "the body stalled",
             BodyError::TooLong => "the body is too long",
-            BodyError::Spent => "the body is held no more",
+            BodyError::Spent => "the body is no longer buffered",
         })
     }
 }
 
 impl std::error::Error for BodyError {}
 
-/// The start of a body, put together from its pieces. One that came in one piece, as most do, is not copied.
+/// The start of a body, assembled from chunks. A body that arrives in one chunk, as most do, is not copied.
 #[derive(Debug, Default)]
 pub struct BodyPrefix {
     first: Bytes,
@@ -115,7 +115,7 @@
 }
 
 impl BodyPrefix {
-    /// The next piece.
+    /// Appends a chunk.
     pub fn push(&mut self, piece: Bytes) {
         if self.first.is_empty() {
             self.first = piece;
@@ -127,12 +127,12 @@
         self.all.extend_from_slice(&piece);
     }
 
-    /// It is longer than so many bytes.
+    /// Whether it is longer than `most` bytes.
     pub fn is_longer_than(&self, most: usize) -> bool {
         self.first.len().max(self.all.len()) > most
     }
 
-    /// All that was pushed.
+    /// Returns all bytes that were pushed.
     pub fn finish(self) -> Bytes {
         if self.all.is_empty() {
             self.first
@@ -142,26 +142,26 @@
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// It begins with these bytes; the rest comes.
+    /// A body whose rest is still arriving.
     Stream {
-        /// What has come so far.
+        /// Bytes received so far.
         held: Bytes,
-        /// How many bytes it has in all, where that is told.
+        /// Total length in bytes, if known.
         length: Option<u64>,
-        /// What is still to come.
+        /// The bytes still to arrive.
         rest: BodyReceiver,
-        /// Its room.
+        /// Memory permit of the body.
         room: Option<BodyPermit>,
     },
 }
 
 impl Body {
-    /// A body that is all there, and has room.
+    /// A complete body with its memory permit.
     pub fn held(bytes: Bytes, room: Option<BodyPermit>) -> Self {
         if room.is_none() {
             return Body::Whole(bytes);
@@ -171,7 +171,7 @@
         Body::Stream { length: Some(bytes.len() as u64), held: bytes, rest, room }
     }
 
-    /// All of the body, if it is there.
+    /// The bytes of a complete body; `None` for a stream.
     pub fn whole(&self) -> Option<&Bytes> {
         match self {
             Body::Whole(bytes) => Some(bytes),
@@ -179,10 +179,10 @@
         }
     }
 
-    /// Waits for all of the body.
+    /// Reads the body to its end.
     ///
     /// # Errors
-    /// When it breaks off, or is longer than `most` bytes.
+    /// If it ends early or is longer than `most` bytes.
     pub async fn collect(self, most: usize) -> Result<Bytes, BodyError> {
         match self {
             Body::Whole(bytes) if bytes.len() > most => Err(BodyError::TooLong),
@@ -244,7 +244,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Body::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            // Asked before the first piece is taken.
+            // The hint is read before the first chunk is taken.
             Body::Stream { length: Some(length), .. } => SizeHint::with_exact(*length),
             Body::Stream { held, .. } => {
                 let mut hint = SizeHint::new();
@@ -255,16 +255,16 @@
     }
 }
 
-/// The body of a request, for as many attempts as it can be sent in.
+/// The body of a request, shared by its attempts.
 #[derive(Debug)]
 pub enum Upload {
-    /// Held whole: it can be sent again.
+    /// Buffered completely: it can be sent any number of times.
     Whole(Bytes),
-    /// Its start is held until an attempt asks for the rest; after that it cannot be sent again.
+    /// The start is buffered until an attempt reads the rest; after that the body cannot be sent again.
     Stream {
-        /// The start.
+        /// The buffered start.
         held: Bytes,
-        /// How many bytes it has in all, where that is told.
+        /// Total length in bytes, if known.
         length: Option<u64>,
         /// The rest, until an attempt takes it.
         rest: Mutex<Option<BodyReceiver>>,
@@ -272,12 +272,12 @@
 }
 
 impl Upload {
-    /// A body whose start is held and whose rest is coming.
+    /// A streamed body with a buffered start.
     pub fn stream(held: Bytes, length: Option<u64>, rest: BodyReceiver) -> Self {
         Upload::Stream { held, length, rest: Mutex::new(Some(rest)) }
     }
 
-    /// Whether the body is still coming.
+    /// Whether the body is streamed.
     pub fn is_stream(&self) -> bool {
         matches!(self, Upload::Stream { .. })
     }
@@ -285,7 +285,7 @@
     fn take_rest(&self) -> Option<BodyReceiver> {
         match self {
             Upload::Whole(_) => None,
-            // The one change made under the lock is whole.
+            // The only change made under the lock is atomic, so a poisoned lock holds a valid value.
             Upload::Stream { rest, .. } => rest.lock().unwrap_or_else(PoisonError::into_inner).take(),
         }
     }
@@ -297,25 +297,25 @@
     }
 }
 
-/// How far the body of an attempt has come.
+/// Progress of an attempt's streamed body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More than is held has been asked for: no other attempt can send this body.
+    /// The rest after the buffered start was taken: no other attempt can send this body.
     Spent,
-    /// Its last byte is about to be written: from now on the request may run.
+    /// The last byte is about to be written: from now on the request may run.
     Sent,
 }
 
-/// What an attempt knows of its body.
+/// Send state of an attempt's body.
 #[derive(Debug, Default)]
 pub struct SendState {
-    /// The last byte has been handed over.
+    /// The last byte was handed to the connection.
     pub sent: Cell<bool>,
-    /// The rest could not be had from the client.
+    /// The rest of the body could not be obtained.
     pub failed: Cell<bool>,
 }
 
-/// One attempt's sending of an [`Upload`].
+/// HTTP body that sends an [`Upload`] in one attempt.
 pub struct UploadBody<Q> {
     request: Arc<Q>,
     upload: fn(&Q) -> &Upload,
@@ -327,7 +327,8 @@
 }
 
 impl<Q> UploadBody<Q> {
-    /// Sends the body that `upload` finds in the request; `tell` hears how far a stream has come.
+    /// Creates the body of an attempt. `upload` returns the request's body, `on_progress` receives the progress of a
+    /// stream and `state` records what was sent.
     pub fn new(
         request: Arc<Q>,
         upload: fn(&Q) -> &Upload,
@@ -341,7 +342,7 @@
         UploadBody { request, upload, started: false, rest: None, left, on_progress, state }
     }
 
-    /// A piece goes out; with the last one the body is sent.
+    /// Emits a chunk; the last one marks the body as sent.
     fn emit(&mut self, piece: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(left) = &mut self.left {
             *left = left.saturating_sub(piece.len() as u64);
--- a/crates/engine/src/body/channel.rs
+++ b/crates/engine/src/body/channel.rs
@@ -1,7 +1,7 @@
-//! The way of a stream's pieces, from who reads them to who takes them.
+//! Bounded channel for the chunks of a streamed body.
 //!
-//! Invariant: only a stream that was told to be whole ends as one. Whatever else becomes of its reader (its connection
-//! ends, its task is dropped), whoever takes the pieces gets [`BodyError::Left`] in place of the end.
+//! Invariant: a stream ends without an error only after [`BodySender::finish`]. If the sender is dropped in any other
+//! way (its connection ends, its task is dropped), the receiver gets [`BodyError::Left`] instead of the end.
 
 use super::BodyError;
 use bytes::Bytes;
@@ -11,17 +11,17 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::mpsc;
 
-/// BodyReceiver of a stream that wait for its reader. Each is what one read brought, 16 KiB at most.
+/// Chunks that wait in a channel. Each holds the bytes of one read, at most 16 KiB.
 pub const CHANNEL_CAPACITY: usize = 2;
 
-/// A piece, or why there are no more.
+/// A chunk, or the error that ended the stream.
 pub type BodyChunk = Result<Bytes, BodyError>;
 
-/// Whoever took the pieces takes no more.
+/// The receiver was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceiverClosed;
 
-/// Where the pieces of a stream are put. Dropped without [`BodySender::finish`], the stream has broken off.
+/// Sending half. Dropping it without [`BodySender::finish`] ends the stream with an error.
 #[derive(Debug)]
 pub struct BodySender {
     pieces: mpsc::Sender<BodyChunk>,
@@ -29,26 +29,26 @@
 }
 
 impl BodySender {
-    /// Puts a piece, once there is room for it.
+    /// Sends a chunk, waiting for capacity.
     ///
     /// # Errors
-    /// When nobody takes it.
+    /// If the receiver was dropped.
     pub async fn send(&self, piece: BodyChunk) -> Result<(), ReceiverClosed> {
         self.pieces.send(piece).await.map_err(|_| ReceiverClosed)
     }
 
-    /// Completes when nobody takes pieces any more.
+    /// Completes when the receiver is dropped.
     pub async fn closed(&self) {
         self.pieces.closed().await;
     }
 
-    /// The stream is whole.
+    /// Ends the stream as complete.
     pub fn finish(self) {
         self.is_whole.store(true, Ordering::Release);
     }
 }
 
-/// The pieces of a stream.
+/// Receiving half.
 #[derive(Debug)]
 pub struct BodyReceiver {
     pieces: mpsc::Receiver<BodyChunk>,
@@ -56,12 +56,12 @@
 }
 
 impl BodyReceiver {
-    /// The next piece; none at the end of a whole stream.
+    /// Receives the next chunk; `None` at the end of a complete stream.
     pub async fn recv(&mut self) -> Option<BodyChunk> {
         poll_fn(|cx| self.poll_recv(cx)).await
     }
 
-    /// As [`BodyReceiver::recv`].
+    /// Poll version of [`BodyReceiver::recv`].
     pub fn poll_recv(&mut self, cx: &mut Context<'_>) -> Poll<Option<BodyChunk>> {
         let piece = ready!(self.pieces.poll_recv(cx));
         // The flag is set before the sender is dropped.
@@ -70,7 +70,7 @@
     }
 }
 
-/// A stream's two ends.
+/// Creates a channel for a streamed body.
 pub fn body_channel() -> (BodySender, BodyReceiver) {
     let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let is_whole = Arc::new(AtomicBool::new(false));
--- a/crates/engine/src/direct.rs
+++ b/crates/engine/src/direct.rs
@@ -1,8 +1,8 @@
-//! A limiter whose one server is a handler in the process, deciding on the thread that asks.
+//! A limiter whose only server is a handler in the process, and which decides on the calling thread.
 //!
-//! The core is the one that [`crate::engine::Engine`] runs, here under a lock: an admission wakes no other thread.
-//! Timers and the counter have a task of their own, on a thread or in the caller's local set. The lock is
-//! held for one event at a time, never while a handler runs or anything is waited for.
+//! It runs the same core as [`crate::engine::Engine`], under a lock, so that an admission wakes no other thread. Timers
+//! and the counter run in a separate task, on a thread or in the caller's local set. The lock is held for one event at
+//! a time, never while a handler runs or a task waits.
 
 use crate::engine::core::{Core, Output};
 use crate::engine::{shutdown_timeout, Answer, Setup};
@@ -22,26 +22,26 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, Notify};
 
-/// Between two looks at the counter's connections, ms.
+/// Interval between upkeep calls to the counter, ms.
 const UPKEEP_INTERVAL: Millis = 500.0;
-/// How often the end of a shutdown looks whether all is answered.
+/// Interval at which a shutdown checks whether all requests are answered.
 const SHUTDOWN_POLL: Duration = Duration::from_millis(5);
 
-/// Where a request's permit goes; taken when it is given.
+/// Sender of a request's permit; taken when the permit is granted.
 type PermitSender = Mutex<Option<oneshot::Sender<Permit>>>;
 
 struct Shared {
-    /// Spins for a moment before it sleeps: an event is shorter than a sleep and a wake.
+    /// A lock that spins before it blocks: handling an event is shorter than a sleep and a wake-up.
     core: parking_lot::Mutex<Core<PermitSender, ()>>,
     clock: SystemClock,
     setup: Setup,
-    /// So many requests may be in hand.
+    /// Most open requests.
     capacity: usize,
-    /// Calls for the counter's task: one a name at most.
+    /// Calls for the counter's task, at most one per counter name.
     calls: mpsc::UnboundedSender<Call>,
-    /// MembershipSink when an earlier due than all before has been set.
+    /// Notified when a timer earlier than all others has been set.
     earlier_timer: Notify,
-    /// What the timers sleep until, in whole ms.
+    /// Time until which the timer task sleeps, whole ms.
     asleep_until: AtomicU64,
     stopping: AtomicBool,
     stop: Notify,
@@ -49,12 +49,12 @@
 
 impl Shared {
     fn lock(&self) -> parking_lot::MutexGuard<'_, Core<PermitSender, ()>> {
-        // The core catches the module's panics itself, and leaves nothing half done.
+        // The core catches the module's panics itself and stays consistent.
         self.core.lock()
     }
 
-    /// When the timers are to wake, at `latest` at the latest. Set under the lock, so that whoever arms an earlier
-    /// due is either seen here or sees this.
+    /// Sets and returns the time at which the timer task wakes, at most `latest`. Runs under the lock, so that a
+    /// concurrently armed earlier timer is either included here or notifies the task.
     fn set_wake_time(&self, latest: Millis) -> Millis {
         let core = self.lock();
         let next = core.next_due().map_or(latest, |due| due.min(latest));
@@ -62,7 +62,7 @@
         next
     }
 
-    /// Changes the core, and does what it asks for.
+    /// Runs a change on the core and carries out the resulting outputs.
     fn change<T>(self: &Arc<Self>, how: impl FnOnce(&mut Core<PermitSender, ()>, Millis) -> T) -> T {
         let mut core = self.lock();
         let now = self.clock.now();
@@ -90,18 +90,19 @@
                 let permit = Permit { shared: Some(self.clone()), id, number };
                 let refused = match start {
                     Some(start) => start.send(permit).err(),
-                    // A handler takes its request with it, so there is nothing to run a second time.
+                    // The handler consumed its request, so it cannot run again.
                     None => Some(permit),
                 };
                 if let Some(mut permit) = refused {
-                    // The client has left: its handler never began. The lock is held already.
+                    // The client has disconnected and the handler never started. The lock is already held, so the
+                    // permit must not report on drop.
                     permit.shared = None;
                     core.attempt_ended(now, id, number, End::without_answer(Outcome::ConnectFailed));
                 }
             }
-            // Its request's final answer tells the application.
+            // The application learns of it from the request's final answer.
             Output::CancelAttempt { .. } => {}
-            // Nobody has asked for it.
+            // Executions are not reported here.
             Output::Note { .. } => {}
             Output::Count(call) => {
                 if self.calls.send(call).is_err() {
@@ -112,8 +113,8 @@
     }
 }
 
-/// The right to run a handler, once. Dropped without a word it counts as a request that was called off and may
-/// have run.
+/// Permission to run a handler once. Dropped without [`Permit::ended`], it counts as a cancelled request that may have
+/// run.
 pub struct Permit {
     shared: Option<Arc<Shared>>,
     id: RequestId,
@@ -121,8 +122,8 @@
 }
 
 impl Permit {
-    /// The handler has ended. [`Outcome::Ok`] is its answer, [`Outcome::Error`] that it may have run,
-    /// [`Outcome::Full`] that it turned the request away and did nothing.
+    /// Reports the handler's end: [`Outcome::Ok`] if it answered, [`Outcome::Error`] if it failed and may have run,
+    /// [`Outcome::Full`] if it rejected the request without running it.
     pub fn ended(mut self, outcome: Outcome) {
         self.report(outcome);
     }
@@ -141,7 +142,7 @@
     }
 }
 
-/// CallEndSink the limiter's task with the last that holds it.
+/// Stops the limiter's task when the last clone is dropped.
 struct StopOnDrop(Arc<Shared>);
 
 impl Drop for StopOnDrop {
@@ -150,7 +151,7 @@
     }
 }
 
-/// The limiter. Clones share it; when the last one and the last open request are dropped, its task ends.
+/// The limiter. When the last clone and the last open request are dropped, its task ends.
 #[derive(Clone)]
 pub struct Direct {
     alive: Arc<StopOnDrop>,
@@ -162,14 +163,14 @@
     }
 }
 
-/// What runs beside the applications' threads: timers and the counter.
+/// The limiter's background task, with its timers and counter.
 pub struct Work {
     shared: Weak<Shared>,
     calls: mpsc::UnboundedReceiver<Call>,
 }
 
-/// A limiter that takes `capacity` requests in hand, and its task. `setup` is what requests are classified by;
-/// `module` is what the decision module is told.
+/// Creates a limiter with at most `capacity` open requests, and its task. `setup` is used to classify requests;
+/// `module` configures the decision module.
 pub fn pair(setup: Setup, module: &Setup, capacity: usize) -> (Direct, Work) {
     let (sender, calls) = mpsc::unbounded_channel();
     let mut core = Core::new(module);
@@ -196,12 +197,12 @@
         &self.alive.0
     }
 
-    /// What requests are classified by.
+    /// Setup used to classify requests.
     pub fn setup(&self) -> &Setup {
         &self.shared().setup
     }
 
-    /// Asks for a permit. Dropping the future is the client's leaving.
+    /// Requests a permit. Dropping the future counts as the client's disconnect.
     pub fn call(&self, request: Request) -> (Admission, oneshot::Receiver<Permit>) {
         let (start, permit) = oneshot::channel();
         let (reply, answer) = oneshot::channel();
@@ -211,15 +212,15 @@
             if stopping || core.unanswered() >= shared.capacity {
                 return None;
             }
-            // A client that has just left needs no answer.
+            // The receiver is gone if the client has disconnected.
             let reply = Box::new(move |answer| _ = reply.send(answer));
             Some(core.submit(now, request, Mutex::new(Some(start)), reply))
         });
         (Admission { limiter: self.clone(), taken: taken.map(|id| (id, answer)) }, permit)
     }
 
-    /// Takes no further request, answers what was taken (by 0.55 s after the longest deadline, 3 s at most),
-    /// and completes when all is answered.
+    /// Rejects further requests, waits for the answers to accepted ones (for the longest deadline, at most 3 s, plus
+    /// 0.55 s) and fails the rest.
     pub async fn shutdown(&self) {
         self.shared().stopping.store(true, Ordering::Release);
         let end = tokio::time::Instant::now() + shutdown_timeout(&self.setup().settings);
@@ -230,8 +231,8 @@
     }
 }
 
-/// A request in hand; completes with its final answer.
-#[must_use = "a dropped request is a client that has left"]
+/// An open request; completes with its final answer.
+#[must_use = "dropping a request counts as the client's disconnect"]
 pub struct Admission {
     limiter: Direct,
     taken: Option<(RequestId, oneshot::Receiver<Answer<()>>)>,
@@ -261,8 +262,8 @@
 }
 
 impl Work {
-    /// Runs timers and the counter until the limiter is dropped. To be run inside a
-    /// [`tokio::task::LocalSet`], in which `start` makes the counter.
+    /// Runs timers and the counter until the limiter is dropped. Must run inside a [`tokio::task::LocalSet`], in which
+    /// `start` creates the counter.
     pub async fn run(mut self, start: impl FnOnce(Rc<dyn Clock>, CallEndSink) -> Option<Rc<dyn Counter>>) {
         let Some(shared) = self.shared.upgrade() else { return };
         let clock: Rc<dyn Clock> = Rc::new(shared.clock);
@@ -293,16 +294,16 @@
                 }
                 () = shared.stop.notified() => return,
             }
-            // Awake until it has looked again: nothing need wake it.
+            // The task is awake and checks the timers again, so it needs no notification.
             shared.asleep_until.store(0, Ordering::Release);
         }
     }
 }
 
-/// Runs a limiter's task on a thread of its own.
+/// Runs a limiter's task on its own thread.
 ///
 /// # Errors
-/// When there is no thread or runtime to be had.
+/// If the thread or runtime cannot be created.
 pub fn spawn(
     work: Work,
     start: impl FnOnce(Rc<dyn Clock>, CallEndSink) -> Option<Rc<dyn Counter>> + Send + 'static,
--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -1,8 +1,7 @@
-//! The engine without I/O, clock or thread: what has happened goes in with its time, what is to be done comes out.
+//! The engine's state machine, without I/O, clock or threads: timed events go in, outputs come out.
 //!
-//! Both shells drive it: [`super::Engine`] on one thread with ports, and [`crate::direct`] under a lock. Events
-//! go through one queue, which keeps them in order even where carrying out an action brings up the next
-//! event at once.
+//! [`super::Engine`] drives it on one thread with ports, [`crate::direct`] drives it under a lock. All events go
+//! through one queue, which keeps them in order even where carrying out an action produces the next event at once.
 
 use super::departures::Departures;
 use super::fleet::{Fleet, Shares};
@@ -26,21 +25,20 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
 
-/// What is left for an answer's way back, ms: a client counts its wait from when it sent the request.
+/// Time reserved for an answer to travel back, ms: a client's timeout runs from when it sent the request.
 const RESPONSE_MARGIN: Millis = 20.0;
-/// A call to the counter is waited for this many of the told time-outs: its answer comes however late its turn,
-/// and a total that is read late is still the total. Less than this would throw away all that a counter with
-/// a long line says, and make its line no shorter.
+/// Counter calls are abandoned after this many times the configured timeout. A total that arrives late is still
+/// valid; a smaller factor would discard every answer of a counter with a long queue without shortening the queue.
 const COUNTER_TIMEOUT_FACTOR: f64 = 4.0;
-/// A request of which the module has said nothing this long before its client leaves, ms, has failed.
+/// A request that the decision module has not settled this long before its deadline, ms, fails.
 const ANSWER_MARGIN: Millis = 8.0;
-/// Longest time that a body may take to come, ms: the longest that is taken, at 64 kB a second. That it gets on is
-/// looked after where it is read.
+/// Longest time for a body to arrive, ms: the largest accepted body at 64 kB per second. Stalled bodies are detected
+/// where they are read.
 const MAX_UPLOAD_TIME: Millis = 1_050_000.0;
 
-/// What the shell is to do, in this order.
+/// A step for the shell that drives the core, to be carried out in the order given.
 pub(crate) enum Output<Q> {
-    /// Make an attempt, and report its end with [`Core::attempt_ended`].
+    /// Start an attempt and report its end with [`Core::attempt_ended`].
     Attempt {
         id: RequestId,
         number: u8,
@@ -50,20 +48,20 @@
         request: Arc<Q>,
         span: Millis,
     },
-    /// Call an attempt off; its end is known already.
+    /// Cancel an attempt whose end is already recorded.
     CancelAttempt { id: RequestId, number: u8 },
-    /// Begin a call to the counter, and report its end with [`Core::call_ended`].
+    /// Start a counter call and report its end with [`Core::call_ended`].
     Count(Call),
-    /// Take down what is known of a request that runs once at most.
+    /// Record the execution state of an at-most-once request.
     Note { request: Arc<Q>, server: Option<Arc<str>>, note: Note },
 }
 
-/// What is known of a request that runs once at most.
+/// Execution state of an at-most-once request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// What became of it so far, and why that is known.
+    /// Its outcome so far and the evidence for it.
     Outcome(ExecutionOutcome, &'static str),
-    /// The module was about to break the rule, and was kept from it.
+    /// A decision of the module that would have violated an invariant and was not carried out.
     Violation(InvariantViolation),
 }
 
@@ -76,27 +74,27 @@
     Call(CallId),
 }
 
-/// An attempt that has ended, for who watches servers.
+/// A finished attempt, as reported to observers of server health.
 #[derive(Clone, Debug)]
 pub struct Finished {
-    /// Its server's id.
+    /// Id of the server.
     pub server: Arc<str>,
-    /// Its request's class.
+    /// Class of the request.
     pub class: ClassId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it took.
+    /// Duration of the attempt, ms.
     pub took: Millis,
-    /// Its server was warm.
+    /// Whether the server had finished warming up when the attempt started.
     pub warm: bool,
 }
 
-/// Ends that nobody has taken: the newest are left out beyond this.
+/// Most finished attempts held until they are taken; further ones are dropped.
 const MAX_FINISHED_ATTEMPTS: usize = 4096;
-/// What an attempt was sent, and the name of its server.
+/// The request of an attempt and the name of its server.
 type LateAttempt<Q> = (Arc<Q>, Option<Arc<str>>);
 
-/// One decision module with the requests, servers, calls and timers round it.
+/// A decision module and the requests, servers, counter calls and timers that it works on.
 pub(crate) struct Core<Q, A> {
     gateway: Gateway,
     names: Names,
@@ -108,22 +106,22 @@
     requests: RequestTable<Q, A>,
     fleet: Fleet,
     timers: Timers<Due>,
-    /// Calls whose end the module has not been told.
+    /// Counter calls whose end the module has not seen, with their start.
     calls: HashMap<CallId, (CountName, Millis)>,
     next_call: u64,
-    /// How attempts ended, by zone, where that is counted.
+    /// Attempt outcomes by zone; `None` while they are not counted.
     zone_counts: Option<HashMap<u16, Counts>>,
-    /// How attempts ended since they were last taken, where somebody takes them.
+    /// Attempts that finished since they were last taken; `None` until they are first asked for.
     finished_attempts: Option<Vec<Finished>>,
-    /// Where requests that run once are told of: an answer is listened for so much longer, ms, than it is
-    /// waited for.
+    /// How long after its timeout an at-most-once attempt's answer is still recorded, ms; `None` while executions
+    /// are not reported.
     late_answer_wait: Option<Millis>,
-    /// Attempts that are listened for and no longer waited for.
+    /// Attempts that timed out and whose answer is still recorded if it arrives.
     late_attempts: HashMap<(RequestId, u8), LateAttempt<Q>>,
-    /// Decisions that were not carried out.
+    /// Decisions that were not carried out because they would have violated an invariant.
     prevented_violations: u64,
     departures: Departures,
-    /// Attempts of requests that may be repeated are cancelled when their client leaves.
+    /// Whether attempts of repeatable requests are cancelled when their client disconnects.
     cancels_on_disconnect: bool,
 }
 
@@ -152,38 +150,38 @@
         }
     }
 
-    /// From now on what is known of requests that run once is told, their late answers are listened for so
-    /// long, ms, and what is repeatable and may have run is never told as refused.
+    /// Starts reporting the execution state of at-most-once requests. Their late answers are recorded for `late` ms
+    /// after the timeout, and a repeatable request that may have run is no longer answered as refused.
     pub(crate) fn report_executions(&mut self, late: Millis) {
         self.late_answer_wait = Some(late);
     }
 
-    /// How many requests that run once are out at a server.
+    /// Number of at-most-once requests that a server may be executing, including those whose late answer is awaited.
     pub(crate) fn at_most_once_in_flight(&self) -> usize {
         self.requests.at_most_once_in_flight() + self.late_attempts.len()
     }
 
-    /// How many decisions of the module were not carried out, as they would have broken the rule.
+    /// Number of decisions that were not carried out because they would have violated an invariant.
     pub(crate) fn prevented_violations(&self) -> u64 {
         self.prevented_violations
     }
 
-    /// From now on attempts of requests that may be repeated are cancelled when their client leaves.
+    /// Starts cancelling attempts of repeatable requests when their client disconnects.
     pub(crate) fn cancel_on_disconnect(&mut self) {
         self.cancels_on_disconnect = true;
     }
 
-    /// What became of requests whose clients left.
+    /// Counts of client disconnects and of the attempts that they affected.
     pub(crate) fn departures(&self) -> Departures {
         self.departures
     }
 
-    /// The next thing to do; to be asked until there is none, after every call that may bring up some.
+    /// Takes the next output. Callers drain it after every call that may produce outputs.
     pub(crate) fn output(&mut self) -> Option<Output<Q>> {
         self.outputs.pop_front()
     }
 
-    /// When [`Core::come_due`] is to be called at the latest.
+    /// Time of the earliest timer, at which [`Core::run_due_timer`] has to be called.
     pub(crate) fn next_due(&self) -> Option<Millis> {
         self.timers.next()
     }
@@ -202,10 +200,10 @@
 
     // ---- Events in, actions out ---------------------------------------------------------------
 
-    /// Works off the events that wait.
+    /// Handles all queued events and pending actions.
     ///
-    /// A panic in here costs the event that brought it up and no more: not the task it came from (a client's
-    /// connection, the timers), and not what else was to be done.
+    /// A panic is caught and loses only the event that caused it. The calling task (a client's connection or the
+    /// timers) and the remaining events are unaffected; a request whose arrival panicked is answered as failed.
     fn drain(&mut self, now: Millis) {
         loop {
             let next = self.events.pop_front();
@@ -217,7 +215,7 @@
                 _ => None,
             };
             if catch_unwind(AssertUnwindSafe(|| self.step(now, next))).is_err() {
-                tracing::error!("a panic while an event was handled");
+                tracing::error!("panic while handling an event");
                 if let Some(id) = arrived {
                     self.answer(id, Answer::Failed);
                 }
@@ -225,7 +223,7 @@
         }
     }
 
-    /// Gives the module one event, and carries out what it asks for.
+    /// Passes one event to the module and carries out the resulting actions.
     fn step(&mut self, now: Millis, event: Option<Event>) {
         if let Some(event) = event {
             self.gateway.handle(now, event, &mut self.actions);
@@ -252,7 +250,7 @@
             Action::Cancel { id, attempt } => self.end(now, id, attempt, Outcome::Cancelled, Vec::new()),
             Action::Count { name, add, ttl } => self.count(now, name, add, ttl),
             Action::Timer { after, name } => self.timers.arm(now + after, Due::Module(name)),
-            // Sources push their news, and probes are no part of what ports can do.
+            // Membership sources push their updates, and the ports do not support probes.
             Action::Watch | Action::Probe(_) => {}
         }
     }
@@ -294,8 +292,8 @@
         }
     }
 
-    /// The client has left: nothing more is sent. What is out and runs at most once goes on, as somebody may ask what became
-    /// of it; what may be repeated is cancelled, where that is wanted.
+    /// Handles a client's disconnect: no further attempt is sent. At-most-once attempts in flight go on, because
+    /// their outcome may still be queried; repeatable ones are cancelled if that is enabled.
     pub(crate) fn client_left(&mut self, now: Millis, id: RequestId) {
         if self.requests.reply(id).is_none() {
             return;
@@ -311,7 +309,7 @@
         self.requests.forget(id);
     }
 
-    /// Cancels what is out of a request that may be repeated.
+    /// Cancels the attempts in flight of a repeatable request.
     fn cancel_attempts(&mut self, now: Millis, id: RequestId) {
         for number in self.requests.live_repeatable(id) {
             self.departures.cancelled_attempts += 1;
@@ -320,12 +318,12 @@
         self.drain(now);
     }
 
-    /// Guards against a module that says nothing: the client is answered while it still waits.
+    /// Answers a request as timed out if the module has not settled it, while its client still waits.
     fn fail_unanswered(&mut self, now: Millis, id: RequestId) {
         if self.requests.get_mut(id).is_none_or(|entry| entry.is_answered()) {
             return;
         }
-        tracing::debug!("request {} ended by the clock", id.0);
+        tracing::debug!("request {} timed out without a decision", id.0);
         self.answer_without_success(id, Answer::TimedOut);
         self.feed(now, Event::Gone(id));
         self.requests.forget(id);
@@ -337,14 +335,14 @@
         }
     }
 
-    /// Nothing better comes: what a server said of its own counts more than what the limiter would say. A refusal too,
-    /// as what may run again may have run.
+    /// Gives a request its final answer when no success will follow: a server's error answer if there is one, else
+    /// `otherwise`. The error answer also replaces a refusal, because a repeatable request may have run.
     fn answer_without_success(&mut self, id: RequestId, otherwise: Answer<A>) {
         let said = self.requests.get_mut(id).and_then(|entry| entry.error_answer.take());
         self.answer(id, said.map_or(otherwise, Answer::Served));
     }
 
-    /// Gives a request its final answer, once.
+    /// Sends a request's final answer, unless it has one already.
     fn answer(&mut self, id: RequestId, answer: Answer<A>) {
         if let Some(reply) = self.requests.reply(id) {
             reply(self.permitted_answer(id, answer));
@@ -352,7 +350,7 @@
         self.requests.forget(id);
     }
 
-    /// What a client may be told in place of this: a promise only of what certainly has not run.
+    /// Replaces an answer that is not allowed: a refusal may only be given if the request has certainly not run.
     fn permitted_answer(&mut self, id: RequestId, answer: Answer<A>) -> Answer<A> {
         let Some(entry) = self.requests.get_mut(id) else { return answer };
         let word = match &answer {
@@ -376,7 +374,7 @@
         }
         match answer {
             Answer::Refused(_) if !once && !certain && self.late_answer_wait.is_some() => Answer::Failed,
-            // It is over, so nothing of it is sent from here on: what is certain may be promised.
+            // The request is settled and will not be sent any more, so a refusal is certain to hold.
             Answer::TimedOut if once && certain && self.late_answer_wait.is_some() => Answer::Refused(0.0),
             answer => answer,
         }
@@ -421,7 +419,7 @@
             let out = entry.execution.is_in_flight();
             self.record_violation(&request, violation);
             if !out {
-                // Nothing that is out can answer it any more.
+                // No attempt in flight can answer it any more.
                 self.answer(id, Answer::Failed);
             }
             return self.end(now, id, number, Outcome::Moot, Vec::new());
@@ -434,7 +432,7 @@
         self.outputs.push_back(Output::Attempt { id, number, server, name, address, request, span });
     }
 
-    /// How far a body that is still coming has gone with an attempt.
+    /// Handles the progress of an attempt that sends a streamed body.
     pub(crate) fn progress(&mut self, now: Millis, id: RequestId, attempt: u8, progress: Progress) {
         if !self.requests.is_live(id, attempt) {
             return;
@@ -454,14 +452,14 @@
             entry.deadline = now + left;
             self.timers.arm(now + left - ANSWER_MARGIN, Due::AnswerDeadline(id));
             if self.late_answer_wait.is_some() {
-                // The module says nothing more of one whose client has left.
+                // The module sets no timeout for a request whose client has disconnected.
                 self.timers.arm(now + left - RESPONSE_MARGIN, Due::Attempt(id, attempt));
             }
         }
         self.feed(now, Event::Uploaded { id, attempt });
     }
 
-    /// Waits so long for an attempt whose body has gone out.
+    /// Sets the timeout of an attempt whose body has been sent.
     fn wait_for(&mut self, now: Millis, id: RequestId, attempt: u8, timeout: Millis) {
         if let Some(entry) = self.requests.get_mut(id) {
             let span = span(entry.deadline, now, timeout);
@@ -469,8 +467,8 @@
         }
     }
 
-    /// An attempt has ended by itself; late results of ended ones tell nobody anything but what became of the
-    /// request.
+    /// Handles an attempt that ended by itself. A late end of an attempt that has already ended only updates the
+    /// recorded execution outcome.
     pub(crate) fn attempt_ended(&mut self, now: Millis, id: RequestId, attempt: u8, end: End<A>) {
         let how = attempt_end(end.outcome, end.answer.is_some());
         if !self.requests.is_live(id, attempt) {
@@ -498,7 +496,7 @@
         self.drain(now);
     }
 
-    /// CallEndSink an attempt that is still out, and lets the module know.
+    /// Ends an attempt in flight, cancels it and reports its end to the module.
     fn end(&mut self, now: Millis, id: RequestId, number: u8, outcome: Outcome, load: Vec<f64>) {
         if self.requests.is_live(id, number) {
             self.record_end(id, number, attempt_end(outcome, false));
@@ -508,8 +506,8 @@
         }
     }
 
-    /// An attempt's time is up: it is waited for no longer. Where somebody may still ask what became of it,
-    /// its answer is listened for as long as its server may take to say so.
+    /// Handles an attempt's timeout. A fully sent at-most-once attempt is not cancelled while executions are
+    /// reported: its answer is recorded for as long as its server may take to send it.
     fn time_out(&mut self, now: Millis, id: RequestId, attempt: u8) {
         let listens = self.late_answer_wait.filter(|_| {
             self.requests.is_live(id, attempt)
@@ -527,7 +525,7 @@
         self.report_end(now, id, attempt, Outcome::TimedOut, Vec::new());
     }
 
-    /// Takes down how an attempt has ended.
+    /// Records how an attempt ended.
     fn record_end(&mut self, id: RequestId, attempt: u8, how: AttemptEnd) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.execution.end(usize::from(attempt), how);
@@ -582,7 +580,7 @@
         self.outputs.push_back(Output::Count(Call { id, name, add, ttl }));
     }
 
-    /// A call has ended. What comes after its time-out is dropped.
+    /// Handles the end of a counter call. An end that arrives after the call was abandoned is dropped.
     pub(crate) fn call_ended(&mut self, now: Millis, id: CallId, end: CallEnd) {
         self.settle(now, id, end);
         self.drain(now);
@@ -601,44 +599,44 @@
 
     // ---- Servers ------------------------------------------------------------------------------
 
-    /// Takes in news of the list; whether they make the limiter ready.
+    /// Applies a membership update. Returns whether it makes the limiter ready.
     pub(crate) fn members(&mut self, now: Millis, news: &News) -> bool {
         let (update, entries) = self.fleet.apply(news, &self.names.zones);
         self.feed(now, Event::Servers { update, entries });
         update != ListUpdate::Cached
     }
 
-    /// Takes a server out, or puts it in again. When this returns no first byte of a new attempt goes to one that is
-    /// out.
+    /// Suspends or resumes a server. Once this returns, no new attempt sends its first byte to a suspended server.
+    /// Fails if the server was never listed.
     pub(crate) fn set_suspended(&mut self, now: Millis, id: &str, out: bool) -> Result<(), NeverListed> {
         let told = if out { self.fleet.suspend(now, id)? } else { self.fleet.resume(now, id)? };
         self.update_servers(now, told.into_iter().collect());
         Ok(())
     }
 
-    /// The rules take these servers out, and none else.
+    /// Excludes exactly these servers by configuration.
     pub(crate) fn exclude_servers(&mut self, now: Millis, ids: &BTreeSet<String>) {
         let entries = self.fleet.exclude(ids);
         self.update_servers(now, entries);
     }
 
-    /// Only these parts of zones are used from now on.
+    /// Limits the share of each zone's servers that this limiter uses.
     pub(crate) fn set_zone_shares(&mut self, now: Millis, shares: Shares) {
         let entries = self.fleet.set_shares(shares);
         self.update_servers(now, entries);
     }
 
-    /// Counts from now on how attempts end, by zone.
+    /// Starts counting attempt outcomes by zone.
     pub(crate) fn count_zones(&mut self) {
         self.zone_counts.get_or_insert_default();
     }
 
-    /// How attempts have ended since this was last asked; watched from the first time on.
+    /// Takes the attempts that finished since the last call. The first call starts the recording.
     pub(crate) fn take_finished_attempts(&mut self) -> Vec<Finished> {
         self.finished_attempts.replace(Vec::new()).unwrap_or_default()
     }
 
-    /// What was counted so far, by the zone's name; with it how many of its servers may be used.
+    /// Attempt outcomes and the number of usable servers of each zone.
     pub(crate) fn zones(&self) -> Vec<Row> {
         let row = |(place, name): (usize, &String)| {
             let zone = place as u16;
@@ -648,7 +646,7 @@
         self.names.zones.iter().enumerate().map(row).collect()
     }
 
-    /// Takes in what another process was told of servers.
+    /// Merges the suspensions known to another process.
     pub(crate) fn merge(&mut self, now: Millis, marks: &Marks) {
         let entries = self.fleet.merge(marks);
         self.update_servers(now, entries);
@@ -660,15 +658,15 @@
         }
     }
 
-    /// From now on the module uses this part of what is a gateway's own.
+    /// Sets the share of the gateway's own budget that the module may use.
     pub(crate) fn set_budget_part(&mut self, now: Millis, part: f64) {
         self.feed(now, Event::Part(part));
     }
 
-    /// From now on these settings hold for what comes in.
+    /// Applies new settings to requests that arrive from now on.
     pub(crate) fn apply_settings(&mut self, now: Millis, names: &Names, settings: &Settings) {
         if self.names.zones != names.zones {
-            // Counted by place among them.
+            // The counts are keyed by the zone's index.
             self.zone_counts = self.zone_counts.take().map(|_| HashMap::new());
         }
         (self.names, self.settings) = (names.clone(), settings.clone());
@@ -677,7 +675,7 @@
 
     // ---- Timers -------------------------------------------------------------------------------
 
-    /// Works off one timer that is due; whether there was one.
+    /// Runs one due timer. Returns whether there was one.
     pub(crate) fn run_due_timer(&mut self, now: Millis) -> bool {
         let Some(due) = self.timers.pop(now) else { return false };
         match due {
@@ -706,7 +704,7 @@
     }
 }
 
-/// How long an attempt is waited for of which the module says `timeout` (0: until the client gives up, at `ends`).
+/// Timeout of an attempt, ms: the module's `timeout` (0: none) bounded by the time left until `ends`.
 fn span(ends: Millis, now: Millis, timeout: Millis) -> Millis {
     let left = ends - RESPONSE_MARGIN - now;
     if timeout > 0.0 {
@@ -716,7 +714,7 @@
     }
 }
 
-/// What an attempt's end says of whether it ran.
+/// Translates an attempt's outcome into what it proves about the execution.
 fn attempt_end(outcome: Outcome, answered: bool) -> AttemptEnd {
     match outcome {
         Outcome::Ok => AttemptEnd::Succeeded,
@@ -727,7 +725,8 @@
     }
 }
 
-/// What that makes of a request that runs once; `ran`: nothing proves that it did not.
+/// Execution outcome of an at-most-once request after an attempt's end, with its reason. `ran` is set unless it is
+/// proven that the request did not run.
 fn execution_outcome(how: AttemptEnd, ran: bool) -> (ExecutionOutcome, &'static str) {
     match how {
         AttemptEnd::Succeeded => (ExecutionOutcome::Succeeded, "answered"),
@@ -741,7 +740,7 @@
     }
 }
 
-/// Which of a zone's counts an attempt's end belongs to. One that was called off or never sent tells nothing.
+/// Adds an attempt's outcome to its zone's counts. Attempts that were cancelled or never sent are not counted.
 fn count_outcome(counts: &mut Counts, outcome: Outcome) {
     let which = match outcome {
         Outcome::Ok => &mut counts.ok,
@@ -757,13 +756,13 @@
 
 #[cfg(test)]
 impl<Q, A> Core<Q, A> {
-    /// Carries out a decision that the module has not made.
+    /// Carries out an action that the module has not requested.
     pub(super) fn inject_action(&mut self, now: Millis, action: Action) {
         self.carry_out(now, action);
         self.drain(now);
     }
 
-    /// From now on another guard looks after a request.
+    /// Replaces the execution state that guards a request.
     pub(super) fn replace_execution(&mut self, id: RequestId, execution: RequestAttempts) {
         if let Some(entry) = self.requests.get_mut(id) {
             entry.execution = execution;
--- a/crates/engine/src/engine/departures.rs
+++ b/crates/engine/src/engine/departures.rs
@@ -1,25 +1,25 @@
-//! Counts what becomes of requests whose clients leave before their answer.
+//! Counts client disconnects before the answer and the attempts that they affect.
 
 use oatbank_limiter_core::interface::Millis;
 
-/// An attempt of a request that may be repeated has ended by this long, ms, after its client has left: so long a server's
-/// work for nobody is let pass, and a call that crosses the departure ends within it.
+/// An attempt of a repeatable request that ends later than this after its client's disconnect, ms, counts as
+/// abandoned. An attempt whose end crosses the disconnect stays within it.
 const ABANDONED_AFTER: Millis = 250.0;
 
-/// What became of requests whose clients left before their answer.
+/// Counts of client disconnects before the answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Departures {
-    /// Clients that left before their answer.
+    /// Clients that disconnected before their answer.
     pub clients: u64,
-    /// Attempts that were called off for that.
+    /// Attempts that were cancelled because of a disconnect.
     pub cancelled_attempts: u64,
-    /// Attempts of requests that may be repeated which went on for a client that had left. Invariant: 0 where
-    /// attempts are called off.
+    /// Attempts of repeatable requests that continued after their client's disconnect. Invariant: 0 where
+    /// cancellation on disconnect is enabled.
     pub abandoned_attempts: u64,
 }
 
 impl Departures {
-    /// An attempt of a request that may be repeated has ended, whose client left at that time.
+    /// Records the end of an attempt of a repeatable request whose client disconnected at `abandoned_at`.
     pub(super) fn on_end(&mut self, now: Millis, abandoned_at: Millis) {
         if now - abandoned_at > ABANDONED_AFTER {
             self.abandoned_attempts += 1;
--- a/crates/engine/src/engine/fleet.rs
+++ b/crates/engine/src/engine/fleet.rs
@@ -1,4 +1,4 @@
-//! The servers that are known, by the numbers that the decision module uses.
+//! The known servers, by the ids that the decision module uses.
 
 use crate::ports::membership::{Member, News};
 use oatbank_limiter_core::interface::{ListUpdate, Millis, ServerEntry, ServerId, ServerState};
@@ -9,17 +9,18 @@
 
 struct KnownServer {
     address: SocketAddr,
-    /// What its list says, before what operators say.
+    /// Entry as listed, before suspensions, exclusions and shares are applied.
     entry: ServerEntry,
     id: Arc<str>,
 }
 
-/// The parts of zones that a limiter may use: of each server's limiters so many, at even distances, so that they add up.
+/// Share of each zone's servers that a limiter may use. Limiters at evenly spaced places use a server in exactly that
+/// proportion.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shares {
-    /// By the zone's place among the names.
+    /// Share from 0 to 1 by the zone's index in the names; zones without an entry are used fully.
     pub parts: HashMap<u16, f64>,
-    /// This limiter's place among all, from 0 to below 1.
+    /// Position of this limiter among all, from 0 to below 1.
     pub place: f64,
 }
 
@@ -31,18 +32,18 @@
     }
 }
 
-/// Servers by number.
+/// Servers by id of the decision module, with the overrides that apply to them.
 pub(super) struct Fleet {
     known: HashMap<ServerId, KnownServer>,
-    /// Numbers by id, for as long as a server is known.
+    /// Server numbers by id, kept while a server is known.
     numbers: HashMap<String, ServerId>,
-    /// What operators have taken out: lies over what the list says, and is there before and after it.
+    /// Suspensions by operators: override the list and persist whether or not a server is listed.
     suspensions: Suspensions,
-    /// What the rules take out: lies over that, and an operator's word here does not put it in again.
+    /// Servers excluded by configuration, which an operator's resume does not put back.
     excluded: BTreeSet<String>,
-    /// Zones of which only a part is used.
+    /// Zones of which only a share is used.
     shares: Shares,
-    /// The n-th number that an id may have.
+    /// Hash that gives the n-th candidate number of an id.
     hash: fn(&str, u64) -> u64,
 }
 
@@ -66,12 +67,12 @@
         self.known.is_empty()
     }
 
-    /// A server's name and where it listens.
+    /// Name and address of a server.
     pub(super) fn address(&self, server: ServerId) -> Option<(Arc<str>, SocketAddr)> {
         self.known.get(&server).map(|s| (s.id.clone(), s.address))
     }
 
-    /// A server's name and when it last started.
+    /// Name and last start, Unix ms, of a server.
     pub(super) fn started(&self, server: ServerId) -> Option<(Arc<str>, Millis)> {
         self.known.get(&server).map(|s| (s.id.clone(), s.entry.started))
     }
@@ -85,13 +86,13 @@
         self.suspensions.is_out(id) || self.excluded.contains(id) || self.shares.excludes(id, entry.zone)
     }
 
-    /// The rules take these out, and none else; what the module is to be told. They need not be listed.
+    /// Excludes exactly these servers, listed or not. Returns the changed entries.
     pub(super) fn exclude(&mut self, ids: &BTreeSet<String>) -> Vec<ServerEntry> {
         let before = std::mem::replace(&mut self.excluded, ids.clone());
         before.symmetric_difference(ids).filter_map(|id| self.effective_entry_by_id(id)).collect()
     }
 
-    /// Only these parts of zones are used from now on; what the module is to be told.
+    /// Sets the shares of the zones. Returns the changed entries.
     pub(super) fn set_shares(&mut self, shares: Shares) -> Vec<ServerEntry> {
         let before = std::mem::replace(&mut self.shares, shares);
         let differs = |s: &&KnownServer| {
@@ -100,29 +101,30 @@
         self.known.values().filter(differs).map(|s| self.effective_entry(&s.id, s.entry.clone())).collect()
     }
 
-    /// The zone of a server, by its number, and how many of each may be used.
+    /// Index of a server's zone.
     pub(super) fn zone(&self, server: ServerId) -> Option<u16> {
         self.known.get(&server).map(|s| s.entry.zone)
     }
 
+    /// Number of servers of a zone that may be used.
     pub(super) fn usable(&self, zone: u16) -> u32 {
         let there = self.known.iter().filter(|(_, s)| s.entry.zone == zone);
         there.filter(|(number, _)| self.is_ready(**number)).count() as u32
     }
 
-    /// Takes a server out; what the module is to be told.
+    /// Suspends a server. Returns its entry if it changed, and fails if the server was never listed.
     pub(super) fn suspend(&mut self, now: Millis, id: &str) -> Result<Option<ServerEntry>, NeverListed> {
         let changed = self.suspensions.suspend(now, id)?;
         Ok(self.effective_entry_by_id(id).filter(|_| changed))
     }
 
-    /// Puts a server in again; what the module is to be told.
+    /// Resumes a server. Returns its entry if it changed, and fails if the server was never listed.
     pub(super) fn resume(&mut self, now: Millis, id: &str) -> Result<Option<ServerEntry>, NeverListed> {
         let changed = self.suspensions.resume(now, id)?;
         Ok(self.effective_entry_by_id(id).filter(|_| changed))
     }
 
-    /// Takes in what another process was told; what the module is to be told.
+    /// Merges the suspensions known to another process. Returns the changed entries.
     pub(super) fn merge(&mut self, marks: &Marks) -> Vec<ServerEntry> {
         let changed = self.suspensions.merge(marks);
         changed.iter().filter_map(|id| self.effective_entry_by_id(id)).collect()
@@ -132,13 +134,13 @@
         self.suspensions.marks()
     }
 
-    /// A known server as the module is to see it.
+    /// Effective entry of a known server.
     fn effective_entry_by_id(&self, id: &str) -> Option<ServerEntry> {
         let known = self.known.get(self.numbers.get(id)?)?;
         Some(self.effective_entry(id, known.entry.clone()))
     }
 
-    /// What operators say lies over what the list says. One that is out is, to the module, one that drains.
+    /// Entry with overrides applied: a ready server that is taken out is reported to the module as draining.
     fn effective_entry(&self, id: &str, mut entry: ServerEntry) -> ServerEntry {
         if entry.state == ServerState::Ready && self.is_out(id, &entry) {
             entry.state = ServerState::Draining;
@@ -147,14 +149,14 @@
         entry
     }
 
-    /// Takes in news of the list, and gives what the module is told.
+    /// Applies a membership update. Returns the update for the module.
     pub(super) fn apply(&mut self, news: &News, zones: &[String]) -> (ListUpdate, Vec<ServerEntry>) {
         let (update, members) = match news {
             News::Complete(members) => (ListUpdate::Full, members),
             News::Changes(members) => (ListUpdate::Delta, members),
             News::Remembered(members) => (ListUpdate::Cached, members),
         };
-        // By id: limiters that read the same list give the same numbers, also where two ids want one.
+        // Sorted by id, so that all limiters assign the same numbers to the same list, also on hash collisions.
         let mut members: Vec<&Member> = members.iter().collect();
         members.sort_by(|a, b| a.id.cmp(&b.id));
         let entries: Vec<ServerEntry> = members.iter().filter_map(|m| self.apply_member(m, zones)).collect();
@@ -166,8 +168,8 @@
         (update, entries)
     }
 
-    /// The number of a server, the same at every limiter: a hash of its id. Where another server has that number
-    /// (one chance in 10^11 with 10,000 servers), its next one, so that nobody is left out.
+    /// Number of a server, the same at every limiter: a hash of its id. On a collision (probability 1 in 10^11 with
+    /// 10,000 servers) the next candidate is used, so that no server is left out.
     fn number(&self, id: &str) -> ServerId {
         let known = self.numbers.get(id).copied();
         known.unwrap_or_else(|| {
@@ -176,7 +178,7 @@
         })
     }
 
-    /// Takes in one line of a list, unless it makes no sense.
+    /// Applies one list entry. Returns the effective entry, or `None` if the server has no usable address.
     fn apply_member(&mut self, member: &Member, zones: &[String]) -> Option<ServerEntry> {
         let server = self.number(&member.id);
         self.suspensions.listed(&member.id);
@@ -195,7 +197,7 @@
             self.numbers.remove(&member.id);
         } else {
             let Some(address) = member.address else {
-                tracing::warn!(server = member.id, "members: {} has no address that can be read", member.id);
+                tracing::warn!(server = member.id, "members: {} has no readable address", member.id);
                 return None;
             };
             let known = KnownServer { address, entry: entry.clone(), id: member.id.as_str().into() };
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -1,7 +1,7 @@
-//! Owns the decision module: feeds it what happens at the ports and carries out what it wants done.
+//! Runs the decision module: passes it the events of the ports and carries out its actions.
 //!
-//! One [`Engine`] on one thread, inside a [`tokio::task::LocalSet`]. What it decides is [`core`]'s; here are the
-//! ports, the tasks and the timers' sleep.
+//! An [`Engine`] lives on one thread, inside a [`tokio::task::LocalSet`]. Its state machine is [`core`]; this module
+//! adds the ports, the tasks and the timer loop.
 
 pub(crate) mod core;
 mod departures;
@@ -37,64 +37,65 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-/// Between two looks at the ports' connections, ms.
+/// Interval between upkeep calls to the ports, ms.
 const UPKEEP_INTERVAL: Millis = 500.0;
 
-/// Names on the sockets, in the order by which the decision module counts them.
+/// External names, in the order by which the decision module indexes them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<String>,
-    /// Plans of customers.
+    /// Customer plans.
     pub plans: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
-    /// Values of a load report.
+    /// Values of a server's load report.
     pub report: Vec<String>,
 }
 
-/// Asked before a request is read and right before an attempt's first byte: it brings the rules up to date, and where
-/// this limiter may act by none, says how long (ms) to stay away.
+/// Check made before a request is handled and right before an attempt's first byte. It applies the current rules and
+/// returns `None`, or the wait in ms after which to retry if no rules are in force.
 pub type Guard = Rc<dyn Fn() -> Option<Millis>>;
 
-/// Hears what is known of a request that runs once at most, and which server (by its name) that is about.
+/// Receives the execution state of at-most-once requests, with the name of the server concerned.
 pub type ExecutionObserver<Q> = Rc<dyn Fn(&Q, Option<&Arc<str>>, Note)>;
 
-/// What an engine is started with.
+/// Initial configuration of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// Names of classes, plans, zones and reports.
     pub names: Names,
-    /// Seed of the decision module's random numbers.
+    /// Seed of the decision module's random number generator.
     pub seed: u64,
 }
 
-/// Longest deadline that the end of a limiter waits for, ms, and what it waits more.
+/// Longest class deadline that a shutdown waits for, ms.
 const MAX_DEADLINE_WAIT: Millis = 3000.0;
+/// Time that a shutdown waits beyond the deadline, ms.
 const SHUTDOWN_MARGIN: Millis = 550.0;
 
-/// How long the end of a limiter waits for answers to what was taken: 0.55 s after the longest deadline, of which
-/// 3 s count at most. After that the rest is failed.
+/// How long a shutdown waits for the answers to accepted requests: the longest class deadline, at most 3 s, plus
+/// 0.55 s. Requests that are unanswered after that fail.
 pub fn shutdown_timeout(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     Duration::from_secs_f64((longest.min(MAX_DEADLINE_WAIT) + SHUTDOWN_MARGIN) / 1000.0)
 }
 
-/// The one owner of a decision module. Guarantees, whatever the ports do:
-/// - each request that was taken on gets exactly one [`Answer`], at the latest 8 ms before its time is up;
-/// - an attempt's end reaches the module once; one that has no end is ended by its time-out;
-/// - no new attempt goes to a server once its departure was told (see [`MembershipSink`]).
+/// Owns a decision module and its ports. Guarantees, whatever the ports do:
+/// - each accepted request gets exactly one [`Answer`], at the latest 8 ms before its deadline;
+/// - an attempt's end reaches the module exactly once; an attempt that does not end is ended by its timeout;
+/// - no new attempt goes to a server once its departure was reported (see [`MembershipSink`]).
 pub struct Engine<U: Upstream> {
     clock: Rc<dyn Clock>,
     revision: RefCell<Rc<Revision>>,
     core: RefCell<Core<U::Request, U::Answer>>,
-    /// Attempts that are out.
+    /// Tasks of the attempts in flight.
     tasks: RefCell<HashMap<(RequestId, u8), AbortHandle>>,
-    /// MembershipSink when an earlier due than all before has been set.
+    /// Notified when a timer earlier than all others has been set.
     earlier_timer: Notify,
-    /// What the timers sleep until.
+    /// Time until which the timer task sleeps.
     asleep_until: Cell<Millis>,
     ready: Cell<bool>,
     readiness_held: Cell<bool>,
@@ -105,7 +106,7 @@
 }
 
 impl<U: Upstream> Engine<U> {
-    /// An engine that knows no server and has no counter yet.
+    /// Creates an engine without servers or a counter.
     pub fn new(setup: &Setup, clock: Rc<dyn Clock>, upstream: U) -> Rc<Self> {
         Rc::new(Engine {
             clock,
@@ -123,7 +124,7 @@
         })
     }
 
-    /// Runs the timers for the life of the process; ended by dropping the [`tokio::task::LocalSet`].
+    /// Starts the timer and upkeep tasks, which run until the [`tokio::task::LocalSet`] is dropped.
     pub fn start(self: &Rc<Self>) {
         let engine = self.clone();
         keep_running("timers", move || engine.clone().run_timers());
@@ -131,12 +132,12 @@
         keep_running("upkeep", move || engine.clone().run_upkeep());
     }
 
-    /// The counter to use from now on; without one, quotas are kept by this limiter's own view.
+    /// Sets the shared counter. Without one, quotas are enforced by this limiter's local view only.
     pub fn use_counter(&self, counter: Option<Rc<dyn Counter>>) {
         *self.counter.borrow_mut() = counter;
     }
 
-    /// Where a counter tells the ends of this engine's calls.
+    /// Sink through which a counter reports the ends of this engine's calls.
     pub fn call_end_sink(self: &Rc<Self>) -> CallEndSink {
         let engine = Rc::downgrade(self);
         Rc::new(move |call, end| {
@@ -146,7 +147,7 @@
         })
     }
 
-    /// Where a membership source tells its news.
+    /// Sink through which a membership source reports its updates.
     pub fn membership_sink(self: &Rc<Self>) -> MembershipSink {
         let engine = Rc::downgrade(self);
         Rc::new(move |news| {
@@ -156,26 +157,26 @@
         })
     }
 
-    /// The time, in Unix ms.
+    /// Current time, Unix ms.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// What holds for requests that come in now.
+    /// Revision of the settings for requests that arrive now.
     pub fn revision(&self) -> Rc<Revision> {
         self.revision.borrow().clone()
     }
 
-    /// Takes new settings, whole: what comes in from now on is read and decided by them, what is open keeps those
-    /// that it came with, and what was learnt and counted stays, by name.
+    /// Applies new settings atomically. Requests that arrive from now on use them, open requests keep the rules that
+    /// they arrived under, and learned state and counts are kept by name.
     pub fn apply_settings(self: &Rc<Self>, names: &Names, settings: &Settings) {
         let next = Rc::new(self.revision().next(names, settings));
         *self.revision.borrow_mut() = next.clone();
         self.change(|core, now| core.apply_settings(now, next.names(), next.settings()));
     }
 
-    /// Takes a server out, or puts it in again. From the return on nothing new goes to one that is out, also on
-    /// attempts whose connection is just coming up, whatever the list says or will say.
+    /// Suspends (`out`) or resumes a server. Once this returns, nothing new is sent to a suspended server, not even on
+    /// attempts whose connection is being established, whatever the membership list says.
     ///
     /// # Errors
     /// When the server was never listed.
@@ -183,121 +184,122 @@
         self.change_servers(|core, now| core.set_suspended(now, id, out))
     }
 
-    /// The rules take these servers out, and none else: as [`Engine::set_suspended`], beside what that says.
+    /// Excludes exactly these servers by configuration, with the effect of [`Engine::set_suspended`] and independently
+    /// of it.
     pub fn exclude_servers(self: &Rc<Self>, ids: &BTreeSet<String>) {
         self.change_servers(|core, now| core.exclude_servers(now, ids));
     }
 
-    /// Only these parts of zones are used from now on, as [`Engine::exclude_servers`].
+    /// Limits the share of each zone's servers that is used; the others are excluded as by
+    /// [`Engine::exclude_servers`].
     pub fn set_zone_shares(self: &Rc<Self>, shares: Shares) {
         self.change_servers(|core, now| core.set_zone_shares(now, shares));
     }
 
-    /// Counts from now on how attempts end, by zone.
+    /// Starts counting attempt outcomes by zone.
     pub fn count_zones(&self) {
         self.core.borrow_mut().count_zones();
     }
 
-    /// How attempts have ended since this was last asked; watched from the first time on.
+    /// Takes the attempts that finished since the last call. The first call starts the recording.
     pub fn take_finished_attempts(&self) -> Vec<Finished> {
         self.core.borrow_mut().take_finished_attempts()
     }
 
-    /// What was counted so far of each zone.
+    /// Attempt outcomes and the number of usable servers of each zone.
     pub fn zones(&self) -> Vec<Row> {
         self.core.borrow().zones()
     }
 
-    /// What operators have said of servers.
+    /// Suspensions set by operators.
     pub fn marks(&self) -> Marks {
         self.core.borrow().fleet().marks()
     }
 
-    /// Takes in what another process was told of servers.
+    /// Merges the suspensions known to another process.
     pub fn merge(self: &Rc<Self>, marks: &Marks) {
         self.change_servers(|core, now| core.merge(now, marks));
     }
 
-    /// The limiter can serve.
+    /// Whether the limiter reports that it can serve.
     pub fn is_ready(&self) -> bool {
         self.has_list() && !self.readiness_held.get()
     }
 
-    /// It knows which servers there are.
+    /// Whether a membership list with at least one server is known.
     pub fn has_list(&self) -> bool {
         self.ready.get() && !self.core.borrow().fleet().is_empty()
     }
 
-    /// Whether the limiter is kept from saying that it can serve.
+    /// Keeps the limiter from reporting itself as ready while `held`.
     pub fn hold_readiness(&self, held: bool) {
         self.readiness_held.set(held);
     }
 
-    /// Uses this part of what is a limiter's own: another process uses the rest.
+    /// Limits this process to a share of the limiter's budget; another process uses the rest.
     pub fn set_budget_part(self: &Rc<Self>, part: f64, budget: Budget) {
         self.change(|core, now| core.set_budget_part(now, part));
         self.upstream.set_limits(budget.servers, budget.answers_kib);
     }
 
-    /// From now on nothing is read or sent without asking this.
+    /// Sets the check that is made before a request is handled or an attempt is sent.
     pub fn set_guard(&self, guard: Guard) {
         *self.guard.borrow_mut() = Some(guard);
     }
 
-    /// From now on this hears what becomes of requests that run once at most. Their late answers are listened
-    /// for so much longer, ms, than they are waited for; and what is repeatable and may have run is told as
-    /// failed, not as refused.
+    /// Reports the execution state of at-most-once requests to an observer. Their answers are recorded until `late` ms
+    /// after the timeout. A repeatable request that may have run is then answered as failed instead of refused.
     pub fn observe_executions(&self, late: Millis, witness: ExecutionObserver<U::Request>) {
         self.core.borrow_mut().report_executions(late);
         *self.witness.borrow_mut() = Some(witness);
     }
 
-    /// How many requests that run once at most are out at a server, those of clients that have left included.
+    /// Number of at-most-once requests that a server may be executing, including those of disconnected clients.
     pub fn at_most_once_in_flight(&self) -> usize {
         self.core.borrow().at_most_once_in_flight()
     }
 
-    /// How many decisions of the module were not carried out, as something would have run twice or been
-    /// denied by them.
+    /// Number of decisions that were not carried out because they would have run a request twice or reported one that
+    /// may have run as not executed.
     pub fn prevented_violations(&self) -> u64 {
         self.core.borrow().prevented_violations()
     }
 
-    /// From now on attempts of requests that may be repeated are cancelled when their client leaves: no server works on for
-    /// nobody. What runs at most once goes on.
+    /// Starts cancelling attempts of repeatable requests when their client disconnects, so that servers do not work for
+    /// abandoned requests. At-most-once attempts go on.
     pub fn cancel_on_disconnect(&self) {
         self.core.borrow_mut().cancel_on_disconnect();
     }
 
-    /// What became of requests whose clients left before their answer.
+    /// Counts of client disconnects before the answer.
     pub fn departures(&self) -> Departures {
         self.core.borrow().departures()
     }
 
-    /// Whether this limiter may act by no rules now, and how long (ms) to stay away then. After it, the rules are those
-    /// of the moment.
+    /// Runs the guard, which applies the current rules. Returns the wait in ms after which clients may retry if no
+    /// rules are in force.
     pub fn check_guard(&self) -> Option<Millis> {
-        // Not held while it is asked: it changes the rules of this engine.
+        // The borrow ends before the call, because the guard changes this engine's settings.
         let guard = self.guard.borrow().clone();
         guard.and_then(|guard| guard())
     }
 
-    /// From now on the limiter says that it can serve.
+    /// Marks the limiter as ready to serve.
     pub fn set_ready(&self) {
         self.ready.set(true);
     }
 
-    /// Requests that still owe an answer.
+    /// Number of unanswered requests.
     pub fn unanswered(&self) -> usize {
         self.core.borrow().unanswered()
     }
 
-    /// Customers of which something is remembered.
+    /// Number of customers with remembered state.
     pub fn remembered_customers(&self) -> usize {
         self.core.borrow().remembered_customers()
     }
 
-    /// Takes on a request; its id is set here. `reply` is called exactly once, unless [`Engine::client_left`] comes
+    /// Submits a request and returns the id assigned to it. `reply` is called exactly once, unless [`Engine::client_left`] comes
     /// before; it must not call back into the engine.
     pub fn submit(
         self: &Rc<Self>,
@@ -308,7 +310,8 @@
         self.change(|core, now| core.submit(now, request, forward, reply))
     }
 
-    /// Takes on a request at once, and waits for its answer. Dropped before that: the client has left.
+    /// Submits a request immediately and returns a future of its answer. Dropping the future before that counts as the
+    /// client's disconnect.
     pub fn submit_and_wait(
         self: &Rc<Self>,
         request: Request,
@@ -318,33 +321,33 @@
         U::Answer: Send,
     {
         let (sender, receiver) = oneshot::channel();
-        // A client that has just left needs no answer.
+        // The receiver is gone if the client has disconnected.
         let reply = Box::new(move |answer| drop(sender.send(answer)));
         let id = self.submit(request, forward, reply);
         let guard = DisconnectGuard { engine: self.clone(), id, answered: false };
         async move {
-            // The sender is only lost with the request's entry, and that is a defect: it has then failed.
+            // The sender is dropped only if the request's entry is lost, which is a defect; the request then failed.
             let answer = receiver.await.unwrap_or(Answer::Failed);
             guard.disarm();
             answer
         }
     }
 
-    /// The client has left; nothing more is owed.
+    /// Handles the client's disconnect; the request needs no answer any more.
     pub fn client_left(self: &Rc<Self>, id: RequestId) {
         self.change(|core, now| core.client_left(now, id));
     }
 
-    /// Fails all that is still owed, at the end of a shutdown.
+    /// Fails all unanswered requests at the end of a shutdown.
     pub fn fail_all(self: &Rc<Self>) {
         self.change(|core, now| core.fail_all(now));
     }
 
-    /// Changes the core, and does what it asks for.
+    /// Runs a change on the core and carries out the resulting outputs.
     fn change<T>(self: &Rc<Self>, change: impl FnOnce(&mut Core<U::Request, U::Answer>, Millis) -> T) -> T {
         let done = change(&mut self.core.borrow_mut(), self.now());
         loop {
-            // Not held while it is carried out: a port may look at the engine.
+            // The borrow ends before the output is carried out, because a port may access the engine.
             let Some(output) = self.core.borrow_mut().output() else { break };
             self.carry_out(output);
         }
@@ -398,7 +401,7 @@
         let counter = self.counter.borrow().clone();
         let begun = counter.map_or(Err(crate::ports::counter::CallEnd::Unreachable), |c| c.begin(call));
         if let Err(end) = begun {
-            // What comes of it is carried out by whoever carries out this.
+            // The caller's loop carries out the resulting outputs.
             let now = self.now();
             self.core.borrow_mut().call_ended(now, call.id, end);
         }
@@ -410,13 +413,13 @@
         }
     }
 
-    /// Changes which servers may be sent something.
+    /// Runs a change that affects which servers may receive requests.
     fn change_servers<T>(
         self: &Rc<Self>,
         change: impl FnOnce(&mut Core<U::Request, U::Answer>, Millis) -> T,
     ) -> T {
         let done = change(&mut self.core.borrow_mut(), self.now());
-        // Before anything new goes out: idle connections to what has left are not to be taken.
+        // Before anything new is sent, drop idle connections to servers that are not ready.
         self.upstream.keep_only(&|id| self.core.borrow().fleet().is_ready(id));
         self.change(|_, _| ());
         done
@@ -425,7 +428,7 @@
     async fn run_timers(self: Rc<Self>) {
         loop {
             while self.change(|core, now| core.run_due_timer(now)) {
-                // What has just come in is not to wait for a long row of timers.
+                // Yields so that new requests do not wait behind many due timers.
                 tokio::task::coop::consume_budget().await;
             }
             let next = self.core.borrow().next_due();
@@ -437,7 +440,7 @@
                 },
                 None => self.earlier_timer.notified().await,
             }
-            // Awake until it has looked again: nothing need wake it.
+            // The task is awake and checks the timers again, so it needs no notification.
             self.asleep_until.set(f64::NEG_INFINITY);
         }
     }
@@ -455,7 +458,7 @@
     }
 }
 
-/// Tells the engine when whoever waits for an answer leaves before it.
+/// Reports the client's disconnect when it is dropped before the answer.
 struct DisconnectGuard<U: Upstream> {
     engine: Rc<Engine<U>>,
     id: RequestId,
@@ -463,7 +466,7 @@
 }
 
 impl<U: Upstream> DisconnectGuard<U> {
-    /// The answer has come.
+    /// Marks the request as answered.
     fn disarm(mut self) {
         self.answered = true;
     }
@@ -477,7 +480,7 @@
     }
 }
 
-/// Reports that an attempt may have run, should its task die before it has reported anything.
+/// Reports an attempt's end; if its task dies without a report, the attempt ends as one that may have run.
 struct AttemptReporter<U: Upstream> {
     engine: Rc<Engine<U>>,
     id: RequestId,
--- a/crates/engine/src/engine/request_table.rs
+++ b/crates/engine/src/engine/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests in hand and their attempts: who is owed an answer, and what is still out.
+//! The open requests and their attempts.
 
 use oatbank_attempt_state::attempt::RequestAttempts;
 use oatbank_limiter_core::interface::{ClassId, Millis, RequestId, ServerId};
@@ -10,16 +10,16 @@
 pub enum Answer<A> {
     /// A server's answer, unchanged.
     Served(A),
-    /// Refused: trying again is harmless, after this wait in ms (0: not told).
+    /// Refused without having run; a retry is safe after this wait in ms (0: unspecified).
     Refused(Millis),
     /// Failed; the request may have run.
     Failed,
-    /// Failed: its time is up; the request may have run, or may yet.
+    /// Timed out; the request may have run or may still run.
     TimedOut,
 }
 
 impl<A> Answer<A> {
-    /// What became of the request, in a word for logs.
+    /// Name of the answer's kind for logs.
     pub fn name(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
@@ -30,34 +30,34 @@
     }
 }
 
-/// Takes a request's final answer.
+/// Callback that receives a request's final answer.
 pub type Reply<A> = Box<dyn FnOnce(Answer<A>) + Send>;
 
 struct Attempt {
     server: ServerId,
-    /// Its server's name, once it was sent.
+    /// Name of the server, set when the attempt is sent.
     name: Option<Arc<str>>,
     sent: Millis,
     live: bool,
 }
 
-/// A request in hand.
+/// An open request.
 pub(super) struct Entry<Q, A> {
     reply: Option<Reply<A>>,
     pub(super) request: Arc<Q>,
     pub(super) deadline: Millis,
-    /// While its body is coming: how long its client waits from when that is whole, ms.
+    /// Time that the client waits once its body has arrived, ms; `None` unless the body is still arriving.
     pub(super) time_after_upload: Option<Millis>,
-    /// What a server answered that is no success.
+    /// Last error answer of a server.
     pub(super) error_answer: Option<A>,
-    /// Attempts it may have; 0: no limit.
+    /// Most attempts; 0: no limit.
     pub(super) max_attempts: u32,
     pub(super) class: ClassId,
-    /// Its body is coming as it goes on.
+    /// Whether its body is forwarded while it arrives.
     pub(super) uploading: bool,
-    /// What may still be done with it. Its attempts are numbered as these are.
+    /// Execution state; attempts have the same numbers there.
     pub(super) execution: RequestAttempts,
-    /// When its client left without an answer.
+    /// Time at which its client disconnected before the answer.
     pub(super) departed_at: Option<Millis>,
     attempts: Vec<Attempt>,
 }
@@ -71,49 +71,49 @@
         self.is_answered() && self.attempts.iter().all(|a| !a.live)
     }
 
-    /// The time of an attempt that is out counts from now.
+    /// Restarts the duration of an attempt in flight at `now`.
     pub(super) fn restart_clock(&mut self, attempt: u8, now: Millis) {
         if let Some(a) = self.attempts.get_mut(usize::from(attempt)) {
             a.sent = now;
         }
     }
 
-    /// Books a new attempt and gives its number.
+    /// Adds an attempt and returns its number.
     pub(super) fn start_attempt(&mut self, server: ServerId, sent: Millis) -> usize {
         self.attempts.push(Attempt { server, name: None, sent, live: true });
         self.execution.begin();
         self.attempts.len() - 1
     }
 
-    /// An attempt goes out to the server of this name.
+    /// Records the name of the server that an attempt is sent to.
     pub(super) fn set_server_name(&mut self, attempt: usize, name: &Arc<str>) {
         if let Some(a) = self.attempts.get_mut(attempt) {
             a.name = Some(name.clone());
         }
     }
 
-    /// Its server's name.
+    /// Name of the server that an attempt was sent to.
     pub(super) fn name(&self, attempt: u8) -> Option<&Arc<str>> {
         self.attempts.get(usize::from(attempt))?.name.as_ref()
     }
 }
 
-/// An attempt that has just ended.
+/// A finished attempt.
 pub(super) struct Ended {
     pub(super) server: ServerId,
     pub(super) took: Millis,
-    /// Its request had its answer before.
+    /// Whether its request was answered before it ended.
     pub(super) was_answered: bool,
     pub(super) class: ClassId,
-    /// When the client of a request that may be repeated left without an answer.
+    /// Time at which the client disconnected before the answer; `None` for at-most-once requests.
     pub(super) abandoned_at: Option<Millis>,
 }
 
-/// All requests in hand.
+/// All open requests by id.
 pub(super) struct RequestTable<Q, A> {
     entries: HashMap<RequestId, Entry<Q, A>>,
     next: u32,
-    /// Requests that are owed an answer.
+    /// Number of unanswered requests.
     unanswered: usize,
 }
 
@@ -122,7 +122,7 @@
         RequestTable { entries: HashMap::new(), next: 0, unanswered: 0 }
     }
 
-    /// Enters a request and gives it a number that no other has.
+    /// Adds a request and returns an id that no other open request has.
     pub(super) fn open(
         &mut self,
         request: Q,
@@ -158,17 +158,17 @@
         self.entries.get_mut(&id)
     }
 
-    /// How many requests are owed an answer.
+    /// Number of unanswered requests.
     pub(super) fn unanswered(&self) -> usize {
         self.unanswered
     }
 
-    /// How many requests that run once at most are out at a server.
+    /// Number of at-most-once requests that a server may be executing.
     pub(super) fn at_most_once_in_flight(&self) -> usize {
         self.entries.values().filter(|e| e.execution.is_at_most_once() && e.execution.is_executing()).count()
     }
 
-    /// Requests that are owed an answer.
+    /// Ids of the unanswered requests.
     pub(super) fn unanswered_ids(&self) -> Vec<RequestId> {
         self.entries.iter().filter(|(_, e)| !e.is_answered()).map(|(id, _)| *id).collect()
     }
@@ -178,24 +178,24 @@
         attempts.and_then(|a| a.get(usize::from(attempt))).is_some_and(|a| a.live)
     }
 
-    /// The attempts that are out of a request that may be repeated.
+    /// Numbers of the attempts in flight of a repeatable request; empty for an at-most-once request.
     pub(super) fn live_repeatable(&self, id: RequestId) -> Vec<u8> {
         let entry = self.entries.get(&id).filter(|entry| !entry.execution.is_at_most_once());
         let attempts = entry.map_or(&[][..], |entry| &entry.attempts);
         (0u8..).zip(attempts).filter(|(_, attempt)| attempt.live).map(|(number, _)| number).collect()
     }
 
-    /// Takes the right to give a request its final answer: to be had once.
+    /// Takes a request's answer callback; `None` if the request is answered or unknown.
     pub(super) fn reply(&mut self, id: RequestId) -> Option<Reply<A>> {
         let entry = self.entries.get_mut(&id)?;
         let reply = entry.reply.take()?;
-        // Nobody asks for it any more.
+        // The error answer is not needed any more.
         entry.error_answer = None;
         self.unanswered -= 1;
         Some(reply)
     }
 
-    /// CallEndSink an attempt. None if it had ended before.
+    /// Ends an attempt; `None` if it is unknown or has already ended.
     pub(super) fn end(&mut self, id: RequestId, attempt: u8, now: Millis) -> Option<Ended> {
         let entry = self.entries.get_mut(&id)?;
         let was_answered = entry.is_answered();
@@ -208,7 +208,7 @@
         Some(ended)
     }
 
-    /// Drops a request that is owed nothing and has nothing out.
+    /// Removes a request that is answered and has no attempt in flight.
     pub(super) fn forget(&mut self, id: RequestId) {
         if self.entries.get(&id).is_some_and(Entry::is_complete) {
             self.entries.remove(&id);
--- a/crates/engine/src/front/connection_ends.rs
+++ b/crates/engine/src/front/connection_ends.rs
@@ -1,26 +1,26 @@
-//! Counts how clients' connections end, and how many requests that were begun had no answer then.
+//! Counts how client connections end and how many started requests were unanswered.
 
 use std::cell::Cell;
 
-/// Why a client's connection ended.
+/// Why a client connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
     /// The client closed or reset it.
     ClientClosed,
-    /// Nothing more could be written to the client.
+    /// Writing to the client failed.
     WriteFailed,
-    /// An answer said that it is the last one.
+    /// The last answer announced the close.
     LastAnswer,
-    /// It was asked to end between two requests.
+    /// It was closed while idle.
     Idle,
     /// A streamed answer broke off.
     AnswerCut,
-    /// It made no progress, or gave way to another connection.
+    /// It made no progress or was evicted in favour of another connection.
     Dropped,
 }
 
 impl ConnectionEnd {
-    /// All of them, in the order of their numbers.
+    /// All variants in the order of their discriminants.
     pub const ALL: [ConnectionEnd; 6] = [
         ConnectionEnd::ClientClosed,
         ConnectionEnd::WriteFailed,
@@ -30,7 +30,7 @@
         ConnectionEnd::Dropped,
     ];
 
-    /// A name for logs and tables.
+    /// Name for logs and tables.
     pub fn name(self) -> &'static str {
         match self {
             ConnectionEnd::ClientClosed => "client closed",
@@ -43,16 +43,16 @@
     }
 }
 
-/// How many connections ended in one way.
+/// Count of connections that ended for one reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndCount {
-    /// Connections.
+    /// Number of connections.
     pub connections: u64,
-    /// Requests that had been begun on them and had no answer.
+    /// Started requests on them without an answer.
     pub unanswered: u64,
 }
 
-/// How many connections ended in each way.
+/// Counts of ended connections by reason.
 #[derive(Debug, Default)]
 pub struct ConnectionEnds {
     counts: [Cell<EndCount>; ConnectionEnd::ALL.len()],
@@ -60,7 +60,7 @@
 }
 
 impl ConnectionEnds {
-    /// A connection has ended with so many requests begun and not answered.
+    /// Records the end of a connection with `unanswered` started requests without an answer.
     pub fn record(&self, end: ConnectionEnd, unanswered: usize) {
         let count = &self.counts[end as usize];
         let before = count.get();
@@ -70,17 +70,17 @@
         });
     }
 
-    /// How many ended in this way.
+    /// Count for a reason.
     pub fn count(&self, end: ConnectionEnd) -> EndCount {
         self.counts[end as usize].get()
     }
 
-    /// A request has crossed the end of its idle connection, and was left unread.
+    /// Records a request that crossed the close of its idle connection and was left unread.
     pub fn record_crossing(&self) {
         self.crossings.set(self.crossings.get() + 1);
     }
 
-    /// How many requests have crossed the end of their idle connection.
+    /// Number of requests that crossed the close of their idle connection.
     pub fn crossings(&self) -> u64 {
         self.crossings.get()
     }
--- a/crates/engine/src/front/heads.rs
+++ b/crates/engine/src/front/heads.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies of requests and answers as bytes, for connections on which several requests are in hand at once.
+//! HTTP/1 parsing and encoding of heads and bodies, for pipelined connections.
 
 use crate::classify::Rejection;
 use bytes::{Buf, Bytes, BytesMut};
@@ -8,58 +8,58 @@
 use http::request::Parts;
 use http::{Method, Request, StatusCode, Uri, Version};
 
-/// Most headers of one head.
+/// Most headers in a head.
 const MAX_HEADERS: usize = 100;
-/// Longest line of a chunk's size.
+/// Longest chunk size line, bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 64;
-/// Most that trailers take; they say nothing that is passed on.
+/// Most bytes of trailers, which are discarded.
 const MAX_TRAILER_BYTES: usize = 8 * 1024;
 
 const LENGTH_AND_CODING: &str = "Content-Length beside Transfer-Encoding\n";
 
-/// Where a body ends.
+/// How the end of a request body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// After so many bytes.
+    /// After this many more bytes.
     AfterBytes(u64),
-    /// With its last chunk.
+    /// With the last chunk of a chunked body.
     LastChunk(ChunkState),
-    /// It has ended.
+    /// The end has been reached.
     Reached,
 }
 
-/// Where a chunked body stands.
+/// Parser state within a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChunkState {
-    /// Before a size.
+    /// Before a chunk size line.
     Size,
-    /// So many bytes of this chunk are to come.
+    /// In a chunk with this many bytes left.
     Data(u64),
-    /// Before the line's end behind a chunk's bytes.
+    /// Before the line ending after a chunk's data.
     DataEnd,
-    /// In the trailers, of which so many bytes have come.
+    /// In the trailers, of which this many bytes were read.
     Trailers(usize),
 }
 
-/// A request's head.
+/// A parsed request head.
 #[derive(Debug)]
 pub struct Head {
-    /// What it says.
+    /// Method, URI, version and headers.
     pub parts: Parts,
-    /// Where its body ends.
+    /// How the end of the body is found.
     pub ends: BodyEnd,
-    /// The connection ends with its answer.
+    /// Whether the client wants the connection closed after the answer.
     pub last: bool,
-    /// Its sender waits for a word before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// Takes a head off the front of what has come; none if it is not whole yet.
+/// Parses and removes a head from the front of the buffer; `None` if it is incomplete.
 ///
 /// # Errors
-/// When it is no head, or can be read in two ways.
+/// If the head is malformed, too long or ambiguous.
 pub fn parse_head(buffer: &mut BytesMut, most: usize) -> Result<Option<Head>, Rejection> {
-    // Empty lines before a request are let pass (RFC 9112, 2.2).
+    // Skips empty lines before a request (RFC 9112, 2.2).
     while buffer.first().is_some_and(|b| matches!(b, b'\r' | b'\n')) {
         buffer.advance(1);
     }
@@ -103,14 +103,14 @@
     Ok(Some(Head { parts: request.into_parts().0, ends, last, expects_continue }))
 }
 
-/// Whether `Connection` names this option.
+/// Whether the `Connection` header lists this option.
 pub fn connection_has(headers: &HeaderMap, option: &str) -> bool {
     let values = headers.get_all(CONNECTION).iter();
     let mut options = values.flat_map(|v| v.as_bytes().split(|b| *b == b','));
     options.any(|said| said.trim_ascii().eq_ignore_ascii_case(option.as_bytes()))
 }
 
-/// Where a request's body ends. What can be read in two ways may hide a second request, and is turned away.
+/// Determines how a request's body ends. Ambiguous framing, which may hide a second request, is rejected.
 fn ends(headers: &HeaderMap, old: bool) -> Result<BodyEnd, Rejection> {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
@@ -144,10 +144,11 @@
     }
 }
 
-/// Takes the next piece of a body off the front of what has come. None: more has to come first, or the body is over.
+/// Removes the next bytes of a body from the front of the buffer; `None` if more input is needed or the body has
+/// ended.
 ///
 /// # Errors
-/// When it is no body.
+/// If the chunked coding is malformed.
 pub fn piece(buffer: &mut BytesMut, ends: &mut BodyEnd) -> Result<Option<Bytes>, Rejection> {
     const BAD: Rejection = Rejection::bad("the body cannot be read\n");
     loop {
@@ -208,7 +209,8 @@
     }
 }
 
-/// Takes a line off the front, without its end. The outer none: it is too long or ends otherwise than in CR LF.
+/// Removes a line from the front of the buffer and returns it without its ending; `Some(None)` if it is incomplete,
+/// `None` if it is too long or does not end in CR LF.
 fn line(buffer: &mut BytesMut, most: usize) -> Option<Option<Bytes>> {
     match buffer.iter().position(|b| *b == b'\n') {
         Some(0) => None,
@@ -222,20 +224,20 @@
     }
 }
 
-/// How the end of an answer is marked.
+/// How the end of an answer is marked on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// In chunks.
+    /// By the chunked coding.
     Chunked,
-    /// With the connection.
+    /// By the end of the connection.
     Close,
-    /// There is no body, whatever the headers say.
+    /// The answer has no body, whatever its headers say.
     None,
 }
 
-/// An answer's head as bytes.
+/// Encodes the head of an answer into `out`.
 pub fn write_head(
     status: StatusCode,
     headers: &HeaderMap,
@@ -255,7 +257,7 @@
         out.extend_from_slice(b"\r\n");
     };
     for (name, value) in headers {
-        // The end of the answer is marked below, and nowhere else.
+        // The framing headers are written below only.
         let framing = *name == TRANSFER_ENCODING
             || *name == CONNECTION
             || *name == CONTENT_LENGTH && framing != Framing::None;
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -1,7 +1,7 @@
-//! Clients: accepts their connections, reads requests and writes each one answer.
+//! The HTTP front: accepts client connections, reads requests and writes one answer to each.
 //!
-//! What comes of a request is its [`HttpHandler`]'s. Here it is seen to that what is read can be read in one way only, that who
-//! is slow or silent holds up nobody, and that an answer which breaks off ends its connection.
+//! Requests are handled by an [`HttpHandler`]. The front rejects ambiguous requests, closes slow or silent connections
+//! so that they block no others, and ends a connection whose answer breaks off.
 
 pub mod connection_ends;
 mod heads;
@@ -41,45 +41,46 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Pause after a failed accept: without descriptors it would fail again at once, and spin.
+/// Pause after a failed accept: without free file descriptors it would fail again at once and spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// A streamed answer of which nothing is written for this long is given up: its server has been by then, so it is the
-/// client that takes nothing.
+/// A streamed answer without write progress for this long is abandoned, ms. A stalled server would have been detected
+/// before, so it is the client that does not read.
 const STREAM_STALL: Millis = 15_000.0;
-/// BodyPermit for a body is waited for this long.
+/// How long a request waits for a body permit.
 const BODY_PERMIT_TIMEOUT: Duration = Duration::from_millis(1000);
 const CONNECT_UNSUPPORTED: Rejection = Rejection { status: StatusCode::NOT_IMPLEMENTED, why: "no tunnels\n" };
 const NO_BODY_MEMORY: Rejection =
     Rejection { status: StatusCode::SERVICE_UNAVAILABLE, why: "too many long bodies at once\n" };
-/// How often connections are looked at for that.
+/// Interval between checks for stalled connections.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A first head's time counts from its first byte, but from no later than this after the connection came, ms.
+/// The time limit of a connection's first head starts with its first byte, at most this long after the accept, ms.
 const MAX_HEAD_START_DELAY: Millis = 300.0;
-/// A connection that never said anything counts as silent for this many times as long.
+/// Factor by which the silence of a connection that never sent anything counts more in the eviction score.
 const SILENT_PEER_WEIGHT: f64 = 10.0;
-/// A new connection's first words are waited for this long, ms, before it may have to give way.
+/// A new connection is not evicted before this time, ms, unless there is no other candidate.
 const FIRST_BYTE_GRACE: Millis = 100.0;
 
-/// The least buffer that the parser works with.
+/// Smallest buffer that the parser accepts, bytes.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What clients may take.
+/// Limits for clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FrontLimits {
-    /// A head that is not whole this long, ms, after it began, or after its connection came, is given up; so is a
-    /// connection that says nothing, and a short answer that is not taken. Clients may take 2 s for a head, and a bad one
-    /// is owed an end within 3 s; the rest is for the look round that finds it.
+    /// Time limit, ms, for a head from its start or from the accept, for a connection that sends nothing, and for a
+    /// short answer that the client does not read. Clients may take 2 s for a head, and a bad client has to be closed
+    /// within 3 s; the difference covers the interval of the check.
     pub whole_within: Millis,
-    /// A connection between two requests is closed after this, ms: some clients ask once and never close.
+    /// Idle time between requests after which a connection is closed, ms: some clients send one request and never
+    /// close.
     pub keep_idle: Millis,
-    /// Buffer of a client's connection: room for the longest head that is read; 8 KiB at least.
+    /// Buffer of a connection and limit for the length of a head, bytes; at least 8 KiB are used.
     pub head_bytes: usize,
-    /// The longest body that is taken, bytes.
+    /// Largest accepted body, bytes.
     pub body_bytes: u64,
-    /// A body up to this many bytes is held whole, so that it can be sent again.
+    /// Largest body that is buffered completely, bytes, so that it can be sent again.
     pub held: usize,
-    /// A client of whose body nothing comes for this long, while something is waited for, is given up; with the time for
-    /// its head it is so within the 3 s that a bad client is owed an end in.
+    /// A client that sends nothing of an awaited body for this long is closed; bounded, like the head's time limit, by
+    /// the 3 s within which a bad client has to be closed.
     pub silence: Duration,
 }
 
@@ -96,52 +97,52 @@
     }
 }
 
-/// What a head alone decides.
+/// Decision made from a request's head alone.
 #[derive(Debug)]
 pub enum HeadDecision<T> {
-    /// The answer, whatever its body; that is not kept.
+    /// Answer immediately; the request's body is not kept.
     Respond(Response<Body>),
-    /// Its body is wanted, and goes on with this.
+    /// Read the body and continue with this ticket.
     Accept(T),
 }
 
-/// Where requests are handed in: decides what comes of each.
+/// Handles the requests of a front.
 ///
-/// The error of either step is an answer too, after which the connection is closed: what stands behind a request that
-/// cannot be used may be anything.
+/// A [`Rejection`] returned by either step is sent as the answer, and the connection is closed: the bytes after an
+/// unusable request cannot be interpreted.
 pub trait HttpHandler: 'static {
-    /// What is known of a request from its head, while its body comes.
+    /// State of a request from its head until its body is available.
     type Ticket;
 
-    /// The time, ms, by the clock of the engine.
+    /// Current time of the engine's clock, ms.
     fn now(&self) -> Millis;
 
-    /// The header by whose value a request's head can be told from what else has come on its connection. Of a request
-    /// with a coded body it may stand once only.
+    /// Header whose value identifies a request's head among the bytes received on its connection. It may occur only
+    /// once in a request with a transfer coding.
     fn request_id_header(&self) -> HeaderName;
 
-    /// Whether several requests of one connection may be in hand at once; answers keep their order.
+    /// Whether several requests of a connection may be open at once; answers keep the order of the requests.
     fn supports_pipelining(&self) -> bool {
         false
     }
 
-    /// Whether a request without a body may be begun while others before it on its connection wait for their answers: one
-    /// that ends the connection makes all behind it count as not read, so what runs once may not.
+    /// Whether a request without a body may start before the requests ahead of it on its connection are answered. An
+    /// answer that ends the connection makes later requests count as unread, so at-most-once requests may not.
     fn may_pipeline(&self, head: &Parts) -> bool {
         matches!(head.method, Method::GET | Method::HEAD)
     }
 
-    /// Judges a head before its body is read. A URI in absolute form stands as it came, with its host in `Host`.
+    /// Decides on a request's head before its body is read. An absolute-form URI is unchanged, with its host in `Host`.
     ///
     /// # Errors
-    /// The answer to what is turned away.
+    /// The answer to a rejected request.
     fn check_head(&self, head: &Parts) -> Result<HeadDecision<Self::Ticket>, Rejection>;
 
-    /// Answers a request whose body is there, or has begun to come; the URI is path and query. Dropped before its end:
-    /// the client has left.
+    /// Answers a request whose body is complete or has begun to arrive; the URI is path and query. The future is dropped
+    /// if the client disconnects.
     ///
     /// # Errors
-    /// The answer to what is turned away.
+    /// The answer to a rejected request.
     fn serve(
         &self,
         ticket: Self::Ticket,
@@ -151,47 +152,48 @@
     ) -> impl Future<Output = Result<Response<Body>, Rejection>>;
 }
 
-/// Where a client's connection stands.
+/// State of a client connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    /// A request is due or its head half read.
+    /// Waiting for a request or reading its head.
     Reading,
-    /// Its body is coming, and nothing has gone on yet. That it gets on is seen to where it is read.
+    /// Reading a body of which nothing is forwarded yet. Stalls are detected where it is read.
     Uploading,
-    /// Its body is coming and goes on.
+    /// Forwarding a body while it arrives.
     Passing,
-    /// It has its answer, and the rest of its body is still coming.
+    /// The answer is written and the rest of the body still arrives.
     Draining,
-    /// A whole request is in hand.
+    /// Processing a complete request.
     Busy,
-    /// Its answer is being written.
+    /// Writing an answer.
     Writing,
     /// Between two requests.
     Idle,
 }
 
-/// What is known of one client connection.
+/// Bookkeeping of a client connection.
 struct Peer {
     limits: FrontLimits,
     phase: Cell<Phase>,
     phase_since: Cell<Millis>,
-    /// Something came while the request before was in hand: the next one has begun.
+    /// Bytes of the next request arrived while one was open.
     next_request_started: Cell<bool>,
     close_requested: Notify,
-    /// It has been asked to leave, and has said nothing since.
+    /// A graceful close was requested, and nothing has been received since.
     asked_to_close: Cell<bool>,
-    /// Its time is up: it is dropped, whatever it has sent so far.
+    /// The connection is to be dropped whatever it has sent.
     aborted: Cell<bool>,
-    /// A body is coming.
+    /// A request body is arriving.
     uploading: Cell<bool>,
-    /// An answer is on its way that comes piece by piece.
+    /// A streamed answer is being written.
     streaming: Cell<bool>,
-    /// Its answer broke off and it could take the end of its connection for that of the answer.
+    /// The answer broke off, and the client could mistake the end of the connection for the end of the answer.
     response_cut: Cell<bool>,
-    /// When it last said something, or came; whether it has said anything.
+    /// Time of the last received bytes, or of the accept.
     last_read_at: Cell<Millis>,
+    /// Whether anything was received.
     has_sent: Cell<bool>,
-    /// What it said.
+    /// Bytes received last.
     recent_bytes: RefCell<RecentBytes>,
 }
 
@@ -201,10 +203,10 @@
         self.phase_since.set(now);
     }
 
-    /// Bytes have come.
+    /// Records received bytes.
     fn on_read(&self, now: Millis, bytes: &[u8]) {
         self.asked_to_close.set(false);
-        // A client may take its time before it begins; but an end is owed within 3 s of its coming.
+        // A client may delay its first byte, but a bad client has to be closed within 3 s of its accept.
         if !self.has_sent.replace(true) {
             self.phase_since.set(now.min(self.phase_since.get() + MAX_HEAD_START_DELAY));
         }
@@ -217,7 +219,7 @@
         }
     }
 
-    /// The body that was coming is whole, or will never be.
+    /// Records that the request body is complete or has broken off.
     fn on_upload_end(&self, now: Millis) {
         self.uploading.set(false);
         match self.phase.get() {
@@ -227,14 +229,14 @@
         }
     }
 
-    /// Some of an answer has been taken.
+    /// Records write progress of an answer.
     fn on_write(&self, now: Millis) {
         if self.phase.get() == Phase::Writing {
             self.phase_since.set(now);
         }
     }
 
-    /// All that was written has gone out.
+    /// Records that everything was written to the socket.
     fn on_flush(&self, now: Millis) {
         if self.phase.get() != Phase::Writing || self.streaming.get() {
             return;
@@ -253,13 +255,13 @@
         match self.phase.get() {
             Phase::Writing if self.streaming.get() => STREAM_STALL,
             Phase::Reading | Phase::Writing => self.limits.whole_within,
-            // The engine sees to it that a request is answered in its time.
+            // The engine answers every request within its deadline.
             Phase::Busy | Phase::Uploading | Phase::Passing | Phase::Draining => f64::INFINITY,
             Phase::Idle => self.limits.keep_idle,
         }
     }
 
-    /// Asks it to leave between two requests.
+    /// Requests a graceful close between two requests.
     fn request_close(&self) {
         self.asked_to_close.set(true);
         self.close_requested.notify_one();
@@ -270,9 +272,9 @@
         self.close_requested.notify_one();
     }
 
-    /// How readily it gives way to a new connection, by how long it has been silent; none if it may not. One that writes
-    /// slowly gets on, one that stopped half way or asked once and stayed does not, and one that never said anything is
-    /// worth the least. A newcomer's first words are waited for, if anything else can go.
+    /// Score for eviction in favour of a new connection, from the time of silence; `None` if it must not be evicted. A
+    /// slow but progressing connection scores low, one that stopped half way or stays idle scores high, and one that
+    /// never sent anything scores highest. A new connection is evicted only if there is no other candidate.
     fn eviction_score(&self, now: Millis) -> Option<f64> {
         let silent = now - self.last_read_at.get();
         match self.phase.get() {
@@ -288,9 +290,9 @@
     }
 }
 
-/// A client's stream, which notes when its peer is heard and has been told all.
+/// A client's stream that records reads and writes in its [`Peer`].
 struct MonitoredStream<D> {
-    /// Looked at from outside too, for what has come unread.
+    /// Shared, to check for unread bytes from outside.
     stream: Rc<TcpStream>,
     peer: Rc<Peer>,
     desk: Rc<D>,
@@ -332,7 +334,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A socket keeps nothing back.
+        // A socket has no user-space buffer to flush.
         self.peer.on_flush(self.desk.now());
         Poll::Ready(Ok(()))
     }
@@ -361,34 +363,34 @@
     }
 }
 
-/// Whether something has come that nobody has read yet. The runtime need not have heard of it.
+/// Whether the socket has unread bytes, also if the runtime has not been notified of them yet.
 fn unread(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     SockRef::from(stream).peek(&mut byte).is_ok_and(|n| n > 0)
 }
 
-/// All client connections.
+/// Accepts and serves all client connections.
 pub struct Front<D> {
     desk: Rc<D>,
     limits: FrontLimits,
     peers: RefCell<HashMap<u64, Rc<Peer>>>,
     max_connections: Cell<usize>,
-    /// For the bodies of requests.
+    /// Memory budget for request bodies.
     body_budget: BodyBudget,
     next: Cell<u64>,
     stopping: Cell<bool>,
-    /// New connections are taken.
+    /// Whether new connections are accepted.
     accepting: Cell<bool>,
-    /// MembershipSink when that changes.
+    /// Notified when `accepting` changes.
     accepting_changed: Notify,
-    /// All connections have a request in hand and another waits to be accepted.
+    /// No connection can be evicted while another waits to be accepted.
     saturated: Cell<bool>,
     connection_closed: Notify,
     connection_ends: ConnectionEnds,
 }
 
 impl<D: HttpHandler> Front<D> {
-    /// A front that stays within its parts of the budget.
+    /// Creates a front that stays within its parts of the budget.
     pub fn new(desk: D, budget: Budget, limits: FrontLimits) -> Rc<Self> {
         Rc::new(Front {
             desk: Rc::new(desk),
@@ -406,7 +408,7 @@
         })
     }
 
-    /// Accepts connections until it is called off.
+    /// Accepts connections until it is cancelled.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             if !self.accepting.get() {
@@ -415,13 +417,13 @@
             }
             while self.peers.borrow().len() >= self.max_connections.get() {
                 self.saturated.set(!self.evict_one());
-                // One that was asked to leave may have come by a request; then another is asked.
+                // A connection asked to close may have received a request; then another one is chosen.
                 let _ = tokio::time::timeout(ACCEPT_PAUSE, self.connection_closed.notified()).await;
             }
             self.saturated.set(false);
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                // Nothing has been accepted then.
+                // No connection has been accepted in this case.
                 () = self.accepting_changed.notified() => continue,
             };
             match accepted {
@@ -437,13 +439,13 @@
         }
     }
 
-    /// Makes one connection give way; false where all have a request in hand, and the newcomer has to wait.
+    /// Evicts one connection. Returns false if none can be evicted, so that the new connection has to wait.
     fn evict_one(&self) -> bool {
         let (peers, now) = (self.peers.borrow(), self.desk.now());
         let able =
             peers.values().filter(|p| !p.aborted.get()).filter_map(|p| Some((p.eviction_score(now)?, p)));
         match able.max_by(|(a, _), (b, _)| a.total_cmp(b)) {
-            // Between two requests it is asked, so that one which has just come in is not lost.
+            // An idle connection is closed gracefully, so that a request that has just arrived is not lost.
             Some((_, peer)) if peer.phase.get() == Phase::Idle => peer.request_close(),
             Some((_, peer)) => peer.abort(),
             None => return false,
@@ -451,7 +453,7 @@
         true
     }
 
-    /// Ends what does not get on, for the life of the process.
+    /// Closes connections that make no progress, for the life of the process.
     pub async fn close_stalled_connections(self: Rc<Self>) {
         loop {
             tokio::time::sleep(STALL_CHECK_INTERVAL).await;
@@ -465,15 +467,15 @@
         }
     }
 
-    /// Whether new connections are taken. While none are, another process takes them: answers end their
-    /// connections, so that clients move on to it.
+    /// Sets whether new connections are accepted. While they are not, another process accepts them, and each answer ends
+    /// its connection so that clients move to that process.
     pub fn set_accepting(&self, taking: bool) {
         self.accepting.set(taking);
         self.stopping.set(!taking);
         self.accepting_changed.notify_one();
     }
 
-    /// From now on stays within its parts of this budget; connections over it give way, from the idlest on.
+    /// Applies a new budget. Connections above it are evicted, idlest first.
     pub fn apply_budget(&self, budget: Budget) {
         self.max_connections.set(budget.clients);
         self.body_budget.resize(budget.uploads_kib);
@@ -482,33 +484,33 @@
         }
     }
 
-    /// From now on answers end their connection, so that clients move on.
+    /// Makes each answer end its connection, so that clients reconnect elsewhere.
     pub fn stop(&self) {
         self.stopping.set(true);
     }
 
-    /// Closes connections as soon as they owe nothing.
+    /// Closes connections as soon as they have no open request.
     pub fn close_idle(&self) {
         self.peers.borrow().values().for_each(|peer| peer.request_close());
     }
 
-    /// Where its requests are handed in.
+    /// Handler of the requests.
     pub fn desk(&self) -> &Rc<D> {
         &self.desk
     }
 
-    /// How connections have ended on which several requests may be in hand at once.
+    /// Counts of how pipelined connections ended.
     pub fn ends(&self) -> &ConnectionEnds {
         &self.connection_ends
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.peers.borrow().len()
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream, number: u64) {
-        // An answer is one small write, and is wanted now.
+        // Answers are small writes that should not be delayed.
         let _ = stream.set_nodelay(true);
         let buffer = self.limits.head_bytes.max(MIN_BUFFER_BYTES);
         let peer = Rc::new(Peer {
@@ -548,7 +550,7 @@
             tokio::select! {
                 _ = connection.as_mut() => {
                     if peer.response_cut.get() {
-                        // Reset, or it would look whole.
+                        // Resets the connection, or the answer would look complete.
                         let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                     }
                     return;
@@ -557,7 +559,7 @@
                     if peer.aborted.get() {
                         return;
                     }
-                    // A request that has arrived, or has begun to, is read and answered first.
+                    // A request that has begun to arrive is read and answered first.
                     let begun = peer.phase.get() == Phase::Reading && peer.has_sent.get();
                     if !(begun || unread(&stream)) {
                         connection.as_mut().graceful_shutdown();
@@ -570,20 +572,20 @@
     async fn answer(&self, request: Request<Incoming>, peer: &Rc<Peer>) -> Response<Body> {
         let mut response = match self.handle(request, peer).await {
             Ok(response) => response,
-            // What stands behind a request that cannot be used may be anything.
+            // The bytes after an unusable request cannot be interpreted.
             Err(bad) => {
-                tracing::debug!(status = bad.status.as_u16(), "turned away: {}", bad.why.trim_end());
+                tracing::debug!(status = bad.status.as_u16(), "rejected: {}", bad.why.trim_end());
                 closing(respond::rejected(bad))
             }
         };
-        // Where none can give way, a connection that is kept would lock out the clients that wait for one.
+        // If no connection can be evicted, keeping this one open would lock out waiting clients.
         if self.stopping.get() || self.saturated.get() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    /// Answers one request; the error is an answer too, to what is none of the limiter's work.
+    /// Answers one request. The error is the answer to a request that is rejected before it is handled.
     async fn handle(&self, request: Request<Incoming>, peer: &Rc<Peer>) -> Result<Response<Body>, Rejection> {
         let (mut head, body) = request.into_parts();
         check_framing(&head.headers, &*self.desk, peer)?;
@@ -602,14 +604,14 @@
         self.desk.serve(ticket, head, body, room).await
     }
 
-    /// Judges a head before its body is read: nothing is kept for what is turned away.
+    /// Decides on a head before its body is read, so that nothing is buffered for rejected requests.
     fn decide_head(&self, head: &mut Parts) -> Result<HeadDecision<D::Ticket>, Rejection> {
-        // The host of an absolute form counts, whatever `Host` says (RFC 9112, 3.2.2).
+        // The host of an absolute-form URI overrides `Host` (RFC 9112, 3.2.2).
         if let (Some(_), Some(host)) = (head.uri.scheme(), host_of(&head.uri)) {
             head.headers.insert(HOST, host);
         }
         let judged = self.desk.check_head(head)?;
-        // A server is asked by path and query, however the client put it.
+        // Requests are forwarded in origin form.
         if let (Some(_), Some(path)) = (head.uri.scheme(), head.uri.path_and_query()) {
             head.uri = path.clone().into();
         }
@@ -635,15 +637,15 @@
         })?;
         let (desk, uploading) = (self.desk.clone(), peer.clone());
         let upload = receive::receive(body, self.limits, move || uploading.on_upload_end(desk.now())).await;
-        // What could not be taken is answered, and its connection closed.
+        // A rejected body is answered and its connection is closed.
         upload.map(|upload| (upload, room)).inspect_err(|_| peer.uploading.set(false))
     }
 }
 
-/// An answer on its way to a client.
+/// Body of an answer that is being written to a client.
 struct ResponseBody {
     body: Body,
-    /// It may end with its connection.
+    /// Whether its end may be marked by the end of the connection.
     closes: bool,
     peer: Rc<Peer>,
 }
@@ -685,7 +687,7 @@
     }
 }
 
-/// Takes a connection off the list whichever way it ends.
+/// Entry of a connection in the list of peers; removed on drop.
 struct ConnectionEntry<D> {
     front: Rc<Front<D>>,
     number: u64,
@@ -705,8 +707,8 @@
     }
 }
 
-/// Turns away what can be read in two ways, and may so hide a second request: a length beside a coding, or a coding
-/// beside `chunked`.
+/// Rejects ambiguous framing, which may hide a second request (request smuggling): a length together with a transfer
+/// coding, or a coding other than `chunked`.
 fn check_framing<D: HttpHandler>(headers: &HeaderMap, desk: &D, peer: &Peer) -> Result<(), Rejection> {
     if headers.contains_key(TRANSFER_ENCODING) {
         let coding = classify::single(headers, &TRANSFER_ENCODING)?.unwrap_or_default();
@@ -716,8 +718,8 @@
                 why: "no other coding than chunked\n",
             });
         }
-        // The parser does not show a length that stands behind the coding, so the bytes are looked at. The name of a
-        // request is its own.
+        // The parser hides a length that follows the coding, so the received bytes are searched. The request's id
+        // locates its head.
         let id = classify::single(headers, &desk.request_id_header())?.unwrap_or_default();
         if headers.contains_key(CONTENT_LENGTH) || !peer.recent_bytes.borrow().has_no_length(id.as_bytes()) {
             return Err(Rejection::bad("Content-Length beside Transfer-Encoding\n"));
@@ -726,10 +728,10 @@
     classify::single(headers, &HOST).map(|_| ())
 }
 
-/// The host of a URI as `Host` puts it.
+/// The host of a URI, in the form of the `Host` header.
 fn host_of(uri: &Uri) -> Option<HeaderValue> {
     let authority = uri.authority()?.as_str();
-    // Who somebody is on that host is none of its name.
+    // User information is not part of the host.
     HeaderValue::try_from(authority.rsplit('@').next()?).ok()
 }
 
--- a/crates/engine/src/front/pipelined/mod.rs
+++ b/crates/engine/src/front/pipelined/mod.rs
@@ -1,15 +1,15 @@
-//! A client's connection on which several requests are in hand at once, where its desk allows that: what a client sends
-//! behind a request that runs is read and begun, and answers go out in the order in which they were asked for.
+//! Pipelined connections, for handlers that support them: requests are read and started while earlier ones run, and
+//! answers are written in the order of the requests.
 //!
-//! Only what may run twice is begun before all that stands before it has its answer: an answer that ends the connection
-//! makes all behind it count as not read.
+//! Only repeatable requests start before all earlier ones are answered: an answer that ends the connection makes all
+//! later requests count as unread.
 //!
 //! Invariants:
-//! - A connection that ends by a decision of this process has no request that was begun and not answered. Once a reason to
-//!   end it has come up, nothing more is begun, and the last answer says that it ends.
-//! - What comes on a connection that was idle and is being ended is not read: its client may send it again.
-//! - A client that has closed is noticed wherever its connection stands: while something is waited for, it is read on. What
-//!   was begun for it is dropped then.
+//! - A connection that this process decides to close has no started request without an answer. Once there is a reason
+//!   to close it, no further request is started, and the last answer announces the close.
+//! - Bytes that arrive on an idle connection while it is being closed are not read: the client may send them again.
+//! - A client's close is noticed in every state, because reading goes on while the connection waits. The requests
+//!   started for the client are then dropped.
 
 mod read;
 mod write;
@@ -35,26 +35,27 @@
 use tokio::time::{sleep, timeout};
 use write::WriteEnd;
 
-/// Requests in hand at once on one connection.
+/// Most open requests per connection.
 const MAX_PIPELINED: usize = 8;
-/// What is read at a time.
+/// Bytes per read.
 const READ_SIZE: usize = 16 * 1024;
-/// While something is waited for, it is read on until this is there, to see whether the client closes. With what one read
-/// brings it stays within a connection's part of the memory.
+/// While the connection waits, it reads ahead up to this many bytes to notice the client's close. Together with one
+/// more read this stays within the connection's memory budget.
 const READ_AHEAD: usize = 8 * 1024;
-/// Where more than that has come, the socket is asked this often.
+/// Interval at which the socket is polled for a close once the read-ahead is full.
 const CLOSED_POLL: Duration = Duration::from_millis(50);
-/// After the last answer the client's end is waited for so long: a close with unread bytes would take the answer back.
+/// How long to wait for the client's close after the last answer: closing with unread bytes would reset the connection
+/// and lose the answer.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A request's turn to be answered.
+/// A started request in the order of answers.
 struct PendingAnswer {
     answer: AnswerSource,
-    /// Only the head of the answer is wanted.
+    /// Whether only the head of the answer is sent (`HEAD`).
     bare: bool,
-    /// It came by HTTP/1.0.
+    /// Whether the request used HTTP/1.0.
     old: bool,
-    /// No request of its connection comes after it.
+    /// Whether it is the last request of its connection.
     last: bool,
 }
 
@@ -63,7 +64,7 @@
     Pending(AnswerTask),
 }
 
-/// What works on an answer; ends with its connection.
+/// Task that produces an answer; aborted on drop.
 struct AnswerTask(JoinHandle<Response<Body>>);
 
 impl Drop for AnswerTask {
@@ -72,18 +73,18 @@
     }
 }
 
-/// What the two sides of a connection share.
+/// State shared by the reading and the writing side of a connection.
 struct Connection<D> {
     front: Rc<Front<D>>,
     stream: Rc<TcpStream>,
     peer: Rc<Peer>,
-    /// Requests that were begun and have no answer yet.
+    /// Number of started requests without an answer.
     unanswered: Cell<usize>,
-    /// Notified when one of them has its answer.
+    /// Notified when a request has been answered.
     answered: Notify,
-    /// A request has come, or a part of one, that is not begun yet.
+    /// Whether bytes of a request that is not started yet have arrived.
     next_request_started: Cell<bool>,
-    /// The connection ends with the last answer to what was begun, and nothing more is begun.
+    /// Set when no further request is started and the connection ends with the last pending answer.
     closing: Cell<bool>,
 }
 
@@ -113,7 +114,7 @@
         self.front.desk.now()
     }
 
-    /// Reads requests and writes answers until the connection is to end. What was begun ends with the return.
+    /// Reads requests and writes answers until the connection ends. Requests still open are dropped on return.
     async fn run(&self) -> ConnectionEnd {
         let (turns, next) = mpsc::channel(MAX_PIPELINED);
         let mut reading = pin!(self.read(turns));
@@ -130,7 +131,7 @@
                     WriteEnd::Cut => ConnectionEnd::AnswerCut,
                     WriteEnd::Failed => ConnectionEnd::WriteFailed,
                 },
-                // Nobody else reads any more.
+                // The reading side has ended, so the close has to be detected here.
                 () = self.client_closed(), if !reads => return ConnectionEnd::ClientClosed,
                 () = self.peer.close_requested.notified() => {
                     if self.peer.aborted.get() {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// How it ends when it is dropped: one that is being written to has a client that takes nothing.
+    /// Reason for the end of a dropped connection: during a write, the client does not read.
     fn dropped(&self) -> ConnectionEnd {
         match self.peer.phase.get() {
             Phase::Writing => ConnectionEnd::WriteFailed,
@@ -152,12 +153,12 @@
         }
     }
 
-    /// Whether nothing was begun that has no answer, and nothing has come that could be begun.
+    /// Whether all started requests are answered and no bytes of a further one have arrived.
     fn is_idle(&self) -> bool {
         self.unanswered.get() == 0 && !self.next_request_started.get() && !unread(&self.stream)
     }
 
-    /// Reads more; false at the end.
+    /// Reads more bytes into the buffer; false at the end of the stream or on an error.
     async fn read_more(&self, buffer: &mut BytesMut) -> bool {
         buffer.reserve(READ_SIZE);
         let before = buffer.len();
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Waits for something while it sees to it that the client is still there; none: it has closed.
+    /// Waits for a future while reading ahead; `None` if the client closes first.
     async fn while_open<T>(&self, buffer: &mut BytesMut, awaited: impl Future<Output = T>) -> Option<T> {
         let mut awaited = pin!(awaited);
         loop {
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Completes when the client has closed, with what it has sent before left unread.
+    /// Completes when the client has closed, without reading the bytes sent before.
     async fn closed_behind_unread(&self) {
         loop {
             match self.stream.ready(Interest::READABLE).await {
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Completes when the client has closed. What it sends before is thrown away.
+    /// Completes when the client has closed. Bytes sent before are discarded.
     async fn client_closed(&self) {
         let mut buffer = BytesMut::new();
         while self.read_more(&mut buffer).await {
@@ -213,8 +214,8 @@
         }
     }
 
-    /// Says that nothing more comes, and waits until the client has closed, or has sent a request that crosses this. That
-    /// is left unread, so that it certainly was not begun; the reset that follows tells its client at once.
+    /// Shuts down the writing side and waits until the client closes or sends a request that crosses the shutdown. Such
+    /// a request is left unread, so it certainly was not started; the reset that follows informs the client at once.
     async fn close_without_reading(&self) {
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
         let _ = timeout(CLOSE_TIMEOUT, self.stream.readable()).await;
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Says that nothing more comes, and waits for the client's end.
+    /// Shuts down the writing side and waits for the client's close.
     async fn close_gracefully(&self) {
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
         let _ = timeout(CLOSE_TIMEOUT, self.client_closed()).await;
--- a/crates/engine/src/front/pipelined/read.rs
+++ b/crates/engine/src/front/pipelined/read.rs
@@ -1,4 +1,4 @@
-//! Reading: takes requests off a connection and begins them.
+//! The reading side of a pipelined connection: parses requests and starts them.
 
 use super::super::heads::{self, BodyEnd, Head};
 use super::super::{
@@ -14,33 +14,33 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Why nothing more is read.
+/// Why reading ended.
 pub(super) enum ReadEnd {
-    /// The client has closed, or makes no progress.
+    /// The client has closed or makes no progress.
     ClientClosed,
-    /// The connection ends with the answers to what was begun.
+    /// The connection ends with the pending answers.
     NothingMore,
 }
 
-/// A request that was begun.
+/// A started request.
 struct StartedRequest {
     turn: PendingAnswer,
-    /// Where the rest of its body goes.
+    /// Sender for the rest of its body, and how that ends.
     rest: Option<(BodySender, BodyEnd)>,
 }
 
-/// A body as far as it has come.
+/// A body, complete or with a buffered start.
 struct Received {
     upload: Upload,
     room: Option<BodyPermit>,
     rest: Option<(BodySender, BodyEnd)>,
 }
 
-/// Why a request is not begun.
+/// Why a request was not started.
 enum StartError {
     /// The client has closed.
     ClientClosed,
-    /// It is answered with this, and nothing follows it.
+    /// The request is rejected, and the connection ends with the answer.
     Rejected(Rejection),
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl<D: HttpHandler> Connection<D> {
-    /// Reads and begins requests to the end of the connection.
+    /// Reads and starts requests until the end of the connection.
     pub(super) async fn read(&self, turns: mpsc::Sender<PendingAnswer>) -> ReadEnd {
         let mut buffer = BytesMut::new();
         loop {
@@ -73,7 +73,7 @@
                 return ReadEnd::ClientClosed;
             }
             if self.closing.get() {
-                // Its client takes it for not read.
+                // The client treats the request as unread.
                 return ReadEnd::NothingMore;
             }
             self.on_begin(&buffer);
@@ -94,14 +94,14 @@
             if is_last {
                 return ReadEnd::NothingMore;
             }
-            // An answer to HTTP/1.0 may end with its connection.
+            // The end of the connection may mark the end of an HTTP/1.0 answer.
             if is_old && self.while_open(&mut buffer, self.all_answered()).await.is_none() {
                 return ReadEnd::ClientClosed;
             }
         }
     }
 
-    /// The next request's head, once it has come whole.
+    /// Reads the next request's head.
     async fn next_head(&self, buffer: &mut BytesMut) -> Result<Head, StartError> {
         loop {
             if let Some(head) = heads::parse_head(buffer, self.front.limits.head_bytes)? {
@@ -115,14 +115,14 @@
         }
     }
 
-    /// Waits until all that was begun has its answer.
+    /// Waits until all started requests are answered.
     async fn all_answered(&self) {
         while self.unanswered.get() > 0 {
             self.answered.notified().await;
         }
     }
 
-    /// A request is in hand from now on.
+    /// Records the start of a request.
     fn on_begin(&self, buffer: &BytesMut) {
         self.peer.recent_bytes.borrow_mut().forget();
         self.unanswered.set(self.unanswered.get() + 1);
@@ -132,13 +132,13 @@
         }
     }
 
-    /// Begins a request.
+    /// Starts a request: answers it from its head, or receives its body and spawns its handler.
     async fn begin(&self, mut head: Head, buffer: &mut BytesMut) -> Result<StartedRequest, StartError> {
         let (bare, old) = (head.parts.method == Method::HEAD, head.parts.version == Version::HTTP_10);
         let turn = |answer, last| PendingAnswer { answer, bare, old, last };
         let ticket = match self.front.decide_head(&mut head.parts)? {
             HeadDecision::Respond(answer) => {
-                // A body that nobody wants is not read, and what stands in it is no request.
+                // The body of such a request is not read and must not be parsed as a request.
                 let has_body = head.ends != BodyEnd::Reached;
                 let answer = if has_body { closing(answer) } else { answer };
                 let turn = turn(AnswerSource::Ready(Box::new(answer)), head.last || has_body);
@@ -160,7 +160,7 @@
         Ok(StartedRequest { turn: turn(AnswerSource::Pending(AnswerTask(task)), head.last), rest })
     }
 
-    /// Reads a body whole if it is short; of a longer one the start.
+    /// Buffers a short body completely, and the start of a longer one.
     async fn receive(&self, head: &Head, buffer: &mut BytesMut) -> Result<Received, StartError> {
         let mut ends = head.ends;
         if ends == BodyEnd::Reached {
@@ -202,8 +202,8 @@
         Ok(Received { upload, room, rest: Some((feed, ends)) })
     }
 
-    /// Passes the rest of a body on as it comes; what nobody takes any more is read all the same. False: the client has
-    /// closed, or makes no progress; the body then breaks off with its feed.
+    /// Forwards the rest of a body while it arrives, and discards it if the receiver is dropped. Returns false if the
+    /// client closes or makes no progress; dropping the sender then ends the body with an error.
     async fn forward_body(&self, buffer: &mut BytesMut, mut ends: BodyEnd, feed: BodySender) -> bool {
         let limits = &self.front.limits;
         let mut taken = 0u64;
@@ -239,7 +239,7 @@
     }
 }
 
-/// The turn of a request that is rejected: the connection ends with it.
+/// The answer to a rejected request, with which the connection ends.
 fn rejected(rejection: Rejection) -> PendingAnswer {
     tracing::debug!(status = rejection.status.as_u16(), "rejected: {}", rejection.why.trim_end());
     let answer = AnswerSource::Ready(Box::new(closing(respond::rejected(rejection))));
--- a/crates/engine/src/front/pipelined/write.rs
+++ b/crates/engine/src/front/pipelined/write.rs
@@ -1,4 +1,4 @@
-//! Writing: gives each request its answer, in the order of the requests.
+//! The writing side of a pipelined connection: writes the answers in the order of the requests.
 
 use super::super::heads::{self, Framing};
 use super::super::{closing, HttpHandler, Phase};
@@ -10,25 +10,25 @@
 use std::io::{self, IoSlice};
 use tokio::sync::mpsc;
 
-/// Why nothing more is written.
+/// Why writing ended.
 pub(super) enum WriteEnd {
-    /// The last answer has said that the connection ends.
+    /// The last answer, which announces the close, was written.
     LastAnswer,
-    /// An answer broke off: its end must not look like one.
+    /// An answer broke off, and the end of the connection must not look like its end.
     Cut,
-    /// The client takes nothing more.
+    /// The client does not accept any more bytes.
     Failed,
 }
 
 impl<D: HttpHandler> Connection<D> {
-    /// Writes answers to the end of the connection.
+    /// Writes answers until the end of the connection.
     pub(super) async fn write(&self, mut turns: mpsc::Receiver<PendingAnswer>) -> WriteEnd {
         while let Some(mut turn) = turns.recv().await {
             let answer = match &mut turn.answer {
                 AnswerSource::Ready(answer) => {
                     std::mem::replace(&mut **answer, Response::new(Body::default()))
                 }
-                // A task that died may have sent its request.
+                // The request of a task that panicked may have been sent.
                 AnswerSource::Pending(task) => (&mut task.0)
                     .await
                     .unwrap_or_else(|_| closing(plain(StatusCode::BAD_GATEWAY, "no answer can be given\n"))),
@@ -43,12 +43,12 @@
                 return WriteEnd::LastAnswer;
             }
         }
-        // All that was begun has its answer, and nothing more is read.
+        // All started requests are answered, and reading has ended.
         WriteEnd::LastAnswer
     }
 
-    /// Whether the connection ends with this answer. With a reason to end it, nothing more is begun, and it ends once what
-    /// was begun before has its answers.
+    /// Whether the connection ends with this answer. With a reason to end it, no further request is started, and it ends
+    /// once all started requests are answered.
     fn is_last(&self, turn: &PendingAnswer, answer: &Response<Body>) -> bool {
         let ends = turn.last
             || heads::connection_has(answer.headers(), "close")
@@ -60,20 +60,20 @@
         self.closing.get() && self.unanswered.get() == 1
     }
 
-    /// A request has its answer.
+    /// Records that a request has been answered.
     fn on_answered(&self) {
         self.unanswered.set(self.unanswered.get().saturating_sub(1));
         self.answered.notify_one();
         if self.unanswered.get() > 0 {
             self.peer.enter(Phase::Busy, self.now());
         } else {
-            // What has come of the next request counts, and not what came of the body of this one.
+            // Only bytes of the next request count, not those of this request's body.
             self.peer.next_request_started.set(self.next_request_started.get());
             self.peer.on_flush(self.now());
         }
     }
 
-    /// Writes one answer; why nothing can follow it, if so.
+    /// Writes one answer. Returns the reason if no further answer can follow it.
     async fn write_answer(
         &self,
         answer: Response<Body>,
@@ -129,7 +129,7 @@
         let (mut before, mut piece) = (BytesMut::from(head), held);
         loop {
             match left.map(|left| left.checked_sub(piece.len() as u64)) {
-                // More bytes than were announced are not the announced answer.
+                // The body is longer than announced.
                 Some(None) => return Some(WriteEnd::Cut),
                 rest => left = rest.flatten(),
             }
@@ -158,7 +158,7 @@
         (!self.write_all(&before, b"").await).then_some(WriteEnd::Failed)
     }
 
-    /// Writes all of both; false if it cannot be.
+    /// Writes both slices completely; false if writing fails.
     pub(super) async fn write_all(&self, mut first: &[u8], mut second: &[u8]) -> bool {
         while !(first.is_empty() && second.is_empty()) {
             let wrote = match second.is_empty() {
--- a/crates/engine/src/front/receive.rs
+++ b/crates/engine/src/front/receive.rs
@@ -1,5 +1,5 @@
-//! Bodies of clients' requests: read whole while they are small, else passed on as they come. Progress is judged, and
-//! not the time in all: a client may be slow, but must get on.
+//! Receives request bodies: buffers small ones and forwards larger ones while they arrive. Progress is limited rather
+//! than the total time: a client may be slow, but must keep sending.
 
 use super::FrontLimits;
 use crate::body::{self, BodyError, BodyPrefix, BodySender, Upload, MAX_BODY_BYTES};
@@ -11,19 +11,20 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// What a body may take in all: this long, and a second for so many bytes. A quarter of what slow clients reach.
+/// Time allowed for any body, on top of the time at [`MIN_BODY_RATE`].
 const BODY_GRACE: Duration = Duration::from_millis(3000);
+/// Lowest average rate of a body, bytes per second: a quarter of the rate of slow clients.
 const MIN_BODY_RATE: f64 = 16.0 * 1024.0;
-/// A server that takes nothing of a body for this long is given up.
+/// A body that the server does not read for this long is abandoned.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// What comes of a body after its answer is read and thrown away while it gets on, for this long at most, so that a client
-/// which writes to the end before it reads gets its answer and keeps its connection.
+/// How long the rest of a body is read and discarded after its answer, so that a client that writes the whole body
+/// before it reads gets its answer and keeps its connection.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(super) const TOO_SLOW: Rejection =
     Rejection { status: StatusCode::REQUEST_TIMEOUT, why: "the body takes too long\n" };
 
-/// What has come so far, against the time it took.
+/// Bytes received of a body and the time since its start.
 struct BodyPace {
     begun: Instant,
     bytes: u64,
@@ -35,20 +36,20 @@
         BodyPace { begun: Instant::now(), bytes: 0, limits }
     }
 
-    /// How long the next piece is waited for.
+    /// How long to wait for the next chunk.
     fn read_timeout(&self) -> Duration {
         let due = BODY_GRACE + Duration::from_secs_f64(self.bytes as f64 / MIN_BODY_RATE);
         self.limits.silence.min(due.saturating_sub(self.begun.elapsed()))
     }
 
-    /// The next piece of a body; none at its end.
+    /// Reads the next chunk of a body; `None` at its end.
     async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
         loop {
             let Ok(frame) = timeout(self.read_timeout(), body.frame()).await else {
                 return Err(BodyError::Stalled);
             };
             let Some(frame) = frame else { return Ok(None) };
-            // Trailers say nothing that is passed on.
+            // Trailers are not forwarded.
             let Ok(piece) = frame.map_err(|_| BodyError::Left)?.into_data() else { continue };
             self.bytes += piece.len() as u64;
             if self.bytes > self.limits.body_bytes {
@@ -72,11 +73,11 @@
     }
 }
 
-/// Reads a body whole if it is short, and begins to pass it on if it is not. `whole` is called once its last byte has
-/// come, or it will not.
+/// Buffers a short body completely, or buffers the start of a long one and forwards the rest. `whole` is called once
+/// the last byte has arrived or the body has broken off.
 ///
 /// # Errors
-/// When it is too long, does not get on, or breaks off before it is known to be long.
+/// If the body is too long, stalls, or breaks off before it exceeds the buffer.
 pub(super) async fn receive(
     mut body: Incoming,
     limits: FrontLimits,
@@ -107,7 +108,7 @@
     Ok(Upload::stream(start.finish(), length, rest))
 }
 
-/// Passes a body on as it comes, no faster than it is taken.
+/// Forwards a body while it arrives, no faster than it is read.
 async fn forward_body(mut body: Incoming, mut pace: BodyPace, feed: BodySender) {
     loop {
         let piece = tokio::select! {
@@ -117,7 +118,7 @@
         let piece = match piece {
             Ok(Some(piece)) => piece,
             Ok(None) => return feed.finish(),
-            // Who takes it hears why, unless it has given up.
+            // The receiver gets the error, unless it has been dropped.
             Err(why) => {
                 let _ = feed.send(Err(why)).await;
                 return;
@@ -127,15 +128,15 @@
         match timeout(STALL_TIMEOUT, feed.send(Ok(piece))).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return discard_rest(body, pace).await,
-            // The server's end of it breaks off with the feed.
+            // Dropping the sender ends the server's body with an error.
             Err(_) => return,
         }
-        // Not the client's delay.
+        // The wait for the server does not count as the client's delay.
         pace.begun += waits.elapsed();
     }
 }
 
-/// Takes the rest of a body whose request has been answered.
+/// Reads and discards the rest of a body whose request has been answered.
 async fn discard_rest(mut body: Incoming, mut pace: BodyPace) {
     let end = Instant::now() + DISCARD_TIMEOUT;
     while let Ok(Ok(Some(_))) = tokio::time::timeout_at(end, pace.next(&mut body)).await {}
--- a/crates/engine/src/front/recent_bytes.rs
+++ b/crates/engine/src/front/recent_bytes.rs
@@ -1,23 +1,24 @@
-//! The bytes of a head as they came, where the parser shows less than it was sent.
+//! The raw bytes received last on a connection, to detect headers that the parser drops.
 //!
-//! Of a length beside a coding the parser keeps the coding only, and such a request may hide another in its body.
+//! The parser drops a `Content-Length` next to a `Transfer-Encoding`, and such a request may hide another one in its
+//! body.
 
 use memchr::{memchr_iter, memmem};
 
-/// The last bytes that came on a connection.
+/// The last bytes received on a connection.
 pub(super) struct RecentBytes {
     bytes: Vec<u8>,
-    /// The most that is kept: what the parser's own buffer holds, in which a head must fit whole.
+    /// Most bytes kept: the size of the parser's buffer, which has to hold a whole head.
     limit: usize,
 }
 
 impl RecentBytes {
-    /// Nothing has come; so many bytes are kept.
+    /// Creates an empty buffer that keeps the last `limit` bytes.
     pub(super) fn new(limit: usize) -> Self {
         RecentBytes { bytes: Vec::new(), limit }
     }
 
-    /// These bytes have come.
+    /// Appends received bytes.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         let bytes = &bytes[bytes.len().saturating_sub(self.limit)..];
         let over = (self.bytes.len() + bytes.len()).saturating_sub(self.limit);
@@ -25,19 +26,19 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Nothing that came so far belongs to a head that is still to be read.
+    /// Clears the buffer; called when no received byte belongs to a head still to be read.
     pub(super) fn forget(&mut self) {
         self.bytes = Vec::new();
     }
 
-    /// Whether the head in which this value stands has no `Content-Length`. A head that cannot be found has one, for
-    /// all that is known; without a value to find it by it may be any.
+    /// Whether the head that contains `value` has no `Content-Length`. Returns false if no such head is found. With an
+    /// empty value, all buffered bytes are searched.
     pub(super) fn has_no_length(&self, value: &[u8]) -> bool {
         let has_length = |head: &[u8]| head.split(|b| *b == b'\n').any(is_length);
         if value.is_empty() {
             return !has_length(&self.bytes);
         }
-        // Up to where heads have been looked at.
+        // End of the heads searched so far.
         let mut seen = 0;
         for at in memmem::find_iter(&self.bytes, value) {
             if at < seen {
@@ -54,7 +55,7 @@
     }
 }
 
-/// Where heads end: behind each empty line. The parser takes a bare line feed for a line's end, so this does too.
+/// Offsets after each empty line, where heads end. Like the parser, it accepts a bare line feed as a line ending.
 fn head_ends(bytes: &[u8]) -> impl Iterator<Item = usize> + '_ {
     memchr_iter(b'\n', bytes).filter_map(|at| match &bytes[at + 1..] {
         [b'\n', ..] => Some(at + 2),
--- a/crates/engine/src/handle.rs
+++ b/crates/engine/src/handle.rs
@@ -1,7 +1,7 @@
-//! The way to an engine from other threads.
+//! Access to an engine from other threads.
 //!
-//! An engine lives on one thread. A [`Handle`] may be cloned and used from any thread and runtime; what it
-//! sends waits in a bounded queue until the engine takes it.
+//! An engine lives on one thread. A [`Handle`] can be cloned and used from any thread and runtime; its requests wait in
+//! a bounded queue until the engine takes them.
 
 use crate::engine::{shutdown_timeout, Answer, Engine, Setup};
 use crate::ports::membership::{MembershipSink, News};
@@ -18,22 +18,21 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Requests taken from the queue in one go, before timers and attempts have their turn.
+/// Commands taken from the queue at once before timers and attempts run.
 const BATCH: usize = 64;
-/// Requests that may wait for the engine where nothing else is said: what it works off in some ms.
+/// Default capacity of the queue: requests that the engine handles within a few ms.
 pub const DEFAULT_QUEUE_CAPACITY: usize = 4096;
-/// A request that finds the queue full is told to come back after this, ms: the queue is then empty again.
+/// Retry delay given when the queue is full, ms: by then the queue has been emptied.
 pub const QUEUE_FULL_RETRY_AFTER: Millis = 50.0;
-/// How a request ended that was given to a [`Handle`].
+/// Result of a request submitted through a [`Handle`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ended<A> {
     /// The engine's final answer.
     Answered(Answer<A>),
-    /// The queue was full, or the engine is shutting down: the engine never saw the request, no account was
-    /// touched, and trying again is harmless after this wait in ms.
+    /// The queue was full or the engine is shutting down. The engine never saw the request, no quota was charged, and a
+    /// retry is safe after this wait in ms.
     NotTaken(Millis),
-    /// The engine ended with the request in hand, as it does when its thread or runtime is torn down: the
-    /// request may have run.
+    /// The engine ended before it answered, because its thread or runtime was shut down; the request may have run.
     Lost,
 }
 
@@ -46,8 +45,8 @@
 
 struct Shared<Q, A> {
     commands: mpsc::UnboundedSender<Command<Q, A>>,
-    /// Requests that the engine has not taken yet: what bounds the queue. All other commands are few: one a
-    /// request at most, or an operator's.
+    /// Requests that the engine has not taken yet; limits the queue. Other commands are not limited: there is at most
+    /// one per request, besides those of operators.
     waiting: Arc<AtomicUsize>,
     stopping: AtomicBool,
     capacity: usize,
@@ -55,8 +54,8 @@
     setup: Setup,
 }
 
-/// The way to an engine. Clones share it; when the last one and the last open request are dropped, the engine
-/// ends as by [`Handle::shutdown`].
+/// Submits requests to an engine. When the last clone and the last open request are dropped, the engine ends as by
+/// [`Handle::shutdown`].
 pub struct Handle<Q, A> {
     shared: Arc<Shared<Q, A>>,
 }
@@ -73,14 +72,14 @@
     }
 }
 
-/// The engine's side of a [`Handle`]: to be run on the engine's thread.
+/// The engine's side of a [`Handle`], which runs on the engine's thread.
 pub struct Work<Q, A> {
     commands: mpsc::UnboundedReceiver<Command<Q, A>>,
     waiting: Arc<AtomicUsize>,
 }
 
-/// A handle whose queue holds `capacity` requests, and the engine's side of it. `setup` is what requests are
-/// classified by.
+/// Creates a handle whose queue holds `capacity` requests, and the engine's side of it. `setup` is used to classify
+/// requests.
 pub fn pair<Q, A>(setup: Setup, capacity: usize) -> (Handle<Q, A>, Work<Q, A>) {
     let (sender, commands) = mpsc::unbounded_channel();
     let waiting = Arc::new(AtomicUsize::new(0));
@@ -96,18 +95,18 @@
 }
 
 impl<Q, A> Handle<Q, A> {
-    /// What requests are classified by.
+    /// Setup used to classify requests.
     pub fn setup(&self) -> &Setup {
         &self.shared.setup
     }
 
-    /// Requests that wait for the engine to take them.
+    /// Number of requests that wait for the engine.
     pub fn waiting(&self) -> usize {
         self.shared.waiting.load(Ordering::Relaxed)
     }
 
-    /// Hands a request to the engine. Its time runs from now on. Dropping the future is the client's leaving:
-    /// what was not sent to a server never will be, and what was is called off.
+    /// Submits a request, whose time limit runs from now on. Dropping the future counts as the client's disconnect: an
+    /// unsent request is never sent, and attempts in flight are cancelled.
     pub fn call(&self, request: Request, forward: Q) -> Pending<Q, A> {
         let shared = &self.shared;
         let full = shared.waiting.fetch_add(1, Ordering::AcqRel) >= shared.capacity;
@@ -122,26 +121,26 @@
         Pending { handle: self.clone(), ticket, answer: taken.then_some(answer) }
     }
 
-    /// Tells the engine which servers there are. Not to be used beside a source that does so by itself.
+    /// Sends a membership update to the engine. Not to be combined with another membership source.
     pub fn tell(&self, news: News) {
-        // An engine that has ended needs no news.
+        // An engine that has ended needs no updates.
         let _ = self.shared.commands.send(Command::News(news));
     }
 
-    /// Takes no further request, answers what was taken (by 0.55 s after the longest deadline, 3 s at most),
-    /// and completes when the engine has ended.
+    /// Rejects further requests, waits for the answers to accepted ones (for the longest deadline, at most 3 s, plus
+    /// 0.55 s) and completes when the engine has ended.
     pub async fn shutdown(&self) {
         self.shared.stopping.store(true, Ordering::Release);
         let (done, ended) = oneshot::channel();
         if self.shared.commands.send(Command::Stop(done)).is_ok() {
-            // An error is the engine's end too.
+            // An error also means that the engine has ended.
             let _ = ended.await;
         }
     }
 }
 
-/// A request that the engine has or is to have.
-#[must_use = "a dropped request is a client that has left"]
+/// A submitted request; completes with its result.
+#[must_use = "dropping a request counts as the client's disconnect"]
 pub struct Pending<Q, A> {
     handle: Handle<Q, A>,
     ticket: u64,
@@ -169,17 +168,17 @@
     }
 }
 
-/// Requests in hand by ticket; the number is none until the engine has given it.
+/// Open requests by ticket; the id is `None` until the engine has assigned it.
 type Tickets = Arc<Mutex<HashMap<u64, Option<RequestId>>>>;
 
 fn lock(tickets: &Tickets) -> MutexGuard<'_, HashMap<u64, Option<RequestId>>> {
-    // Each change is one step, so a panic beside it leaves nothing half done.
+    // Each change is a single operation, so a poisoned lock holds a valid map.
     tickets.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl<Q: Send + 'static, A: Send + 'static> Work<Q, A> {
-    /// Works off what the handles send until the last is dropped or one asks for the end; then answers all that
-    /// is owed. To be run inside the engine's [`tokio::task::LocalSet`].
+    /// Executes the handles' commands until the last handle is dropped or one requests a shutdown, then answers all
+    /// open requests. Must run inside the engine's [`tokio::task::LocalSet`].
     pub async fn run<U: Upstream<Request = Q, Answer = A>>(mut self, engine: Rc<Engine<U>>) {
         let told = engine.membership_sink();
         let tickets = Tickets::default();
@@ -189,7 +188,7 @@
             for command in batch.drain(..) {
                 self.execute(&engine, &tickets, &told, command, &mut asked);
             }
-            // Timers and attempts are tasks beside this one.
+            // Lets the tasks of timers and attempts run.
             tokio::task::yield_now().await;
         }
         self.finish(&engine, &tickets, &told).await;
@@ -212,7 +211,7 @@
                 let over = tickets.clone();
                 let reply = Box::new(move |answer| {
                     lock(&over).remove(&ticket);
-                    // A client that has just left needs no answer.
+                    // The receiver is gone if the client has disconnected.
                     let _ = reply.send(answer);
                 });
                 let id = engine.submit(request, forward, reply);
@@ -231,7 +230,7 @@
         }
     }
 
-    /// Answers what was taken, also what still waits in the queue, and fails what is left at the end.
+    /// Answers accepted requests, including those in the queue, and fails those left when the shutdown times out.
     async fn finish<U: Upstream<Request = Q, Answer = A>>(
         &mut self,
         engine: &Rc<Engine<U>>,
@@ -254,15 +253,15 @@
 
 fn notify_stopped(asked: Vec<oneshot::Sender<()>>) {
     for done in asked {
-        // Who asked need not have waited.
+        // The caller may have stopped waiting.
         let _ = done.send(());
     }
 }
 
-/// Runs an engine on a thread of its own. `build` makes it there, inside its local set.
+/// Runs an engine on its own thread. `build` creates it there, inside its local set.
 ///
 /// # Errors
-/// When there is no thread or runtime to be had, or `build` fails; its error comes back as it is.
+/// If the thread or runtime cannot be created, or with the error of `build`.
 pub fn spawn<U, B>(
     setup: Setup,
     capacity: usize,
@@ -295,7 +294,7 @@
             tracing::error!("the engine's thread: {e}");
         }
     })?;
-    let lost = || std::io::Error::other("the engine's thread ended before it had started");
+    let lost = || std::io::Error::other("the engine thread ended before the engine started");
     started.recv().map_err(|_| lost())??;
     Ok(handle)
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,21 +1,21 @@
-//! The engine of a limiter: runs the decision module of [`oatbank-limiter-core`] and does its I/O through [`ports`].
+//! The engine of a limiter: runs the decision module of [`oatbank-limiter-core`] and performs its I/O through [`ports`].
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`body`] | bodies, held whole or passed on piece by piece |
-//! | [`open_ids`] | names of requests that are open |
-//! | [`ports`] | the seams: clock, counter, membership, the way to a server; with the guarantees of each |
-//! | [`engine`] | the one owner of the decision module; knows ports only |
-//! | [`classify`] | what the module is told of a request, from the platform's headers |
-//! | [`config`] | a configuration without a platform |
-//! | [`counters`] | the platform's text protocol, and one within the process |
-//! | [`direct`] | a limiter whose server is a handler, deciding on the caller's thread |
-//! | [`front`] | clients' connections: requests are read, handed in at a desk and answered |
-//! | [`handle`] | the way to an engine from other threads |
-//! | [`members`] | the platform's discovery agent, and a fixed list |
-//! | [`upstreams`] | servers over HTTP/1.1, and a handler within the process |
-//! | [`respond`] | the limiter's own answers as HTTP |
-//! | [`supervise`] | tasks that must outlive a panic |
+//! | [`body`] | buffered and streamed bodies |
+//! | [`open_ids`] | ids of open requests |
+//! | [`ports`] | interfaces to the clock, the counter, the membership source and the servers, with their guarantees |
+//! | [`engine`] | owner of the decision module; depends on ports only |
+//! | [`classify`] | classification of requests by the platform's headers |
+//! | [`config`] | configuration without a platform |
+//! | [`counters`] | counters: the platform's text protocol, and one in the process |
+//! | [`direct`] | a limiter for a handler in the process, deciding on the caller's thread |
+//! | [`front`] | client connections: reads requests, passes them to a handler and writes the answers |
+//! | [`handle`] | access to an engine from other threads |
+//! | [`members`] | membership sources: the platform's discovery agent, and a fixed list |
+//! | [`upstreams`] | servers over HTTP/1.1, and a handler in the process |
+//! | [`respond`] | the limiter's own HTTP answers |
+//! | [`supervise`] | tasks that are restarted after a panic |
 
 pub mod body;
 pub mod classify;
--- a/crates/engine/src/ports/counter.rs
+++ b/crates/engine/src/ports/counter.rs
@@ -1,58 +1,57 @@
-//! The shared counter: numbers by name, to which limiters add and whose totals they learn.
+//! The shared counter: named numbers that limiters add to and read.
 
 use oatbank_limiter_core::interface::{CountName, Millis};
 use std::rc::Rc;
 
-/// Names one call of one engine; never used twice in its life.
+/// Identifies a call of one engine; never reused by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Add `add` to the number `name` and tell its total.
+/// A request to add `add` to the number `name` and return its total.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
-    /// The call.
+    /// Identifies the call.
     pub id: CallId,
-    /// The number.
+    /// Name of the number.
     pub name: CountName,
-    /// The amount; 0 only reads.
+    /// Amount to add; 0 only reads.
     pub add: f64,
-    /// A name that is new is forgotten this long after its first call, ms.
+    /// Lifetime of the number from its first call, ms.
     pub ttl: Millis,
 }
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallEnd {
-    /// The amount was added once; this is the total right after.
+    /// The amount was added once; the total right after the addition.
     Added(f64),
-    /// Turned away by a counter that can be reached; nothing was added, nor will be.
+    /// Rejected by a reachable counter; nothing was or will be added.
     Busy,
-    /// The counter cannot be reached; nothing was added, nor will be.
+    /// The counter is unreachable; nothing was or will be added.
     Unreachable,
-    /// Lost on the way: the amount may have been added, or may yet be, but no more than once.
+    /// The answer was lost: the amount may have been or may still be added, at most once.
     Unknown,
 }
 
-/// Where a counter tells the ends of calls.
+/// Callback through which a counter reports the ends of calls.
 pub type CallEndSink = Rc<dyn Fn(CallId, CallEnd)>;
 
-/// A way to a counter.
+/// A client of a shared counter.
 ///
 /// An implementation guarantees that
-/// - a call's amount is added at most once, whatever is lost: it never makes a call again by itself;
-/// - [`CallEnd::Busy`] and [`CallEnd::Unreachable`] are told only where it is certain that nothing was or will
-///   be added; in doubt the end is [`CallEnd::Unknown`];
-/// - calls of one name reach the counter in the order in which they were begun, while one connection stands;
-/// - a call ends at most once. It may end never: time-outs are the engine's, which drops ends that come
-///   after;
+/// - a call's amount is added at most once: the implementation never retries a call;
+/// - [`CallEnd::Busy`] and [`CallEnd::Unreachable`] are reported only if it is certain that nothing was or will
+///   be added; otherwise the end is [`CallEnd::Unknown`];
+/// - calls for one name reach the counter in the order in which they began, as long as the connection is kept;
+/// - a call ends at most once and may never end: the engine applies timeouts and drops later ends;
 /// - neither method blocks nor calls into [`CallEndSink`] before it has returned.
 pub trait Counter {
-    /// Begins a call. Where it can be told at once that nothing will be added, the end comes back.
+    /// Begins a call. If it is certain at once that nothing will be added, the end is returned as an error.
     ///
     /// # Errors
-    /// [`CallEnd::Busy`] or [`CallEnd::Unreachable`]; nothing was added, nor will be, and no end follows.
+    /// [`CallEnd::Busy`] or [`CallEnd::Unreachable`]; nothing was or will be added, and no end is reported.
     fn begin(&self, call: Call) -> Result<(), CallEnd>;
 
-    /// Called about twice a second: for looking after connections.
+    /// Called about twice a second to maintain connections.
     fn upkeep(&self, _now: Millis) {}
 }
--- a/crates/engine/src/ports/membership.rs
+++ b/crates/engine/src/ports/membership.rs
@@ -1,32 +1,32 @@
-//! Which servers there are.
+//! The list of servers and its sources.
 
 use oatbank_limiter_core::interface::{Millis, ServerState, Standing};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// One server as a source tells it.
+/// A server as reported by a membership source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its id, the same at every limiter.
+    /// Id, the same at every limiter.
     pub id: String,
-    /// Where it listens, as seen from here. One that is gone needs none.
+    /// Address to connect to; not needed for a server that is gone.
     pub address: Option<SocketAddr>,
-    /// Its zone's name; unknown names count as another zone.
+    /// Name of its zone; all unknown names count as one further zone.
     pub zone: String,
-    /// Its cell.
+    /// Number of its cell.
     pub cell: u16,
-    /// Its size beside the others'.
+    /// Capacity relative to the other servers.
     pub weight: f64,
-    /// When it last started, Unix ms; 0: long ago.
+    /// Last start, Unix ms; 0: long ago.
     pub started: Millis,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ServerState,
-    /// How it fares, where limiters tell each other.
+    /// Health as shared between limiters.
     pub standing: Standing,
 }
 
 impl Member {
-    /// A server that has been there for long and takes requests.
+    /// A ready, warm server with weight 1 and no zone.
     pub fn ready(id: impl Into<String>, address: SocketAddr) -> Self {
         Member {
             id: id.into(),
@@ -41,21 +41,20 @@
     }
 }
 
-/// News of the list.
+/// An update of the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
-    /// All servers there are; what is not named is gone.
+    /// The complete list; servers that are not in it are gone.
     Complete(Vec<Member>),
     /// The servers that changed.
     Changes(Vec<Member>),
-    /// All servers as they were when this limiter last ran; may be old, and does not make it ready.
+    /// The complete list as of this limiter's last run. It may be outdated and does not make the limiter ready.
     Remembered(Vec<Member>),
 }
 
-/// Where a source tells its news.
+/// Callback through which a source reports its updates.
 ///
-/// The engine counts as told once this call is made: when it returns, no first byte of a new attempt goes to a
-/// server that is not ready, also on attempts whose connection is just coming up. The drain rule's 250 ms run
-/// from the moment at which the source's own origin counts the limiter as told, so a source makes this call
-/// as soon as it has read the news, in the order in which it read them, and never holds one back.
+/// Once it returns, no new attempt sends its first byte to a server that is not ready, not even on attempts whose
+/// connection is being established. The drain rule's 250 ms run from the moment at which the source's origin considers
+/// the limiter informed, so a source reports each update as soon as it has read it, in order, and never delays one.
 pub type MembershipSink = Rc<dyn Fn(News)>;
--- a/crates/engine/src/ports/mod.rs
+++ b/crates/engine/src/ports/mod.rs
@@ -1,8 +1,8 @@
-//! The seams between the engine and all that does I/O. Each is a small trait; what an implementation must
-//! keep stands at the trait, and `oatbank-testkit` holds a suite that any of them is run through.
+//! Interfaces between the engine and its I/O. Each is a small trait that documents the guarantees of its
+//! implementations; `oatbank-testkit` has a conformance suite for each.
 //!
-//! Everything here is single-threaded: the engine and its ports live on one thread, so a call from a port
-//! into the engine is a plain call, and order is the order of the calls.
+//! The engine and its ports share one thread, so a port calls the engine directly and events are ordered by the order
+//! of these calls.
 
 pub mod clock;
 pub mod counter;
@@ -12,5 +12,5 @@
 use std::future::Future;
 use std::pin::Pin;
 
-/// A future that stays on the engine's thread.
+/// A boxed future that runs on the engine's thread.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
--- a/crates/engine/src/ports/upstream.rs
+++ b/crates/engine/src/ports/upstream.rs
@@ -1,4 +1,4 @@
-//! The way to a server: one attempt at a time.
+//! Sending attempts to servers.
 
 use super::LocalFuture;
 use crate::body::Progress;
@@ -7,71 +7,71 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// An attempt to be made.
+/// An attempt to make.
 pub struct AttemptJob<Q> {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Its name in the list.
+    /// Name of the server in the membership list.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// What is sent. Further attempts of the same request share it.
+    /// Request to send, shared by all its attempts.
     pub request: Arc<Q>,
-    /// How long it is waited for, ms.
+    /// Timeout, ms.
     pub span: Millis,
-    /// Whether this server may still be sent something new. To be asked again right before the first byte
-    /// goes out: a connection may take longer to come up than the news of a drain.
+    /// Whether the server may still receive new requests. Must be checked right before the first byte is sent: a
+    /// drain may be reported while the connection is being established.
     pub may_send: Rc<dyn Fn() -> bool>,
-    /// To be told how far a body that is still coming has gone.
+    /// Callback for the progress of a streamed body.
     pub progress: Rc<dyn Fn(Progress)>,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 pub struct End<A> {
-    /// What came of it.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The answer. One that comes with [`Outcome::Error`] is given to the client where nothing better comes; with any
-    /// other outcome than that and [`Outcome::Ok`] it is not looked at.
+    /// The server's answer. With [`Outcome::Error`] it is passed to the client if no attempt succeeds; with outcomes
+    /// other than that and [`Outcome::Ok`] it is ignored.
     pub answer: Option<A>,
     /// The server's load report in the order of the settings; empty without one.
     pub load: Vec<f64>,
 }
 
 impl<A> End<A> {
-    /// An end that brought no answer.
+    /// An end without an answer.
     pub fn without_answer(outcome: Outcome) -> Self {
         End { outcome, answer: None, load: Vec::new() }
     }
 }
 
-/// A way to servers.
+/// A client of the servers.
 ///
 /// An implementation guarantees that
-/// - an attempt is made at most once: it never sends again what may have run;
-/// - [`Outcome::ConnectFailed`] and [`Outcome::Full`] say for certain that the request has not run and will
-///   not; in doubt it is [`Outcome::Reset`], [`Outcome::Error`], [`Outcome::TimedOut`] or, where the client's own
-///   side gave it up, [`Outcome::Cancelled`], each of which the engine takes as "may have run", as it does a future that panics;
-/// - nothing is sent after `may_send` has said no; the attempt then ends as [`Outcome::ConnectFailed`];
-/// - a future that is dropped is an attempt called off: its connection is closed, and what it still
-///   brings is never given to another request;
-/// - an answer is given out once it is whole, or, where it is longer than [`crate::body::MAX_BUFFERED_BYTES`], once it has begun; one
-///   that breaks off after that is told as broken, and is never taken for whole;
-/// - a body that is still coming has not run before [`Progress::Sent`] was told.
+/// - an attempt is made at most once: a request that may have run is never sent again;
+/// - [`Outcome::ConnectFailed`] and [`Outcome::Full`] are certain: the request has not run and will
+///   not run. Otherwise the outcome is [`Outcome::Reset`], [`Outcome::Error`], [`Outcome::TimedOut`] or, if the client's
+///   side gave up, [`Outcome::Cancelled`]. The engine treats each of these, and a panic, as "may have run";
+/// - nothing is sent after `may_send` has returned false; the attempt then ends as [`Outcome::ConnectFailed`];
+/// - dropping the future cancels the attempt: its connection is closed, and what still arrives on it is never given
+///   to another request;
+/// - an answer is returned once it is complete or, if it is longer than [`crate::body::MAX_BUFFERED_BYTES`], once it
+///   has begun; if it breaks off after that, its body ends with an error and never looks complete;
+/// - a request with a streamed body does not run before [`Progress::Sent`] is reported.
 pub trait Upstream: 'static {
-    /// What goes to a server.
+    /// Request that is sent to a server.
     type Request: 'static;
-    /// What comes back.
+    /// Answer of a server.
     type Answer: 'static;
 
-    /// Makes one attempt. The engine sees to the time-out by dropping the future.
+    /// Makes one attempt. The engine enforces the timeout by dropping the future.
     fn attempt(&self, job: AttemptJob<Self::Request>) -> LocalFuture<End<Self::Answer>>;
 
-    /// The list has changed: what is kept for servers that are not ready may go.
+    /// Called when the list has changed: resources kept for servers that are not ready may be released.
     fn keep_only(&self, _ready: &dyn Fn(ServerId) -> bool) {}
 
-    /// From now on so many connections are open at most, and the bodies of answers take so many KiB together.
+    /// Limits the number of open connections and the total memory for the bodies of answers, KiB.
     fn set_limits(&self, _connections: usize, _bodies_kib: usize) {}
 
-    /// Called about twice a second: for looking after connections.
+    /// Called about twice a second to maintain connections.
     fn upkeep(&self, _now: Millis) {}
 }
