--- a/crates/engine/src/engine/core/tests.rs
+++ b/crates/engine/src/engine/core/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc;
 
 /// A core of one plan, 10 units at once, that has asked the counter about its first customer at 1000 ms.
-fn asked() -> (Core<(), ()>, CallId) {
+fn core_with_counter_call() -> (Core<(), ()>, CallId) {
     let class = Class { aim: 500.0, deadline: 1500.0, worth: 1.0, ..Class::default() };
     let plan = Plan { rate: 5.0, burst: 10.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
     let settings = Settings {
@@ -32,31 +32,31 @@
     told
 }
 
-fn pass(core: &mut Core<(), ()>, until: Millis) {
+fn run_timers(core: &mut Core<(), ()>, until: Millis) {
     while core.run_due_timer(until) {}
 }
 
 #[test]
-fn a_total_that_comes_after_the_time_out_still_counts() {
+fn a_total_that_arrives_after_the_timeout_is_applied() {
     // Found on a day whose counter had a line of 60 ms at a time-out of 30 ms: every total was thrown away.
-    let (mut core, call) = asked();
-    pass(&mut core, 1120.0);
+    let (mut core, call) = core_with_counter_call();
+    run_timers(&mut core, 1120.0);
     core.call_ended(1120.0, call, CallEnd::Added(100.0));
     let answer = ask(&mut core, 1121.0).try_recv();
     assert!(matches!(answer, Ok(Answer::Refused(_))), "the quota is known to be used up: {answer:?}");
 }
 
 #[test]
-fn a_counter_that_never_answers_is_given_up() {
-    let (mut core, call) = asked();
-    pass(&mut core, 1000.0 + COUNTER_TIMEOUT_FACTOR * 50.0 + 1.0);
+fn a_counter_call_without_an_answer_is_abandoned() {
+    let (mut core, call) = core_with_counter_call();
+    run_timers(&mut core, 1000.0 + COUNTER_TIMEOUT_FACTOR * 50.0 + 1.0);
     core.call_ended(1300.0, call, CallEnd::Added(100.0));
     let answer = ask(&mut core, 1301.0).try_recv();
     assert!(answer.is_err(), "a total after that is dropped, the request waits for a server: {answer:?}");
 }
 
 /// A core with one server, and a request that is out there at 1000 ms.
-fn one_out(cancels_on_disconnect: bool, repeat: Repeat) -> (Core<(), ()>, RequestId) {
+fn core_with_attempt_in_flight(cancels_on_disconnect: bool, repeat: Repeat) -> (Core<(), ()>, RequestId) {
     let class = Class { aim: 500.0, deadline: 3000.0, worth: 1.0, repeat, ..Class::default() };
     let settings = Settings { gateways: 1.0, classes: vec![class], max_units: 1.0, ..Settings::default() };
     let mut core: Core<(), ()> = Core::new(&Setup { settings, ..Setup::default() });
@@ -72,15 +72,15 @@
     (core, id)
 }
 
-fn is_called_off(core: &mut Core<(), ()>) -> bool {
+fn has_cancelled_attempt(core: &mut Core<(), ()>) -> bool {
     std::iter::from_fn(|| core.output()).any(|output| matches!(output, Output::CancelAttempt { .. }))
 }
 
 #[test]
-fn what_may_be_repeated_is_cancelled_when_its_client_leaves() {
-    let (mut core, id) = one_out(true, Repeat::Safe);
+fn repeatable_attempts_are_cancelled_on_disconnect() {
+    let (mut core, id) = core_with_attempt_in_flight(true, Repeat::Safe);
     core.client_left(1100.0, id);
-    assert!(is_called_off(&mut core) && core.requests.is_empty());
+    assert!(has_cancelled_attempt(&mut core) && core.requests.is_empty());
     let departures = Departures { clients: 1, cancelled_attempts: 1, abandoned_attempts: 0 };
     assert_eq!(core.departures(), departures);
     // Its end comes all the same, and changes nothing.
@@ -89,20 +89,20 @@
 }
 
 #[test]
-fn what_runs_at_most_once_is_not_cancelled_and_abandons_nobody() {
-    let (mut core, id) = one_out(true, Repeat::Unsafe);
+fn at_most_once_attempts_are_neither_cancelled_nor_abandoned_on_disconnect() {
+    let (mut core, id) = core_with_attempt_in_flight(true, Repeat::Unsafe);
     core.client_left(1100.0, id);
-    assert!(!is_called_off(&mut core) && core.at_most_once_in_flight() == 1);
+    assert!(!has_cancelled_attempt(&mut core) && core.at_most_once_in_flight() == 1);
     core.attempt_ended(1900.0, id, 0, End::without_answer(Outcome::Error));
     assert_eq!(core.departures(), Departures { clients: 1, ..Departures::default() });
 }
 
 #[test]
-fn an_attempt_that_goes_on_for_nobody_is_counted_as_abandoned() {
+fn attempts_that_outlive_the_disconnect_count_as_abandoned() {
     for (ends, abandoned) in [(1300.0, 0), (1400.0, 1)] {
-        let (mut core, id) = one_out(false, Repeat::Safe);
+        let (mut core, id) = core_with_attempt_in_flight(false, Repeat::Safe);
         core.client_left(1100.0, id);
-        assert!(!is_called_off(&mut core));
+        assert!(!has_cancelled_attempt(&mut core));
         core.attempt_ended(ends, id, 0, End::without_answer(Outcome::Error));
         assert_eq!(core.departures().abandoned_attempts, abandoned, "ended at {ends}");
     }
--- a/crates/engine/src/engine/fleet/tests.rs
+++ b/crates/engine/src/engine/fleet/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_parts_of_a_zone_that_limiters_use_add_up_at_each_server() {
+fn zone_shares_of_all_limiters_add_up_at_each_server() {
     let shares = |n: u32, part: f64| Shares { parts: [(0, part)].into(), place: f64::from(n) / 24.0 };
     for part in [0.0, 1.0 / 24.0, 0.25, 0.5, 1.0] {
         for id in ["engine-1", "engine-2", "engine-3"] {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_whole_list_removes_what_it_does_not_name_and_changes_do_not() {
+fn a_complete_list_removes_missing_servers_and_a_delta_does_not() {
     let mut fleet = Fleet::default();
     fleet.apply(&News::Complete(vec![member("s-00000001"), member("s-00000002")]), &[]);
     fleet.apply(&News::Changes(vec![member("s-00000003")]), &[]);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn ids_that_shared_a_number_of_32_bits_have_their_own() {
+fn ids_with_colliding_32_bit_hashes_get_distinct_numbers() {
     // The same last eight figures, and two with one FNV-1a of 32 bits.
     for pair in [["s-00000001", "x-00000001"], ["costarring", "liquid"]] {
         let told = numbers(&mut Fleet::default(), &pair);
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn servers_that_want_one_number_are_both_known_and_numbered_alike_everywhere() {
+fn colliding_ids_get_the_same_distinct_numbers_at_every_limiter() {
     // All want 7, then one that depends on the id.
-    let all_alike = || Fleet {
+    let colliding_fleet = || Fleet {
         hash: |id, nth| if nth == 0 { 7 } else { 100 * nth + id.len() as u64 },
         ..Fleet::default()
     };
-    let (mut here, mut there) = (all_alike(), all_alike());
+    let (mut here, mut there) = (colliding_fleet(), colliding_fleet());
     let told = numbers(&mut here, &["a", "bb", "ccc"]);
     assert_eq!(told, [7, 102, 103].map(ServerId));
     assert_eq!(numbers(&mut there, &["ccc", "a", "bb"]), told, "in whatever order the list comes");
--- a/crates/engine/src/engine/request_table/tests.rs
+++ b/crates/engine/src/engine/request_table/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 #[test]
-fn the_right_to_answer_is_had_once_and_an_entry_goes_with_its_last_attempt() {
+fn a_request_is_answered_once_and_removed_with_its_last_attempt() {
     let mut requests: RequestTable<(), ()> = RequestTable::new();
     let answers = Arc::new(AtomicUsize::new(0));
     let told = answers.clone();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn numbers_in_use_are_passed_over_when_they_come_round() {
+fn request_ids_in_use_are_skipped_on_wraparound() {
     let mut requests: RequestTable<(), ()> = RequestTable::new();
     let first = requests.open((), 0.0, 0, RequestAttempts::default(), Box::new(|_| ()));
     requests.next = u32::MAX;
--- a/crates/engine/src/engine/revision/tests.rs
+++ b/crates/engine/src/engine/revision/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_class_keeps_its_place_and_a_request_what_it_came_with() {
+fn classes_keep_their_index_and_requests_keep_their_rules_across_revisions() {
     let first = Revision::first(&setup(&[("a", 1.0), ("b", 2.0)], 4));
     let b = ClassId(1);
     let kept = first.rules(b).expect("rules");
--- a/crates/engine/src/engine/schedule_tests.rs
+++ b/crates/engine/src/engine/schedule_tests.rs
@@ -17,7 +17,7 @@
 use std::sync::{Arc, Mutex};
 
 const SERVERS: u64 = 4;
-const ONCE: ClassId = ClassId(1);
+const AT_MOST_ONCE_CLASS: ClassId = ClassId(1);
 
 /// What comes to pass at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +35,7 @@
     Err(RequestId, u8),
 }
 
-type Told = Arc<Mutex<HashMap<u32, Vec<Answer<(u32, u8)>>>>>;
+type Answers = Arc<Mutex<HashMap<u32, Vec<Answer<(u32, u8)>>>>>;
 
 struct World {
     rng: Pcg64Mcg,
@@ -43,7 +43,7 @@
     due: BinaryHeap<Reverse<(u64, u64, Due)>>,
     count: u64,
     core: Core<u32, (u32, u8)>,
-    told: Told,
+    told: Answers,
     runs: HashMap<u32, u32>,
     once: HashSet<u32>,
     uploads: HashSet<u32>,
@@ -53,9 +53,9 @@
     outcomes: OutcomeLog,
     guarded: bool,
     /// The module decides wrongly now and then.
-    errs: bool,
+    injects_wrong_decisions: bool,
     /// Servers that were sent something.
-    met: Vec<ServerId>,
+    contacted_servers: Vec<ServerId>,
 }
 
 impl World {
@@ -79,7 +79,7 @@
             due: BinaryHeap::new(),
             count: 0,
             core,
-            told: Told::default(),
+            told: Answers::default(),
             runs: HashMap::new(),
             once: HashSet::new(),
             uploads: HashSet::new(),
@@ -88,8 +88,8 @@
             whole: HashSet::new(),
             outcomes: OutcomeLog::new(OutcomeLogLimits { retention: 1e9, ..OutcomeLogLimits::default() }),
             guarded,
-            errs: true,
-            met: Vec::new(),
+            injects_wrong_decisions: true,
+            contacted_servers: Vec::new(),
         }
     }
 
@@ -120,7 +120,7 @@
 
     fn arrive(&mut self, n: u32) {
         let (once, uploading) = (self.roll(3) > 0, self.roll(4) == 0);
-        let class = if once { ONCE } else { ClassId(0) };
+        let class = if once { AT_MOST_ONCE_CLASS } else { ClassId(0) };
         let request =
             Request { class, units: 1.0, time_left: 1500.0, spread: 1.0, uploading, ..Request::default() };
         let told = self.told.clone();
@@ -143,8 +143,8 @@
                 self.after(wait, Due::Gone(id));
             }
             // The module would have counted that attempt; only the clock ends what it has lost count of.
-            1 if self.errs && !uploading => self.after(wait, Due::Err(id, 0)),
-            2 if self.errs => self.after(wait, Due::Err(id, 1)),
+            1 if self.injects_wrong_decisions && !uploading => self.after(wait, Due::Err(id, 0)),
+            2 if self.injects_wrong_decisions => self.after(wait, Due::Err(id, 1)),
             _ => {}
         }
     }
@@ -194,7 +194,7 @@
         while let Some(output) = self.core.output() {
             match output {
                 Output::Attempt { id, number, server, request, .. } => {
-                    self.met.push(server);
+                    self.contacted_servers.push(server);
                     self.attempt(id, number, *request);
                 }
                 Output::CancelAttempt { id, number } => _ = self.off.insert((id, number)),
@@ -235,8 +235,8 @@
             Due::Gone(id) => self.core.client_left(now, id),
             Due::List => self.list(),
             Due::Err(id, 0) => {
-                let at = self.roll(self.met.len() as u64 + 1) as usize;
-                let server = self.met.get(at).copied().unwrap_or_default();
+                let at = self.roll(self.contacted_servers.len() as u64 + 1) as usize;
+                let server = self.contacted_servers.get(at).copied().unwrap_or_default();
                 self.core.inject_action(now, Action::Send { id, server, timeout: 0.0 });
             }
             Due::Err(id, _) => self.core.inject_action(now, Action::Refuse { id, retry_after: 1.0 }),
@@ -284,13 +284,13 @@
     }
 
     /// What is wrong: the checker, which knows nothing of the engine.
-    fn wrongs(&mut self) -> Vec<String> {
-        let mut wrongs = Vec::new();
+    fn violations(&mut self) -> Vec<String> {
+        let mut violations = Vec::new();
         let told = self.told.lock().unwrap().clone();
         for n in 0..20 {
             let runs = self.runs.get(&n).copied().unwrap_or(0);
             let answers = told.get(&n).cloned().unwrap_or_default();
-            let mut wrong = |what: &str| wrongs.push(format!("{n}: {what}: {runs} runs, {answers:?}"));
+            let mut wrong = |what: &str| violations.push(format!("{n}: {what}: {runs} runs, {answers:?}"));
             if answers.len() > 1 || answers.is_empty() && !self.gone.contains(&n) {
                 wrong("not one answer");
             }
@@ -320,22 +320,22 @@
                 wrong(&format!("taken down as {outcome:?}"));
             }
         }
-        wrongs
+        violations
     }
 }
 
-fn played(seed: u64, guarded: bool) -> (Vec<String>, World) {
+fn run_schedule(seed: u64, guarded: bool) -> (Vec<String>, World) {
     let mut world = World::new(seed, guarded);
     world.play();
-    (world.wrongs(), world)
+    (world.violations(), world)
 }
 
 #[test]
-fn what_runs_once_runs_once_and_what_is_said_of_it_is_true() {
+fn at_most_once_requests_run_at_most_once_and_outcomes_are_correct() {
     let (mut kept, mut told, mut outcomes) = (0, [0; 3], HashMap::<ExecutionOutcome, u32>::new());
     for seed in 0..2000 {
-        let (wrongs, mut world) = played(seed, true);
-        assert!(wrongs.is_empty(), "seed {seed}: {wrongs:#?}");
+        let (violations, mut world) = run_schedule(seed, true);
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         assert_eq!(world.core.at_most_once_in_flight(), 0, "seed {seed}: nothing is listened for for ever");
         kept += world.core.prevented_violations();
         for answers in world.told.lock().unwrap().values() {
@@ -357,8 +357,8 @@
 }
 
 #[test]
-fn without_the_guard_the_checker_finds_both_breaches() {
-    let found: Vec<String> = (0..200).flat_map(|seed| played(seed, false).0).collect();
+fn without_the_guard_the_checker_finds_double_runs_and_wrong_refusals() {
+    let found: Vec<String> = (0..200).flat_map(|seed| run_schedule(seed, false).0).collect();
     for what in ["ran twice", "a broken promise"] {
         assert!(found.iter().filter(|w| w.contains(what)).count() > 10, "{what}: {}", found.len());
     }
@@ -366,11 +366,11 @@
 
 /// The guard is a second look: what is in service by the module's own rules behaves as without it.
 #[test]
-fn a_module_that_decides_by_its_rules_is_never_kept_from_anything() {
+fn the_guard_never_blocks_a_correct_module() {
     for seed in 0..500 {
         let mut world = World::new(seed, true);
-        world.errs = false;
+        world.injects_wrong_decisions = false;
         world.play();
-        assert_eq!((world.wrongs(), world.core.prevented_violations()), (Vec::new(), 0), "seed {seed}");
+        assert_eq!((world.violations(), world.core.prevented_violations()), (Vec::new(), 0), "seed {seed}");
     }
 }
--- a/crates/engine/src/front/heads/tests.rs
+++ b/crates/engine/src/front/heads/tests.rs
@@ -6,7 +6,7 @@
     parse_head(&mut BytesMut::from(text), 16 * 1024)
 }
 
-fn bodies(text: &str, mut ends: BodyEnd) -> Result<(Vec<u8>, BodyEnd, Vec<u8>), Rejection> {
+fn read_body(text: &str, mut ends: BodyEnd) -> Result<(Vec<u8>, BodyEnd, Vec<u8>), Rejection> {
     // However it comes: byte by byte.
     let (mut buffer, mut body) = (BytesMut::new(), Vec::new());
     let mut rest = text.bytes();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_can_be_read_in_two_ways_is_turned_away() {
+fn ambiguous_framing_is_rejected() {
     let post = |lines: &str| read(&format!("POST /a HTTP/1.1\r\nHost: h\r\n{lines}\r\n"));
     for lines in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_head_comes_whole_or_not_at_all_and_has_its_bound() {
+fn heads_are_parsed_only_when_complete_and_are_bounded() {
     let whole = "\r\nGET /a?b=1 HTTP/1.1\r\nHost: h\r\nConnection: x, Close\r\n\r\n";
     for cut in 0..whole.len() {
         assert!(matches!(read(&whole[..cut]), Ok(None)), "{cut}");
@@ -60,16 +60,16 @@
 }
 
 #[test]
-fn chunks_are_put_together_and_bad_ones_are_no_body() {
+fn chunks_are_joined_and_malformed_ones_rejected() {
     let chunks = BodyEnd::LastChunk(ChunkState::Size);
     let (body, ends, rest) =
-        bodies("3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: 1\r\n\r\nGET", chunks).expect("a body");
+        read_body("3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: 1\r\n\r\nGET", chunks).expect("a body");
     assert_eq!(
         (body.as_slice(), ends, rest.as_slice()),
         (&b"abc0123456789"[..], BodyEnd::Reached, &b"GET"[..])
     );
-    assert_eq!(bodies("3\r\nab", chunks).expect("part of one").1, BodyEnd::LastChunk(ChunkState::Data(1)));
+    assert_eq!(read_body("3\r\nab", chunks).expect("part of one").1, BodyEnd::LastChunk(ChunkState::Data(1)));
     for bad in ["x\r\n", "-1\r\n", "\r\n", "3\nabc", "3\r\nabcd\r\n", "11111111111111111\r\n"] {
-        assert!(bodies(bad, chunks).is_err(), "{bad:?}");
+        assert!(read_body(bad, chunks).is_err(), "{bad:?}");
     }
 }
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -24,11 +24,11 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 
-pub type HallEngine = Engine<Http1<House>>;
+pub type TestEngine = Engine<Http1<House>>;
 
 /// How many requests a connection may have in hand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InHand {
+pub enum OpenRequests {
     /// One; each has two attempts.
     One,
     /// Several; each has one attempt. What lies under `/once` may not overtake; it and what is posted runs at most once.
@@ -36,9 +36,9 @@
 }
 
 /// Sends all that comes to one service, but for what goes to `/closed`: that is rejected.
-pub struct Hall {
-    in_hand: InHand,
-    pub engine: Rc<HallEngine>,
+pub struct TestHandler {
+    open_requests: OpenRequests,
+    pub engine: Rc<TestEngine>,
     /// The front's clock is ahead of the engine's by this, ms.
     ahead: Cell<Millis>,
     /// Called when a server has answered, before its answer is passed on.
@@ -49,7 +49,7 @@
     head.method == Method::POST || head.uri.path().starts_with("/once")
 }
 
-impl HttpHandler for Hall {
+impl HttpHandler for TestHandler {
     type Ticket = Request;
 
     fn now(&self) -> Millis {
@@ -61,7 +61,7 @@
     }
 
     fn supports_pipelining(&self) -> bool {
-        self.in_hand == InHand::Several
+        self.open_requests == OpenRequests::Several
     }
 
     fn may_pipeline(&self, head: &Parts) -> bool {
@@ -73,7 +73,7 @@
             return Ok(HeadDecision::Respond(respond::plain(StatusCode::SERVICE_UNAVAILABLE, "closed\n")));
         }
         let request = Request { units: 1.0, spread: 1.0, time_left: 3000.0, ..Request::default() };
-        if self.in_hand == InHand::One {
+        if self.open_requests == OpenRequests::One {
             return Ok(HeadDecision::Accept(request));
         }
         let repeat = if is_at_most_once(head) { Repeat::Unsafe } else { Repeat::Safe };
@@ -99,7 +99,7 @@
     }
 }
 
-type Action = Box<dyn FnOnce(&Rc<Front<Hall>>) + Send>;
+type Action = Box<dyn FnOnce(&Rc<Front<TestHandler>>) + Send>;
 
 /// The front.
 pub struct Rig {
@@ -110,11 +110,11 @@
 impl Rig {
     /// Before this server, with several requests in hand.
     pub fn start(server: &Server) -> Rig {
-        Rig::with_in_hand(server, InHand::Several)
+        Rig::with_open_requests(server, OpenRequests::Several)
     }
 
     /// Before this server.
-    pub fn with_in_hand(server: &Server, in_hand: InHand) -> Rig {
+    pub fn with_open_requests(server: &Server, open_requests: OpenRequests) -> Rig {
         let (tell, told) = mpsc::channel();
         let (actions, mut wanted) = unbounded_channel::<Action>();
         let address = server.address;
@@ -122,7 +122,8 @@
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
             tokio::task::LocalSet::new().block_on(&runtime, async move {
-                let front = Front::new(hall(address, in_hand), budget(), FrontLimits::default());
+                let front =
+                    Front::new(test_handler(address, open_requests), budget(), FrontLimits::default());
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
                 tell.send(listener.local_addr().expect("an address")).expect("the test");
                 tokio::task::spawn_local(front.clone().close_stalled_connections());
@@ -136,7 +137,10 @@
     }
 
     /// Does something on the front's thread, and waits for what comes of it.
-    pub fn with<T: Send + 'static>(&self, action: impl FnOnce(&Rc<Front<Hall>>) -> T + Send + 'static) -> T {
+    pub fn with<T: Send + 'static>(
+        &self,
+        action: impl FnOnce(&Rc<Front<TestHandler>>) -> T + Send + 'static,
+    ) -> T {
         let (tell, told) = mpsc::channel();
         let action: Action = Box::new(move |front| tell.send(action(front)).expect("the test"));
         assert!(self.actions.send(action).is_ok(), "the front runs");
@@ -164,7 +168,7 @@
     Budget::divide(Limits::default(), 0, 1.0)
 }
 
-fn hall(server: SocketAddr, in_hand: InHand) -> Hall {
+fn test_handler(server: SocketAddr, open_requests: OpenRequests) -> TestHandler {
     let budget = budget();
     let connections = Connections {
         idle: 10_000.0,
@@ -172,17 +176,17 @@
         most: budget.servers,
         bodies_kib: budget.answers_kib,
     };
-    let attempts = if in_hand == InHand::One { 2 } else { 1 };
+    let attempts = if open_requests == OpenRequests::One { 2 } else { 1 };
     let clock = Rc::new(SystemClock::new());
     let house = House { held: 64, ..House::default() };
     let engine =
         Engine::new(&setup(class(), attempts), clock.clone(), Http1::speaking(house, clock, connections));
     engine.start();
-    if in_hand == InHand::Several {
+    if open_requests == OpenRequests::Several {
         engine.cancel_on_disconnect();
     }
     fixed::tell(&engine.membership_sink(), vec![Member::ready("s-1", server)]);
-    Hall { in_hand, engine, ahead: Cell::new(0.0), on_answer: RefCell::default() }
+    TestHandler { open_requests, engine, ahead: Cell::new(0.0), on_answer: RefCell::default() }
 }
 
 /// An answer to this request, of so many bytes.
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -11,17 +11,17 @@
 use std::time::{Duration, Instant};
 
 /// A server's work ends by then; the bound that users are told is 500 ms.
-const NOTICED: Duration = Duration::from_millis(400);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leaving {
+enum Disconnect {
     Close,
     Reset,
 }
 
-fn leave(stream: TcpStream, how: Leaving) {
-    if matches!(how, Leaving::Reset) {
+fn disconnect(stream: TcpStream, how: Disconnect) {
+    if matches!(how, Disconnect::Reset) {
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
     }
     drop(stream);
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn no_server_works_on_for_a_client_that_has_left() {
-    let mut missed = Vec::new();
-    for how in [Leaving::Close, Leaving::Reset] {
+fn attempts_are_cancelled_when_the_client_disconnects() {
+    let mut failures = Vec::new();
+    for how in [Disconnect::Close, Disconnect::Reset] {
         for case in cases() {
             let server = Server::start(|_| Act::Silence);
             let rig = Rig::start(&server);
@@ -63,8 +63,8 @@
             // What is not taken is not sent.
             let _ = (&stream).write(case.sent.as_bytes());
             eventually(case.name, || server.count() >= case.at_server);
-            leave(stream, how);
-            let until = Instant::now() + NOTICED;
+            disconnect(stream, how);
+            let until = Instant::now() + CANCEL_TIMEOUT;
             let ended = (0..case.at_server)
                 .filter(|_| {
                     let left = until.saturating_duration_since(Instant::now());
@@ -72,30 +72,30 @@
                 })
                 .count();
             if ended < case.at_server {
-                missed.push(format!("{}, {how:?}: {ended} of {}", case.name, case.at_server));
+                failures.push(format!("{}, {how:?}: {ended} of {}", case.name, case.at_server));
             }
             let (open, abandoned) = rig.with(|front| {
                 (front.desk().engine.unanswered(), front.desk().engine.departures().abandoned_attempts)
             });
             if open > 0 || abandoned > 0 {
-                missed.push(format!("{}, {how:?}: {open} are owed, {abandoned} abandoned", case.name));
+                failures.push(format!("{}, {how:?}: {open} are owed, {abandoned} abandoned", case.name));
             }
         }
     }
-    assert!(missed.is_empty(), "servers worked on:\n{}", missed.join("\n"));
+    assert!(failures.is_empty(), "servers worked on:\n{}", failures.join("\n"));
 }
 
 #[test]
-fn what_runs_at_most_once_goes_on_when_its_client_has_left() {
-    for how in [Leaving::Close, Leaving::Reset] {
+fn at_most_once_attempts_continue_after_the_client_disconnects() {
+    for how in [Disconnect::Close, Disconnect::Reset] {
         let server = Server::start(|_| Act::Silence);
         let rig = Rig::start(&server);
         let mut stream = TcpStream::connect(rig.address).expect("a connection");
         stream.write_all(request("POST", "/silent", "1").as_bytes()).expect("written");
         eventually("it is out", || server.count() == 1);
-        leave(stream, how);
+        disconnect(stream, how);
         let departed = || rig.with(|front| front.desk().engine.departures().clients) == 1;
         eventually("the departure is noticed", departed);
-        assert!(server.closed.recv_timeout(NOTICED).is_err(), "its server was broken off, {how:?}");
+        assert!(server.closed.recv_timeout(CANCEL_TIMEOUT).is_err(), "its server was broken off, {how:?}");
     }
 }
--- a/crates/engine/tests/front.rs
+++ b/crates/engine/tests/front.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::front::{InHand, Rig};
+use common::front::{OpenRequests, Rig};
 use oatbank_testkit::{read_message, Act, Message, Server};
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
@@ -16,7 +16,7 @@
 
 impl Client {
     fn of(server: &Server) -> Client {
-        let rig = Rig::with_in_hand(server, InHand::One);
+        let rig = Rig::with_open_requests(server, OpenRequests::One);
         let (stream, reader) = rig.connect();
         Client(stream, reader, rig)
     }
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn any_request_that_can_be_read_in_one_way_goes_on_and_its_answer_comes_back() {
+fn unambiguous_requests_are_forwarded_and_answered() {
     let server = echo();
     let mut client = Client::of(&server);
     let get = client.ask("GET /a?b HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\nContent-Length: 2\r\n\r\nhi");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_can_be_read_in_two_ways_is_turned_away() {
+fn ambiguous_requests_are_rejected() {
     let server = echo();
     for head in [
         "POST / HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n",
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_servers_own_error_is_given_on_where_nothing_better_comes() {
+fn a_server_error_is_passed_on_if_no_attempt_succeeds() {
     let server = Server::start(|m| Act::Write(to(m, "404 Not Found", "X-A: 1\r\n", "no such thing")));
     let answer = Client::of(&server).ask("GET / HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\n\r\n");
     assert_eq!((answer.status(), answer.header("X-A")), (404, Some("1")));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn what_a_server_spoilt_is_no_answer_of_its_own() {
+fn an_invalid_server_answer_is_not_passed_on() {
     let server = Server::start(|m| Act::Write(to(m, "200 OK", "", "unsealed")));
     let answer = Client::of(&server).ask("GET / HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\n\r\n");
     // The class may run again, so a refusal is an answer too.
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_never_looks_whole() {
+fn a_truncated_answer_never_looks_complete() {
     for (length, version) in [(true, "1.1"), (false, "1.1"), (true, "1.0"), (false, "1.0")] {
         let server = Server::start(move |m| {
             let (id, body) = (m.header("Try-Id").expect("a name"), "x".repeat(100));
@@ -118,12 +118,12 @@
         let mut all = Vec::new();
         let end = client.1.read_to_end(&mut all);
         let text = String::from_utf8_lossy(&all).to_lowercase();
-        let by_itself = text.contains("content-length: 900") || text.contains("transfer-encoding: chunked");
+        let has_framing = text.contains("content-length: 900") || text.contains("transfer-encoding: chunked");
         let cut = !text.ends_with("\r\n0\r\n\r\n");
         // It may have broken off before any of it was written.
-        let nothing = text.is_empty();
+        let is_empty = text.is_empty();
         assert!(
-            end.is_err() || text.starts_with("http/1.1 502") || by_itself && cut || nothing,
+            end.is_err() || text.starts_with("http/1.1 502") || has_framing && cut || is_empty,
             "{length} {version}: {end:?}, {text}"
         );
     }
--- a/crates/engine/tests/once.rs
+++ b/crates/engine/tests/once.rs
@@ -103,7 +103,7 @@
     }
 
     /// Nobody has come besides.
-    async fn nobody_else(&self) {
+    async fn assert_no_other_connection(&self) {
         let more = tokio::time::timeout(Duration::ZERO, self.listener.accept()).await;
         assert!(more.is_err(), "it was sent on another connection too");
     }
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_new_connection_that_fails_after_any_byte_may_have_been_written_counts_as_sent() {
+fn a_new_connection_that_fails_during_or_after_the_write_may_have_run() {
     on_local_set(async {
         // All of it was read, and a part; nothing that this side can know tells the two apart.
         for up_to in ["words", "P"] {
@@ -149,7 +149,7 @@
             read(&mut stream, up_to).await;
             reset(stream);
             assert_eq!(attempt.outcome().await, Outcome::Reset, "{up_to}");
-            rig.nobody_else().await;
+            rig.assert_no_other_connection().await;
         }
         // More than a socket takes: most of it was never written.
         let rig = Rig::new().await;
@@ -158,12 +158,12 @@
         read(&mut stream, "P").await;
         reset(stream);
         assert_eq!(attempt.outcome().await, Outcome::Reset);
-        rig.nobody_else().await;
+        rig.assert_no_other_connection().await;
     });
 }
 
 #[test]
-fn a_silence_and_then_a_reset_or_an_end_is_an_answer_that_was_lost() {
+fn a_reset_or_close_before_the_answer_is_a_lost_answer() {
     on_local_set(async {
         let ends: [fn(TcpStream); 2] = [reset, drop];
         for end in ends {
@@ -179,14 +179,14 @@
                 read(&mut stream, "words").await;
                 end(stream);
                 assert_eq!(attempt.outcome().await, Outcome::Reset, "kept: {kept}");
-                rig.nobody_else().await;
+                rig.assert_no_other_connection().await;
             }
         }
     });
 }
 
 #[test]
-fn a_kept_connection_that_ended_before_the_first_byte_is_replaced_and_the_request_arrives_once() {
+fn a_closed_idle_connection_is_replaced_and_the_request_arrives_once() {
     on_local_set(async {
         let ends: [fn(TcpStream); 2] = [reset, drop];
         for end in ends {
@@ -198,13 +198,13 @@
             assert!(got.starts_with("POST /book HTTP/1.1\r\n") && got.contains("try-id: a"), "{got}");
             say(&mut stream, &sealed("a")).await;
             assert_eq!(attempt.outcome().await, Outcome::Ok);
-            rig.nobody_else().await;
+            rig.assert_no_other_connection().await;
         }
     });
 }
 
 #[test]
-fn interim_answers_are_no_answers_and_a_reset_behind_one_is_a_loss() {
+fn a_reset_after_an_interim_response_is_a_lost_answer() {
     on_local_set(async {
         let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nTry-Id: other\r\n\r\n";
         for (then, outcome) in [
@@ -222,13 +222,13 @@
                 None => reset(stream),
             }
             assert_eq!(attempt.outcome().await, outcome);
-            rig.nobody_else().await;
+            rig.assert_no_other_connection().await;
         }
     });
 }
 
 #[test]
-fn what_comes_on_an_idle_connection_is_the_answer_to_nothing() {
+fn unsolicited_bytes_on_an_idle_connection_are_discarded() {
     on_local_set(async {
         for surplus in [sealed("first"), sealed("a"), "HTTP/1.1 100 Continue\r\n\r\n".into(), "x".into()] {
             let rig = Rig::new().await;
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_second_answer_in_the_place_of_the_next_is_given_to_nobody_and_the_next_is_not_sent_again() {
+fn a_surplus_answer_is_discarded_and_the_next_request_is_not_resent() {
     on_local_set(async {
         let rig = Rig::new().await;
         let mut stream = rig.kept().await;
@@ -254,13 +254,13 @@
         say(&mut stream, &(sealed("first") + &sealed("a"))).await;
         let end = attempt.end.await.expect("an end");
         assert!(end.outcome == Outcome::Reset && end.answer.is_none(), "{:?}", end.outcome);
-        rig.nobody_else().await;
+        rig.assert_no_other_connection().await;
         assert!(rest(&mut stream).await.is_empty());
     });
 }
 
 #[test]
-fn the_late_answer_to_an_attempt_that_was_called_off_is_given_to_nobody() {
+fn the_late_answer_to_a_cancelled_attempt_is_discarded() {
     on_local_set(async {
         let rig = Rig::new().await;
         let mut old = rig.kept().await;
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_for_its_own_server_whoever_has_the_address() {
+fn idle_connections_are_not_reused_for_another_server_at_the_same_address() {
     on_local_set(async {
         let rig = Rig::new().await;
         let mut old = rig.kept().await;
@@ -297,7 +297,7 @@
         say(&mut old, "HTTP/1.1 421 Moved\r\nTry-Id: b\r\nContent-Length: 0\r\n\r\n").await;
         assert_eq!(moved.outcome().await, Outcome::ConnectFailed);
         assert!(rest(&mut old).await.is_empty());
-        rig.nobody_else().await;
+        rig.assert_no_other_connection().await;
         // That another try was turned away says nothing of this one.
         let other = rig.words("c");
         let mut stream = rig.connection().await;
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_body_that_is_half_sent_has_not_run_and_one_whose_last_byte_went_out_may_have() {
+fn a_request_may_have_run_only_after_its_last_body_byte() {
     on_local_set(async {
         for length in [Some(200_006), None] {
             for whole in [false, true] {
@@ -334,14 +334,14 @@
                     assert!(!told.borrow().contains(&Progress::Sent));
                     drop(feed);
                 }
-                rig.nobody_else().await;
+                rig.assert_no_other_connection().await;
             }
         }
     });
 }
 
 #[test]
-fn a_client_that_breaks_off_its_body_leaves_no_whole_request_behind() {
+fn a_client_that_aborts_its_body_leaves_no_complete_request() {
     on_local_set(async {
         for length in [Some(200_006), None] {
             let rig = Rig::new().await;
@@ -353,13 +353,13 @@
             let got = rest(&mut stream).await;
             assert!(!got.ends_with(b"0\r\n\r\n") && got.len() <= 200_032, "{} bytes", got.len());
             assert_eq!(attempt.outcome().await, Outcome::Moot);
-            rig.nobody_else().await;
+            rig.assert_no_other_connection().await;
         }
     });
 }
 
 #[test]
-fn a_stream_whose_kept_connection_had_ended_goes_whole_on_the_next() {
+fn a_stream_is_sent_completely_after_its_idle_connection_closed() {
     on_local_set(async {
         let rig = Rig::new().await;
         reset(rig.kept().await);
@@ -374,7 +374,7 @@
         assert!(body[..200_000].iter().all(|b| *b == b'x') && body.ends_with(b"theend"));
         say(&mut stream, &sealed("a")).await;
         assert_eq!(attempt.outcome().await, Outcome::Ok);
-        rig.nobody_else().await;
+        rig.assert_no_other_connection().await;
     });
 }
 
@@ -382,49 +382,49 @@
 
 /// What a server does once it has read a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Does {
+enum ServerAction {
     /// Ends the connection.
     Reset,
     End,
     /// Answers with this status and these headers, and a body that is shorter than told.
     Says(&'static str, &'static str),
     Cut,
-    Garbles,
+    Malformed,
     /// Answers to another try.
-    Mistakes,
+    WrongTryId,
     Nothing,
 }
 
 /// Two servers that do the same, and how many requests have come to both.
-async fn servers(does: Does, came: &Rc<Cell<usize>>) -> Vec<SocketAddr> {
+async fn servers(does: ServerAction, received: &Rc<Cell<usize>>) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for _ in 0..2 {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         addresses.push(listener.local_addr().expect("an address"));
-        let came = came.clone();
+        let received = received.clone();
         spawn_local(async move {
             let mut open = Vec::new();
             while let Ok((mut stream, _)) = listener.accept().await {
                 read(&mut stream, "words").await;
-                came.set(came.get() + 1);
+                received.set(received.get() + 1);
                 let text = match does {
-                    Does::Reset => {
+                    ServerAction::Reset => {
                         reset(stream);
                         continue;
                     }
-                    Does::End => continue,
-                    Does::Says(status, headers) => {
+                    ServerAction::End => continue,
+                    ServerAction::Says(status, headers) => {
                         format!("HTTP/1.1 {status}\r\nTry-Id: a\r\n{headers}Content-Length: 0\r\n\r\n")
                     }
-                    Does::Cut => {
+                    ServerAction::Cut => {
                         let text =
                             "HTTP/1.1 200 OK\r\nTry-Id: a\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nw";
                         say(&mut stream, text).await;
                         continue;
                     }
-                    Does::Garbles => "\u{1}garbled\r\n\r\n".into(),
-                    Does::Mistakes => sealed("another"),
-                    Does::Nothing => String::new(),
+                    ServerAction::Malformed => "\u{1}garbled\r\n\r\n".into(),
+                    ServerAction::WrongTryId => sealed("another"),
+                    ServerAction::Nothing => String::new(),
                 };
                 say(&mut stream, &text).await;
                 open.push(stream);
@@ -441,9 +441,9 @@
 }
 
 /// How often a request arrived, and what its client was told.
-async fn told(does: Does, repeat: Repeat) -> (usize, Answer<Response<Body>>) {
-    let came = Rc::default();
-    let addresses = servers(does, &came).await;
+async fn told(does: ServerAction, repeat: Repeat) -> (usize, Answer<Response<Body>>) {
+    let received = Rc::default();
+    let addresses = servers(does, &received).await;
     let clock = Rc::new(SystemClock::new());
     let way = Http1::speaking(House::default(), clock.clone(), CONNECTIONS);
     let engine = Engine::new(&once(repeat), clock, way);
@@ -455,24 +455,32 @@
     );
     let request = Request { units: 1.0, spread: 1.0, time_left: 600.0, ..Request::default() };
     let answer = engine.submit_and_wait(request, forward("a", Bytes::from_static(b"words").into())).await;
-    (came.get(), answer)
+    (received.get(), answer)
 }
 
 #[test]
-fn what_runs_once_goes_to_a_second_server_only_if_the_first_has_said_that_it_has_not_run() {
+fn at_most_once_requests_are_retried_only_if_the_first_server_did_not_run_them() {
     on_local_set(async {
-        let error = Does::Says("500 No", "");
-        for does in [Does::Reset, Does::End, Does::Cut, Does::Garbles, Does::Mistakes, Does::Nothing, error] {
-            let (came, answer) = told(does, Repeat::Unsafe).await;
-            assert_eq!(came, 1, "{does:?}");
+        let error = ServerAction::Says("500 No", "");
+        for does in [
+            ServerAction::Reset,
+            ServerAction::End,
+            ServerAction::Cut,
+            ServerAction::Malformed,
+            ServerAction::WrongTryId,
+            ServerAction::Nothing,
+            error,
+        ] {
+            let (received, answer) = told(does, Repeat::Unsafe).await;
+            assert_eq!(received, 1, "{does:?}");
             assert!(!matches!(answer, Answer::Refused(_)), "{does:?}: a promise: {answer:?}");
         }
-        for does in [Does::Says("503 Full", "Not-Run: 1\r\n"), Does::Says("421 Moved", "")] {
-            let (came, answer) = told(does, Repeat::Unsafe).await;
-            assert_eq!(came, 2, "{does:?}: both may be asked");
+        for does in [ServerAction::Says("503 Full", "Not-Run: 1\r\n"), ServerAction::Says("421 Moved", "")] {
+            let (received, answer) = told(does, Repeat::Unsafe).await;
+            assert_eq!(received, 2, "{does:?}: both may be asked");
             assert!(matches!(answer, Answer::Refused(_) | Answer::Failed), "{does:?}: {answer:?}");
         }
         // What is repeatable is sent again: the servers would have shown it.
-        assert_eq!(told(Does::Reset, Repeat::Safe).await.0, 2);
+        assert_eq!(told(ServerAction::Reset, Repeat::Safe).await.0, 2);
     });
 }
--- a/crates/engine/tests/pipelined.rs
+++ b/crates/engine/tests/pipelined.rs
@@ -8,7 +8,7 @@
 use std::io::{Read, Write};
 
 #[test]
-fn answers_go_out_in_the_order_of_their_requests_whichever_is_there_first() {
+fn answers_are_written_in_request_order() {
     let (server, release) = waiting_server();
     let rig = Rig::start(&server);
     let (mut stream, mut reader) = rig.connect();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn behind_an_answer_that_breaks_off_nothing_comes_and_nothing_that_runs_once_was_begun() {
+fn nothing_follows_a_truncated_answer_and_no_at_most_once_request_starts_behind_it() {
     for (method, behind) in [("POST", "/post"), ("GET", "/once"), ("GET", "/b")] {
         let (server, release) = waiting_server();
         let rig = Rig::start(&server);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_runs_once_is_begun_once_all_before_it_have_their_answers() {
+fn at_most_once_requests_start_after_all_earlier_answers() {
     for (method, behind) in [("POST", "/post"), ("GET", "/once")] {
         let (server, release) = waiting_server();
         let rig = Rig::start(&server);
--- a/crates/engine/tests/ports.rs
+++ b/crates/engine/tests/ports.rs
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn the_systems_clock() {
+fn the_system_clock_conforms() {
     on_local_set(async { clock::suite(&SystemClock::new()).await });
 }
 
 #[test]
-fn a_clock_whose_time_stands() {
+fn a_paused_clock_conforms() {
     on_local_set(async {
         tokio::time::pause();
         clock::suite(&SystemClock::starting_at(1e12)).await;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_counter_within_the_process() {
+fn the_local_counter_conforms() {
     on_local_set(async {
         let numbers = Numbers::default();
         let rig = counter::Rig::new(|ends| LocalCounter::start(numbers, system(), ends));
@@ -49,42 +49,42 @@
 }
 
 #[test]
-fn the_text_counter() {
+fn the_text_counter_conforms() {
     let stand_in = Counter::ok();
     on_local_set(async move { counter::suite(&text(stand_in.address)).await });
 }
 
 #[test]
-fn a_text_counter_that_answers_nonsense_leaves_its_call_in_doubt() {
+fn a_malformed_counter_answer_leaves_the_call_unknown() {
     let stand_in = Counter::start(|_, _| b"ok many\r\n".to_vec());
     on_local_set(async move { counter::lost_after_adding(&text(stand_in.address)).await });
 }
 
 #[test]
-fn a_text_counter_that_turns_away_or_is_not_there() {
+fn a_busy_or_unreachable_text_counter_is_reported() {
     let stand_in = Counter::start(|_, _| b"busy\r\n".to_vec());
     on_local_set(async move { counter::busy(&text(stand_in.address)).await });
     // A port that no test is given.
-    let nobody: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-    on_local_set(async move { counter::unreachable(&text(nobody)).await });
+    let unreachable: SocketAddr = "127.0.0.1:1".parse().expect("an address");
+    on_local_set(async move { counter::unreachable(&text(unreachable)).await });
     on_local_set(async {
         let rig = counter::Rig::new(|ends| TextCounter::start(None, system(), ends));
         counter::unreachable(&rig).await;
     });
 }
 
-fn somewhere() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     "127.0.0.1:9".parse().expect("an address")
 }
 
 #[test]
-fn a_fixed_list() {
+fn the_fixed_list_conforms() {
     on_local_set(async {
         let seen = membership::Seen::default();
         let told = seen.told();
         let say = |ids: Vec<&'static str>| -> Box<dyn FnOnce()> {
             let told = told.clone();
-            let members = ids.into_iter().map(|id| Member::ready(id, somewhere())).collect();
+            let members = ids.into_iter().map(|id| Member::ready(id, unused_address())).collect();
             Box::new(move || fixed::tell(&told, members))
         };
         let steps = vec![(say(vec!["a", "b"]), vec!["a", "b"]), (say(vec!["b"]), vec!["b"])];
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn the_discovery_agent() {
-    let entry = |id: &str, phase: &str| member(id, somewhere(), phase);
+fn the_discovery_agent_conforms() {
+    let entry = |id: &str, phase: &str| member(id, unused_address(), phase);
     let whole = list(1, true, &[entry("a", "Ready"), entry("b", "Ready")]);
     let agent = Discovery::start(whole);
     on_local_set(async move {
@@ -121,12 +121,12 @@
 }
 
 /// HTTP/1.1 with one stand-in for each behaviour.
-struct OverHttp {
+struct HttpUnderTest {
     way: Http1,
     servers: Vec<(Behaviour, Server)>,
 }
 
-impl OverHttp {
+impl HttpUnderTest {
     fn new() -> Self {
         let connections = Connections { idle: 10_000.0, connect_timeout: 1000.0, most: 16, bodies_kib: 1024 };
         let servers = [
@@ -139,11 +139,11 @@
             (Behaviour::Breaks, Server::start(|_| Act::Close(Vec::new()))),
             (Behaviour::Silent, Server::start(|_| Act::Silence)),
         ];
-        OverHttp { way: Http1::new(system(), connections, Vec::new()), servers: servers.into() }
+        HttpUnderTest { way: Http1::new(system(), connections, Vec::new()), servers: servers.into() }
     }
 }
 
-impl UnderTest for OverHttp {
+impl UnderTest for HttpUnderTest {
     type Way = Http1;
 
     fn way(&self) -> &Http1 {
@@ -167,19 +167,19 @@
 }
 
 #[test]
-fn servers_over_http() {
-    on_local_set(async { upstream::suite(&OverHttp::new()).await });
+fn the_http_upstream_conforms() {
+    on_local_set(async { upstream::suite(&HttpUnderTest::new()).await });
 }
 
 /// A handler in the process, played by a task for each request.
 #[derive(Default)]
-struct Within {
+struct InProcessUnderTest {
     way: InProcess,
     reached: Rc<Cell<usize>>,
     called_off: Rc<Cell<usize>>,
 }
 
-impl UnderTest for Within {
+impl UnderTest for InProcessUnderTest {
     type Way = InProcess;
 
     fn way(&self) -> &InProcess {
@@ -203,7 +203,7 @@
                 }
             }
         });
-        (somewhere(), start)
+        (unused_address(), start)
     }
 
     fn reached(&self) -> usize {
@@ -216,6 +216,6 @@
 }
 
 #[test]
-fn a_handler_within_the_process() {
-    on_local_set(async { upstream::suite(&Within::default()).await });
+fn the_in_process_upstream_conforms() {
+    on_local_set(async { upstream::suite(&InProcessUnderTest::default()).await });
 }
--- a/crates/engine/tests/unanswered.rs
+++ b/crates/engine/tests/unanswered.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn what_was_begun_is_answered_before_its_connection_ends() {
+fn started_requests_are_answered_before_the_connection_closes() {
     let (server, release) = waiting_server();
     let rig = Rig::start(&server);
     let (mut stream, mut reader) = rig.connect();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_request_that_waits_its_turn_is_in_hand() {
+fn a_queued_request_keeps_its_connection_open() {
     let (server, _release) = waiting_server();
     let rig = Rig::start(&server);
     // As in a shutdown: connections are asked to end as soon as they owe nothing, here just when an answer comes.
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_stands_in_the_body_of_a_rejected_request_is_no_request() {
+fn the_body_of_a_rejected_request_is_not_parsed_as_a_request() {
     let (server, _release) = waiting_server();
     let rig = Rig::start(&server);
     let (mut stream, mut reader) = rig.connect();
