--- a/crates/engine/src/body/tests.rs
+++ b/crates/engine/src/body/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parent module.
+//! Tests of sending and receiving bodies.
 
 use super::*;
 use http_body_util::BodyExt;
@@ -36,19 +36,19 @@
         let (feed, rest) = body_channel();
         let upload = Arc::new(Upload::stream(Bytes::from_static(b"abc"), length, rest));
         runtime().block_on(async {
-            // Only the start: another attempt may still send it all.
+            // An attempt that reads only the start leaves the body to another one.
             let (mut body, reported, state) = sending(&upload);
             assert!(body.frame().await.expect("a piece").is_ok());
             assert!(reported.borrow().is_empty() && !state.sent.get());
             let (body, reported, state) = sending(&upload);
-            feed.send(Ok(Bytes::from_static(b"def"))).await.expect("room");
+            feed.send(Ok(Bytes::from_static(b"def"))).await.expect("capacity");
             feed.finish();
             assert_eq!(body.collect().await.expect("a body").to_bytes(), "abcdef");
             assert_eq!(*reported.borrow(), [Progress::Spent, Progress::Sent]);
             assert!(state.sent.get());
             let (body, _, state) = sending(&upload);
             assert!(matches!(body.collect().await, Err(BodyError::Spent)));
-            assert!(state.failed.get() && !state.sent.get(), "its last byte never went out");
+            assert!(state.failed.get() && !state.sent.get(), "its last byte was never sent");
         });
     }
 }
@@ -56,13 +56,13 @@
 #[test]
 fn a_body_that_ends_early_ends_with_an_error() {
     let def = || Ok(Bytes::from_static(b"def"));
-    // The last: its connection has ended, and nobody says anything more of it.
+    // Last case: the sender is dropped without an error or an end.
     for (length, piece) in [(Some(7), def()), (None, Err(BodyError::Left)), (None, def())] {
         let (feed, rest) = body_channel();
         let upload = Arc::new(Upload::stream(Bytes::from_static(b"abc"), length, rest));
         runtime().block_on(async {
             let (body, _, state) = sending(&upload);
-            feed.send(piece).await.expect("room");
+            feed.send(piece).await.expect("capacity");
             drop(feed);
             assert!(body.collect().await.is_err() && state.failed.get() && !state.sent.get());
         });
@@ -74,7 +74,7 @@
     let (feed, rest) = body_channel();
     let body = Body::Stream { held: Bytes::from_static(b"abc"), length: None, rest, room: None };
     runtime().block_on(async {
-        feed.send(Err(BodyError::Stalled)).await.expect("room");
+        feed.send(Err(BodyError::Stalled)).await.expect("capacity");
         assert!(matches!(BodyExt::collect(body).await, Err(BodyError::Stalled)));
     });
 }
--- a/crates/engine/src/engine/core/tests.rs
+++ b/crates/engine/src/engine/core/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the parent module.
+//! Tests of the core: counter calls and client disconnects.
 
 use super::*;
 use std::sync::mpsc;
 
-/// A core of one plan, 10 units at once, that has asked the counter about its first customer at 1000 ms.
+/// A core with one plan with a burst of 10 units, which has called the counter for its first customer at 1000 ms.
 fn core_with_counter_call() -> (Core<(), ()>, CallId) {
     let class = Class { aim: 500.0, deadline: 1500.0, worth: 1.0, ..Class::default() };
     let plan = Plan { rate: 5.0, burst: 10.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
@@ -38,12 +38,12 @@
 
 #[test]
 fn a_total_that_arrives_after_the_timeout_is_applied() {
-    // Found on a day whose counter had a line of 60 ms at a time-out of 30 ms: every total was thrown away.
+    // With a counter delay of 60 ms and a timeout of 30 ms, every total used to be discarded.
     let (mut core, call) = core_with_counter_call();
     run_timers(&mut core, 1120.0);
     core.call_ended(1120.0, call, CallEnd::Added(100.0));
     let answer = ask(&mut core, 1121.0).try_recv();
-    assert!(matches!(answer, Ok(Answer::Refused(_))), "the quota is known to be used up: {answer:?}");
+    assert!(matches!(answer, Ok(Answer::Refused(_))), "the quota is known to be exhausted: {answer:?}");
 }
 
 #[test]
@@ -52,10 +52,10 @@
     run_timers(&mut core, 1000.0 + COUNTER_TIMEOUT_FACTOR * 50.0 + 1.0);
     core.call_ended(1300.0, call, CallEnd::Added(100.0));
     let answer = ask(&mut core, 1301.0).try_recv();
-    assert!(answer.is_err(), "a total after that is dropped, the request waits for a server: {answer:?}");
+    assert!(answer.is_err(), "the late total is dropped and the request waits for a server: {answer:?}");
 }
 
-/// A core with one server, and a request that is out there at 1000 ms.
+/// A core with one server and an attempt in flight since 1000 ms.
 fn core_with_attempt_in_flight(cancels_on_disconnect: bool, repeat: Repeat) -> (Core<(), ()>, RequestId) {
     let class = Class { aim: 500.0, deadline: 3000.0, worth: 1.0, repeat, ..Class::default() };
     let settings = Settings { gateways: 1.0, classes: vec![class], max_units: 1.0, ..Settings::default() };
@@ -83,7 +83,7 @@
     assert!(has_cancelled_attempt(&mut core) && core.requests.is_empty());
     let departures = Departures { clients: 1, cancelled_attempts: 1, abandoned_attempts: 0 };
     assert_eq!(core.departures(), departures);
-    // Its end comes all the same, and changes nothing.
+    // The end still arrives and changes nothing.
     core.attempt_ended(1900.0, id, 0, End::without_answer(Outcome::Cancelled));
     assert_eq!(core.departures(), departures);
 }
--- a/crates/engine/src/engine/fleet/tests.rs
+++ b/crates/engine/src/engine/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parent module.
+//! Tests of the known servers and their numbers.
 
 use super::*;
 
@@ -28,13 +28,13 @@
     assert_eq!(numbers.map(|n| fleet.is_ready(n)), [true; 3]);
     fleet.apply(&News::Complete(vec![member("s-00000002")]), &[]);
     assert_eq!(numbers.map(|n| fleet.is_ready(n)), [false, true, false]);
-    assert_eq!(fleet.numbers.len(), 1, "what has gone is not remembered");
+    assert_eq!(fleet.numbers.len(), 1, "removed servers are forgotten");
 }
 
-/// The numbers of a list, by id.
+/// Numbers assigned to a complete list, in the order of the ids.
 fn numbers(fleet: &mut Fleet, ids: &[&str]) -> Vec<ServerId> {
     let (_, entries) = fleet.apply(&News::Complete(ids.iter().map(|id| member(id)).collect()), &[]);
-    assert_eq!(entries.len(), ids.len(), "nobody is left out");
+    assert_eq!(entries.len(), ids.len(), "no server is left out");
     let mut ids = ids.to_vec();
     ids.sort_unstable();
     ids.iter().map(|id| fleet.number(id)).collect()
@@ -42,7 +42,7 @@
 
 #[test]
 fn ids_with_colliding_32_bit_hashes_get_distinct_numbers() {
-    // The same last eight figures, and two with one FNV-1a of 32 bits.
+    // Ids with the same last eight digits, and two with the same 32-bit FNV-1a hash.
     for pair in [["s-00000001", "x-00000001"], ["costarring", "liquid"]] {
         let told = numbers(&mut Fleet::default(), &pair);
         assert_ne!(told[0], told[1], "{pair:?}");
@@ -51,7 +51,7 @@
 
 #[test]
 fn colliding_ids_get_the_same_distinct_numbers_at_every_limiter() {
-    // All want 7, then one that depends on the id.
+    // The first candidate of every id is 7, the next ones depend on the id.
     let colliding_fleet = || Fleet {
         hash: |id, nth| if nth == 0 { 7 } else { 100 * nth + id.len() as u64 },
         ..Fleet::default()
@@ -59,8 +59,8 @@
     let (mut here, mut there) = (colliding_fleet(), colliding_fleet());
     let told = numbers(&mut here, &["a", "bb", "ccc"]);
     assert_eq!(told, [7, 102, 103].map(ServerId));
-    assert_eq!(numbers(&mut there, &["ccc", "a", "bb"]), told, "in whatever order the list comes");
-    // One that stays keeps its number when the others go, and a newcomer takes what is free.
+    assert_eq!(numbers(&mut there, &["ccc", "a", "bb"]), told, "independent of the order of the list");
+    // A remaining server keeps its number when the others are removed, and a new one takes a free number.
     assert_eq!(numbers(&mut here, &["ccc"]), [ServerId(103)]);
     assert_eq!(numbers(&mut here, &["ccc", "dddd"]), [103, 7].map(ServerId));
 }
@@ -72,6 +72,10 @@
     let (_, entries) = fleet.apply(&News::Complete(vec![member("s-00000001"), nowhere]), &[]);
     assert_eq!(entries.len(), 1);
     let gone = Member { state: ServerState::Gone, address: None, ..member("s-00000001") };
-    assert_eq!(fleet.apply(&News::Changes(vec![gone]), &[]).1.len(), 1, "one that goes needs no address");
+    assert_eq!(
+        fleet.apply(&News::Changes(vec![gone]), &[]).1.len(),
+        1,
+        "a server that is gone needs no address"
+    );
     assert!(fleet.is_empty());
 }
--- a/crates/engine/src/engine/request_table/tests.rs
+++ b/crates/engine/src/engine/request_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parent module.
+//! Tests of the request table.
 
 use super::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,10 +17,13 @@
     );
     let entry = requests.get_mut(id).expect("an entry");
     assert_eq!((entry.start_attempt(ServerId(1), 1.0), entry.start_attempt(ServerId(2), 2.0)), (0, 1));
-    requests.reply(id).expect("the right")(Answer::Failed);
+    requests.reply(id).expect("the answer callback")(Answer::Failed);
     assert!(requests.reply(id).is_none());
     requests.forget(id);
-    assert!(requests.is_live(id, 0) && requests.is_live(id, 1), "what is out is still to be told of");
+    assert!(
+        requests.is_live(id, 0) && requests.is_live(id, 1),
+        "attempts in flight still have to be reported"
+    );
     let ended = requests.end(id, 1, 5.0).expect("an end");
     assert_eq!((ended.server, ended.took, ended.was_answered), (ServerId(2), 3.0, true));
     assert!(requests.end(id, 1, 6.0).is_none(), "an attempt ends once");
--- a/crates/engine/src/engine/revision/tests.rs
+++ b/crates/engine/src/engine/revision/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parent module.
+//! Tests of settings revisions.
 
 use super::*;
 
--- a/crates/engine/src/engine/schedule_tests.rs
+++ b/crates/engine/src/engine/schedule_tests.rs
@@ -1,6 +1,6 @@
-//! Seeded schedules in virtual time: servers that lose, spoil, delay and double what they say, clients that
-//! leave, lists that change, a process that stands still, and a module that now and then decides what it must
-//! not. What has run is counted at the servers and held against what clients were told.
+//! Seeded schedules in virtual time: servers that lose, corrupt, delay and duplicate answers, clients that disconnect,
+//! membership changes, process pauses, and a module that occasionally makes a wrong decision. Executions are counted
+//! at the servers and compared with the answers given to clients.
 
 use super::core::{Core, Note, Output};
 use super::{Answer, Names, Setup};
@@ -19,19 +19,19 @@
 const SERVERS: u64 = 4;
 const AT_MOST_ONCE_CLASS: ClassId = ClassId(1);
 
-/// What comes to pass at some time.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    /// A server runs a try, if all of it has been written.
+    /// A server executes an attempt, if it was written completely.
     Run(RequestId, u8, u32),
     /// The last byte of a body is written.
     Whole(RequestId, u8),
-    /// An attempt's end is seen: 0 success, 1 failure, 2 spoilt, 3 reset, 4 full, 5 no connection.
+    /// The end of an attempt: 0 success, 1 failure, 2 corrupt answer, 3 reset, 4 full, 5 no connection.
     End(RequestId, u8, u32, u8),
     Arrive(u32),
     Gone(RequestId),
     List,
-    /// The module decides wrongly: 0 a second server, 1 a refusal.
+    /// A wrong decision of the module: 0 a second server, 1 a refusal.
     Err(RequestId, u8),
 }
 
@@ -52,9 +52,9 @@
     whole: HashSet<(RequestId, u8)>,
     outcomes: OutcomeLog,
     guarded: bool,
-    /// The module decides wrongly now and then.
+    /// Whether wrong decisions are injected.
     injects_wrong_decisions: bool,
-    /// Servers that were sent something.
+    /// Servers that received an attempt.
     contacted_servers: Vec<ServerId>,
 }
 
@@ -133,7 +133,7 @@
             self.uploads.insert(n);
         }
         if !self.guarded {
-            // Without the guard: as if all were repeatable.
+            // Without the guard, every request is treated as repeatable.
             self.core.replace_execution(id, RequestAttempts::default());
         }
         let wait = self.roll(600);
@@ -142,22 +142,23 @@
                 self.gone.insert(n);
                 self.after(wait, Due::Gone(id));
             }
-            // The module would have counted that attempt; only the clock ends what it has lost count of.
+            // Not injected for uploads: the module does not know of the injected attempt, so only the timeout would
+            // end it.
             1 if self.injects_wrong_decisions && !uploading => self.after(wait, Due::Err(id, 0)),
             2 if self.injects_wrong_decisions => self.after(wait, Due::Err(id, 1)),
             _ => {}
         }
     }
 
-    /// A server meets an attempt.
+    /// Schedules a server's reaction to an attempt.
     fn attempt(&mut self, id: RequestId, number: u8, n: u32) {
         let mut at = 1 + self.roll(30);
         if self.uploads.contains(&n) {
             at += self.roll(200);
             match self.roll(8) {
-                // It breaks off before it is whole.
+                // The body breaks off before it is complete.
                 0 => return self.after(at, Due::End(id, number, n, 5)),
-                // Nothing more comes of it, and at last it is given up.
+                // The body stalls and is abandoned.
                 1 => return self.after(at + 400, Due::End(id, number, n, 3)),
                 _ => self.after(at, Due::Whole(id, number)),
             }
@@ -176,14 +177,14 @@
             self.after(begins, Due::Run(id, number, n));
         }
         let end = match end {
-            // Never a word, and a connection lost before it was read.
+            // 6: no answer at all; 7: the connection is lost before the request is read.
             6 => return,
             7 => 3,
             end => end,
         };
         self.after(at + 1 + took, Due::End(id, number, n, end));
         if self.roll(10) == 0 {
-            // Twice, and then otherwise: a surplus answer.
+            // A surplus second answer with a different result.
             let other = self.roll(4) as u8;
             let later = 2 + self.roll(500);
             self.after(at + took + later, Due::End(id, number, n, other));
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Plays until nothing more can come.
+    /// Runs the schedule until no further event can occur.
     fn play(&mut self) {
         self.list();
         for n in 0..20 {
@@ -261,14 +262,14 @@
             let event = self.due.peek().map_or(end, |Reverse((at, _, _))| *at);
             self.now = self.now.max(timer.min(event).min(end));
             if self.roll(400) == 0 {
-                // The process stands still; all that is due then comes at once.
+                // The process is paused; all events due by then arrive at once.
                 self.now += 200 + self.roll(2500);
             }
             let mut ready = Vec::new();
             while self.due.peek().is_some_and(|Reverse((at, _, _))| *at <= self.now) {
                 ready.extend(self.due.pop().map(|Reverse((_, _, due))| due));
             }
-            // Timers or what came from outside: either is seen first.
+            // Timers and external events are handled in either order.
             let timers_first = self.roll(2) == 0;
             if timers_first {
                 while self.core.run_due_timer(self.now as f64) {}
@@ -283,7 +284,7 @@
         self.take_outputs();
     }
 
-    /// What is wrong: the checker, which knows nothing of the engine.
+    /// Violations found by a checker that is independent of the engine.
     fn violations(&mut self) -> Vec<String> {
         let mut violations = Vec::new();
         let told = self.told.lock().unwrap().clone();
@@ -292,11 +293,11 @@
             let answers = told.get(&n).cloned().unwrap_or_default();
             let mut wrong = |what: &str| violations.push(format!("{n}: {what}: {runs} runs, {answers:?}"));
             if answers.len() > 1 || answers.is_empty() && !self.gone.contains(&n) {
-                wrong("not one answer");
+                wrong("not exactly one answer");
             }
             match answers.first() {
-                Some(Answer::Served((of, _))) if *of != n => wrong("another's answer"),
-                Some(Answer::Served(_)) if runs == 0 => wrong("served, and nothing has run"),
+                Some(Answer::Served((of, _))) if *of != n => wrong("answer to another request"),
+                Some(Answer::Served(_)) if runs == 0 => wrong("served without an execution"),
                 _ => {}
             }
             if !self.once.contains(&n) {
@@ -306,7 +307,7 @@
                 wrong("ran twice");
             }
             if matches!(answers.first(), Some(Answer::Refused(_))) && runs > 0 {
-                wrong("a broken promise");
+                wrong("refused after an execution");
             }
             let outcome = self.outcomes.get(self.now as f64, &n.to_string()).map(|k| k.outcome);
             let true_fate = match outcome {
@@ -317,7 +318,7 @@
                 Some(ExecutionOutcome::Running) => false,
             };
             if self.guarded && !true_fate {
-                wrong(&format!("taken down as {outcome:?}"));
+                wrong(&format!("recorded as {outcome:?}"));
             }
         }
         violations
@@ -336,7 +337,11 @@
     for seed in 0..2000 {
         let (violations, mut world) = run_schedule(seed, true);
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
-        assert_eq!(world.core.at_most_once_in_flight(), 0, "seed {seed}: nothing is listened for for ever");
+        assert_eq!(
+            world.core.at_most_once_in_flight(),
+            0,
+            "seed {seed}: every late answer is given up eventually"
+        );
         kept += world.core.prevented_violations();
         for answers in world.told.lock().unwrap().values() {
             match answers.first() {
@@ -351,20 +356,20 @@
             }
         }
     }
-    // All of it was met often enough to be worth something.
-    assert!(kept > 500 && told.iter().all(|n| *n > 500), "{kept} kept from, told {told:?}");
+    // Every case occurred often enough.
+    assert!(kept > 500 && told.iter().all(|n| *n > 500), "{kept} violations prevented, answers {told:?}");
     assert!(outcomes.len() == 4 && outcomes.values().all(|n| *n > 500), "{outcomes:?}");
 }
 
 #[test]
 fn without_the_guard_the_checker_finds_double_runs_and_wrong_refusals() {
     let found: Vec<String> = (0..200).flat_map(|seed| run_schedule(seed, false).0).collect();
-    for what in ["ran twice", "a broken promise"] {
+    for what in ["ran twice", "refused after an execution"] {
         assert!(found.iter().filter(|w| w.contains(what)).count() > 10, "{what}: {}", found.len());
     }
 }
 
-/// The guard is a second look: what is in service by the module's own rules behaves as without it.
+/// The guard only double-checks the module: correct decisions are never blocked.
 #[test]
 fn the_guard_never_blocks_a_correct_module() {
     for seed in 0..500 {
--- a/crates/engine/src/front/heads/tests.rs
+++ b/crates/engine/src/front/heads/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parent module.
+//! Tests of the HTTP/1 parser.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 fn read_body(text: &str, mut ends: BodyEnd) -> Result<(Vec<u8>, BodyEnd, Vec<u8>), Rejection> {
-    // However it comes: byte by byte.
+    // Feeds the input byte by byte.
     let (mut buffer, mut body) = (BytesMut::new(), Vec::new());
     let mut rest = text.bytes();
     loop {
@@ -50,7 +50,7 @@
     for cut in 0..whole.len() {
         assert!(matches!(read(&whole[..cut]), Ok(None)), "{cut}");
     }
-    let head = read(whole).expect("a head").expect("whole");
+    let head = read(whole).expect("a head").expect("a complete head");
     assert!(head.last && !head.expects_continue && head.parts.uri.path() == "/a");
     let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(17 * 1024));
     assert_eq!(read(&long).expect_err("too long").status, 431);
@@ -68,7 +68,10 @@
         (body.as_slice(), ends, rest.as_slice()),
         (&b"abc0123456789"[..], BodyEnd::Reached, &b"GET"[..])
     );
-    assert_eq!(read_body("3\r\nab", chunks).expect("part of one").1, BodyEnd::LastChunk(ChunkState::Data(1)));
+    assert_eq!(
+        read_body("3\r\nab", chunks).expect("a partial chunk").1,
+        BodyEnd::LastChunk(ChunkState::Data(1))
+    );
     for bad in ["x\r\n", "-1\r\n", "\r\n", "3\nabc", "3\r\nabcd\r\n", "11111111111111111\r\n"] {
         assert!(read_body(bad, chunks).is_err(), "{bad:?}");
     }
--- a/crates/engine/src/front/recent_bytes/tests.rs
+++ b/crates/engine/src/front/recent_bytes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parent module.
+//! Tests of the search for `Content-Length` in raw bytes.
 
 use super::*;
 
@@ -23,7 +23,7 @@
     assert!(received(&[plain, chunked]).has_no_length(b""));
     assert!(
         !received(&[plain, "Content-Length: 3\r\n", chunked]).has_no_length(b""),
-        "no value to find it by"
+        "without a value to locate the head"
     );
 }
 
@@ -35,7 +35,7 @@
     let bare = [before, after, before].map(|piece| piece.replace("\r\n", "\n"));
     assert!(
         received(&bare.each_ref().map(String::as_str)).has_no_length(b"a1"),
-        "lines that end in a line feed"
+        "lines that end in a bare line feed"
     );
 }
 
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -1,4 +1,4 @@
-//! A front before one server, on a thread of its own: on its connections several requests may be in hand at once, or one.
+//! A front for one server, on its own thread, with or without pipelining.
 
 use super::{class, setup};
 use http::request::Parts;
@@ -26,22 +26,22 @@
 
 pub type TestEngine = Engine<Http1<House>>;
 
-/// How many requests a connection may have in hand.
+/// How many requests of a connection may be open at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenRequests {
-    /// One; each has two attempts.
+    /// One, with two attempts each.
     One,
-    /// Several; each has one attempt. What lies under `/once` may not overtake; it and what is posted runs at most once.
+    /// Several, with one attempt each. `POST` requests and those below `/once` run at most once and are not pipelined.
     Several,
 }
 
-/// Sends all that comes to one service, but for what goes to `/closed`: that is rejected.
+/// Forwards all requests to one service, except for those to `/closed`, which it answers with 503.
 pub struct TestHandler {
     open_requests: OpenRequests,
     pub engine: Rc<TestEngine>,
-    /// The front's clock is ahead of the engine's by this, ms.
+    /// Offset of the front's clock from the engine's, ms.
     ahead: Cell<Millis>,
-    /// Called when a server has answered, before its answer is passed on.
+    /// Called when a server has answered, before the answer is passed on.
     pub on_answer: RefCell<Option<Box<dyn Fn()>>>,
 }
 
@@ -101,19 +101,19 @@
 
 type Action = Box<dyn FnOnce(&Rc<Front<TestHandler>>) + Send>;
 
-/// The front.
+/// A running front.
 pub struct Rig {
     pub address: SocketAddr,
     actions: UnboundedSender<Action>,
 }
 
 impl Rig {
-    /// Before this server, with several requests in hand.
+    /// Starts a front with pipelining for this server.
     pub fn start(server: &Server) -> Rig {
         Rig::with_open_requests(server, OpenRequests::Several)
     }
 
-    /// Before this server.
+    /// Starts a front for this server.
     pub fn with_open_requests(server: &Server, open_requests: OpenRequests) -> Rig {
         let (tell, told) = mpsc::channel();
         let (actions, mut wanted) = unbounded_channel::<Action>();
@@ -136,7 +136,7 @@
         Rig { address: told.recv().expect("a front"), actions }
     }
 
-    /// Does something on the front's thread, and waits for what comes of it.
+    /// Runs an action on the front's thread and returns its result.
     pub fn with<T: Send + 'static>(
         &self,
         action: impl FnOnce(&Rc<Front<TestHandler>>) -> T + Send + 'static,
@@ -147,7 +147,7 @@
         told.recv().expect("the front")
     }
 
-    /// For connections, so much time passes at once.
+    /// Advances the front's clock, which connections use, by `by` ms.
     pub fn advance(&self, by: Millis) {
         self.with(move |front| {
             let ahead = &front.desk().ahead;
@@ -155,10 +155,10 @@
         });
     }
 
-    /// A connection.
+    /// Opens a connection.
     pub fn connect(&self) -> (TcpStream, BufReader<TcpStream>) {
         let stream = TcpStream::connect(self.address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
         let reader = BufReader::new(stream.try_clone().expect("a clone"));
         (stream, reader)
     }
@@ -189,9 +189,9 @@
     TestHandler { open_requests, engine, ahead: Cell::new(0.0), on_answer: RefCell::default() }
 }
 
-/// An answer to this request, of so many bytes.
+/// An answer to this request with the given `Content-Length` and body.
 pub fn to(m: &Message, length: usize, body: &str) -> Vec<u8> {
-    let id = m.header("Try-Id").expect("a name");
+    let id = m.header("Try-Id").expect("a try id");
     format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\nContent-Length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
@@ -204,17 +204,18 @@
     request_with(method, path, id, "")
 }
 
-/// With more lines in its head, each with its end.
+/// A request with additional header lines, each terminated by CR LF.
 pub fn request_with(method: &str, path: &str, id: &str, lines: &str) -> String {
     format!("{method} {path} HTTP/1.1\r\nHost: h\r\nTry-Id: {id}\r\n{lines}Content-Length: 0\r\n\r\n")
 }
 
-/// The paths of all that has reached a server.
+/// The paths of all requests that have reached a server.
 pub fn paths(server: &Server) -> Vec<String> {
     server.seen.lock().expect("a lock").iter().map(|m| path(m).to_owned()).collect()
 }
 
-/// Answers what is sent to `/wait` when the test says so, breaks off its answer to `/cut` then, and answers all else at once.
+/// A server that answers `/wait` when the test releases it, truncates its answer to `/cut` then, and answers all other
+/// requests at once.
 pub fn waiting_server() -> (Server, Sender<()>) {
     let (release, released) = mpsc::channel();
     let released: Mutex<Receiver<()>> = Mutex::new(released);
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the engine share.
+//! Shared helpers of the engine's tests.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -7,7 +7,7 @@
 use oatbank_engine::engine::Setup;
 use oatbank_limiter_core::interface::{Class, Plan, Settings};
 
-/// One class and one plan that refuses nothing, with so many attempts.
+/// A setup with one class, one plan without effective limits and `max_attempts` attempts.
 pub fn setup(class: Class, max_attempts: u32) -> Setup {
     let plan = Plan { rate: 1000.0, burst: 1000.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
     let settings = Settings {
@@ -21,7 +21,7 @@
     Setup { settings, ..Setup::default() }
 }
 
-/// A class that answers within half a second, at worst within three.
+/// A class with a target of 0.5 s and a deadline of 3 s.
 pub fn class() -> Class {
     Class { aim: 500.0, deadline: 3000.0, worth: 1.0, ..Class::default() }
 }
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -1,5 +1,5 @@
-//! Clients that leave before their answer: no server works on for them where their request may be repeated, and what runs at
-//! most once is left to run.
+//! Clients that disconnect before their answer: attempts of repeatable requests are cancelled, at-most-once attempts
+//! continue.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A server's work ends by then; the bound that users are told is 500 ms.
+/// Time limit for the cancellation at the server; the documented bound is 500 ms.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Close,
@@ -27,7 +27,7 @@
     drop(stream);
 }
 
-/// What a client sends before it leaves, and how much of it reaches the server.
+/// Input of a client before its disconnect, and the number of requests that reach the server.
 struct Case {
     name: &'static str,
     sent: String,
@@ -40,14 +40,18 @@
     let case = |name, sent, at_server| Case { name, sent, at_server };
     vec![
         case("one request", get("1"), 1),
-        case("several at once", many(3), 3),
-        case("the last one", request_with("GET", "/silent", "1", "Connection: close\r\n"), 1),
-        case("of an old client", get("1").replace("HTTP/1.1", "HTTP/1.0"), 1),
-        case("one that waits its turn behind", get("1") + &request("POST", "/once", "2"), 1),
-        case("half a head behind", get("1") + "GET /silent HTTP/1.1\r\nHo", 1),
-        case("more than are taken at once", many(40), 8),
-        // More than is read ahead, and no more than the system takes in: else the close itself does not arrive.
-        case("more than is read ahead", get("1") + &request("POST", "/once", "2") + &many(800), 1),
+        case("several pipelined requests", many(3), 3),
+        case(
+            "a request with Connection: close",
+            request_with("GET", "/silent", "1", "Connection: close\r\n"),
+            1,
+        ),
+        case("an HTTP/1.0 request", get("1").replace("HTTP/1.1", "HTTP/1.0"), 1),
+        case("a request queued behind another", get("1") + &request("POST", "/once", "2"), 1),
+        case("half a head behind a request", get("1") + "GET /silent HTTP/1.1\r\nHo", 1),
+        case("more than can be open at once", many(40), 8),
+        // More than the read-ahead, but no more than the socket buffers hold, or the close itself would not arrive.
+        case("more than the read-ahead", get("1") + &request("POST", "/once", "2") + &many(800), 1),
     ]
 }
 
@@ -60,7 +64,7 @@
             let rig = Rig::start(&server);
             let stream = TcpStream::connect(rig.address).expect("a connection");
             stream.set_nonblocking(true).expect("an option");
-            // What is not taken is not sent.
+            // Bytes that the socket does not accept are not sent.
             let _ = (&stream).write(case.sent.as_bytes());
             eventually(case.name, || server.count() >= case.at_server);
             disconnect(stream, how);
@@ -78,11 +82,11 @@
                 (front.desk().engine.unanswered(), front.desk().engine.departures().abandoned_attempts)
             });
             if open > 0 || abandoned > 0 {
-                failures.push(format!("{}, {how:?}: {open} are owed, {abandoned} abandoned", case.name));
+                failures.push(format!("{}, {how:?}: {open} unanswered, {abandoned} abandoned", case.name));
             }
         }
     }
-    assert!(failures.is_empty(), "servers worked on:\n{}", failures.join("\n"));
+    assert!(failures.is_empty(), "attempts continued after the disconnect:\n{}", failures.join("\n"));
 }
 
 #[test]
@@ -92,10 +96,10 @@
         let rig = Rig::start(&server);
         let mut stream = TcpStream::connect(rig.address).expect("a connection");
         stream.write_all(request("POST", "/silent", "1").as_bytes()).expect("written");
-        eventually("it is out", || server.count() == 1);
+        eventually("the attempt is in flight", || server.count() == 1);
         disconnect(stream, how);
         let departed = || rig.with(|front| front.desk().engine.departures().clients) == 1;
-        eventually("the departure is noticed", departed);
-        assert!(server.closed.recv_timeout(CANCEL_TIMEOUT).is_err(), "its server was broken off, {how:?}");
+        eventually("the disconnect is noticed", departed);
+        assert!(server.closed.recv_timeout(CANCEL_TIMEOUT).is_err(), "the attempt was cancelled, {how:?}");
     }
 }
--- a/crates/engine/tests/front.rs
+++ b/crates/engine/tests/front.rs
@@ -1,4 +1,4 @@
-//! Clients of a desk of another kind than the platform's, through an engine to servers that name each try.
+//! End-to-end tests of a front without pipelining, with servers that identify each try.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
 
-/// A client of a front, which runs as long as it does.
+/// A client and its front, which runs as long as the client exists.
 struct Client(
     TcpStream,
     BufReader<TcpStream>,
@@ -32,7 +32,7 @@
 }
 
 fn to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
-    let (id, length) = (m.header("Try-Id").expect("a name"), body.len());
+    let (id, length) = (m.header("Try-Id").expect("a try id"), body.len());
     format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
@@ -49,7 +49,7 @@
     let server = echo();
     let mut client = Client::of(&server);
     let get = client.ask("GET /a?b HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\nContent-Length: 2\r\n\r\nhi");
-    assert_eq!((get.status(), &get.body[..]), (200, &b"GET /a?b HTTP/1.1 hi"[..]), "a body with GET");
+    assert_eq!((get.status(), &get.body[..]), (200, &b"GET /a?b HTTP/1.1 hi"[..]), "a GET with a body");
     assert_eq!((get.header("Try-Id"), get.header("Server-Seal")), (Some("1"), Some("s")));
     let put = client.ask(
         "PUT http://u@shop:81/a HTTP/1.1\r\nHost: other\r\nTry-Id: 2\r\nTransfer-Encoding: chunked\r\n\r\n\
@@ -97,7 +97,7 @@
 fn an_invalid_server_answer_is_not_passed_on() {
     let server = Server::start(|m| Act::Write(to(m, "200 OK", "", "unsealed")));
     let answer = Client::of(&server).ask("GET / HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\n\r\n");
-    // The class may run again, so a refusal is an answer too.
+    // The class is repeatable, so a refusal is allowed as well.
     assert!(matches!(answer.status(), 429 | 502), "{}", answer.start);
 }
 
@@ -105,7 +105,7 @@
 fn a_truncated_answer_never_looks_complete() {
     for (length, version) in [(true, "1.1"), (false, "1.1"), (true, "1.0"), (false, "1.0")] {
         let server = Server::start(move |m| {
-            let (id, body) = (m.header("Try-Id").expect("a name"), "x".repeat(100));
+            let (id, body) = (m.header("Try-Id").expect("a try id"), "x".repeat(100));
             let (framing, body) = match length {
                 true => ("Content-Length: 900", body),
                 false => ("Transfer-Encoding: chunked", format!("64\r\n{body}\r\n")),
@@ -120,7 +120,7 @@
         let text = String::from_utf8_lossy(&all).to_lowercase();
         let has_framing = text.contains("content-length: 900") || text.contains("transfer-encoding: chunked");
         let cut = !text.ends_with("\r\n0\r\n\r\n");
-        // It may have broken off before any of it was written.
+        // The answer may have broken off before any of it was written.
         let is_empty = text.is_empty();
         assert!(
             end.is_err() || text.starts_with("http/1.1 502") || has_framing && cut || is_empty,
--- a/crates/engine/tests/once.rs
+++ b/crates/engine/tests/once.rs
@@ -1,5 +1,5 @@
-//! What runs once, on the way to a server: every place where the way could send again, against a server that does what
-//! the test says, byte by byte. The rows are those of `docs/design/exactly-once.md`.
+//! At-most-once delivery to a server: every place where the HTTP client could send a request again, against a server that
+//! the test controls byte by byte. The cases are those of `docs/design/exactly-once.md`.
 
 mod common;
 
@@ -29,7 +29,7 @@
 const CONNECTIONS: Connections =
     Connections { idle: 10_000.0, connect_timeout: 1000.0, most: 16, bodies_kib: 4096 };
 
-/// One attempt that is under way, and what was told of its body.
+/// An attempt in flight and the reported progress of its body.
 struct Attempt {
     end: JoinHandle<End<Response<Body>>>,
     told: Rc<RefCell<Vec<Progress>>>,
@@ -92,7 +92,7 @@
         self.listener.accept().await.expect("a connection").0
     }
 
-    /// A connection that has served a try and is kept.
+    /// An idle connection that has served a try.
     async fn kept(&self) -> TcpStream {
         let first = self.words("first");
         let mut stream = self.connection().await;
@@ -102,10 +102,10 @@
         stream
     }
 
-    /// Nobody has come besides.
+    /// Asserts that no other connection was opened.
     async fn assert_no_other_connection(&self) {
         let more = tokio::time::timeout(Duration::ZERO, self.listener.accept()).await;
-        assert!(more.is_err(), "it was sent on another connection too");
+        assert!(more.is_err(), "the request was also sent on another connection");
     }
 }
 
@@ -117,7 +117,7 @@
     stream.write_all(text.as_bytes()).await.expect("it is written");
 }
 
-/// Reads up to this; all that was read.
+/// Reads until the input ends with `up_to` and returns everything read.
 async fn read(stream: &mut TcpStream, up_to: &str) -> String {
     let mut all = Vec::new();
     while !all.ends_with(up_to.as_bytes()) {
@@ -126,12 +126,12 @@
     String::from_utf8(all).expect("text")
 }
 
-/// Ends a connection with a reset.
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
 }
 
-/// All that still comes until the end.
+/// Reads to the end of the connection.
 async fn rest(stream: &mut TcpStream) -> Vec<u8> {
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all).await;
@@ -141,7 +141,7 @@
 #[test]
 fn a_new_connection_that_fails_during_or_after_the_write_may_have_run() {
     on_local_set(async {
-        // All of it was read, and a part; nothing that this side can know tells the two apart.
+        // The server has read everything or only a part; the client cannot tell the two apart.
         for up_to in ["words", "P"] {
             let rig = Rig::new().await;
             let attempt = rig.words("a");
@@ -151,7 +151,7 @@
             assert_eq!(attempt.outcome().await, Outcome::Reset, "{up_to}");
             rig.assert_no_other_connection().await;
         }
-        // More than a socket takes: most of it was never written.
+        // More than the socket buffers hold, so most of it was never written.
         let rig = Rig::new().await;
         let attempt = rig.post(1, "a", Upload::Whole(vec![b'x'; 16 << 20].into()));
         let mut stream = rig.connection().await;
@@ -167,7 +167,7 @@
     on_local_set(async {
         let ends: [fn(TcpStream); 2] = [reset, drop];
         for end in ends {
-            // A kept connection as well as a new one.
+            // On a reused connection as well as on a new one.
             for kept in [false, true] {
                 let rig = Rig::new().await;
                 let standing = if kept { Some(rig.kept().await) } else { None };
@@ -239,7 +239,7 @@
             read(&mut stream, "words").await;
             say(&mut stream, &sealed("a")).await;
             assert_eq!(attempt.outcome().await, Outcome::Ok);
-            assert!(rest(&mut idle).await.is_empty(), "nothing was sent on the one that is out of step");
+            assert!(rest(&mut idle).await.is_empty(), "nothing was sent on the out-of-sync connection");
         }
     });
 }
@@ -271,7 +271,7 @@
         let next = rig.words("b");
         let mut stream = rig.connection().await;
         read(&mut stream, "words").await;
-        // The one before is closed: what it says gets nowhere.
+        // The previous connection is closed, so its late answer is not delivered.
         assert!(rest(&mut old).await.is_empty());
         let _ = old.write_all(sealed("b").as_bytes()).await;
         assert!(!next.end.is_finished());
@@ -285,20 +285,20 @@
     on_local_set(async {
         let rig = Rig::new().await;
         let mut old = rig.kept().await;
-        // Another server was given the address: the connection of the one before is not used for it.
+        // Another server was given the address: the idle connection of the previous server is not used for it.
         let other = rig.post(2, "a", Bytes::from_static(b"words").into());
         let mut stream = rig.connection().await;
         assert!(read(&mut stream, "words").await.contains("meant-server: s-2"));
         say(&mut stream, &sealed("a")).await;
         assert_eq!(other.outcome().await, Outcome::Ok);
-        // Whoever answers 421 has not run it; nor is anything sent there again on this connection.
+        // A 421 answer means that the request has not run, and the connection is not used again.
         let moved = rig.words("b");
         assert!(read(&mut old, "words").await.contains("meant-server: s-1"));
         say(&mut old, "HTTP/1.1 421 Moved\r\nTry-Id: b\r\nContent-Length: 0\r\n\r\n").await;
         assert_eq!(moved.outcome().await, Outcome::ConnectFailed);
         assert!(rest(&mut old).await.is_empty());
         rig.assert_no_other_connection().await;
-        // That another try was turned away says nothing of this one.
+        // A 421 answer to another try says nothing about this one.
         let other = rig.words("c");
         let mut stream = rig.connection().await;
         read(&mut stream, "words").await;
@@ -321,7 +321,7 @@
                 let mut start = vec![0; 200_000];
                 stream.read_exact(&mut start).await.expect("the start");
                 if whole {
-                    feed.send(Ok(Bytes::from_static(b"theend"))).await.expect("room");
+                    feed.send(Ok(Bytes::from_static(b"theend"))).await.expect("capacity");
                     feed.finish();
                     read(&mut stream, if length.is_some() { "theend" } else { "0\r\n\r\n" }).await;
                     reset(stream);
@@ -349,7 +349,7 @@
             let attempt = rig.post(1, "a", Upload::stream(vec![b'x'; 200_000].into(), length, coming));
             let mut stream = rig.connection().await;
             read(&mut stream, "\r\n\r\n").await;
-            feed.send(Err(BodyError::Left)).await.expect("room");
+            feed.send(Err(BodyError::Left)).await.expect("capacity");
             let got = rest(&mut stream).await;
             assert!(!got.ends_with(b"0\r\n\r\n") && got.len() <= 200_032, "{} bytes", got.len());
             assert_eq!(attempt.outcome().await, Outcome::Moot);
@@ -365,7 +365,7 @@
         reset(rig.kept().await);
         let (feed, coming) = body_channel();
         let attempt = rig.post(1, "a", Upload::stream(vec![b'x'; 200_000].into(), Some(200_006), coming));
-        feed.send(Ok(Bytes::from_static(b"theend"))).await.expect("room");
+        feed.send(Ok(Bytes::from_static(b"theend"))).await.expect("capacity");
         feed.finish();
         let mut stream = rig.connection().await;
         read(&mut stream, "\r\n\r\n").await;
@@ -378,24 +378,26 @@
     });
 }
 
-// ---- Through the engine ---------------------------------------------------------------------
+// ---- Tests through the engine ---------------------------------------------------------------
 
-/// What a server does once it has read a request.
+/// Action of a server once it has read a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ServerAction {
-    /// Ends the connection.
+    /// Resets the connection.
     Reset,
+    /// Closes the connection.
     End,
-    /// Answers with this status and these headers, and a body that is shorter than told.
+    /// Answers with this status and these headers.
     Says(&'static str, &'static str),
+    /// Answers with a body that is shorter than announced.
     Cut,
     Malformed,
-    /// Answers to another try.
+    /// Answers with the id of another try.
     WrongTryId,
     Nothing,
 }
 
-/// Two servers that do the same, and how many requests have come to both.
+/// Starts two servers with the same action, which count the requests received by both.
 async fn servers(does: ServerAction, received: &Rc<Cell<usize>>) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for _ in 0..2 {
@@ -440,7 +442,7 @@
     setup
 }
 
-/// How often a request arrived, and what its client was told.
+/// Submits a request and returns how often it arrived and the client's answer.
 async fn told(does: ServerAction, repeat: Repeat) -> (usize, Answer<Response<Body>>) {
     let received = Rc::default();
     let addresses = servers(does, &received).await;
@@ -473,14 +475,17 @@
         ] {
             let (received, answer) = told(does, Repeat::Unsafe).await;
             assert_eq!(received, 1, "{does:?}");
-            assert!(!matches!(answer, Answer::Refused(_)), "{does:?}: a promise: {answer:?}");
+            assert!(
+                !matches!(answer, Answer::Refused(_)),
+                "{does:?}: a refusal although it may have run: {answer:?}"
+            );
         }
         for does in [ServerAction::Says("503 Full", "Not-Run: 1\r\n"), ServerAction::Says("421 Moved", "")] {
             let (received, answer) = told(does, Repeat::Unsafe).await;
-            assert_eq!(received, 2, "{does:?}: both may be asked");
+            assert_eq!(received, 2, "{does:?}: both servers may be tried");
             assert!(matches!(answer, Answer::Refused(_) | Answer::Failed), "{does:?}: {answer:?}");
         }
-        // What is repeatable is sent again: the servers would have shown it.
+        // A repeatable request is sent again, which shows that the servers count a second delivery.
         assert_eq!(told(ServerAction::Reset, Repeat::Safe).await.0, 2);
     });
 }
--- a/crates/engine/tests/pipelined.rs
+++ b/crates/engine/tests/pipelined.rs
@@ -1,5 +1,5 @@
-//! Requests that stand behind each other on a client's connection: each answer in the place of its own request, and
-//! nothing that runs once begun behind an answer that may end the connection.
+//! Pipelined requests: answers keep the order of the requests, and no at-most-once request starts behind an answer that
+//! may end the connection.
 
 mod common;
 
@@ -14,7 +14,7 @@
     let (mut stream, mut reader) = rig.connect();
     let all = request("GET", "/wait", "1") + &request("GET", "/b", "2") + &request("GET", "/c", "3");
     stream.write_all(all.as_bytes()).expect("written");
-    eventually("all three are out", || server.count() == 3);
+    eventually("all three are in flight", || server.count() == 3);
     release.send(()).expect("the server");
     for (id, body) in [("1", "/wait"), ("2", "/b"), ("3", "/c")] {
         let answer = read_message(&mut reader).expect("an answer");
@@ -31,9 +31,9 @@
         stream
             .write_all((request("GET", "/cut", "1") + &request(method, behind, "2")).as_bytes())
             .expect("written");
-        // What may overtake shows that the one behind has been read.
+        // A pipelined second request shows that the bytes behind the first one have been read.
         let out = if behind == "/b" { 2 } else { 1 };
-        eventually("it is out", || server.count() == out);
+        eventually("the expected requests are in flight", || server.count() == out);
         release.send(()).expect("the server");
         let mut all = Vec::new();
         let _ = reader.read_to_end(&mut all);
@@ -52,7 +52,7 @@
         let (mut stream, mut reader) = rig.connect();
         let all = request("GET", "/wait", "1") + &request("GET", "/b", "2") + &request(method, behind, "3");
         stream.write_all(all.as_bytes()).expect("written");
-        eventually("two are out", || server.count() == 2);
+        eventually("two are in flight", || server.count() == 2);
         release.send(()).expect("the server");
         for id in ["1", "2", "3"] {
             assert_eq!(read_message(&mut reader).expect("an answer").header("Try-Id"), Some(id));
--- a/crates/engine/tests/ports.rs
+++ b/crates/engine/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Every implementation of a port, run through its suite.
+//! Runs the conformance suites on all implementations of the ports.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method};
@@ -64,7 +64,7 @@
 fn a_busy_or_unreachable_text_counter_is_reported() {
     let stand_in = Counter::start(|_, _| b"busy\r\n".to_vec());
     on_local_set(async move { counter::busy(&text(stand_in.address)).await });
-    // A port that no test is given.
+    // A port on which no test listens.
     let unreachable: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     on_local_set(async move { counter::unreachable(&text(unreachable)).await });
     on_local_set(async {
@@ -120,7 +120,7 @@
     });
 }
 
-/// HTTP/1.1 with one stand-in for each behaviour.
+/// HTTP/1.1 upstream with one test server for each behaviour.
 struct HttpUnderTest {
     way: Http1,
     servers: Vec<(Behaviour, Server)>,
@@ -171,7 +171,7 @@
     on_local_set(async { upstream::suite(&HttpUnderTest::new()).await });
 }
 
-/// A handler in the process, played by a task for each request.
+/// In-process upstream whose handler is a task for each request.
 #[derive(Default)]
 struct InProcessUnderTest {
     way: InProcess,
--- a/crates/engine/tests/unanswered.rs
+++ b/crates/engine/tests/unanswered.rs
@@ -1,4 +1,4 @@
-//! Connections that the front ends: what it has begun is answered first, and what it has read is in hand.
+//! Connections closed by the front: started requests are answered first, and requests that were read are not lost.
 
 mod common;
 
@@ -19,7 +19,7 @@
     let (mut stream, mut reader) = rig.connect();
     let all = request("GET", "/wait", "1") + &request("GET", "/b", "2") + &request("GET", "/c", "3");
     stream.write_all(all.as_bytes()).expect("written");
-    eventually("all three are out", || server.count() == 3);
+    eventually("all three are in flight", || server.count() == 3);
     rig.with(|front| front.stop());
     release.send(()).expect("the server");
     let mut closes = Vec::new();
@@ -28,7 +28,7 @@
         assert_eq!(answer.header("Try-Id"), Some(id));
         closes.push(answer.header("Connection").is_some_and(|said| said == "close"));
     }
-    assert_eq!(closes, [false, false, true], "the last one says that the connection ends");
+    assert_eq!(closes, [false, false, true], "only the last answer announces the close");
     assert_eq!(reader.read(&mut [0]).expect("an end"), 0);
     assert_eq!(unanswered(&rig), 0);
 }
@@ -37,7 +37,7 @@
 fn a_queued_request_keeps_its_connection_open() {
     let (server, _release) = waiting_server();
     let rig = Rig::start(&server);
-    // As in a shutdown: connections are asked to end as soon as they owe nothing, here just when an answer comes.
+    // As in a shutdown, connections are closed once they have no open request, here exactly when an answer arrives.
     rig.with(|front| {
         let asking = front.clone();
         let ask_all = Box::new(move || asking.close_idle());
@@ -49,7 +49,7 @@
         stream.write_all(all.as_bytes()).expect("written");
         for id in ["1", "2"] {
             let answer = read_message(&mut reader);
-            let answer = answer.unwrap_or_else(|| panic!("round {round}: {id} was read, and has no answer"));
+            let answer = answer.unwrap_or_else(|| panic!("round {round}: {id} was read but has no answer"));
             assert_eq!(answer.header("Try-Id"), Some(id));
         }
     }
@@ -85,11 +85,11 @@
         let answer = read_message(&mut reader).unwrap_or_else(|| panic!("{id} has no answer"));
         assert_eq!(answer.header("Try-Id"), Some(id));
         if id == "1" {
-            // More than a head may take, and less than an idle connection is kept.
+            // Longer than the time limit for a head and shorter than that of an idle connection.
             rig.advance(5000.0);
             let mut rest = Vec::new();
             let _ = half_reader.read_to_end(&mut rest);
-            assert!(rest.is_empty(), "the other one has made no progress, and is ended");
+            assert!(rest.is_empty(), "the stalled connection is closed without an answer");
         }
     }
 }
@@ -103,12 +103,12 @@
     assert!(read_message(&mut reader).is_some());
     rig.with(|front| front.close_idle());
     assert_eq!(stream.peek(&mut [0]).expect("an end"), 0);
-    // As if it had been sent before the end came: the connection was kept, and it could have been used.
+    // As if the request had been sent before the client saw the close of its kept connection.
     stream.write_all(request("GET", "/b", "2").as_bytes()).expect("written");
     let is_refused = || stream.take_error().expect("an option").is_some();
     within(
         Duration::from_millis(500),
-        "its client is told at once, by a reset, that it was not read",
+        "a reset informs the client at once that the request was not read",
         is_refused,
     );
     assert_eq!(paths(&server), ["/a"]);
