--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -81,7 +81,7 @@
         request.uploading = body.is_stream();
         let id = classify::single(&head.headers, &classify::CORRELATION)?.unwrap_or_default();
         let _held = self.ids.hold(id)?;
-        let forward = Forward { method: head.method, uri: head.uri, headers, body, room };
+        let forward = Forward { method: head.method, uri: head.uri, headers, body, permit: room };
         let (begun, account) = (self.engine.now(), request.customer.0);
         let span = tracing::debug_span!("request", id, account);
         let answer = span.in_scope(|| self.engine.submit_and_wait(request, forward)).await;
--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -116,15 +116,15 @@
 
 impl BodyPrefix {
     /// Appends a chunk.
-    pub fn push(&mut self, piece: Bytes) {
+    pub fn push(&mut self, chunk: Bytes) {
         if self.first.is_empty() {
-            self.first = piece;
+            self.first = chunk;
             return;
         }
         if self.all.is_empty() {
             self.all.extend_from_slice(&self.first);
         }
-        self.all.extend_from_slice(&piece);
+        self.all.extend_from_slice(&chunk);
     }
 
     /// Whether it is longer than `most` bytes.
@@ -156,19 +156,19 @@
         /// The bytes still to arrive.
         rest: BodyReceiver,
         /// Memory permit of the body.
-        room: Option<BodyPermit>,
+        permit: Option<BodyPermit>,
     },
 }
 
 impl Body {
     /// A complete body with its memory permit.
-    pub fn held(bytes: Bytes, room: Option<BodyPermit>) -> Self {
-        if room.is_none() {
+    pub fn held(bytes: Bytes, permit: Option<BodyPermit>) -> Self {
+        if permit.is_none() {
             return Body::Whole(bytes);
         }
-        let (feed, rest) = body_channel();
-        feed.finish();
-        Body::Stream { length: Some(bytes.len() as u64), held: bytes, rest, room }
+        let (sender, rest) = body_channel();
+        sender.finish();
+        Body::Stream { length: Some(bytes.len() as u64), held: bytes, rest, permit }
     }
 
     /// The bytes of a complete body; `None` for a stream.
@@ -189,8 +189,8 @@
             Body::Whole(bytes) => Ok(bytes),
             Body::Stream { held, mut rest, .. } => {
                 let mut all = BytesMut::from(&held[..]);
-                while let Some(piece) = rest.recv().await {
-                    all.extend_from_slice(&piece?);
+                while let Some(chunk) = rest.recv().await {
+                    all.extend_from_slice(&chunk?);
                     if all.len() > most {
                         return Err(BodyError::TooLong);
                     }
@@ -233,7 +233,7 @@
             Body::Stream { held, .. } if !held.is_empty() => {
                 Poll::Ready(Some(Ok(Frame::data(std::mem::take(held)))))
             }
-            Body::Stream { rest, .. } => rest.poll_recv(cx).map(|piece| piece.map(|p| p.map(Frame::data))),
+            Body::Stream { rest, .. } => rest.poll_recv(cx).map(|chunk| chunk.map(|p| p.map(Frame::data))),
         }
     }
 
@@ -343,14 +343,14 @@
     }
 
     /// Emits a chunk; the last one marks the body as sent.
-    fn emit(&mut self, piece: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn emit(&mut self, chunk: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(left) = &mut self.left {
-            *left = left.saturating_sub(piece.len() as u64);
+            *left = left.saturating_sub(chunk.len() as u64);
             if *left == 0 {
                 self.sent();
             }
         }
-        Poll::Ready(Some(Ok(Frame::data(piece))))
+        Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
 
     fn sent(&self) {
@@ -397,7 +397,7 @@
         }
         let Some(rest) = &mut this.rest else { return this.fail(BodyError::Spent) };
         match ready!(rest.poll_recv(cx)) {
-            Some(Ok(piece)) => this.emit(piece),
+            Some(Ok(chunk)) => this.emit(chunk),
             Some(Err(why)) => this.fail(why),
             None if this.left.is_some_and(|left| left > 0) => this.fail(BodyError::Left),
             None => {
--- a/crates/engine/src/body/channel.rs
+++ b/crates/engine/src/body/channel.rs
@@ -24,8 +24,8 @@
 /// Sending half. Dropping it without [`BodySender::finish`] ends the stream with an error.
 #[derive(Debug)]
 pub struct BodySender {
-    pieces: mpsc::Sender<BodyChunk>,
-    is_whole: Arc<AtomicBool>,
+    chunks: mpsc::Sender<BodyChunk>,
+    is_complete: Arc<AtomicBool>,
 }
 
 impl BodySender {
@@ -33,26 +33,26 @@
     ///
     /// # Errors
     /// If the receiver was dropped.
-    pub async fn send(&self, piece: BodyChunk) -> Result<(), ReceiverClosed> {
-        self.pieces.send(piece).await.map_err(|_| ReceiverClosed)
+    pub async fn send(&self, chunk: BodyChunk) -> Result<(), ReceiverClosed> {
+        self.chunks.send(chunk).await.map_err(|_| ReceiverClosed)
     }
 
     /// Completes when the receiver is dropped.
     pub async fn closed(&self) {
-        self.pieces.closed().await;
+        self.chunks.closed().await;
     }
 
     /// Ends the stream as complete.
     pub fn finish(self) {
-        self.is_whole.store(true, Ordering::Release);
+        self.is_complete.store(true, Ordering::Release);
     }
 }
 
 /// Receiving half.
 #[derive(Debug)]
 pub struct BodyReceiver {
-    pieces: mpsc::Receiver<BodyChunk>,
-    is_whole: Arc<AtomicBool>,
+    chunks: mpsc::Receiver<BodyChunk>,
+    is_complete: Arc<AtomicBool>,
 }
 
 impl BodyReceiver {
@@ -63,16 +63,19 @@
 
     /// Poll version of [`BodyReceiver::recv`].
     pub fn poll_recv(&mut self, cx: &mut Context<'_>) -> Poll<Option<BodyChunk>> {
-        let piece = ready!(self.pieces.poll_recv(cx));
+        let chunk = ready!(self.chunks.poll_recv(cx));
         // The flag is set before the sender is dropped.
-        let is_cut = piece.is_none() && !self.is_whole.load(Ordering::Acquire);
-        Poll::Ready(if is_cut { Some(Err(BodyError::Left)) } else { piece })
+        let is_cut = chunk.is_none() && !self.is_complete.load(Ordering::Acquire);
+        Poll::Ready(if is_cut { Some(Err(BodyError::Left)) } else { chunk })
     }
 }
 
 /// Creates a channel for a streamed body.
 pub fn body_channel() -> (BodySender, BodyReceiver) {
     let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
-    let is_whole = Arc::new(AtomicBool::new(false));
-    (BodySender { pieces: sender, is_whole: is_whole.clone() }, BodyReceiver { pieces: receiver, is_whole })
+    let is_complete = Arc::new(AtomicBool::new(false));
+    (
+        BodySender { chunks: sender, is_complete: is_complete.clone() },
+        BodyReceiver { chunks: receiver, is_complete },
+    )
 }
--- a/crates/engine/src/body/tests.rs
+++ b/crates/engine/src/body/tests.rs
@@ -33,7 +33,7 @@
 #[test]
 fn a_stream_cannot_be_sent_again_once_its_rest_is_read() {
     for length in [None, Some(6)] {
-        let (feed, rest) = body_channel();
+        let (sender, rest) = body_channel();
         let upload = Arc::new(Upload::stream(Bytes::from_static(b"abc"), length, rest));
         runtime().block_on(async {
             // An attempt that reads only the start leaves the body to another one.
@@ -41,8 +41,8 @@
             assert!(body.frame().await.expect("a piece").is_ok());
             assert!(reported.borrow().is_empty() && !state.sent.get());
             let (body, reported, state) = sending(&upload);
-            feed.send(Ok(Bytes::from_static(b"def"))).await.expect("capacity");
-            feed.finish();
+            sender.send(Ok(Bytes::from_static(b"def"))).await.expect("capacity");
+            sender.finish();
             assert_eq!(body.collect().await.expect("a body").to_bytes(), "abcdef");
             assert_eq!(*reported.borrow(), [Progress::Spent, Progress::Sent]);
             assert!(state.sent.get());
@@ -57,13 +57,13 @@
 fn a_body_that_ends_early_ends_with_an_error() {
     let def = || Ok(Bytes::from_static(b"def"));
     // Last case: the sender is dropped without an error or an end.
-    for (length, piece) in [(Some(7), def()), (None, Err(BodyError::Left)), (None, def())] {
-        let (feed, rest) = body_channel();
+    for (length, chunk) in [(Some(7), def()), (None, Err(BodyError::Left)), (None, def())] {
+        let (sender, rest) = body_channel();
         let upload = Arc::new(Upload::stream(Bytes::from_static(b"abc"), length, rest));
         runtime().block_on(async {
             let (body, _, state) = sending(&upload);
-            feed.send(piece).await.expect("capacity");
-            drop(feed);
+            sender.send(chunk).await.expect("capacity");
+            drop(sender);
             assert!(body.collect().await.is_err() && state.failed.get() && !state.sent.get());
         });
     }
@@ -71,10 +71,10 @@
 
 #[test]
 fn an_answer_that_breaks_off_ends_with_an_error() {
-    let (feed, rest) = body_channel();
-    let body = Body::Stream { held: Bytes::from_static(b"abc"), length: None, rest, room: None };
+    let (sender, rest) = body_channel();
+    let body = Body::Stream { held: Bytes::from_static(b"abc"), length: None, rest, permit: None };
     runtime().block_on(async {
-        feed.send(Err(BodyError::Stalled)).await.expect("capacity");
+        sender.send(Err(BodyError::Stalled)).await.expect("capacity");
         assert!(matches!(BodyExt::collect(body).await, Err(BodyError::Stalled)));
     });
 }
--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -234,7 +234,7 @@
         }
     }
 
-    fn feed(&mut self, now: Millis, event: Event) {
+    fn handle_event(&mut self, now: Millis, event: Event) {
         self.events.push_back(event);
         self.drain(now);
     }
@@ -277,7 +277,7 @@
         }
         request.id = id;
         request.time_left = (request.time_left - RESPONSE_MARGIN).max(1.0);
-        self.feed(now, Event::Request(request));
+        self.handle_event(now, Event::Request(request));
         id
     }
 
@@ -302,7 +302,7 @@
         if let Some(entry) = self.requests.get_mut(id) {
             entry.departed_at = Some(now);
         }
-        self.feed(now, Event::Gone(id));
+        self.handle_event(now, Event::Gone(id));
         if self.cancels_on_disconnect {
             self.cancel_attempts(now, id);
         }
@@ -325,7 +325,7 @@
         }
         tracing::debug!("request {} timed out without a decision", id.0);
         self.answer_without_success(id, Answer::TimedOut);
-        self.feed(now, Event::Gone(id));
+        self.handle_event(now, Event::Gone(id));
         self.requests.forget(id);
     }
 
@@ -438,7 +438,7 @@
             return;
         }
         if progress == Progress::Spent {
-            return self.feed(now, Event::Spent(id));
+            return self.handle_event(now, Event::Spent(id));
         }
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.execution.mark_fully_sent(usize::from(attempt));
@@ -456,7 +456,7 @@
                 self.timers.arm(now + left - RESPONSE_MARGIN, Due::Attempt(id, attempt));
             }
         }
-        self.feed(now, Event::Uploaded { id, attempt });
+        self.handle_event(now, Event::Uploaded { id, attempt });
     }
 
     /// Sets the timeout of an attempt whose body has been sent.
@@ -602,15 +602,15 @@
     /// Applies a membership update. Returns whether it makes the limiter ready.
     pub(crate) fn members(&mut self, now: Millis, news: &News) -> bool {
         let (update, entries) = self.fleet.apply(news, &self.names.zones);
-        self.feed(now, Event::Servers { update, entries });
+        self.handle_event(now, Event::Servers { update, entries });
         update != ListUpdate::Cached
     }
 
     /// Suspends or resumes a server. Once this returns, no new attempt sends its first byte to a suspended server.
     /// Fails if the server was never listed.
     pub(crate) fn set_suspended(&mut self, now: Millis, id: &str, out: bool) -> Result<(), NeverListed> {
-        let told = if out { self.fleet.suspend(now, id)? } else { self.fleet.resume(now, id)? };
-        self.update_servers(now, told.into_iter().collect());
+        let changed = if out { self.fleet.suspend(now, id)? } else { self.fleet.resume(now, id)? };
+        self.update_servers(now, changed.into_iter().collect());
         Ok(())
     }
 
@@ -654,13 +654,13 @@
 
     fn update_servers(&mut self, now: Millis, entries: Vec<ServerEntry>) {
         if !entries.is_empty() {
-            self.feed(now, Event::Servers { update: ListUpdate::Delta, entries });
+            self.handle_event(now, Event::Servers { update: ListUpdate::Delta, entries });
         }
     }
 
     /// Sets the share of the gateway's own budget that the module may use.
     pub(crate) fn set_budget_part(&mut self, now: Millis, part: f64) {
-        self.feed(now, Event::Part(part));
+        self.handle_event(now, Event::Part(part));
     }
 
     /// Applies new settings to requests that arrive from now on.
@@ -670,7 +670,7 @@
             self.zone_counts = self.zone_counts.take().map(|_| HashMap::new());
         }
         (self.names, self.settings) = (names.clone(), settings.clone());
-        self.feed(now, Event::Settings(Box::new(settings.clone())));
+        self.handle_event(now, Event::Settings(Box::new(settings.clone())));
     }
 
     // ---- Timers -------------------------------------------------------------------------------
@@ -679,7 +679,7 @@
     pub(crate) fn run_due_timer(&mut self, now: Millis) -> bool {
         let Some(due) = self.timers.pop(now) else { return false };
         match due {
-            Due::Module(name) => self.feed(now, Event::Timer(name)),
+            Due::Module(name) => self.handle_event(now, Event::Timer(name)),
             Due::Attempt(id, attempt) => {
                 self.time_out(now, id, attempt);
                 self.drain(now);
@@ -696,7 +696,7 @@
             Due::Call(id) => {
                 if let Some((name, at)) = self.calls.remove(&id) {
                     let (outcome, took) = (Outcome::TimedOut, now - at);
-                    self.feed(now, Event::Counted { name, outcome, took, total: 0.0 });
+                    self.handle_event(now, Event::Counted { name, outcome, took, total: 0.0 });
                 }
             }
         }
--- a/crates/engine/src/engine/schedule_tests.rs
+++ b/crates/engine/src/engine/schedule_tests.rs
@@ -45,13 +45,13 @@
     core: Core<u32, (u32, u8)>,
     told: Answers,
     runs: HashMap<u32, u32>,
-    once: HashSet<u32>,
+    at_most_once: HashSet<u32>,
     uploads: HashSet<u32>,
     gone: HashSet<u32>,
-    off: HashSet<(RequestId, u8)>,
+    cancelled: HashSet<(RequestId, u8)>,
     whole: HashSet<(RequestId, u8)>,
     outcomes: OutcomeLog,
-    guarded: bool,
+    is_guarded: bool,
     /// Whether wrong decisions are injected.
     injects_wrong_decisions: bool,
     /// Servers that received an attempt.
@@ -59,7 +59,7 @@
 }
 
 impl World {
-    fn new(seed: u64, guarded: bool) -> World {
+    fn new(seed: u64, is_guarded: bool) -> World {
         let class = |repeat| Class { aim: 500.0, deadline: 1500.0, late_worth: 0.3, worth: 1.0, repeat };
         let settings = Settings {
             gateways: 1.0,
@@ -81,19 +81,19 @@
             core,
             told: Answers::default(),
             runs: HashMap::new(),
-            once: HashSet::new(),
+            at_most_once: HashSet::new(),
             uploads: HashSet::new(),
             gone: HashSet::new(),
-            off: HashSet::new(),
+            cancelled: HashSet::new(),
             whole: HashSet::new(),
             outcomes: OutcomeLog::new(OutcomeLogLimits { retention: 1e9, ..OutcomeLogLimits::default() }),
-            guarded,
+            is_guarded,
             injects_wrong_decisions: true,
             contacted_servers: Vec::new(),
         }
     }
 
-    fn roll(&mut self, below: u64) -> u64 {
+    fn random_below(&mut self, below: u64) -> u64 {
         self.rng.next_u64() % below
     }
 
@@ -103,7 +103,7 @@
     }
 
     fn list(&mut self) {
-        let out = self.roll(SERVERS + 2);
+        let out = self.random_below(SERVERS + 2);
         let member = |n: u64| Member {
             id: format!("s-{n}"),
             address: Some(([127, 0, 0, 1], 1000 + n as u16).into()),
@@ -119,25 +119,25 @@
     }
 
     fn arrive(&mut self, n: u32) {
-        let (once, uploading) = (self.roll(3) > 0, self.roll(4) == 0);
-        let class = if once { AT_MOST_ONCE_CLASS } else { ClassId(0) };
+        let (at_most_once, uploading) = (self.random_below(3) > 0, self.random_below(4) == 0);
+        let class = if at_most_once { AT_MOST_ONCE_CLASS } else { ClassId(0) };
         let request =
             Request { class, units: 1.0, time_left: 1500.0, spread: 1.0, uploading, ..Request::default() };
         let told = self.told.clone();
         let reply = Box::new(move |answer| told.lock().unwrap().entry(n).or_default().push(answer));
         let id = self.core.submit(self.now as f64, request, n, reply);
-        if once {
-            self.once.insert(n);
+        if at_most_once {
+            self.at_most_once.insert(n);
         }
         if uploading {
             self.uploads.insert(n);
         }
-        if !self.guarded {
+        if !self.is_guarded {
             // Without the guard, every request is treated as repeatable.
             self.core.replace_execution(id, RequestAttempts::default());
         }
-        let wait = self.roll(600);
-        match self.roll(6) {
+        let wait = self.random_below(600);
+        match self.random_below(6) {
             0 => {
                 self.gone.insert(n);
                 self.after(wait, Due::Gone(id));
@@ -152,10 +152,10 @@
 
     /// Schedules a server's reaction to an attempt.
     fn attempt(&mut self, id: RequestId, number: u8, n: u32) {
-        let mut at = 1 + self.roll(30);
+        let mut at = 1 + self.random_below(30);
         if self.uploads.contains(&n) {
-            at += self.roll(200);
-            match self.roll(8) {
+            at += self.random_below(200);
+            match self.random_below(8) {
                 // The body breaks off before it is complete.
                 0 => return self.after(at, Due::End(id, number, n, 5)),
                 // The body stalls and is abandoned.
@@ -163,8 +163,12 @@
                 _ => self.after(at, Due::Whole(id, number)),
             }
         }
-        let took = if self.roll(5) == 0 { 1000 + self.roll(1500) } else { 5 + self.roll(300) };
-        let end = match self.roll(16) {
+        let took = if self.random_below(5) == 0 {
+            1000 + self.random_below(1500)
+        } else {
+            5 + self.random_below(300)
+        };
+        let end = match self.random_below(16) {
             end @ 1..=3 => end as u8,
             4 | 5 => 4,
             6 => 5,
@@ -173,7 +177,7 @@
             _ => 0,
         };
         if !matches!(end, 4 | 5 | 7) {
-            let begins = at + 1 + self.roll(took);
+            let begins = at + 1 + self.random_below(took);
             self.after(begins, Due::Run(id, number, n));
         }
         let end = match end {
@@ -183,10 +187,10 @@
             end => end,
         };
         self.after(at + 1 + took, Due::End(id, number, n, end));
-        if self.roll(10) == 0 {
+        if self.random_below(10) == 0 {
             // A surplus second answer with a different result.
-            let other = self.roll(4) as u8;
-            let later = 2 + self.roll(500);
+            let other = self.random_below(4) as u8;
+            let later = 2 + self.random_below(500);
             self.after(at + took + later, Due::End(id, number, n, other));
         }
     }
@@ -198,7 +202,7 @@
                     self.contacted_servers.push(server);
                     self.attempt(id, number, *request);
                 }
-                Output::CancelAttempt { id, number } => _ = self.off.insert((id, number)),
+                Output::CancelAttempt { id, number } => _ = self.cancelled.insert((id, number)),
                 Output::Note { request, server, note: Note::Outcome(outcome, why) } => {
                     let server = server.unwrap_or_else(|| "".into());
                     self.outcomes.record(self.now as f64, &request.to_string(), outcome, why, &server);
@@ -216,11 +220,11 @@
                     *self.runs.entry(n).or_default() += 1;
                 }
             }
-            Due::Whole(id, number) if !self.off.contains(&(id, number)) => {
+            Due::Whole(id, number) if !self.cancelled.contains(&(id, number)) => {
                 self.whole.insert((id, number));
                 self.core.progress(now, id, number, Progress::Sent);
             }
-            Due::End(id, number, n, end) if !self.off.contains(&(id, number)) => {
+            Due::End(id, number, n, end) if !self.cancelled.contains(&(id, number)) => {
                 let (outcome, answer) = match end {
                     0 => (Outcome::Ok, Some((n, end))),
                     1 => (Outcome::Error, Some((n, end))),
@@ -236,7 +240,7 @@
             Due::Gone(id) => self.core.client_left(now, id),
             Due::List => self.list(),
             Due::Err(id, 0) => {
-                let at = self.roll(self.contacted_servers.len() as u64 + 1) as usize;
+                let at = self.random_below(self.contacted_servers.len() as u64 + 1) as usize;
                 let server = self.contacted_servers.get(at).copied().unwrap_or_default();
                 self.core.inject_action(now, Action::Send { id, server, timeout: 0.0 });
             }
@@ -248,11 +252,11 @@
     fn play(&mut self) {
         self.list();
         for n in 0..20 {
-            let at = self.roll(1500);
+            let at = self.random_below(1500);
             self.after(at, Due::Arrive(n));
         }
         for _ in 0..3 {
-            let at = self.roll(2000);
+            let at = self.random_below(2000);
             self.after(at, Due::List);
         }
         let end = self.now + 9000;
@@ -261,16 +265,16 @@
             let timer = self.core.next_due().map_or(end, |at| at.ceil() as u64);
             let event = self.due.peek().map_or(end, |Reverse((at, _, _))| *at);
             self.now = self.now.max(timer.min(event).min(end));
-            if self.roll(400) == 0 {
+            if self.random_below(400) == 0 {
                 // The process is paused; all events due by then arrive at once.
-                self.now += 200 + self.roll(2500);
+                self.now += 200 + self.random_below(2500);
             }
             let mut ready = Vec::new();
             while self.due.peek().is_some_and(|Reverse((at, _, _))| *at <= self.now) {
                 ready.extend(self.due.pop().map(|Reverse((_, _, due))| due));
             }
             // Timers and external events are handled in either order.
-            let timers_first = self.roll(2) == 0;
+            let timers_first = self.random_below(2) == 0;
             if timers_first {
                 while self.core.run_due_timer(self.now as f64) {}
                 self.take_outputs();
@@ -291,23 +295,23 @@
         for n in 0..20 {
             let runs = self.runs.get(&n).copied().unwrap_or(0);
             let answers = told.get(&n).cloned().unwrap_or_default();
-            let mut wrong = |what: &str| violations.push(format!("{n}: {what}: {runs} runs, {answers:?}"));
+            let mut report = |what: &str| violations.push(format!("{n}: {what}: {runs} runs, {answers:?}"));
             if answers.len() > 1 || answers.is_empty() && !self.gone.contains(&n) {
-                wrong("not exactly one answer");
+                report("not exactly one answer");
             }
             match answers.first() {
-                Some(Answer::Served((of, _))) if *of != n => wrong("answer to another request"),
-                Some(Answer::Served(_)) if runs == 0 => wrong("served without an execution"),
+                Some(Answer::Served((of, _))) if *of != n => report("answer to another request"),
+                Some(Answer::Served(_)) if runs == 0 => report("served without an execution"),
                 _ => {}
             }
-            if !self.once.contains(&n) {
+            if !self.at_most_once.contains(&n) {
                 continue;
             }
             if runs > 1 {
-                wrong("ran twice");
+                report("ran twice");
             }
             if matches!(answers.first(), Some(Answer::Refused(_))) && runs > 0 {
-                wrong("refused after an execution");
+                report("refused after an execution");
             }
             let outcome = self.outcomes.get(self.now as f64, &n.to_string()).map(|k| k.outcome);
             let true_fate = match outcome {
@@ -317,23 +321,23 @@
                 Some(ExecutionOutcome::Unknown) => true,
                 Some(ExecutionOutcome::Running) => false,
             };
-            if self.guarded && !true_fate {
-                wrong(&format!("recorded as {outcome:?}"));
+            if self.is_guarded && !true_fate {
+                report(&format!("recorded as {outcome:?}"));
             }
         }
         violations
     }
 }
 
-fn run_schedule(seed: u64, guarded: bool) -> (Vec<String>, World) {
-    let mut world = World::new(seed, guarded);
+fn run_schedule(seed: u64, is_guarded: bool) -> (Vec<String>, World) {
+    let mut world = World::new(seed, is_guarded);
     world.play();
     (world.violations(), world)
 }
 
 #[test]
 fn at_most_once_requests_run_at_most_once_and_outcomes_are_correct() {
-    let (mut kept, mut told, mut outcomes) = (0, [0; 3], HashMap::<ExecutionOutcome, u32>::new());
+    let (mut prevented, mut told, mut outcomes) = (0, [0; 3], HashMap::<ExecutionOutcome, u32>::new());
     for seed in 0..2000 {
         let (violations, mut world) = run_schedule(seed, true);
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
@@ -342,7 +346,7 @@
             0,
             "seed {seed}: every late answer is given up eventually"
         );
-        kept += world.core.prevented_violations();
+        prevented += world.core.prevented_violations();
         for answers in world.told.lock().unwrap().values() {
             match answers.first() {
                 Some(Answer::Served(_)) => told[0] += 1,
@@ -357,7 +361,10 @@
         }
     }
     // Every case occurred often enough.
-    assert!(kept > 500 && told.iter().all(|n| *n > 500), "{kept} violations prevented, answers {told:?}");
+    assert!(
+        prevented > 500 && told.iter().all(|n| *n > 500),
+        "{prevented} violations prevented, answers {told:?}"
+    );
     assert!(outcomes.len() == 4 && outcomes.values().all(|n| *n > 500), "{outcomes:?}");
 }
 
--- a/crates/engine/src/front/heads.rs
+++ b/crates/engine/src/front/heads.rs
@@ -63,8 +63,8 @@
     while buffer.first().is_some_and(|b| matches!(b, b'\r' | b'\n')) {
         buffer.advance(1);
     }
-    let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Request::new(&mut room);
+    let mut storage = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut storage);
     let length = match parsed.parse(buffer) {
         Ok(httparse::Status::Complete(length)) if length <= most => length,
         Ok(httparse::Status::Partial) if buffer.len() < most => return Ok(None),
@@ -149,7 +149,7 @@
 ///
 /// # Errors
 /// If the chunked coding is malformed.
-pub fn piece(buffer: &mut BytesMut, ends: &mut BodyEnd) -> Result<Option<Bytes>, Rejection> {
+pub fn next_bytes(buffer: &mut BytesMut, ends: &mut BodyEnd) -> Result<Option<Bytes>, Rejection> {
     const BAD: Rejection = Rejection::bad("the body cannot be read\n");
     loop {
         match ends {
@@ -195,10 +195,10 @@
                 }
                 *ends = BodyEnd::LastChunk(ChunkState::Size);
             }
-            BodyEnd::LastChunk(ChunkState::Trailers(come)) => {
+            BodyEnd::LastChunk(ChunkState::Trailers(read)) => {
                 let Some(line) = line(buffer, MAX_TRAILER_BYTES).ok_or(BAD)? else { return Ok(None) };
-                *come += line.len() + 2;
-                if *come > MAX_TRAILER_BYTES {
+                *read += line.len() + 2;
+                if *read > MAX_TRAILER_BYTES {
                     return Err(BAD);
                 }
                 if line.is_empty() {
--- a/crates/engine/src/front/heads/tests.rs
+++ b/crates/engine/src/front/heads/tests.rs
@@ -11,8 +11,8 @@
     let (mut buffer, mut body) = (BytesMut::new(), Vec::new());
     let mut rest = text.bytes();
     loop {
-        while let Some(piece) = piece(&mut buffer, &mut ends)? {
-            body.extend_from_slice(&piece);
+        while let Some(next_bytes) = next_bytes(&mut buffer, &mut ends)? {
+            body.extend_from_slice(&next_bytes);
         }
         if ends == BodyEnd::Reached {
             return Ok((body, ends, rest.collect()));
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -148,7 +148,7 @@
         ticket: Self::Ticket,
         head: Parts,
         body: Upload,
-        room: Option<BodyPermit>,
+        permit: Option<BodyPermit>,
     ) -> impl Future<Output = Result<Response<Body>, Rejection>>;
 }
 
@@ -295,7 +295,7 @@
     /// Shared, to check for unread bytes from outside.
     stream: Rc<TcpStream>,
     peer: Rc<Peer>,
-    desk: Rc<D>,
+    handler: Rc<D>,
 }
 
 impl<D: HttpHandler> AsyncRead for MonitoredStream<D> {
@@ -308,7 +308,7 @@
                 Err(e) => return Poll::Ready(Err(e)),
                 Ok(0) => return Poll::Ready(Ok(())),
                 Ok(_) => {
-                    self.peer.on_read(self.desk.now(), &buf.filled()[before..]);
+                    self.peer.on_read(self.handler.now(), &buf.filled()[before..]);
                     return Poll::Ready(Ok(()));
                 }
             }
@@ -335,7 +335,7 @@
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // A socket has no user-space buffer to flush.
-        self.peer.on_flush(self.desk.now());
+        self.peer.on_flush(self.handler.now());
         Poll::Ready(Ok(()))
     }
 
@@ -355,7 +355,7 @@
             match how(&self.stream) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 done => {
-                    self.peer.on_write(self.desk.now());
+                    self.peer.on_write(self.handler.now());
                     return Poll::Ready(done);
                 }
             }
@@ -371,7 +371,7 @@
 
 /// Accepts and serves all client connections.
 pub struct Front<D> {
-    desk: Rc<D>,
+    handler: Rc<D>,
     limits: FrontLimits,
     peers: RefCell<HashMap<u64, Rc<Peer>>>,
     max_connections: Cell<usize>,
@@ -391,9 +391,9 @@
 
 impl<D: HttpHandler> Front<D> {
     /// Creates a front that stays within its parts of the budget.
-    pub fn new(desk: D, budget: Budget, limits: FrontLimits) -> Rc<Self> {
+    pub fn new(handler: D, budget: Budget, limits: FrontLimits) -> Rc<Self> {
         Rc::new(Front {
-            desk: Rc::new(desk),
+            handler: Rc::new(handler),
             limits,
             peers: RefCell::default(),
             max_connections: Cell::new(budget.clients),
@@ -441,7 +441,7 @@
 
     /// Evicts one connection. Returns false if none can be evicted, so that the new connection has to wait.
     fn evict_one(&self) -> bool {
-        let (peers, now) = (self.peers.borrow(), self.desk.now());
+        let (peers, now) = (self.peers.borrow(), self.handler.now());
         let able =
             peers.values().filter(|p| !p.aborted.get()).filter_map(|p| Some((p.eviction_score(now)?, p)));
         match able.max_by(|(a, _), (b, _)| a.total_cmp(b)) {
@@ -457,7 +457,7 @@
     pub async fn close_stalled_connections(self: Rc<Self>) {
         loop {
             tokio::time::sleep(STALL_CHECK_INTERVAL).await;
-            let now = self.desk.now();
+            let now = self.handler.now();
             for peer in self.peers.borrow().values().filter(|p| now - p.phase_since.get() > p.time_limit()) {
                 match peer.phase.get() {
                     Phase::Idle => peer.request_close(),
@@ -495,8 +495,8 @@
     }
 
     /// Handler of the requests.
-    pub fn desk(&self) -> &Rc<D> {
-        &self.desk
+    pub fn handler(&self) -> &Rc<D> {
+        &self.handler
     }
 
     /// Counts of how pipelined connections ended.
@@ -516,14 +516,14 @@
         let peer = Rc::new(Peer {
             limits: self.limits,
             phase: Cell::new(Phase::Reading),
-            phase_since: Cell::new(self.desk.now()),
+            phase_since: Cell::new(self.handler.now()),
             next_request_started: Cell::new(false),
             close_requested: Notify::new(),
             asked_to_close: Cell::new(false),
             uploading: Cell::new(false),
             streaming: Cell::new(false),
             response_cut: Cell::new(false),
-            last_read_at: Cell::new(self.desk.now()),
+            last_read_at: Cell::new(self.handler.now()),
             has_sent: Cell::new(false),
             recent_bytes: RefCell::new(RecentBytes::new(buffer)),
             aborted: Cell::new(false),
@@ -534,15 +534,16 @@
             async move {
                 let closes = request.version() == Version::HTTP_10;
                 let answer = front.answer(request, &peer).await;
-                peer.enter(Phase::Writing, front.desk.now());
+                peer.enter(Phase::Writing, front.handler.now());
                 Ok::<_, Infallible>(answer.map(|body| ResponseBody::new(body, closes, peer)))
             }
         });
         let stream = Rc::new(stream);
-        if self.desk.supports_pipelining() {
+        if self.handler.supports_pipelining() {
             return pipelined::serve(self.clone(), stream, peer).await;
         }
-        let watched = MonitoredStream { stream: stream.clone(), peer: peer.clone(), desk: self.desk.clone() };
+        let watched =
+            MonitoredStream { stream: stream.clone(), peer: peer.clone(), handler: self.handler.clone() };
         let mut builder = http1::Builder::new();
         builder.max_buf_size(buffer);
         let mut connection = pin!(builder.serve_connection(TokioIo::new(watched), service));
@@ -588,10 +589,10 @@
     /// Answers one request. The error is the answer to a request that is rejected before it is handled.
     async fn handle(&self, request: Request<Incoming>, peer: &Rc<Peer>) -> Result<Response<Body>, Rejection> {
         let (mut head, body) = request.into_parts();
-        check_framing(&head.headers, &*self.desk, peer)?;
+        check_framing(&head.headers, &*self.handler, peer)?;
         let ticket = match self.decide_head(&mut head)? {
             HeadDecision::Respond(answer) => {
-                peer.enter(Phase::Busy, self.desk.now());
+                peer.enter(Phase::Busy, self.handler.now());
                 return Ok(answer);
             }
             HeadDecision::Accept(ticket) => ticket,
@@ -599,9 +600,9 @@
         if head.method == Method::CONNECT {
             return Err(CONNECT_UNSUPPORTED);
         }
-        let (body, room) = self.receive(body, peer).await?;
-        peer.enter(if body.is_stream() { Phase::Passing } else { Phase::Busy }, self.desk.now());
-        self.desk.serve(ticket, head, body, room).await
+        let (body, permit) = self.receive(body, peer).await?;
+        peer.enter(if body.is_stream() { Phase::Passing } else { Phase::Busy }, self.handler.now());
+        self.handler.serve(ticket, head, body, permit).await
     }
 
     /// Decides on a head before its body is read, so that nothing is buffered for rejected requests.
@@ -610,7 +611,7 @@
         if let (Some(_), Some(host)) = (head.uri.scheme(), host_of(&head.uri)) {
             head.headers.insert(HOST, host);
         }
-        let judged = self.desk.check_head(head)?;
+        let judged = self.handler.check_head(head)?;
         // Requests are forwarded in origin form.
         if let (Some(_), Some(path)) = (head.uri.scheme(), head.uri.path_and_query()) {
             head.uri = path.clone().into();
@@ -623,22 +624,23 @@
         body: Incoming,
         peer: &Rc<Peer>,
     ) -> Result<(Upload, Option<BodyPermit>), Rejection> {
-        peer.enter(Phase::Uploading, self.desk.now());
+        peer.enter(Phase::Uploading, self.handler.now());
         peer.uploading.set(true);
         let length = if body.is_end_stream() { Some(0) } else { body.size_hint().exact() };
-        let room = tokio::time::timeout(
+        let permit = tokio::time::timeout(
             BODY_PERMIT_TIMEOUT,
             self.body_budget.acquire_buffered(length, self.limits.held),
         )
         .await;
-        let room = room.map_err(|_| {
+        let permit = permit.map_err(|_| {
             peer.uploading.set(false);
             NO_BODY_MEMORY
         })?;
-        let (desk, uploading) = (self.desk.clone(), peer.clone());
-        let upload = receive::receive(body, self.limits, move || uploading.on_upload_end(desk.now())).await;
+        let (handler, uploading) = (self.handler.clone(), peer.clone());
+        let upload =
+            receive::receive(body, self.limits, move || uploading.on_upload_end(handler.now())).await;
         // A rejected body is answered and its connection is closed.
-        upload.map(|upload| (upload, room)).inspect_err(|_| peer.uploading.set(false))
+        upload.map(|upload| (upload, permit)).inspect_err(|_| peer.uploading.set(false))
     }
 }
 
@@ -709,7 +711,7 @@
 
 /// Rejects ambiguous framing, which may hide a second request (request smuggling): a length together with a transfer
 /// coding, or a coding other than `chunked`.
-fn check_framing<D: HttpHandler>(headers: &HeaderMap, desk: &D, peer: &Peer) -> Result<(), Rejection> {
+fn check_framing<D: HttpHandler>(headers: &HeaderMap, handler: &D, peer: &Peer) -> Result<(), Rejection> {
     if headers.contains_key(TRANSFER_ENCODING) {
         let coding = classify::single(headers, &TRANSFER_ENCODING)?.unwrap_or_default();
         if !coding.trim().eq_ignore_ascii_case("chunked") {
@@ -720,7 +722,7 @@
         }
         // The parser hides a length that follows the coding, so the received bytes are searched. The request's id
         // locates its head.
-        let id = classify::single(headers, &desk.request_id_header())?.unwrap_or_default();
+        let id = classify::single(headers, &handler.request_id_header())?.unwrap_or_default();
         if headers.contains_key(CONTENT_LENGTH) || !peer.recent_bytes.borrow().has_no_length(id.as_bytes()) {
             return Err(Rejection::bad("Content-Length beside Transfer-Encoding\n"));
         }
--- a/crates/engine/src/front/pipelined/mod.rs
+++ b/crates/engine/src/front/pipelined/mod.rs
@@ -111,7 +111,7 @@
 
 impl<D: HttpHandler> Connection<D> {
     fn now(&self) -> f64 {
-        self.front.desk.now()
+        self.front.handler.now()
     }
 
     /// Reads requests and writes answers until the connection ends. Requests still open are dropped on return.
--- a/crates/engine/src/front/pipelined/read.rs
+++ b/crates/engine/src/front/pipelined/read.rs
@@ -32,7 +32,7 @@
 /// A body, complete or with a buffered start.
 struct Received {
     upload: Upload,
-    room: Option<BodyPermit>,
+    permit: Option<BodyPermit>,
     rest: Option<(BodySender, BodyEnd)>,
 }
 
@@ -68,8 +68,8 @@
                     return ReadEnd::NothingMore;
                 }
             };
-            let waits = head.ends != BodyEnd::Reached || !self.front.desk.may_pipeline(&head.parts);
-            if waits && self.while_open(&mut buffer, self.all_answered()).await.is_none() {
+            let must_wait = head.ends != BodyEnd::Reached || !self.front.handler.may_pipeline(&head.parts);
+            if must_wait && self.while_open(&mut buffer, self.all_answered()).await.is_none() {
                 return ReadEnd::ClientClosed;
             }
             if self.closing.get() {
@@ -86,8 +86,8 @@
             };
             let (is_last, is_old) = (turn.last, turn.old);
             place.send(turn);
-            if let Some((feed, ends)) = rest {
-                if !self.forward_body(&mut buffer, ends, feed).await {
+            if let Some((sender, ends)) = rest {
+                if !self.forward_body(&mut buffer, ends, sender).await {
                     return ReadEnd::ClientClosed;
                 }
             }
@@ -149,10 +149,10 @@
         if head.parts.method == Method::CONNECT {
             return Err(CONNECT_UNSUPPORTED.into());
         }
-        let Received { upload, room, rest } = self.receive(&head, buffer).await?;
-        let desk = self.front.desk.clone();
+        let Received { upload, permit, rest } = self.receive(&head, buffer).await?;
+        let handler = self.front.handler.clone();
         let task = tokio::task::spawn_local(async move {
-            match desk.serve(ticket, head.parts, upload, room).await {
+            match handler.serve(ticket, head.parts, upload, permit).await {
                 Ok(answer) => answer,
                 Err(rejection) => closing(respond::rejected(rejection)),
             }
@@ -164,7 +164,7 @@
     async fn receive(&self, head: &Head, buffer: &mut BytesMut) -> Result<Received, StartError> {
         let mut ends = head.ends;
         if ends == BodyEnd::Reached {
-            return Ok(Received { upload: Upload::Whole(Bytes::new()), room: None, rest: None });
+            return Ok(Received { upload: Upload::Whole(Bytes::new()), permit: None, rest: None });
         }
         let limits = &self.front.limits;
         let length = match ends {
@@ -174,9 +174,10 @@
         if length.is_some_and(|l| l > limits.body_bytes) {
             return Err(receive::too_long(limits).into());
         }
-        let room = timeout(BODY_PERMIT_TIMEOUT, self.front.body_budget.acquire_buffered(length, limits.held));
-        let room = self.while_open(buffer, room).await.ok_or(StartError::ClientClosed)?;
-        let room = room.map_err(|_| NO_BODY_MEMORY)?;
+        let permit =
+            timeout(BODY_PERMIT_TIMEOUT, self.front.body_budget.acquire_buffered(length, limits.held));
+        let permit = self.while_open(buffer, permit).await.ok_or(StartError::ClientClosed)?;
+        let permit = permit.map_err(|_| NO_BODY_MEMORY)?;
         if head.expects_continue
             && buffer.is_empty()
             && !self.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", b"").await
@@ -185,10 +186,10 @@
         }
         let mut start = BodyPrefix::default();
         while !start.is_longer_than(limits.held) {
-            match heads::piece(buffer, &mut ends)? {
-                Some(piece) => start.push(piece),
+            match heads::next_bytes(buffer, &mut ends)? {
+                Some(chunk) => start.push(chunk),
                 None if ends == BodyEnd::Reached => {
-                    return Ok(Received { upload: Upload::Whole(start.finish()), room, rest: None })
+                    return Ok(Received { upload: Upload::Whole(start.finish()), permit, rest: None })
                 }
                 None => match timeout(limits.silence, self.read_more(buffer)).await {
                     Ok(true) => {}
@@ -197,38 +198,38 @@
                 },
             }
         }
-        let (feed, rest) = body::body_channel();
+        let (sender, rest) = body::body_channel();
         let upload = Upload::stream(start.finish(), length, rest);
-        Ok(Received { upload, room, rest: Some((feed, ends)) })
+        Ok(Received { upload, permit, rest: Some((sender, ends)) })
     }
 
     /// Forwards the rest of a body while it arrives, and discards it if the receiver is dropped. Returns false if the
     /// client closes or makes no progress; dropping the sender then ends the body with an error.
-    async fn forward_body(&self, buffer: &mut BytesMut, mut ends: BodyEnd, feed: BodySender) -> bool {
+    async fn forward_body(&self, buffer: &mut BytesMut, mut ends: BodyEnd, sender: BodySender) -> bool {
         let limits = &self.front.limits;
         let mut taken = 0u64;
-        let mut feed = Some(feed);
+        let mut sender = Some(sender);
         loop {
-            match heads::piece(buffer, &mut ends) {
-                Ok(Some(piece)) => {
-                    taken += piece.len() as u64;
+            match heads::next_bytes(buffer, &mut ends) {
+                Ok(Some(chunk)) => {
+                    taken += chunk.len() as u64;
                     let is_too_long = taken > limits.body_bytes;
-                    let Some(to) = &feed else {
+                    let Some(to) = &sender else {
                         if is_too_long {
                             return false;
                         }
                         continue;
                     };
-                    let piece = if is_too_long { Err(body::BodyError::TooLong) } else { Ok(piece) };
-                    match self.while_open(buffer, timeout(receive::STALL_TIMEOUT, to.send(piece))).await {
+                    let chunk = if is_too_long { Err(body::BodyError::TooLong) } else { Ok(chunk) };
+                    match self.while_open(buffer, timeout(receive::STALL_TIMEOUT, to.send(chunk))).await {
                         Some(Ok(Ok(()))) if !is_too_long => {}
-                        Some(Ok(Err(_))) if !is_too_long => feed = None,
+                        Some(Ok(Err(_))) if !is_too_long => sender = None,
                         _ => return false,
                     }
                 }
                 Ok(None) if ends == BodyEnd::Reached => {
-                    if let Some(feed) = feed {
-                        feed.finish();
+                    if let Some(sender) = sender {
+                        sender.finish();
                     }
                     return true;
                 }
--- a/crates/engine/src/front/pipelined/write.rs
+++ b/crates/engine/src/front/pipelined/write.rs
@@ -99,7 +99,7 @@
                 );
                 lost(self.write_all(&out, &bytes).await)
             }
-            Body::Stream { held, length, mut rest, room } => {
+            Body::Stream { held, length, mut rest, permit } => {
                 let framing = match length {
                     Some(length) => Framing::Length(length),
                     None if turn.old => Framing::Close,
@@ -109,7 +109,7 @@
                 self.peer.streaming.set(length != Some(held.len() as u64));
                 let end = self.stream(&out, held, framing, &mut rest).await;
                 self.peer.streaming.set(false);
-                drop(room);
+                drop(permit);
                 end.or_else(|| (framing == Framing::Close).then_some(WriteEnd::LastAnswer))
             }
         }
@@ -126,28 +126,28 @@
             Framing::Length(length) => Some(length),
             _ => None,
         };
-        let (mut before, mut piece) = (BytesMut::from(head), held);
+        let (mut before, mut chunk) = (BytesMut::from(head), held);
         loop {
-            match left.map(|left| left.checked_sub(piece.len() as u64)) {
+            match left.map(|left| left.checked_sub(chunk.len() as u64)) {
                 // The body is longer than announced.
                 Some(None) => return Some(WriteEnd::Cut),
                 rest => left = rest.flatten(),
             }
-            if framing == Framing::Chunked && !piece.is_empty() {
-                before.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
+            if framing == Framing::Chunked && !chunk.is_empty() {
+                before.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
             }
-            if !self.write_all(&before, &piece).await {
+            if !self.write_all(&before, &chunk).await {
                 return Some(WriteEnd::Failed);
             }
             before.clear();
-            if framing == Framing::Chunked && !piece.is_empty() {
+            if framing == Framing::Chunked && !chunk.is_empty() {
                 before.extend_from_slice(b"\r\n");
             }
             if left == Some(0) {
                 return None;
             }
             match rest.recv().await {
-                Some(Ok(next)) => piece = next,
+                Some(Ok(next)) => chunk = next,
                 None if left.is_none() => break,
                 Some(Err(_)) | None => return Some(WriteEnd::Cut),
             }
--- a/crates/engine/src/front/receive.rs
+++ b/crates/engine/src/front/receive.rs
@@ -50,12 +50,12 @@
             };
             let Some(frame) = frame else { return Ok(None) };
             // Trailers are not forwarded.
-            let Ok(piece) = frame.map_err(|_| BodyError::Left)?.into_data() else { continue };
-            self.bytes += piece.len() as u64;
+            let Ok(chunk) = frame.map_err(|_| BodyError::Left)?.into_data() else { continue };
+            self.bytes += chunk.len() as u64;
             if self.bytes > self.limits.body_bytes {
                 return Err(BodyError::TooLong);
             }
-            return Ok(Some(piece));
+            return Ok(Some(chunk));
         }
     }
 }
@@ -81,10 +81,10 @@
 pub(super) async fn receive(
     mut body: Incoming,
     limits: FrontLimits,
-    whole: impl FnOnce() + 'static,
+    on_end: impl FnOnce() + 'static,
 ) -> Result<Upload, Rejection> {
     if body.is_end_stream() {
-        whole();
+        on_end();
         return Ok(Upload::Whole(Bytes::new()));
     }
     let length = body.size_hint().exact();
@@ -94,45 +94,45 @@
     let mut pace = BodyPace::new(limits);
     let mut start = BodyPrefix::default();
     while !start.is_longer_than(limits.held) {
-        let Some(piece) = pace.next(&mut body).await.map_err(|why| rejection(why, &limits))? else {
-            whole();
+        let Some(chunk) = pace.next(&mut body).await.map_err(|why| rejection(why, &limits))? else {
+            on_end();
             return Ok(Upload::Whole(start.finish()));
         };
-        start.push(piece);
+        start.push(chunk);
     }
-    let (feed, rest) = body::body_channel();
+    let (sender, rest) = body::body_channel();
     tokio::task::spawn_local(async move {
-        forward_body(body, pace, feed).await;
-        whole();
+        forward_body(body, pace, sender).await;
+        on_end();
     });
     Ok(Upload::stream(start.finish(), length, rest))
 }
 
 /// Forwards a body while it arrives, no faster than it is read.
-async fn forward_body(mut body: Incoming, mut pace: BodyPace, feed: BodySender) {
+async fn forward_body(mut body: Incoming, mut pace: BodyPace, sender: BodySender) {
     loop {
-        let piece = tokio::select! {
-            piece = pace.next(&mut body) => piece,
-            () = feed.closed() => return discard_rest(body, pace).await,
+        let chunk = tokio::select! {
+            chunk = pace.next(&mut body) => chunk,
+            () = sender.closed() => return discard_rest(body, pace).await,
         };
-        let piece = match piece {
-            Ok(Some(piece)) => piece,
-            Ok(None) => return feed.finish(),
+        let chunk = match chunk {
+            Ok(Some(chunk)) => chunk,
+            Ok(None) => return sender.finish(),
             // The receiver gets the error, unless it has been dropped.
             Err(why) => {
-                let _ = feed.send(Err(why)).await;
+                let _ = sender.send(Err(why)).await;
                 return;
             }
         };
-        let waits = Instant::now();
-        match timeout(STALL_TIMEOUT, feed.send(Ok(piece))).await {
+        let wait_start = Instant::now();
+        match timeout(STALL_TIMEOUT, sender.send(Ok(chunk))).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return discard_rest(body, pace).await,
             // Dropping the sender ends the server's body with an error.
             Err(_) => return,
         }
         // The wait for the server does not count as the client's delay.
-        pace.begun += waits.elapsed();
+        pace.begun += wait_start.elapsed();
     }
 }
 
--- a/crates/engine/src/front/recent_bytes/tests.rs
+++ b/crates/engine/src/front/recent_bytes/tests.rs
@@ -4,9 +4,9 @@
 
 const LIMIT: usize = 16 * 1024;
 
-fn received(pieces: &[&str]) -> RecentBytes {
+fn received(chunks: &[&str]) -> RecentBytes {
     let mut received = RecentBytes::new(LIMIT);
-    pieces.iter().for_each(|p| received.push(p.as_bytes()));
+    chunks.iter().for_each(|p| received.push(p.as_bytes()));
     received
 }
 
@@ -32,7 +32,7 @@
     let before = "POST / HTTP/1.1\r\nX-Id: a0\r\nContent-Length: 2\r\n\r\n{}";
     let after = "\r\n\r\nPOST / HTTP/1.1\r\nX-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     assert!(received(&[before, after, before]).has_no_length(b"a1"));
-    let bare = [before, after, before].map(|piece| piece.replace("\r\n", "\n"));
+    let bare = [before, after, before].map(|chunk| chunk.replace("\r\n", "\n"));
     assert!(
         received(&bare.each_ref().map(String::as_str)).has_no_length(b"a1"),
         "lines that end in a bare line feed"
--- a/crates/engine/src/upstreams/http1.rs
+++ b/crates/engine/src/upstreams/http1.rs
@@ -167,7 +167,7 @@
     /// The body.
     pub body: Upload,
     /// The body's room.
-    pub room: Option<BodyPermit>,
+    pub permit: Option<BodyPermit>,
 }
 
 /// A stream that notes whether anything of the present request has been written. In doubt a request may
@@ -561,7 +561,7 @@
     }
     let load = dialect.load(&head.headers);
     let most = dialect.held();
-    let room = shared.rooms.acquire_buffered(body.size_hint().exact(), most).await;
+    let permit = shared.rooms.acquire_buffered(body.size_hint().exact(), most).await;
     let held = match hold(&mut body, most).await {
         Ok(held) => held,
         Err(e) => return End { outcome: broken(&e), answer: None, load },
@@ -578,7 +578,7 @@
     let body = match held {
         Held::Whole(bytes) => {
             begun.over();
-            Body::held(bytes, room)
+            Body::held(bytes, permit)
         }
         Held::Start(_) if verdict.outcome != Outcome::Ok => {
             return End { outcome: Outcome::Error, answer: None, load }
@@ -587,7 +587,7 @@
             let length = body.size_hint().exact().map(|left| left + held.len() as u64);
             let (feed, rest) = body::body_channel();
             tokio::task::spawn_local(pass_on(body, held.len() as u64, dialect.longest(), feed, begun));
-            Body::Stream { held, length, rest, room }
+            Body::Stream { held, length, rest, permit }
         }
     };
     let answer = verdict.given.then(|| dialect.answer(head, body));
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -86,11 +86,11 @@
         mut request: Request,
         head: Parts,
         body: Upload,
-        room: Option<BodyPermit>,
+        permit: Option<BodyPermit>,
     ) -> Result<Response<Body>, Rejection> {
         request.uploading = body.is_stream();
         let headers = headers_on(&head.headers);
-        let forward = Forward { method: head.method, uri: head.uri, headers, body, room };
+        let forward = Forward { method: head.method, uri: head.uri, headers, body, permit };
         let answer: Answer<Response<Body>> = self.engine.submit_and_wait(request, forward).await;
         if let Some(on_answer) = &*self.on_answer.borrow() {
             on_answer();
@@ -150,7 +150,7 @@
     /// Advances the front's clock, which connections use, by `by` ms.
     pub fn advance(&self, by: Millis) {
         self.with(move |front| {
-            let ahead = &front.desk().ahead;
+            let ahead = &front.handler().ahead;
             ahead.set(ahead.get() + by);
         });
     }
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -79,7 +79,7 @@
                 failures.push(format!("{}, {how:?}: {ended} of {}", case.name, case.at_server));
             }
             let (open, abandoned) = rig.with(|front| {
-                (front.desk().engine.unanswered(), front.desk().engine.departures().abandoned_attempts)
+                (front.handler().engine.unanswered(), front.handler().engine.departures().abandoned_attempts)
             });
             if open > 0 || abandoned > 0 {
                 failures.push(format!("{}, {how:?}: {open} unanswered, {abandoned} abandoned", case.name));
@@ -98,7 +98,7 @@
         stream.write_all(request("POST", "/silent", "1").as_bytes()).expect("written");
         eventually("the attempt is in flight", || server.count() == 1);
         disconnect(stream, how);
-        let departed = || rig.with(|front| front.desk().engine.departures().clients) == 1;
+        let departed = || rig.with(|front| front.handler().engine.departures().clients) == 1;
         eventually("the disconnect is noticed", departed);
         assert!(server.closed.recv_timeout(CANCEL_TIMEOUT).is_err(), "the attempt was cancelled, {how:?}");
     }
--- a/crates/engine/tests/house.rs
+++ b/crates/engine/tests/house.rs
@@ -49,7 +49,7 @@
         headers.insert("try-id", HeaderValue::from_static(id));
         headers.insert("meant-server", HeaderValue::from_static("forged"));
         let (uri, body) = ("/x?y=1".parse().expect("a path"), Bytes::new().into());
-        let request = Arc::new(Forward { method, uri, headers, body, room: None });
+        let request = Arc::new(Forward { method, uri, headers, body, permit: None });
         let job = AttemptJob {
             server: ServerId(1),
             name: "s-1".into(),
--- a/crates/engine/tests/once.rs
+++ b/crates/engine/tests/once.rs
@@ -32,7 +32,7 @@
 /// An attempt in flight and the reported progress of its body.
 struct Attempt {
     end: JoinHandle<End<Response<Body>>>,
-    told: Rc<RefCell<Vec<Progress>>>,
+    reported: Rc<RefCell<Vec<Progress>>>,
 }
 
 impl Attempt {
@@ -42,7 +42,7 @@
 }
 
 struct Rig {
-    way: Rc<Http1<House>>,
+    client: Rc<Http1<House>>,
     listener: TcpListener,
 }
 
@@ -59,18 +59,18 @@
             headers.insert("transfer-encoding", HeaderValue::from_static("chunked"));
         }
     }
-    Forward { method: Method::POST, uri: "/book".parse().expect("a path"), headers, body, room: None }
+    Forward { method: Method::POST, uri: "/book".parse().expect("a path"), headers, body, permit: None }
 }
 
 impl Rig {
     async fn new() -> Rig {
-        let way = Rc::new(Http1::speaking(House::default(), Rc::new(SystemClock::new()), CONNECTIONS));
-        Rig { way, listener: TcpListener::bind("127.0.0.1:0").await.expect("a port") }
+        let client = Rc::new(Http1::speaking(House::default(), Rc::new(SystemClock::new()), CONNECTIONS));
+        Rig { client, listener: TcpListener::bind("127.0.0.1:0").await.expect("a port") }
     }
 
     fn post(&self, server: u64, id: &'static str, body: Upload) -> Attempt {
-        let told = Rc::<RefCell<Vec<Progress>>>::default();
-        let hears = told.clone();
+        let reported = Rc::<RefCell<Vec<Progress>>>::default();
+        let sink = reported.clone();
         let job = AttemptJob {
             server: ServerId(server),
             name: format!("s-{server}").into(),
@@ -78,13 +78,13 @@
             request: Arc::new(forward(id, body)),
             span: 750.0,
             may_send: Rc::new(|| true),
-            progress: Rc::new(move |p| hears.borrow_mut().push(p)),
+            progress: Rc::new(move |p| sink.borrow_mut().push(p)),
         };
-        let way = self.way.clone();
-        Attempt { end: spawn_local(async move { way.attempt(job).await }), told }
+        let client = self.client.clone();
+        Attempt { end: spawn_local(async move { client.attempt(job).await }), reported }
     }
 
-    fn words(&self, id: &'static str) -> Attempt {
+    fn post_words(&self, id: &'static str) -> Attempt {
         self.post(1, id, Bytes::from_static(b"words").into())
     }
 
@@ -93,11 +93,11 @@
     }
 
     /// An idle connection that has served a try.
-    async fn kept(&self) -> TcpStream {
-        let first = self.words("first");
+    async fn idle_connection(&self) -> TcpStream {
+        let first = self.post_words("first");
         let mut stream = self.connection().await;
         read(&mut stream, "words").await;
-        say(&mut stream, &sealed("first")).await;
+        write(&mut stream, &valid_answer("first")).await;
         assert_eq!(first.outcome().await, Outcome::Ok);
         stream
     }
@@ -109,11 +109,11 @@
     }
 }
 
-fn sealed(id: &str) -> String {
+fn valid_answer(id: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\nContent-Length: 4\r\n\r\nwell")
 }
 
-async fn say(stream: &mut TcpStream, text: &str) {
+async fn write(stream: &mut TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).await.expect("it is written");
 }
 
@@ -144,7 +144,7 @@
         // The server has read everything or only a part; the client cannot tell the two apart.
         for up_to in ["words", "P"] {
             let rig = Rig::new().await;
-            let attempt = rig.words("a");
+            let attempt = rig.post_words("a");
             let mut stream = rig.connection().await;
             read(&mut stream, up_to).await;
             reset(stream);
@@ -168,17 +168,17 @@
         let ends: [fn(TcpStream); 2] = [reset, drop];
         for end in ends {
             // On a reused connection as well as on a new one.
-            for kept in [false, true] {
+            for idle_connection in [false, true] {
                 let rig = Rig::new().await;
-                let standing = if kept { Some(rig.kept().await) } else { None };
-                let attempt = rig.words("a");
+                let standing = if idle_connection { Some(rig.idle_connection().await) } else { None };
+                let attempt = rig.post_words("a");
                 let mut stream = match standing {
                     Some(stream) => stream,
                     None => rig.connection().await,
                 };
                 read(&mut stream, "words").await;
                 end(stream);
-                assert_eq!(attempt.outcome().await, Outcome::Reset, "kept: {kept}");
+                assert_eq!(attempt.outcome().await, Outcome::Reset, "kept: {idle_connection}");
                 rig.assert_no_other_connection().await;
             }
         }
@@ -191,12 +191,12 @@
         let ends: [fn(TcpStream); 2] = [reset, drop];
         for end in ends {
             let rig = Rig::new().await;
-            end(rig.kept().await);
-            let attempt = rig.words("a");
+            end(rig.idle_connection().await);
+            let attempt = rig.post_words("a");
             let mut stream = rig.connection().await;
             let got = read(&mut stream, "words").await;
             assert!(got.starts_with("POST /book HTTP/1.1\r\n") && got.contains("try-id: a"), "{got}");
-            say(&mut stream, &sealed("a")).await;
+            write(&mut stream, &valid_answer("a")).await;
             assert_eq!(attempt.outcome().await, Outcome::Ok);
             rig.assert_no_other_connection().await;
         }
@@ -208,17 +208,17 @@
     on_local_set(async {
         let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nTry-Id: other\r\n\r\n";
         for (then, outcome) in [
-            (Some(sealed("a")), Outcome::Ok),
+            (Some(valid_answer("a")), Outcome::Ok),
             (None, Outcome::Reset),
             (Some("HTTP/1.1 101 Switching Protocols\r\nTry-Id: a\r\n\r\n".into()), Outcome::Error),
         ] {
             let rig = Rig::new().await;
-            let attempt = rig.words("a");
+            let attempt = rig.post_words("a");
             let mut stream = rig.connection().await;
             read(&mut stream, "words").await;
-            say(&mut stream, interim).await;
+            write(&mut stream, interim).await;
             match then {
-                Some(then) => say(&mut stream, &then).await,
+                Some(then) => write(&mut stream, &then).await,
                 None => reset(stream),
             }
             assert_eq!(attempt.outcome().await, outcome);
@@ -230,14 +230,16 @@
 #[test]
 fn unsolicited_bytes_on_an_idle_connection_are_discarded() {
     on_local_set(async {
-        for surplus in [sealed("first"), sealed("a"), "HTTP/1.1 100 Continue\r\n\r\n".into(), "x".into()] {
+        for surplus in
+            [valid_answer("first"), valid_answer("a"), "HTTP/1.1 100 Continue\r\n\r\n".into(), "x".into()]
+        {
             let rig = Rig::new().await;
-            let mut idle = rig.kept().await;
-            say(&mut idle, &surplus).await;
-            let attempt = rig.words("a");
+            let mut idle = rig.idle_connection().await;
+            write(&mut idle, &surplus).await;
+            let attempt = rig.post_words("a");
             let mut stream = rig.connection().await;
             read(&mut stream, "words").await;
-            say(&mut stream, &sealed("a")).await;
+            write(&mut stream, &valid_answer("a")).await;
             assert_eq!(attempt.outcome().await, Outcome::Ok);
             assert!(rest(&mut idle).await.is_empty(), "nothing was sent on the out-of-sync connection");
         }
@@ -248,10 +250,10 @@
 fn a_surplus_answer_is_discarded_and_the_next_request_is_not_resent() {
     on_local_set(async {
         let rig = Rig::new().await;
-        let mut stream = rig.kept().await;
-        let attempt = rig.words("a");
+        let mut stream = rig.idle_connection().await;
+        let attempt = rig.post_words("a");
         read(&mut stream, "words").await;
-        say(&mut stream, &(sealed("first") + &sealed("a"))).await;
+        write(&mut stream, &(valid_answer("first") + &valid_answer("a"))).await;
         let end = attempt.end.await.expect("an end");
         assert!(end.outcome == Outcome::Reset && end.answer.is_none(), "{:?}", end.outcome);
         rig.assert_no_other_connection().await;
@@ -263,19 +265,19 @@
 fn the_late_answer_to_a_cancelled_attempt_is_discarded() {
     on_local_set(async {
         let rig = Rig::new().await;
-        let mut old = rig.kept().await;
-        let attempt = rig.words("a");
+        let mut old = rig.idle_connection().await;
+        let attempt = rig.post_words("a");
         read(&mut old, "words").await;
         attempt.end.abort();
         assert!(attempt.end.await.is_err());
-        let next = rig.words("b");
+        let next = rig.post_words("b");
         let mut stream = rig.connection().await;
         read(&mut stream, "words").await;
         // The previous connection is closed, so its late answer is not delivered.
         assert!(rest(&mut old).await.is_empty());
-        let _ = old.write_all(sealed("b").as_bytes()).await;
+        let _ = old.write_all(valid_answer("b").as_bytes()).await;
         assert!(!next.end.is_finished());
-        say(&mut stream, &sealed("b")).await;
+        write(&mut stream, &valid_answer("b")).await;
         assert_eq!(next.outcome().await, Outcome::Ok);
     });
 }
@@ -284,25 +286,25 @@
 fn idle_connections_are_not_reused_for_another_server_at_the_same_address() {
     on_local_set(async {
         let rig = Rig::new().await;
-        let mut old = rig.kept().await;
+        let mut old = rig.idle_connection().await;
         // Another server was given the address: the idle connection of the previous server is not used for it.
         let other = rig.post(2, "a", Bytes::from_static(b"words").into());
         let mut stream = rig.connection().await;
         assert!(read(&mut stream, "words").await.contains("meant-server: s-2"));
-        say(&mut stream, &sealed("a")).await;
+        write(&mut stream, &valid_answer("a")).await;
         assert_eq!(other.outcome().await, Outcome::Ok);
         // A 421 answer means that the request has not run, and the connection is not used again.
-        let moved = rig.words("b");
+        let moved = rig.post_words("b");
         assert!(read(&mut old, "words").await.contains("meant-server: s-1"));
-        say(&mut old, "HTTP/1.1 421 Moved\r\nTry-Id: b\r\nContent-Length: 0\r\n\r\n").await;
+        write(&mut old, "HTTP/1.1 421 Moved\r\nTry-Id: b\r\nContent-Length: 0\r\n\r\n").await;
         assert_eq!(moved.outcome().await, Outcome::ConnectFailed);
         assert!(rest(&mut old).await.is_empty());
         rig.assert_no_other_connection().await;
         // A 421 answer to another try says nothing about this one.
-        let other = rig.words("c");
+        let other = rig.post_words("c");
         let mut stream = rig.connection().await;
         read(&mut stream, "words").await;
-        say(&mut stream, "HTTP/1.1 421 Moved\r\nTry-Id: b\r\nContent-Length: 0\r\n\r\n").await;
+        write(&mut stream, "HTTP/1.1 421 Moved\r\nTry-Id: b\r\nContent-Length: 0\r\n\r\n").await;
         assert_eq!(other.outcome().await, Outcome::Reset);
     });
 }
@@ -325,13 +327,13 @@
                     feed.finish();
                     read(&mut stream, if length.is_some() { "theend" } else { "0\r\n\r\n" }).await;
                     reset(stream);
-                    assert_eq!(*attempt.told.borrow(), [Progress::Spent, Progress::Sent]);
+                    assert_eq!(*attempt.reported.borrow(), [Progress::Spent, Progress::Sent]);
                     assert_eq!(attempt.outcome().await, Outcome::Reset, "{length:?}");
                 } else {
                     reset(stream);
-                    let told = attempt.told.clone();
+                    let reported = attempt.reported.clone();
                     assert_eq!(attempt.outcome().await, Outcome::ConnectFailed, "{length:?}");
-                    assert!(!told.borrow().contains(&Progress::Sent));
+                    assert!(!reported.borrow().contains(&Progress::Sent));
                     drop(feed);
                 }
                 rig.assert_no_other_connection().await;
@@ -362,7 +364,7 @@
 fn a_stream_is_sent_completely_after_its_idle_connection_closed() {
     on_local_set(async {
         let rig = Rig::new().await;
-        reset(rig.kept().await);
+        reset(rig.idle_connection().await);
         let (feed, coming) = body_channel();
         let attempt = rig.post(1, "a", Upload::stream(vec![b'x'; 200_000].into(), Some(200_006), coming));
         feed.send(Ok(Bytes::from_static(b"theend"))).await.expect("capacity");
@@ -372,7 +374,7 @@
         let mut body = vec![0; 200_006];
         stream.read_exact(&mut body).await.expect("all of it");
         assert!(body[..200_000].iter().all(|b| *b == b'x') && body.ends_with(b"theend"));
-        say(&mut stream, &sealed("a")).await;
+        write(&mut stream, &valid_answer("a")).await;
         assert_eq!(attempt.outcome().await, Outcome::Ok);
         rig.assert_no_other_connection().await;
     });
@@ -388,7 +390,7 @@
     /// Closes the connection.
     End,
     /// Answers with this status and these headers.
-    Says(&'static str, &'static str),
+    Answers(&'static str, &'static str),
     /// Answers with a body that is shorter than announced.
     Cut,
     Malformed,
@@ -398,7 +400,7 @@
 }
 
 /// Starts two servers with the same action, which count the requests received by both.
-async fn servers(does: ServerAction, received: &Rc<Cell<usize>>) -> Vec<SocketAddr> {
+async fn servers(action: ServerAction, received: &Rc<Cell<usize>>) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for _ in 0..2 {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -409,26 +411,26 @@
             while let Ok((mut stream, _)) = listener.accept().await {
                 read(&mut stream, "words").await;
                 received.set(received.get() + 1);
-                let text = match does {
+                let text = match action {
                     ServerAction::Reset => {
                         reset(stream);
                         continue;
                     }
                     ServerAction::End => continue,
-                    ServerAction::Says(status, headers) => {
+                    ServerAction::Answers(status, headers) => {
                         format!("HTTP/1.1 {status}\r\nTry-Id: a\r\n{headers}Content-Length: 0\r\n\r\n")
                     }
                     ServerAction::Cut => {
                         let text =
                             "HTTP/1.1 200 OK\r\nTry-Id: a\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nw";
-                        say(&mut stream, text).await;
+                        write(&mut stream, text).await;
                         continue;
                     }
                     ServerAction::Malformed => "\u{1}garbled\r\n\r\n".into(),
-                    ServerAction::WrongTryId => sealed("another"),
+                    ServerAction::WrongTryId => valid_answer("another"),
                     ServerAction::Nothing => String::new(),
                 };
-                say(&mut stream, &text).await;
+                write(&mut stream, &text).await;
                 open.push(stream);
             }
         });
@@ -443,12 +445,12 @@
 }
 
 /// Submits a request and returns how often it arrived and the client's answer.
-async fn told(does: ServerAction, repeat: Repeat) -> (usize, Answer<Response<Body>>) {
+async fn submit_to(action: ServerAction, repeat: Repeat) -> (usize, Answer<Response<Body>>) {
     let received = Rc::default();
-    let addresses = servers(does, &received).await;
+    let addresses = servers(action, &received).await;
     let clock = Rc::new(SystemClock::new());
-    let way = Http1::speaking(House::default(), clock.clone(), CONNECTIONS);
-    let engine = Engine::new(&once(repeat), clock, way);
+    let client = Http1::speaking(House::default(), clock.clone(), CONNECTIONS);
+    let engine = Engine::new(&once(repeat), clock, client);
     engine.start();
     let members = addresses.iter().enumerate();
     fixed::tell(
@@ -463,8 +465,8 @@
 #[test]
 fn at_most_once_requests_are_retried_only_if_the_first_server_did_not_run_them() {
     on_local_set(async {
-        let error = ServerAction::Says("500 No", "");
-        for does in [
+        let error = ServerAction::Answers("500 No", "");
+        for action in [
             ServerAction::Reset,
             ServerAction::End,
             ServerAction::Cut,
@@ -473,19 +475,21 @@
             ServerAction::Nothing,
             error,
         ] {
-            let (received, answer) = told(does, Repeat::Unsafe).await;
-            assert_eq!(received, 1, "{does:?}");
+            let (received, answer) = submit_to(action, Repeat::Unsafe).await;
+            assert_eq!(received, 1, "{action:?}");
             assert!(
                 !matches!(answer, Answer::Refused(_)),
-                "{does:?}: a refusal although it may have run: {answer:?}"
+                "{action:?}: a refusal although it may have run: {answer:?}"
             );
         }
-        for does in [ServerAction::Says("503 Full", "Not-Run: 1\r\n"), ServerAction::Says("421 Moved", "")] {
-            let (received, answer) = told(does, Repeat::Unsafe).await;
-            assert_eq!(received, 2, "{does:?}: both servers may be tried");
-            assert!(matches!(answer, Answer::Refused(_) | Answer::Failed), "{does:?}: {answer:?}");
+        for action in
+            [ServerAction::Answers("503 Full", "Not-Run: 1\r\n"), ServerAction::Answers("421 Moved", "")]
+        {
+            let (received, answer) = submit_to(action, Repeat::Unsafe).await;
+            assert_eq!(received, 2, "{action:?}: both servers may be tried");
+            assert!(matches!(answer, Answer::Refused(_) | Answer::Failed), "{action:?}: {answer:?}");
         }
         // A repeatable request is sent again, which shows that the servers count a second delivery.
-        assert_eq!(told(ServerAction::Reset, Repeat::Safe).await.0, 2);
+        assert_eq!(submit_to(ServerAction::Reset, Repeat::Safe).await.0, 2);
     });
 }
--- a/crates/engine/tests/ports.rs
+++ b/crates/engine/tests/ports.rs
@@ -153,7 +153,7 @@
     fn server(&self, behaviour: Behaviour) -> (SocketAddr, Forward) {
         let (_, server) = self.servers.iter().find(|(b, _)| *b == behaviour).expect("a server");
         let (uri, headers, body) = ("/x?y=1".parse().expect("a path"), HeaderMap::new(), Bytes::new());
-        (server.address, Forward { method: Method::GET, uri, headers, body: body.into(), room: None })
+        (server.address, Forward { method: Method::GET, uri, headers, body: body.into(), permit: None })
     }
 
     fn reached(&self) -> usize {
--- a/crates/engine/tests/unanswered.rs
+++ b/crates/engine/tests/unanswered.rs
@@ -41,7 +41,7 @@
     rig.with(|front| {
         let asking = front.clone();
         let ask_all = Box::new(move || asking.close_idle());
-        *front.desk().on_answer.borrow_mut() = Some(ask_all);
+        *front.handler().on_answer.borrow_mut() = Some(ask_all);
     });
     for round in 0..20 {
         let (mut stream, mut reader) = rig.connect();
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -365,7 +365,7 @@
             ..Request::default()
         };
         let headers = forwarded_headers(&head.headers, tenant.map(|tenant| tenant.name.as_str()));
-        let forward = Forward { method: head.method, uri: head.uri, headers, body, room };
+        let forward = Forward { method: head.method, uri: head.uri, headers, body, permit: room };
         match pool.engine.submit_and_wait(decision, forward).await {
             Answer::Served(response) => Ok(response),
             Answer::Refused(wait) => {
--- a/crates/tower/src/client.rs
+++ b/crates/tower/src/client.rs
@@ -62,7 +62,7 @@
 
     /// Tells the limiter which servers there are.
     pub fn tell(&self, news: News) {
-        self.handle.tell(news);
+        self.handle.update_members(news);
     }
 
     /// Answers what was taken and ends; see [`Handle::shutdown`].
@@ -82,8 +82,10 @@
         let path = head.uri.path_and_query().cloned();
         let uri = path.map_or_else(|| head.uri.clone(), http::Uri::from);
         Ok((
-            self.handle
-                .call(request, Forward { method: head.method, uri, headers, body: body.into(), room: None }),
+            self.handle.call(
+                request,
+                Forward { method: head.method, uri, headers, body: body.into(), permit: None },
+            ),
             held,
         ))
     }
