--- a/crates/engine/src/direct.rs
+++ b/crates/engine/src/direct.rs
@@ -6,7 +6,7 @@
 
 use crate::engine::core::{Core, Output};
 use crate::engine::{shutdown_timeout, Answer, Setup};
-use crate::handle::{Ended, QUEUE_FULL_RETRY_AFTER};
+use crate::handle::{CallResult, QUEUE_FULL_RETRY_AFTER};
 use crate::ports::clock::{Clock, SystemClock};
 use crate::ports::counter::{Call, CallEnd, CallEndSink, Counter};
 use crate::ports::membership::{Member, News};
@@ -208,7 +208,7 @@
         let (reply, answer) = oneshot::channel();
         let shared = self.shared();
         let stopping = shared.stopping.load(Ordering::Acquire);
-        let taken = shared.change(|core, now| {
+        let accepted = shared.change(|core, now| {
             if stopping || core.unanswered() >= shared.capacity {
                 return None;
             }
@@ -216,7 +216,7 @@
             let reply = Box::new(move |answer| _ = reply.send(answer));
             Some(core.submit(now, request, Mutex::new(Some(start)), reply))
         });
-        (Admission { limiter: self.clone(), taken: taken.map(|id| (id, answer)) }, permit)
+        (Admission { limiter: self.clone(), accepted: accepted.map(|id| (id, answer)) }, permit)
     }
 
     /// Rejects further requests, waits for the answers to accepted ones (for the longest deadline, at most 3 s, plus
@@ -235,25 +235,25 @@
 #[must_use = "dropping a request counts as the client's disconnect"]
 pub struct Admission {
     limiter: Direct,
-    taken: Option<(RequestId, oneshot::Receiver<Answer<()>>)>,
+    accepted: Option<(RequestId, oneshot::Receiver<Answer<()>>)>,
 }
 
 impl Future for Admission {
-    type Output = Ended<()>;
+    type Output = CallResult<()>;
 
-    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Ended<()>> {
-        let Some((_, answer)) = &mut self.taken else {
-            return Poll::Ready(Ended::NotTaken(QUEUE_FULL_RETRY_AFTER));
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<CallResult<()>> {
+        let Some((_, answer)) = &mut self.accepted else {
+            return Poll::Ready(CallResult::NotAccepted(QUEUE_FULL_RETRY_AFTER));
         };
         let answer = ready!(Pin::new(answer).poll(cx));
-        self.taken = None;
-        Poll::Ready(answer.map_or(Ended::Lost, Ended::Answered))
+        self.accepted = None;
+        Poll::Ready(answer.map_or(CallResult::Lost, CallResult::Answered))
     }
 }
 
 impl Drop for Admission {
     fn drop(&mut self) {
-        if let Some((id, mut answer)) = self.taken.take() {
+        if let Some((id, mut answer)) = self.accepted.take() {
             if answer.try_recv().is_err() {
                 self.limiter.shared().change(|core, now| core.client_left(now, id));
             }
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -69,30 +69,30 @@
     /// Time limit, ms, for a head from its start or from the accept, for a connection that sends nothing, and for a
     /// short answer that the client does not read. Clients may take 2 s for a head, and a bad client has to be closed
     /// within 3 s; the difference covers the interval of the check.
-    pub whole_within: Millis,
+    pub head_timeout: Millis,
     /// Idle time between requests after which a connection is closed, ms: some clients send one request and never
     /// close.
-    pub keep_idle: Millis,
+    pub idle_timeout: Millis,
     /// Buffer of a connection and limit for the length of a head, bytes; at least 8 KiB are used.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Largest accepted body, bytes.
-    pub body_bytes: u64,
+    pub max_body_bytes: u64,
     /// Largest body that is buffered completely, bytes, so that it can be sent again.
-    pub held: usize,
+    pub max_buffered_bytes: usize,
     /// A client that sends nothing of an awaited body for this long is closed; bounded, like the head's time limit, by
     /// the 3 s within which a bad client has to be closed.
-    pub silence: Duration,
+    pub body_read_timeout: Duration,
 }
 
 impl Default for FrontLimits {
     fn default() -> Self {
         FrontLimits {
-            whole_within: 2500.0,
-            keep_idle: 10_000.0,
-            head_bytes: 16 * 1024,
-            body_bytes: MAX_BODY_BYTES,
-            held: MAX_BUFFERED_BYTES,
-            silence: Duration::from_millis(2000),
+            head_timeout: 2500.0,
+            idle_timeout: 10_000.0,
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: MAX_BODY_BYTES,
+            max_buffered_bytes: MAX_BUFFERED_BYTES,
+            body_read_timeout: Duration::from_millis(2000),
         }
     }
 }
@@ -254,10 +254,10 @@
     fn time_limit(&self) -> Millis {
         match self.phase.get() {
             Phase::Writing if self.streaming.get() => STREAM_STALL,
-            Phase::Reading | Phase::Writing => self.limits.whole_within,
+            Phase::Reading | Phase::Writing => self.limits.head_timeout,
             // The engine answers every request within its deadline.
             Phase::Busy | Phase::Uploading | Phase::Passing | Phase::Draining => f64::INFINITY,
-            Phase::Idle => self.limits.keep_idle,
+            Phase::Idle => self.limits.idle_timeout,
         }
     }
 
@@ -512,7 +512,7 @@
     async fn serve(self: Rc<Self>, stream: TcpStream, number: u64) {
         // Answers are small writes that should not be delayed.
         let _ = stream.set_nodelay(true);
-        let buffer = self.limits.head_bytes.max(MIN_BUFFER_BYTES);
+        let buffer = self.limits.max_head_bytes.max(MIN_BUFFER_BYTES);
         let peer = Rc::new(Peer {
             limits: self.limits,
             phase: Cell::new(Phase::Reading),
@@ -629,7 +629,7 @@
         let length = if body.is_end_stream() { Some(0) } else { body.size_hint().exact() };
         let permit = tokio::time::timeout(
             BODY_PERMIT_TIMEOUT,
-            self.body_budget.acquire_buffered(length, self.limits.held),
+            self.body_budget.acquire_buffered(length, self.limits.max_buffered_bytes),
         )
         .await;
         let permit = permit.map_err(|_| {
--- a/crates/engine/src/front/pipelined/read.rs
+++ b/crates/engine/src/front/pipelined/read.rs
@@ -104,7 +104,7 @@
     /// Reads the next request's head.
     async fn next_head(&self, buffer: &mut BytesMut) -> Result<Head, StartError> {
         loop {
-            if let Some(head) = heads::parse_head(buffer, self.front.limits.head_bytes)? {
+            if let Some(head) = heads::parse_head(buffer, self.front.limits.max_head_bytes)? {
                 self.next_request_started.set(true);
                 return Ok(head);
             }
@@ -171,11 +171,13 @@
             BodyEnd::AfterBytes(length) => Some(length),
             _ => None,
         };
-        if length.is_some_and(|l| l > limits.body_bytes) {
+        if length.is_some_and(|l| l > limits.max_body_bytes) {
             return Err(receive::too_long(limits).into());
         }
-        let permit =
-            timeout(BODY_PERMIT_TIMEOUT, self.front.body_budget.acquire_buffered(length, limits.held));
+        let permit = timeout(
+            BODY_PERMIT_TIMEOUT,
+            self.front.body_budget.acquire_buffered(length, limits.max_buffered_bytes),
+        );
         let permit = self.while_open(buffer, permit).await.ok_or(StartError::ClientClosed)?;
         let permit = permit.map_err(|_| NO_BODY_MEMORY)?;
         if head.expects_continue
@@ -185,13 +187,13 @@
             return Err(StartError::ClientClosed);
         }
         let mut start = BodyPrefix::default();
-        while !start.is_longer_than(limits.held) {
+        while !start.is_longer_than(limits.max_buffered_bytes) {
             match heads::next_bytes(buffer, &mut ends)? {
                 Some(chunk) => start.push(chunk),
                 None if ends == BodyEnd::Reached => {
                     return Ok(Received { upload: Upload::Whole(start.finish()), permit, rest: None })
                 }
-                None => match timeout(limits.silence, self.read_more(buffer)).await {
+                None => match timeout(limits.body_read_timeout, self.read_more(buffer)).await {
                     Ok(true) => {}
                     Ok(false) => return Err(StartError::ClientClosed),
                     Err(_) => return Err(receive::TOO_SLOW.into()),
@@ -213,7 +215,7 @@
             match heads::next_bytes(buffer, &mut ends) {
                 Ok(Some(chunk)) => {
                     taken += chunk.len() as u64;
-                    let is_too_long = taken > limits.body_bytes;
+                    let is_too_long = taken > limits.max_body_bytes;
                     let Some(to) = &sender else {
                         if is_too_long {
                             return false;
@@ -233,7 +235,11 @@
                     }
                     return true;
                 }
-                Ok(None) if matches!(timeout(limits.silence, self.read_more(buffer)).await, Ok(true)) => {}
+                Ok(None)
+                    if matches!(
+                        timeout(limits.body_read_timeout, self.read_more(buffer)).await,
+                        Ok(true)
+                    ) => {}
                 Ok(None) | Err(_) => return false,
             }
         }
--- a/crates/engine/src/front/receive.rs
+++ b/crates/engine/src/front/receive.rs
@@ -39,7 +39,7 @@
     /// How long to wait for the next chunk.
     fn read_timeout(&self) -> Duration {
         let due = BODY_GRACE + Duration::from_secs_f64(self.bytes as f64 / MIN_BODY_RATE);
-        self.limits.silence.min(due.saturating_sub(self.begun.elapsed()))
+        self.limits.body_read_timeout.min(due.saturating_sub(self.begun.elapsed()))
     }
 
     /// Reads the next chunk of a body; `None` at its end.
@@ -52,7 +52,7 @@
             // Trailers are not forwarded.
             let Ok(chunk) = frame.map_err(|_| BodyError::Left)?.into_data() else { continue };
             self.bytes += chunk.len() as u64;
-            if self.bytes > self.limits.body_bytes {
+            if self.bytes > self.limits.max_body_bytes {
                 return Err(BodyError::TooLong);
             }
             return Ok(Some(chunk));
@@ -61,7 +61,8 @@
 }
 
 pub(super) fn too_long(limits: &FrontLimits) -> Rejection {
-    let why = if limits.body_bytes == MAX_BODY_BYTES { "over 64 MiB\n" } else { "the body is too long\n" };
+    let why =
+        if limits.max_body_bytes == MAX_BODY_BYTES { "over 64 MiB\n" } else { "the body is too long\n" };
     Rejection { status: StatusCode::PAYLOAD_TOO_LARGE, why }
 }
 
@@ -73,7 +74,7 @@
     }
 }
 
-/// Buffers a short body completely, or buffers the start of a long one and forwards the rest. `whole` is called once
+/// Buffers a short body completely, or buffers the start of a long one and forwards the rest. `on_end` is called once
 /// the last byte has arrived or the body has broken off.
 ///
 /// # Errors
@@ -88,12 +89,12 @@
         return Ok(Upload::Whole(Bytes::new()));
     }
     let length = body.size_hint().exact();
-    if length.is_some_and(|l| l > limits.body_bytes) {
+    if length.is_some_and(|l| l > limits.max_body_bytes) {
         return Err(too_long(&limits));
     }
     let mut pace = BodyPace::new(limits);
     let mut start = BodyPrefix::default();
-    while !start.is_longer_than(limits.held) {
+    while !start.is_longer_than(limits.max_buffered_bytes) {
         let Some(chunk) = pace.next(&mut body).await.map_err(|why| rejection(why, &limits))? else {
             on_end();
             return Ok(Upload::Whole(start.finish()));
--- a/crates/engine/src/handle.rs
+++ b/crates/engine/src/handle.rs
@@ -26,12 +26,12 @@
 pub const QUEUE_FULL_RETRY_AFTER: Millis = 50.0;
 /// Result of a request submitted through a [`Handle`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended<A> {
+pub enum CallResult<A> {
     /// The engine's final answer.
     Answered(Answer<A>),
     /// The queue was full or the engine is shutting down. The engine never saw the request, no quota was charged, and a
     /// retry is safe after this wait in ms.
-    NotTaken(Millis),
+    NotAccepted(Millis),
     /// The engine ended before it answered, because its thread or runtime was shut down; the request may have run.
     Lost,
 }
@@ -113,12 +113,12 @@
         let ticket = shared.next.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         let command = Command::Arrive { ticket, at: Instant::now(), request, forward, reply };
-        let taken =
+        let accepted =
             !full && !shared.stopping.load(Ordering::Acquire) && shared.commands.send(command).is_ok();
-        if !taken {
+        if !accepted {
             shared.waiting.fetch_sub(1, Ordering::AcqRel);
         }
-        Pending { handle: self.clone(), ticket, answer: taken.then_some(answer) }
+        Pending { handle: self.clone(), ticket, answer: accepted.then_some(answer) }
     }
 
     /// Sends a membership update to the engine. Not to be combined with another membership source.
@@ -148,15 +148,15 @@
 }
 
 impl<Q, A> Future for Pending<Q, A> {
-    type Output = Ended<A>;
+    type Output = CallResult<A>;
 
-    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Ended<A>> {
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<CallResult<A>> {
         let Some(answer) = &mut self.answer else {
-            return Poll::Ready(Ended::NotTaken(QUEUE_FULL_RETRY_AFTER));
+            return Poll::Ready(CallResult::NotAccepted(QUEUE_FULL_RETRY_AFTER));
         };
         let answer = ready!(Pin::new(answer).poll(cx));
         self.answer = None;
-        Poll::Ready(answer.map_or(Ended::Lost, Ended::Answered))
+        Poll::Ready(answer.map_or(CallResult::Lost, CallResult::Answered))
     }
 }
 
--- a/crates/engine/src/respond.rs
+++ b/crates/engine/src/respond.rs
@@ -2,7 +2,7 @@
 
 use crate::classify::Rejection;
 use crate::engine::Answer;
-use crate::handle::Ended;
+use crate::handle::CallResult;
 use http::header::{HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use http::{Response, StatusCode};
 use oatbank_limiter_core::interface::Millis;
@@ -82,16 +82,16 @@
 
 /// The response to a request that ended so; one that was served is passed to `served`.
 pub fn ended<A, B: From<&'static str>>(
-    ended: Ended<A>,
+    ended: CallResult<A>,
     served: impl FnOnce(A) -> Response<B>,
 ) -> Response<B> {
     match ended {
-        Ended::Answered(answer) => answered(answer, ComeBack::Standard, served),
-        Ended::NotTaken(wait) => {
+        CallResult::Answered(answer) => answered(answer, ComeBack::Standard, served),
+        CallResult::NotAccepted(wait) => {
             let why = "too many requests wait for the limiter\n";
             refused(StatusCode::SERVICE_UNAVAILABLE, why, wait, ComeBack::Standard)
         }
-        Ended::Lost => plain(StatusCode::BAD_GATEWAY, "the limiter has ended\n"),
+        CallResult::Lost => plain(StatusCode::BAD_GATEWAY, "the limiter has ended\n"),
     }
 }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -92,8 +92,8 @@
         let handler = RequestHandler::new(view.clone(), settings.clone(), counter.clone());
         let session = Session::new(view.clone(), settings.clone(), peers);
         let limits = FrontLimits {
-            whole_within: HEAD_TIMEOUT_MS,
-            keep_idle: CLIENT_IDLE_MS,
+            head_timeout: HEAD_TIMEOUT_MS,
+            idle_timeout: CLIENT_IDLE_MS,
             ..FrontLimits::default()
         };
         let front = Front::new(FrontDesk(handler.clone()), budget(node), limits);
--- a/crates/tower/src/layer.rs
+++ b/crates/tower/src/layer.rs
@@ -6,7 +6,7 @@
 use oatbank_engine::config::Config;
 use oatbank_engine::direct::{Admission, Direct, Permit};
 use oatbank_engine::engine::Answer;
-use oatbank_engine::handle::Ended;
+use oatbank_engine::handle::CallResult;
 use oatbank_engine::respond;
 use oatbank_limiter_core::interface::Outcome;
 use std::future::{poll_fn, Future};
@@ -129,7 +129,7 @@
 async fn admitted(
     mut pending: Pin<&mut Admission>,
     permit: tokio::sync::oneshot::Receiver<Permit>,
-) -> Result<Permit, Ended<()>> {
+) -> Result<Permit, CallResult<()>> {
     tokio::select! {
         biased;
         Ok(permit) = permit => Ok(permit),
@@ -165,7 +165,7 @@
         }
         None => {
             permit.ended(Outcome::Error);
-            Ok(respond::ended(Ended::Answered(Answer::<()>::Failed), |()| unserved()))
+            Ok(respond::ended(CallResult::Answered(Answer::<()>::Failed), |()| unserved()))
         }
     }
 }
@@ -199,5 +199,5 @@
 
 /// The engine says that it was served though the handler has not: a defect, and in doubt it may have run.
 fn unserved<R: From<&'static str>>() -> Response<R> {
-    respond::ended(Ended::Answered(Answer::<()>::Failed), |()| Response::new(R::from("")))
+    respond::ended(CallResult::Answered(Answer::<()>::Failed), |()| Response::new(R::from("")))
 }
