--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -243,10 +243,8 @@
         match action {
             Action::Send { id, server, timeout } => self.send(now, id, server, timeout),
             Action::Await { id, attempt, timeout } => self.wait_for(now, id, attempt, timeout),
-            Action::Refuse { id, retry_after } => {
-                self.answer_without_success(id, Answer::Refused(retry_after))
-            }
-            Action::Fail(id) => self.answer_without_success(id, Answer::Failed),
+            Action::Refuse { id, retry_after } => self.finish_unserved(id, Answer::Refused(retry_after)),
+            Action::Fail(id) => self.finish_unserved(id, Answer::Failed),
             Action::Cancel { id, attempt } => self.end(now, id, attempt, Outcome::Cancelled, Vec::new()),
             Action::Count { name, add, ttl } => self.count(now, name, add, ttl),
             Action::Timer { after, name } => self.timers.arm(now + after, Due::Module(name)),
@@ -324,7 +322,7 @@
             return;
         }
         tracing::debug!("request {} timed out without a decision", id.0);
-        self.answer_without_success(id, Answer::TimedOut);
+        self.finish_unserved(id, Answer::TimedOut);
         self.handle_event(now, Event::Gone(id));
         self.requests.forget(id);
     }
@@ -337,7 +335,7 @@
 
     /// Gives a request its final answer when no success will follow: a server's error answer if there is one, else
     /// `otherwise`. The error answer also replaces a refusal, because a repeatable request may have run.
-    fn answer_without_success(&mut self, id: RequestId, otherwise: Answer<A>) {
+    fn finish_unserved(&mut self, id: RequestId, otherwise: Answer<A>) {
         let said = self.requests.get_mut(id).and_then(|entry| entry.error_answer.take());
         self.answer(id, said.map_or(otherwise, Answer::Served));
     }
--- a/crates/engine/src/handle.rs
+++ b/crates/engine/src/handle.rs
@@ -180,28 +180,28 @@
     /// Executes the handles' commands until the last handle is dropped or one requests a shutdown, then answers all
     /// open requests. Must run inside the engine's [`tokio::task::LocalSet`].
     pub async fn run<U: Upstream<Request = Q, Answer = A>>(mut self, engine: Rc<Engine<U>>) {
-        let membership_sink = engine.membership_sink();
+        let sink = engine.membership_sink();
         let tickets = Tickets::default();
         let mut batch = Vec::with_capacity(BATCH);
-        let mut shutdown_waiters = Vec::new();
-        while shutdown_waiters.is_empty() && self.commands.recv_many(&mut batch, BATCH).await > 0 {
+        let mut waiters = Vec::new();
+        while waiters.is_empty() && self.commands.recv_many(&mut batch, BATCH).await > 0 {
             for command in batch.drain(..) {
-                self.execute(&engine, &tickets, &membership_sink, command, &mut shutdown_waiters);
+                self.execute(&engine, &tickets, &sink, command, &mut waiters);
             }
             // Lets the tasks of timers and attempts run.
             tokio::task::yield_now().await;
         }
-        self.finish(&engine, &tickets, &membership_sink).await;
-        notify_stopped(shutdown_waiters);
+        self.finish(&engine, &tickets, &sink).await;
+        notify_stopped(waiters);
     }
 
     fn execute<U: Upstream<Request = Q, Answer = A>>(
         &self,
         engine: &Rc<Engine<U>>,
         tickets: &Tickets,
-        membership_sink: &MembershipSink,
+        sink: &MembershipSink,
         command: Command<Q, A>,
-        shutdown_waiters: &mut Vec<oneshot::Sender<()>>,
+        waiters: &mut Vec<oneshot::Sender<()>>,
     ) {
         match command {
             Command::Arrive { ticket, at, mut request, forward, reply } => {
@@ -225,8 +225,8 @@
                     engine.client_left(id);
                 }
             }
-            Command::News(news) => membership_sink(news),
-            Command::Stop(done) => shutdown_waiters.push(done),
+            Command::News(news) => sink(news),
+            Command::Stop(done) => waiters.push(done),
         }
     }
 
@@ -235,26 +235,24 @@
         &mut self,
         engine: &Rc<Engine<U>>,
         tickets: &Tickets,
-        membership_sink: &MembershipSink,
+        sink: &MembershipSink,
     ) {
         let end = Instant::now() + shutdown_timeout(engine.revision().settings());
-        let mut late_waiters = Vec::new();
+        let mut late = Vec::new();
         while (engine.unanswered() > 0 || !self.commands.is_empty()) && Instant::now() < end {
             match tokio::time::timeout(Duration::from_millis(5), self.commands.recv()).await {
-                Ok(Some(command)) => {
-                    self.execute(engine, tickets, membership_sink, command, &mut late_waiters)
-                }
+                Ok(Some(command)) => self.execute(engine, tickets, sink, command, &mut late),
                 Ok(None) => tokio::time::sleep(Duration::from_millis(5)).await,
                 Err(_) => {}
             }
         }
         engine.fail_all();
-        notify_stopped(late_waiters);
+        notify_stopped(late);
     }
 }
 
-fn notify_stopped(shutdown_waiters: Vec<oneshot::Sender<()>>) {
-    for done in shutdown_waiters {
+fn notify_stopped(waiters: Vec<oneshot::Sender<()>>) {
+    for done in waiters {
         // The caller may have stopped waiting.
         let _ = done.send(());
     }
