--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -48,10 +48,10 @@
         if kib >= before {
             self.available_kib.add_permits(kib - before);
         } else {
-            let less = before - kib;
-            let gone = self.available_kib.forget_permits(less);
+            let reduction = before - kib;
+            let forgotten = self.available_kib.forget_permits(reduction);
             // Permits in use cannot be revoked, so they still count towards the size until the next change.
-            self.total_kib.set(kib + (less - gone));
+            self.total_kib.set(kib + (reduction - forgotten));
         }
     }
 
--- a/crates/engine/src/direct.rs
+++ b/crates/engine/src/direct.rs
@@ -63,10 +63,10 @@
     }
 
     /// Runs a change on the core and carries out the resulting outputs.
-    fn change<T>(self: &Arc<Self>, how: impl FnOnce(&mut Core<PermitSender, ()>, Millis) -> T) -> T {
+    fn change<T>(self: &Arc<Self>, change: impl FnOnce(&mut Core<PermitSender, ()>, Millis) -> T) -> T {
         let mut core = self.lock();
         let now = self.clock.now();
-        let done = how(&mut core, now);
+        let result = change(&mut core, now);
         while let Some(output) = core.output() {
             self.carry_out(&mut core, now, output);
         }
@@ -75,7 +75,7 @@
         if due < self.asleep_until.load(Ordering::Acquire) {
             self.earlier_timer.notify_one();
         }
-        done
+        result
     }
 
     fn carry_out(
@@ -287,8 +287,8 @@
                 () = shared.clock.until(next) => {}
                 () = shared.earlier_timer.notified() => {}
                 Some(call) = self.calls.recv() => {
-                    let begun = counter.as_ref().map_or(Err(CallEnd::Unreachable), |c| c.begin(call));
-                    if let Err(end) = begun {
+                    let started = counter.as_ref().map_or(Err(CallEnd::Unreachable), |c| c.begin(call));
+                    if let Err(end) = started {
                         shared.change(|core, now| core.call_ended(now, call.id, end));
                     }
                 }
--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -264,9 +264,9 @@
     ) -> RequestId {
         let span = if request.uploading { MAX_UPLOAD_TIME } else { request.time_left };
         let deadline = now + span;
-        let most = request.rules.as_ref().map_or(self.settings.max_attempts, |r| r.max_attempts);
+        let max_attempts = request.rules.as_ref().map_or(self.settings.max_attempts, |r| r.max_attempts);
         let execution = RequestAttempts::new(self.idempotency_of(&request));
-        let id = self.requests.open(forward, deadline, most, execution, reply);
+        let id = self.requests.open(forward, deadline, max_attempts, execution, reply);
         self.timers.arm(deadline - ANSWER_MARGIN, Due::AnswerDeadline(id));
         if let Some(entry) = self.requests.get_mut(id) {
             entry.class = request.class;
@@ -336,8 +336,8 @@
     /// Gives a request its final answer when no success will follow: a server's error answer if there is one, else
     /// `otherwise`. The error answer also replaces a refusal, because a repeatable request may have run.
     fn finish_unserved(&mut self, id: RequestId, otherwise: Answer<A>) {
-        let said = self.requests.get_mut(id).and_then(|entry| entry.error_answer.take());
-        self.answer(id, said.map_or(otherwise, Answer::Served));
+        let error_answer = self.requests.get_mut(id).and_then(|entry| entry.error_answer.take());
+        self.answer(id, error_answer.map_or(otherwise, Answer::Served));
     }
 
     /// Sends a request's final answer, unless it has one already.
@@ -351,19 +351,19 @@
     /// Replaces an answer that is not allowed: a refusal may only be given if the request has certainly not run.
     fn permitted_answer(&mut self, id: RequestId, answer: Answer<A>) -> Answer<A> {
         let Some(entry) = self.requests.get_mut(id) else { return answer };
-        let word = match &answer {
+        let client_answer = match &answer {
             Answer::Served(_) => ClientAnswer::Served,
             Answer::Refused(_) => ClientAnswer::Rejected,
             Answer::Failed | Answer::TimedOut => ClientAnswer::Failed,
         };
         let certain = !entry.execution.may_have_run() && !entry.execution.is_in_flight();
-        let (_, violation) = entry.execution.answer_client(word);
+        let (_, violation) = entry.execution.answer_client(client_answer);
         let (request, once) = (entry.request.clone(), entry.execution.is_at_most_once());
         if let Some(violation) = violation {
             self.record_violation(&request, violation);
             return Answer::Failed;
         }
-        if once && certain && word != ClientAnswer::Served {
+        if once && certain && client_answer != ClientAnswer::Served {
             self.note(
                 &request,
                 None,
@@ -402,9 +402,9 @@
         };
         let attempt = entry.start_attempt(server, now);
         let Ok(number) = u8::try_from(attempt) else { return };
-        let most = entry.max_attempts as usize;
+        let max_attempts = entry.max_attempts as usize;
         let span = span(entry.deadline, now, timeout);
-        if entry.is_answered() || span <= 0.0 || most > 0 && attempt >= most {
+        if entry.is_answered() || span <= 0.0 || max_attempts > 0 && attempt >= max_attempts {
             return self.end(now, id, number, Outcome::Moot, Vec::new());
         }
         let request = entry.request.clone();
@@ -412,8 +412,8 @@
             return self.end(now, id, number, Outcome::ConnectFailed, Vec::new());
         };
         let Some(entry) = self.requests.get_mut(id) else { return };
-        let whole = !entry.uploading;
-        if let Err(violation) = entry.execution.send(attempt, whole) {
+        let fully_sent = !entry.uploading;
+        if let Err(violation) = entry.execution.send(attempt, fully_sent) {
             let out = entry.execution.is_in_flight();
             self.record_violation(&request, violation);
             if !out {
@@ -423,7 +423,7 @@
             return self.end(now, id, number, Outcome::Moot, Vec::new());
         }
         entry.set_server_name(attempt, &name);
-        if whole && entry.execution.is_at_most_once() {
+        if fully_sent && entry.execution.is_at_most_once() {
             self.note(&request, Some(&name), Note::Outcome(ExecutionOutcome::Running, "sent"));
         }
         self.timers.arm(now + span, Due::Attempt(id, number));
@@ -468,15 +468,15 @@
     /// Handles an attempt that ended by itself. A late end of an attempt that has already ended only updates the
     /// recorded execution outcome.
     pub(crate) fn attempt_ended(&mut self, now: Millis, id: RequestId, attempt: u8, end: End<A>) {
-        let how = attempt_end(end.outcome, end.answer.is_some());
+        let end_kind = attempt_end(end.outcome, end.answer.is_some());
         if !self.requests.is_live(id, attempt) {
             if let Some((request, name)) = self.late_attempts.remove(&(id, attempt)) {
-                let (outcome, why) = execution_outcome(how, true);
+                let (outcome, why) = execution_outcome(end_kind, true);
                 self.note(&request, name.as_ref(), Note::Outcome(outcome, why));
             }
             return;
         }
-        self.record_end(id, attempt, how);
+        self.record_end(id, attempt, end_kind);
         match (end.outcome, end.answer) {
             (Outcome::Ok, Some(answer)) => {
                 if let Some(reply) = self.requests.reply(id) {
@@ -516,23 +516,23 @@
         let (Some(more), Some(entry)) = (listens, self.requests.get_mut(id)) else {
             return self.end(now, id, attempt, Outcome::TimedOut, Vec::new());
         };
-        let told = (entry.request.clone(), entry.name(attempt).cloned());
+        let attempted = (entry.request.clone(), entry.name(attempt).cloned());
         entry.execution.end(usize::from(attempt), AttemptEnd::Lost);
-        self.late_attempts.insert((id, attempt), told);
+        self.late_attempts.insert((id, attempt), attempted);
         self.timers.arm(now + more, Due::LateAnswer(id, attempt));
         self.report_end(now, id, attempt, Outcome::TimedOut, Vec::new());
     }
 
     /// Records how an attempt ended.
-    fn record_end(&mut self, id: RequestId, attempt: u8, how: AttemptEnd) {
+    fn record_end(&mut self, id: RequestId, attempt: u8, end_kind: AttemptEnd) {
         let Some(entry) = self.requests.get_mut(id) else { return };
-        entry.execution.end(usize::from(attempt), how);
+        entry.execution.end(usize::from(attempt), end_kind);
         if !entry.execution.is_at_most_once() {
             return;
         }
         let Some(name) = entry.name(attempt).cloned() else { return };
         let (request, ran) = (entry.request.clone(), entry.execution.may_have_run());
-        let (outcome, why) = execution_outcome(how, ran);
+        let (outcome, why) = execution_outcome(end_kind, ran);
         self.note(&request, Some(&name), Note::Outcome(outcome, why));
     }
 
@@ -725,8 +725,8 @@
 
 /// Execution outcome of an at-most-once request after an attempt's end, with its reason. `ran` is set unless it is
 /// proven that the request did not run.
-fn execution_outcome(how: AttemptEnd, ran: bool) -> (ExecutionOutcome, &'static str) {
-    match how {
+fn execution_outcome(end_kind: AttemptEnd, ran: bool) -> (ExecutionOutcome, &'static str) {
+    match end_kind {
         AttemptEnd::Succeeded => (ExecutionOutcome::Succeeded, "answered"),
         AttemptEnd::Failed => (ExecutionOutcome::Failed, "answered"),
         AttemptEnd::NotExecuted if !ran => (ExecutionOutcome::NotExecuted, "turned away by the server"),
@@ -740,7 +740,7 @@
 
 /// Adds an attempt's outcome to its zone's counts. Attempts that were cancelled or never sent are not counted.
 fn count_outcome(counts: &mut Counts, outcome: Outcome) {
-    let which = match outcome {
+    let count = match outcome {
         Outcome::Ok => &mut counts.ok,
         Outcome::Error => &mut counts.failed,
         Outcome::TimedOut => &mut counts.silent,
@@ -749,7 +749,7 @@
         Outcome::Full => &mut counts.full,
         Outcome::Cancelled | Outcome::Moot => return,
     };
-    *which += 1;
+    *count += 1;
 }
 
 #[cfg(test)]
--- a/crates/engine/src/engine/fleet.rs
+++ b/crates/engine/src/engine/fleet.rs
@@ -108,8 +108,8 @@
 
     /// Number of servers of a zone that may be used.
     pub(super) fn usable(&self, zone: u16) -> u32 {
-        let there = self.known.iter().filter(|(_, s)| s.entry.zone == zone);
-        there.filter(|(number, _)| self.is_ready(**number)).count() as u32
+        let in_zone = self.known.iter().filter(|(_, s)| s.entry.zone == zone);
+        in_zone.filter(|(number, _)| self.is_ready(**number)).count() as u32
     }
 
     /// Suspends a server. Returns its entry if it changed, and fails if the server was never listed.
--- a/crates/engine/src/engine/fleet/tests.rs
+++ b/crates/engine/src/engine/fleet/tests.rs
@@ -44,8 +44,8 @@
 fn ids_with_colliding_32_bit_hashes_get_distinct_numbers() {
     // Ids with the same last eight digits, and two with the same 32-bit FNV-1a hash.
     for pair in [["s-00000001", "x-00000001"], ["costarring", "liquid"]] {
-        let told = numbers(&mut Fleet::default(), &pair);
-        assert_ne!(told[0], told[1], "{pair:?}");
+        let assigned = numbers(&mut Fleet::default(), &pair);
+        assert_ne!(assigned[0], assigned[1], "{pair:?}");
     }
 }
 
@@ -57,9 +57,9 @@
         ..Fleet::default()
     };
     let (mut here, mut there) = (colliding_fleet(), colliding_fleet());
-    let told = numbers(&mut here, &["a", "bb", "ccc"]);
-    assert_eq!(told, [7, 102, 103].map(ServerId));
-    assert_eq!(numbers(&mut there, &["ccc", "a", "bb"]), told, "independent of the order of the list");
+    let assigned = numbers(&mut here, &["a", "bb", "ccc"]);
+    assert_eq!(assigned, [7, 102, 103].map(ServerId));
+    assert_eq!(numbers(&mut there, &["ccc", "a", "bb"]), assigned, "independent of the order of the list");
     // A remaining server keeps its number when the others are removed, and a new one takes a free number.
     assert_eq!(numbers(&mut here, &["ccc"]), [ServerId(103)]);
     assert_eq!(numbers(&mut here, &["ccc", "dddd"]), [103, 7].map(ServerId));
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -299,8 +299,8 @@
         self.core.borrow().remembered_customers()
     }
 
-    /// Submits a request and returns the id assigned to it. `reply` is called exactly once, unless [`Engine::client_left`] comes
-    /// before; it must not call back into the engine.
+    /// Submits a request and returns the id assigned to it. `reply` is called exactly once, unless
+    /// [`Engine::client_left`] is called before. It must not call back into the engine.
     pub fn submit(
         self: &Rc<Self>,
         request: Request,
@@ -345,7 +345,7 @@
 
     /// Runs a change on the core and carries out the resulting outputs.
     fn change<T>(self: &Rc<Self>, change: impl FnOnce(&mut Core<U::Request, U::Answer>, Millis) -> T) -> T {
-        let done = change(&mut self.core.borrow_mut(), self.now());
+        let result = change(&mut self.core.borrow_mut(), self.now());
         loop {
             // The borrow ends before the output is carried out, because a port may access the engine.
             let Some(output) = self.core.borrow_mut().output() else { break };
@@ -355,19 +355,19 @@
         if due.is_some_and(|at| at < self.asleep_until.get()) {
             self.earlier_timer.notify_one();
         }
-        done
+        result
     }
 
     fn carry_out(self: &Rc<Self>, output: Output<U::Request>) {
         match output {
             Output::Attempt { id, number, server, name, address, request, span } => {
-                let asked = self.clone();
+                let guarded = self.clone();
                 let may_send = Rc::new(move || {
-                    asked.check_guard().is_none() && asked.core.borrow().fleet().is_ready(server)
+                    guarded.check_guard().is_none() && guarded.core.borrow().fleet().is_ready(server)
                 });
-                let told = self.clone();
+                let engine = self.clone();
                 let progress = Rc::new(move |progress| {
-                    told.change(|core, now| core.progress(now, id, number, progress));
+                    engine.change(|core, now| core.progress(now, id, number, progress));
                 });
                 self.attempt(
                     id,
@@ -399,8 +399,8 @@
 
     fn count(self: &Rc<Self>, call: Call) {
         let counter = self.counter.borrow().clone();
-        let begun = counter.map_or(Err(crate::ports::counter::CallEnd::Unreachable), |c| c.begin(call));
-        if let Err(end) = begun {
+        let started = counter.map_or(Err(crate::ports::counter::CallEnd::Unreachable), |c| c.begin(call));
+        if let Err(end) = started {
             // The caller's loop carries out the resulting outputs.
             let now = self.now();
             self.core.borrow_mut().call_ended(now, call.id, end);
@@ -418,11 +418,11 @@
         self: &Rc<Self>,
         change: impl FnOnce(&mut Core<U::Request, U::Answer>, Millis) -> T,
     ) -> T {
-        let done = change(&mut self.core.borrow_mut(), self.now());
+        let result = change(&mut self.core.borrow_mut(), self.now());
         // Before anything new is sent, drop idle connections to servers that are not ready.
         self.upstream.keep_only(&|id| self.core.borrow().fleet().is_ready(id));
         self.change(|_, _| ());
-        done
+        result
     }
 
     async fn run_timers(self: Rc<Self>) {
--- a/crates/engine/src/engine/request_table/tests.rs
+++ b/crates/engine/src/engine/request_table/tests.rs
@@ -7,13 +7,13 @@
 fn a_request_is_answered_once_and_removed_with_its_last_attempt() {
     let mut requests: RequestTable<(), ()> = RequestTable::new();
     let answers = Arc::new(AtomicUsize::new(0));
-    let told = answers.clone();
+    let counted = answers.clone();
     let id = requests.open(
         (),
         10.0,
         0,
         RequestAttempts::default(),
-        Box::new(move |_| _ = told.fetch_add(1, Ordering::SeqCst)),
+        Box::new(move |_| _ = counted.fetch_add(1, Ordering::SeqCst)),
     );
     let entry = requests.get_mut(id).expect("an entry");
     assert_eq!((entry.start_attempt(ServerId(1), 1.0), entry.start_attempt(ServerId(2), 2.0)), (0, 1));
--- a/crates/engine/src/engine/schedule_tests.rs
+++ b/crates/engine/src/engine/schedule_tests.rs
@@ -43,7 +43,7 @@
     due: BinaryHeap<Reverse<(u64, u64, Due)>>,
     count: u64,
     core: Core<u32, (u32, u8)>,
-    told: Answers,
+    answers_given: Answers,
     runs: HashMap<u32, u32>,
     at_most_once: HashSet<u32>,
     uploads: HashSet<u32>,
@@ -79,7 +79,7 @@
             due: BinaryHeap::new(),
             count: 0,
             core,
-            told: Answers::default(),
+            answers_given: Answers::default(),
             runs: HashMap::new(),
             at_most_once: HashSet::new(),
             uploads: HashSet::new(),
@@ -103,7 +103,7 @@
     }
 
     fn list(&mut self) {
-        let out = self.random_below(SERVERS + 2);
+        let unlisted = self.random_below(SERVERS + 2);
         let member = |n: u64| Member {
             id: format!("s-{n}"),
             address: Some(([127, 0, 0, 1], 1000 + n as u16).into()),
@@ -114,7 +114,7 @@
             state: ServerState::Ready,
             standing: Standing::Well,
         };
-        let members = (0..SERVERS).filter(|n| *n != out).map(member).collect();
+        let members = (0..SERVERS).filter(|n| *n != unlisted).map(member).collect();
         self.core.members(self.now as f64, &News::Complete(members));
     }
 
@@ -123,8 +123,8 @@
         let class = if at_most_once { AT_MOST_ONCE_CLASS } else { ClassId(0) };
         let request =
             Request { class, units: 1.0, time_left: 1500.0, spread: 1.0, uploading, ..Request::default() };
-        let told = self.told.clone();
-        let reply = Box::new(move |answer| told.lock().unwrap().entry(n).or_default().push(answer));
+        let answers_given = self.answers_given.clone();
+        let reply = Box::new(move |answer| answers_given.lock().unwrap().entry(n).or_default().push(answer));
         let id = self.core.submit(self.now as f64, request, n, reply);
         if at_most_once {
             self.at_most_once.insert(n);
@@ -291,10 +291,10 @@
     /// Violations found by a checker that is independent of the engine.
     fn violations(&mut self) -> Vec<String> {
         let mut violations = Vec::new();
-        let told = self.told.lock().unwrap().clone();
+        let answers_given = self.answers_given.lock().unwrap().clone();
         for n in 0..20 {
             let runs = self.runs.get(&n).copied().unwrap_or(0);
-            let answers = told.get(&n).cloned().unwrap_or_default();
+            let answers = answers_given.get(&n).cloned().unwrap_or_default();
             let mut report = |what: &str| violations.push(format!("{n}: {what}: {runs} runs, {answers:?}"));
             if answers.len() > 1 || answers.is_empty() && !self.gone.contains(&n) {
                 report("not exactly one answer");
@@ -337,7 +337,8 @@
 
 #[test]
 fn at_most_once_requests_run_at_most_once_and_outcomes_are_correct() {
-    let (mut prevented, mut told, mut outcomes) = (0, [0; 3], HashMap::<ExecutionOutcome, u32>::new());
+    let (mut prevented, mut answers_given, mut outcomes) =
+        (0, [0; 3], HashMap::<ExecutionOutcome, u32>::new());
     for seed in 0..2000 {
         let (violations, mut world) = run_schedule(seed, true);
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
@@ -347,11 +348,11 @@
             "seed {seed}: every late answer is given up eventually"
         );
         prevented += world.core.prevented_violations();
-        for answers in world.told.lock().unwrap().values() {
+        for answers in world.answers_given.lock().unwrap().values() {
             match answers.first() {
-                Some(Answer::Served(_)) => told[0] += 1,
-                Some(Answer::Refused(_)) => told[1] += 1,
-                _ => told[2] += 1,
+                Some(Answer::Served(_)) => answers_given[0] += 1,
+                Some(Answer::Refused(_)) => answers_given[1] += 1,
+                _ => answers_given[2] += 1,
             }
         }
         for n in 0..20u32 {
@@ -362,8 +363,8 @@
     }
     // Every case occurred often enough.
     assert!(
-        prevented > 500 && told.iter().all(|n| *n > 500),
-        "{prevented} violations prevented, answers {told:?}"
+        prevented > 500 && answers_given.iter().all(|n| *n > 500),
+        "{prevented} violations prevented, answers {answers_given:?}"
     );
     assert!(outcomes.len() == 4 && outcomes.values().all(|n| *n > 500), "{outcomes:?}");
 }
--- a/crates/engine/src/front/heads.rs
+++ b/crates/engine/src/front/heads.rs
@@ -78,7 +78,7 @@
     let method = method.ok_or(Rejection::bad("no method that can be read\n"))?;
     let uri: Option<Uri> = parsed.path.and_then(|p| p.parse().ok());
     let uri = uri.ok_or(Rejection::bad("no path that can be read\n"))?;
-    let old = parsed.version == Some(0);
+    let is_http10 = parsed.version == Some(0);
     let mut headers = HeaderMap::with_capacity(parsed.headers.len());
     for header in parsed.headers.iter() {
         let name = HeaderName::from_bytes(header.name.as_bytes());
@@ -88,17 +88,18 @@
         headers.append(name, value);
     }
     buffer.advance(length);
-    let ends = ends(&headers, old)?;
+    let ends = ends(&headers, is_http10)?;
     if headers.get_all(HOST).iter().count() > 1 {
         return Err(Rejection::bad("Host stands twice\n"));
     }
-    let last = if old { !connection_has(&headers, "keep-alive") } else { connection_has(&headers, "close") };
+    let last =
+        if is_http10 { !connection_has(&headers, "keep-alive") } else { connection_has(&headers, "close") };
     let expects_continue = ends != BodyEnd::Reached
         && headers.get(EXPECT).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"100-continue"));
     let mut request = Request::new(());
     *request.method_mut() = method;
     *request.uri_mut() = uri;
-    *request.version_mut() = if old { Version::HTTP_10 } else { Version::HTTP_11 };
+    *request.version_mut() = if is_http10 { Version::HTTP_10 } else { Version::HTTP_11 };
     *request.headers_mut() = headers;
     Ok(Some(Head { parts: request.into_parts().0, ends, last, expects_continue }))
 }
@@ -111,14 +112,14 @@
 }
 
 /// Determines how a request's body ends. Ambiguous framing, which may hide a second request, is rejected.
-fn ends(headers: &HeaderMap, old: bool) -> Result<BodyEnd, Rejection> {
+fn ends(headers: &HeaderMap, is_http10: bool) -> Result<BodyEnd, Rejection> {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     match (codings.next(), lengths.next()) {
         (None, None) => Ok(BodyEnd::Reached),
         (Some(_), Some(_)) => Err(Rejection::bad(LENGTH_AND_CODING)),
         (Some(coding), None) => {
-            if old
+            if is_http10
                 || codings.next().is_some()
                 || !coding.as_bytes().trim_ascii().eq_ignore_ascii_case(b"chunked")
             {
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -442,9 +442,9 @@
     /// Evicts one connection. Returns false if none can be evicted, so that the new connection has to wait.
     fn evict_one(&self) -> bool {
         let (peers, now) = (self.peers.borrow(), self.handler.now());
-        let able =
+        let candidates =
             peers.values().filter(|p| !p.aborted.get()).filter_map(|p| Some((p.eviction_score(now)?, p)));
-        match able.max_by(|(a, _), (b, _)| a.total_cmp(b)) {
+        match candidates.max_by(|(a, _), (b, _)| a.total_cmp(b)) {
             // An idle connection is closed gracefully, so that a request that has just arrived is not lost.
             Some((_, peer)) if peer.phase.get() == Phase::Idle => peer.request_close(),
             Some((_, peer)) => peer.abort(),
--- a/crates/engine/src/front/pipelined/mod.rs
+++ b/crates/engine/src/front/pipelined/mod.rs
@@ -52,9 +52,9 @@
 struct PendingAnswer {
     answer: AnswerSource,
     /// Whether only the head of the answer is sent (`HEAD`).
-    bare: bool,
+    head_only: bool,
     /// Whether the request used HTTP/1.0.
-    old: bool,
+    is_http10: bool,
     /// Whether it is the last request of its connection.
     last: bool,
 }
--- a/crates/engine/src/front/pipelined/read.rs
+++ b/crates/engine/src/front/pipelined/read.rs
@@ -84,7 +84,7 @@
                     StartedRequest { turn: rejected(rejection), rest: None }
                 }
             };
-            let (is_last, is_old) = (turn.last, turn.old);
+            let (is_last, is_http10) = (turn.last, turn.is_http10);
             place.send(turn);
             if let Some((sender, ends)) = rest {
                 if !self.forward_body(&mut buffer, ends, sender).await {
@@ -95,7 +95,7 @@
                 return ReadEnd::NothingMore;
             }
             // The end of the connection may mark the end of an HTTP/1.0 answer.
-            if is_old && self.while_open(&mut buffer, self.all_answered()).await.is_none() {
+            if is_http10 && self.while_open(&mut buffer, self.all_answered()).await.is_none() {
                 return ReadEnd::ClientClosed;
             }
         }
@@ -134,8 +134,9 @@
 
     /// Starts a request: answers it from its head, or receives its body and spawns its handler.
     async fn begin(&self, mut head: Head, buffer: &mut BytesMut) -> Result<StartedRequest, StartError> {
-        let (bare, old) = (head.parts.method == Method::HEAD, head.parts.version == Version::HTTP_10);
-        let turn = |answer, last| PendingAnswer { answer, bare, old, last };
+        let (head_only, is_http10) =
+            (head.parts.method == Method::HEAD, head.parts.version == Version::HTTP_10);
+        let turn = |answer, last| PendingAnswer { answer, head_only, is_http10, last };
         let ticket = match self.front.decide_head(&mut head.parts)? {
             HeadDecision::Respond(answer) => {
                 // The body of such a request is not read and must not be parsed as a request.
@@ -250,5 +251,5 @@
 fn rejected(rejection: Rejection) -> PendingAnswer {
     tracing::debug!(status = rejection.status.as_u16(), "rejected: {}", rejection.why.trim_end());
     let answer = AnswerSource::Ready(Box::new(closing(respond::rejected(rejection))));
-    PendingAnswer { answer, bare: false, old: false, last: true }
+    PendingAnswer { answer, head_only: false, is_http10: false, last: true }
 }
--- a/crates/engine/src/front/pipelined/write.rs
+++ b/crates/engine/src/front/pipelined/write.rs
@@ -81,13 +81,14 @@
         close: bool,
     ) -> Option<WriteEnd> {
         let (head, body) = answer.into_parts();
-        let bodiless = turn.bare || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+        let bodiless =
+            turn.head_only || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let mut out = BytesMut::with_capacity(512);
-        let lost = |done: bool| (!done).then_some(WriteEnd::Failed);
+        let failure = |done: bool| (!done).then_some(WriteEnd::Failed);
         match body {
             _ if bodiless => {
                 heads::write_head(head.status, &head.headers, Framing::None, close, &mut out);
-                lost(self.write_all(&out, b"").await)
+                failure(self.write_all(&out, b"").await)
             }
             Body::Whole(bytes) => {
                 heads::write_head(
@@ -97,12 +98,12 @@
                     close,
                     &mut out,
                 );
-                lost(self.write_all(&out, &bytes).await)
+                failure(self.write_all(&out, &bytes).await)
             }
             Body::Stream { held, length, mut rest, permit } => {
                 let framing = match length {
                     Some(length) => Framing::Length(length),
-                    None if turn.old => Framing::Close,
+                    None if turn.is_http10 => Framing::Close,
                     None => Framing::Chunked,
                 };
                 heads::write_head(head.status, &head.headers, framing, close, &mut out);
--- a/crates/engine/src/front/recent_bytes.rs
+++ b/crates/engine/src/front/recent_bytes.rs
@@ -21,8 +21,8 @@
     /// Appends received bytes.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         let bytes = &bytes[bytes.len().saturating_sub(self.limit)..];
-        let over = (self.bytes.len() + bytes.len()).saturating_sub(self.limit);
-        self.bytes.drain(..over);
+        let excess = (self.bytes.len() + bytes.len()).saturating_sub(self.limit);
+        self.bytes.drain(..excess);
         self.bytes.extend_from_slice(bytes);
     }
 
--- a/crates/engine/src/handle.rs
+++ b/crates/engine/src/handle.rs
@@ -208,9 +208,9 @@
                 self.waiting.fetch_sub(1, Ordering::AcqRel);
                 request.time_left -= at.elapsed().as_secs_f64() * 1000.0;
                 lock(tickets).insert(ticket, None);
-                let over = tickets.clone();
+                let open_tickets = tickets.clone();
                 let reply = Box::new(move |answer| {
-                    lock(&over).remove(&ticket);
+                    lock(&open_tickets).remove(&ticket);
                     // The receiver is gone if the client has disconnected.
                     let _ = reply.send(answer);
                 });
@@ -294,7 +294,7 @@
             tracing::error!("the engine's thread: {e}");
         }
     })?;
-    let lost = || std::io::Error::other("the engine thread ended before the engine started");
-    started.recv().map_err(|_| lost())??;
+    let startup_error = || std::io::Error::other("the engine thread ended before the engine started");
+    started.recv().map_err(|_| startup_error())??;
     Ok(handle)
 }
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -115,7 +115,7 @@
 
     /// Starts a front for this server.
     pub fn with_open_requests(server: &Server, open_requests: OpenRequests) -> Rig {
-        let (tell, told) = mpsc::channel();
+        let (sender, receiver) = mpsc::channel();
         let (actions, mut wanted) = unbounded_channel::<Action>();
         let address = server.address;
         std::thread::spawn(move || {
@@ -125,7 +125,7 @@
                 let front =
                     Front::new(test_handler(address, open_requests), budget(), FrontLimits::default());
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-                tell.send(listener.local_addr().expect("an address")).expect("the test");
+                sender.send(listener.local_addr().expect("an address")).expect("the test");
                 tokio::task::spawn_local(front.clone().close_stalled_connections());
                 tokio::task::spawn_local(front.clone().accept(Rc::new(listener)));
                 while let Some(action) = wanted.recv().await {
@@ -133,7 +133,7 @@
                 }
             });
         });
-        Rig { address: told.recv().expect("a front"), actions }
+        Rig { address: receiver.recv().expect("a front"), actions }
     }
 
     /// Runs an action on the front's thread and returns its result.
@@ -141,10 +141,10 @@
         &self,
         action: impl FnOnce(&Rc<Front<TestHandler>>) -> T + Send + 'static,
     ) -> T {
-        let (tell, told) = mpsc::channel();
-        let action: Action = Box::new(move |front| tell.send(action(front)).expect("the test"));
+        let (sender, receiver) = mpsc::channel();
+        let action: Action = Box::new(move |front| sender.send(action(front)).expect("the test"));
         assert!(self.actions.send(action).is_ok(), "the front runs");
-        told.recv().expect("the front")
+        receiver.recv().expect("the front")
     }
 
     /// Advances the front's clock, which connections use, by `by` ms.
@@ -190,7 +190,7 @@
 }
 
 /// An answer to this request with the given `Content-Length` and body.
-pub fn to(m: &Message, length: usize, body: &str) -> Vec<u8> {
+pub fn answer_to(m: &Message, length: usize, body: &str) -> Vec<u8> {
     let id = m.header("Try-Id").expect("a try id");
     format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\nContent-Length: {length}\r\n\r\n{body}")
         .into_bytes()
@@ -224,8 +224,8 @@
             let _ = released.lock().expect("a lock").recv();
         }
         match path(m) {
-            "/cut" => Act::Close(to(m, 900, &"x".repeat(100))),
-            path => Act::Write(to(m, path.len(), path)),
+            "/cut" => Act::Close(answer_to(m, 900, &"x".repeat(100))),
+            path => Act::Write(answer_to(m, path.len(), path)),
         }
     });
     (server, release)
--- a/crates/engine/tests/front.rs
+++ b/crates/engine/tests/front.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
+fn answer_to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
     let (id, length) = (m.header("Try-Id").expect("a try id"), body.len());
     format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
         .into_bytes()
@@ -39,8 +39,8 @@
 
 fn echo() -> Server {
     Server::start(|m| {
-        let said = format!("{} {}", m.start, String::from_utf8_lossy(&m.body));
-        Act::Write(to(m, "200 OK", "Server-Seal: s\r\n", &said))
+        let echoed = format!("{} {}", m.start, String::from_utf8_lossy(&m.body));
+        Act::Write(answer_to(m, "200 OK", "Server-Seal: s\r\n", &echoed))
     })
 }
 
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_server_error_is_passed_on_if_no_attempt_succeeds() {
-    let server = Server::start(|m| Act::Write(to(m, "404 Not Found", "X-A: 1\r\n", "no such thing")));
+    let server = Server::start(|m| Act::Write(answer_to(m, "404 Not Found", "X-A: 1\r\n", "no such thing")));
     let answer = Client::of(&server).ask("GET / HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\n\r\n");
     assert_eq!((answer.status(), answer.header("X-A")), (404, Some("1")));
     assert_eq!(answer.body, b"no such thing");
@@ -95,7 +95,7 @@
 
 #[test]
 fn an_invalid_server_answer_is_not_passed_on() {
-    let server = Server::start(|m| Act::Write(to(m, "200 OK", "", "unsealed")));
+    let server = Server::start(|m| Act::Write(answer_to(m, "200 OK", "", "unsealed")));
     let answer = Client::of(&server).ask("GET / HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\n\r\n");
     // The class is repeatable, so a refusal is allowed as well.
     assert!(matches!(answer.status(), 429 | 502), "{}", answer.start);
--- a/crates/engine/tests/pipelined.rs
+++ b/crates/engine/tests/pipelined.rs
@@ -24,40 +24,41 @@
 
 #[test]
 fn nothing_follows_a_truncated_answer_and_no_at_most_once_request_starts_behind_it() {
-    for (method, behind) in [("POST", "/post"), ("GET", "/once"), ("GET", "/b")] {
+    for (method, second_path) in [("POST", "/post"), ("GET", "/once"), ("GET", "/b")] {
         let (server, release) = waiting_server();
         let rig = Rig::start(&server);
         let (mut stream, mut reader) = rig.connect();
         stream
-            .write_all((request("GET", "/cut", "1") + &request(method, behind, "2")).as_bytes())
+            .write_all((request("GET", "/cut", "1") + &request(method, second_path, "2")).as_bytes())
             .expect("written");
         // A pipelined second request shows that the bytes behind the first one have been read.
-        let out = if behind == "/b" { 2 } else { 1 };
-        eventually("the expected requests are in flight", || server.count() == out);
+        let expected = if second_path == "/b" { 2 } else { 1 };
+        eventually("the expected requests are in flight", || server.count() == expected);
         release.send(()).expect("the server");
         let mut all = Vec::new();
         let _ = reader.read_to_end(&mut all);
         let text = String::from_utf8_lossy(&all);
         assert!(!text.contains("Try-Id: 2") && !text.contains("try-id: 2"), "{text}");
-        assert!(!text.ends_with(behind), "{text}");
-        assert_eq!(paths(&server).len(), out, "{behind}: {:?}", paths(&server));
+        assert!(!text.ends_with(second_path), "{text}");
+        assert_eq!(paths(&server).len(), expected, "{second_path}: {:?}", paths(&server));
     }
 }
 
 #[test]
 fn at_most_once_requests_start_after_all_earlier_answers() {
-    for (method, behind) in [("POST", "/post"), ("GET", "/once")] {
+    for (method, second_path) in [("POST", "/post"), ("GET", "/once")] {
         let (server, release) = waiting_server();
         let rig = Rig::start(&server);
         let (mut stream, mut reader) = rig.connect();
-        let all = request("GET", "/wait", "1") + &request("GET", "/b", "2") + &request(method, behind, "3");
+        let all =
+            request("GET", "/wait", "1") + &request("GET", "/b", "2") + &request(method, second_path, "3");
         stream.write_all(all.as_bytes()).expect("written");
         eventually("two are in flight", || server.count() == 2);
         release.send(()).expect("the server");
         for id in ["1", "2", "3"] {
             assert_eq!(read_message(&mut reader).expect("an answer").header("Try-Id"), Some(id));
         }
-        assert_eq!(paths(&server).last().map(String::as_str), Some(behind));
+        assert_eq!(paths(&server).last().map(String::as_str), Some(second_path));
         assert_eq!(server.count(), 3);
     }
 }
--- a/crates/engine/tests/ports.rs
+++ b/crates/engine/tests/ports.rs
@@ -81,13 +81,13 @@
 fn the_fixed_list_conforms() {
     on_local_set(async {
         let seen = membership::Seen::default();
-        let told = seen.told();
-        let say = |ids: Vec<&'static str>| -> Box<dyn FnOnce()> {
-            let told = told.clone();
+        let sink = seen.told();
+        let report = |ids: Vec<&'static str>| -> Box<dyn FnOnce()> {
+            let sink = sink.clone();
             let members = ids.into_iter().map(|id| Member::ready(id, unused_address())).collect();
-            Box::new(move || fixed::tell(&told, members))
+            Box::new(move || fixed::tell(&sink, members))
         };
-        let steps = vec![(say(vec!["a", "b"]), vec!["a", "b"]), (say(vec!["b"]), vec!["b"])];
+        let steps = vec![(report(vec!["a", "b"]), vec!["a", "b"]), (report(vec!["b"]), vec!["b"])];
         membership::suite(&seen, steps).await;
     });
 }
@@ -95,12 +95,12 @@
 #[test]
 fn the_discovery_agent_conforms() {
     let entry = |id: &str, phase: &str| member(id, unused_address(), phase);
-    let whole = list(1, true, &[entry("a", "Ready"), entry("b", "Ready")]);
-    let agent = Discovery::start(whole);
+    let complete_list = list(1, true, &[entry("a", "Ready"), entry("b", "Ready")]);
+    let agent = Discovery::start(complete_list);
     on_local_set(async move {
         let seen = membership::Seen::default();
-        let (told, at) = (seen.told(), agent::Agent { address: agent.address, on_request: false });
-        keep_running("discovery", move || agent::follow(told.clone(), at, None, 1));
+        let (sink, at) = (seen.told(), agent::Agent { address: agent.address, on_request: false });
+        keep_running("discovery", move || agent::follow(sink.clone(), at, None, 1));
         seen.ready(&["a", "b"]).await;
         while agent.watching() == 0 {
             tokio::task::yield_now().await;
