--- a/crates/engine/src/engine/core.rs
+++ b/crates/engine/src/engine/core.rs
@@ -702,7 +702,7 @@
     }
 }
 
-/// Timeout of an attempt, ms: the module's `timeout` (0: none) bounded by the time left until `ends`.
+/// Timeout of an attempt, ms: the module's `timeout` (0: none) bounded by the time left until the deadline `ends`.
 fn span(ends: Millis, now: Millis, timeout: Millis) -> Millis {
     let left = ends - RESPONSE_MARGIN - now;
     if timeout > 0.0 {
