--- a/crates/engine/src/front/pipelined/write.rs
+++ b/crates/engine/src/front/pipelined/write.rs
@@ -1,8 +1,8 @@
-//! Writing: gives each request its answer, in the order of the requests.
+//! The writing side of a pipelined connection: writes the answers in the order of the requests.
 
 use super::super::heads::{self, Framing};
-use super::super::{closing, Desk, Phase};
-use super::{Answering, Connection, Turn};
+use super::super::{closing, HttpHandler, Phase};
+use super::{AnswerSource, Connection, PendingAnswer};
 use crate::body::{self, Body};
 use crate::respond::plain;
 use bytes::{Bytes, BytesMut};
@@ -10,30 +10,32 @@
 use std::io::{self, IoSlice};
 use tokio::sync::mpsc;
 
-/// Why nothing more is written.
+/// Why writing ended.
 pub(super) enum WriteEnd {
-    /// The last answer has said that the connection ends.
+    /// The last answer, which announces the close, was written.
     LastAnswer,
-    /// An answer broke off: its end must not look like one.
+    /// An answer broke off, and the end of the connection must not look like its end.
     Cut,
-    /// The client takes nothing more.
+    /// The client does not accept any more bytes.
     Failed,
 }
 
-impl<D: Desk> Connection<D> {
-    /// Writes answers to the end of the connection.
-    pub(super) async fn write(&self, mut turns: mpsc::Receiver<Turn>) -> WriteEnd {
+impl<D: HttpHandler> Connection<D> {
+    /// Writes answers until the end of the connection.
+    pub(super) async fn write(&self, mut turns: mpsc::Receiver<PendingAnswer>) -> WriteEnd {
         while let Some(mut turn) = turns.recv().await {
             let answer = match &mut turn.answer {
-                Answering::Now(answer) => std::mem::replace(&mut **answer, Response::new(Body::default())),
-                // A task that died may have sent its request.
-                Answering::Coming(task) => (&mut task.0)
+                AnswerSource::Ready(answer) => {
+                    std::mem::replace(&mut **answer, Response::new(Body::default()))
+                }
+                // The request of a task that panicked may have been sent.
+                AnswerSource::Pending(task) => (&mut task.0)
                     .await
                     .unwrap_or_else(|_| closing(plain(StatusCode::BAD_GATEWAY, "no answer can be given\n"))),
             };
             self.peer.enter(Phase::Writing, self.now());
             let is_last = self.is_last(&turn, &answer);
-            if let Some(end) = self.give(answer, &turn, is_last).await {
+            if let Some(end) = self.write_answer(answer, &turn, is_last).await {
                 return end;
             }
             self.on_answered();
@@ -41,68 +43,74 @@
                 return WriteEnd::LastAnswer;
             }
         }
-        // All that was begun has its answer, and nothing more is read.
+        // All started requests are answered, and reading has ended.
         WriteEnd::LastAnswer
     }
 
-    /// Whether the connection ends with this answer. With a reason to end it, nothing more is begun, and it ends once what
-    /// was begun before has its answers.
-    fn is_last(&self, turn: &Turn, answer: &Response<Body>) -> bool {
+    /// Whether the connection ends with this answer. With a reason to end it, no further request is started, and it ends
+    /// once all started requests are answered.
+    fn is_last(&self, turn: &PendingAnswer, answer: &Response<Body>) -> bool {
         let ends = turn.last
-            || heads::says(answer.headers(), "close")
+            || heads::connection_has(answer.headers(), "close")
             || self.front.stopping.get()
-            || self.front.crowded.get();
+            || self.front.saturated.get();
         if ends {
             self.closing.set(true);
         }
         self.closing.get() && self.unanswered.get() == 1
     }
 
-    /// A request has its answer.
+    /// Records that a request has been answered.
     fn on_answered(&self) {
         self.unanswered.set(self.unanswered.get().saturating_sub(1));
         self.answered.notify_one();
         if self.unanswered.get() > 0 {
             self.peer.enter(Phase::Busy, self.now());
         } else {
-            // What has come of the next request counts, and not what came of the body of this one.
-            self.peer.ahead.set(self.next_has_come.get());
-            self.peer.flushed(self.now());
+            // Only bytes of the next request count, not those of this request's body.
+            self.peer.next_request_started.set(self.next_request_started.get());
+            self.peer.on_flush(self.now());
         }
     }
 
-    /// Writes one answer; why nothing can follow it, if so.
-    async fn give(&self, answer: Response<Body>, turn: &Turn, close: bool) -> Option<WriteEnd> {
+    /// Writes one answer. Returns the reason if no further answer can follow it.
+    async fn write_answer(
+        &self,
+        answer: Response<Body>,
+        turn: &PendingAnswer,
+        close: bool,
+    ) -> Option<WriteEnd> {
         let (head, body) = answer.into_parts();
-        let bodiless = turn.bare || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+        let bodiless =
+            turn.head_only || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let mut out = BytesMut::with_capacity(512);
-        let lost = |done: bool| (!done).then_some(WriteEnd::Failed);
+        let failure = |done: bool| (!done).then_some(WriteEnd::Failed);
         match body {
             _ if bodiless => {
-                heads::answer(head.status, &head.headers, Framing::None, close, &mut out);
-                lost(self.write_all(&out, b"").await)
+                heads::write_head(head.status, &head.headers, Framing::None, close, &mut out);
+                failure(self.write_all(&out, b"").await)
             }
             Body::Whole(bytes) => {
-                heads::answer(
+                heads::write_head(
                     head.status,
                     &head.headers,
                     Framing::Length(bytes.len() as u64),
                     close,
                     &mut out,
                 );
-                lost(self.write_all(&out, &bytes).await)
+                failure(self.write_all(&out, &bytes).await)
             }
-            Body::Stream { held, length, mut rest, room } => {
+            Body::Stream { held, length, mut rest, permit } => {
                 let framing = match length {
                     Some(length) => Framing::Length(length),
-                    None if turn.old => Framing::Close,
+                    None if turn.is_http10 => Framing::Close,
                     None => Framing::Chunked,
                 };
-                heads::answer(head.status, &head.headers, framing, close, &mut out);
+                heads::write_head(head.status, &head.headers, framing, close, &mut out);
                 self.peer.streaming.set(length != Some(held.len() as u64));
                 let end = self.stream(&out, held, framing, &mut rest).await;
                 self.peer.streaming.set(false);
-                drop(room);
+                drop(permit);
                 end.or_else(|| (framing == Framing::Close).then_some(WriteEnd::LastAnswer))
             }
         }
@@ -113,34 +121,34 @@
         head: &[u8],
         held: Bytes,
         framing: Framing,
-        rest: &mut body::Pieces,
+        rest: &mut body::BodyReceiver,
     ) -> Option<WriteEnd> {
         let mut left = match framing {
             Framing::Length(length) => Some(length),
             _ => None,
         };
-        let (mut before, mut piece) = (BytesMut::from(head), held);
+        let (mut before, mut chunk) = (BytesMut::from(head), held);
         loop {
-            match left.map(|left| left.checked_sub(piece.len() as u64)) {
-                // More bytes than were announced are not the announced answer.
+            match left.map(|left| left.checked_sub(chunk.len() as u64)) {
+                // The body is longer than announced.
                 Some(None) => return Some(WriteEnd::Cut),
                 rest => left = rest.flatten(),
             }
-            if framing == Framing::Chunked && !piece.is_empty() {
-                before.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
+            if framing == Framing::Chunked && !chunk.is_empty() {
+                before.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
             }
-            if !self.write_all(&before, &piece).await {
+            if !self.write_all(&before, &chunk).await {
                 return Some(WriteEnd::Failed);
             }
             before.clear();
-            if framing == Framing::Chunked && !piece.is_empty() {
+            if framing == Framing::Chunked && !chunk.is_empty() {
                 before.extend_from_slice(b"\r\n");
             }
             if left == Some(0) {
                 return None;
             }
             match rest.recv().await {
-                Some(Ok(next)) => piece = next,
+                Some(Ok(next)) => chunk = next,
                 None if left.is_none() => break,
                 Some(Err(_)) | None => return Some(WriteEnd::Cut),
             }
@@ -151,7 +159,7 @@
         (!self.write_all(&before, b"").await).then_some(WriteEnd::Failed)
     }
 
-    /// Writes all of both; false if it cannot be.
+    /// Writes both slices completely; false if writing fails.
     pub(super) async fn write_all(&self, mut first: &[u8], mut second: &[u8]) -> bool {
         while !(first.is_empty() && second.is_empty()) {
             let wrote = match second.is_empty() {
@@ -163,7 +171,7 @@
                 Ok(wrote) => {
                     let of_first = wrote.min(first.len());
                     (first, second) = (&first[of_first..], &second[wrote - of_first..]);
-                    self.peer.wrote(self.now());
+                    self.peer.on_write(self.now());
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if self.stream.writable().await.is_err() {
--- a/crates/engine/src/front/receive.rs
+++ b/crates/engine/src/front/receive.rs
@@ -1,8 +1,8 @@
-//! Bodies of clients' requests: read whole while they are small, else passed on as they come. Progress is judged, and
-//! not the time in all: a client may be slow, but must get on.
+//! Receives request bodies: buffers small ones and forwards larger ones while they arrive. Progress is limited rather
+//! than the total time: a client may be slow, but must keep sending.
 
 use super::FrontLimits;
-use crate::body::{self, Broken, Feed, Start, Upload, LONGEST};
+use crate::body::{self, BodyError, BodyPrefix, BodySender, Upload, MAX_BODY_BYTES};
 use crate::classify::Rejection;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -11,130 +11,134 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// What a body may take in all: this long, and a second for so many bytes. A quarter of what slow clients reach.
-const GRACE: Duration = Duration::from_millis(3000);
-const LEAST_RATE: f64 = 16.0 * 1024.0;
-/// A server that takes nothing of a body for this long is given up.
-pub(super) const STALL: Duration = Duration::from_secs(10);
-/// What comes of a body after its answer is read and thrown away while it gets on, for this long at most, so that a client
-/// which writes to the end before it reads gets its answer and keeps its connection.
-const LINGER: Duration = Duration::from_secs(30);
+/// Time allowed for any body, on top of the time at [`MIN_BODY_RATE`].
+const BODY_GRACE: Duration = Duration::from_millis(3000);
+/// Lowest average rate of a body, bytes per second: a quarter of the rate of slow clients.
+const MIN_BODY_RATE: f64 = 16.0 * 1024.0;
+/// A body that the server does not read for this long is abandoned.
+pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the rest of a body is read and discarded after its answer, so that a client that writes the whole body
+/// before it reads gets its answer and keeps its connection.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(super) const TOO_SLOW: Rejection =
     Rejection { status: StatusCode::REQUEST_TIMEOUT, why: "the body takes too long\n" };
 
-/// What has come so far, against the time it took.
-struct Pace {
+/// Bytes received of a body and the time since its start.
+struct BodyPace {
     begun: Instant,
     bytes: u64,
     limits: FrontLimits,
 }
 
-impl Pace {
+impl BodyPace {
     fn new(limits: FrontLimits) -> Self {
-        Pace { begun: Instant::now(), bytes: 0, limits }
+        BodyPace { begun: Instant::now(), bytes: 0, limits }
     }
 
-    /// How long the next piece is waited for.
-    fn patience(&self) -> Duration {
-        let due = GRACE + Duration::from_secs_f64(self.bytes as f64 / LEAST_RATE);
-        self.limits.silence.min(due.saturating_sub(self.begun.elapsed()))
+    /// How long to wait for the next chunk.
+    fn read_timeout(&self) -> Duration {
+        let due = BODY_GRACE + Duration::from_secs_f64(self.bytes as f64 / MIN_BODY_RATE);
+        self.limits.body_read_timeout.min(due.saturating_sub(self.begun.elapsed()))
     }
 
-    /// The next piece of a body; none at its end.
-    async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Broken> {
+    /// Reads the next chunk of a body; `None` at its end.
+    async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
         loop {
-            let Ok(frame) = timeout(self.patience(), body.frame()).await else { return Err(Broken::Stalled) };
+            let Ok(frame) = timeout(self.read_timeout(), body.frame()).await else {
+                return Err(BodyError::Stalled);
+            };
             let Some(frame) = frame else { return Ok(None) };
-            // Trailers say nothing that is passed on.
-            let Ok(piece) = frame.map_err(|_| Broken::Left)?.into_data() else { continue };
-            self.bytes += piece.len() as u64;
-            if self.bytes > self.limits.body_bytes {
-                return Err(Broken::TooLong);
+            // Trailers are not forwarded.
+            let Ok(chunk) = frame.map_err(|_| BodyError::Left)?.into_data() else { continue };
+            self.bytes += chunk.len() as u64;
+            if self.bytes > self.limits.max_body_bytes {
+                return Err(BodyError::TooLong);
             }
-            return Ok(Some(piece));
+            return Ok(Some(chunk));
         }
     }
 }
 
 pub(super) fn too_long(limits: &FrontLimits) -> Rejection {
-    let why = if limits.body_bytes == LONGEST { "over 64 MiB\n" } else { "the body is too long\n" };
+    let why =
+        if limits.max_body_bytes == MAX_BODY_BYTES { "over 64 MiB\n" } else { "the body is too long\n" };
     Rejection { status: StatusCode::PAYLOAD_TOO_LARGE, why }
 }
 
-fn rejection(why: Broken, limits: &FrontLimits) -> Rejection {
+fn rejection(why: BodyError, limits: &FrontLimits) -> Rejection {
     match why {
-        Broken::Left | Broken::Spent => Rejection::bad("the body is not whole\n"),
-        Broken::Stalled => TOO_SLOW,
-        Broken::TooLong => too_long(limits),
+        BodyError::Left | BodyError::Spent => Rejection::bad("the body is not whole\n"),
+        BodyError::Stalled => TOO_SLOW,
+        BodyError::TooLong => too_long(limits),
     }
 }
 
-/// Reads a body whole if it is short, and begins to pass it on if it is not. `whole` is called once its last byte has
-/// come, or it will not.
+/// Buffers a short body completely, or buffers the start of a long one and forwards the rest. `on_end` is called once
+/// the last byte has arrived or the body has broken off.
 ///
 /// # Errors
-/// When it is too long, does not get on, or breaks off before it is known to be long.
+/// If the body is too long, stalls, or breaks off before it exceeds the buffer.
 pub(super) async fn receive(
     mut body: Incoming,
     limits: FrontLimits,
-    whole: impl FnOnce() + 'static,
+    on_end: impl FnOnce() + 'static,
 ) -> Result<Upload, Rejection> {
     if body.is_end_stream() {
-        whole();
+        on_end();
         return Ok(Upload::Whole(Bytes::new()));
     }
     let length = body.size_hint().exact();
-    if length.is_some_and(|l| l > limits.body_bytes) {
+    if length.is_some_and(|l| l > limits.max_body_bytes) {
         return Err(too_long(&limits));
     }
-    let mut pace = Pace::new(limits);
-    let mut start = Start::default();
-    while !start.is_longer_than(limits.held) {
-        let Some(piece) = pace.next(&mut body).await.map_err(|why| rejection(why, &limits))? else {
-            whole();
+    let mut pace = BodyPace::new(limits);
+    let mut start = BodyPrefix::default();
+    while !start.is_longer_than(limits.max_buffered_bytes) {
+        let Some(chunk) = pace.next(&mut body).await.map_err(|why| rejection(why, &limits))? else {
+            on_end();
             return Ok(Upload::Whole(start.finish()));
         };
-        start.push(piece);
+        start.push(chunk);
     }
-    let (feed, rest) = body::pieces();
+    let (sender, rest) = body::body_channel();
     tokio::task::spawn_local(async move {
-        pass_on(body, pace, feed).await;
-        whole();
+        forward_body(body, pace, sender).await;
+        on_end();
     });
     Ok(Upload::stream(start.finish(), length, rest))
 }
 
-/// Passes a body on as it comes, no faster than it is taken.
-async fn pass_on(mut body: Incoming, mut pace: Pace, feed: Feed) {
+/// Forwards a body while it arrives, no faster than it is read.
+async fn forward_body(mut body: Incoming, mut pace: BodyPace, sender: BodySender) {
     loop {
-        let piece = tokio::select! {
-            piece = pace.next(&mut body) => piece,
-            () = feed.closed() => return linger(body, pace).await,
+        let chunk = tokio::select! {
+            chunk = pace.next(&mut body) => chunk,
+            () = sender.closed() => return discard_rest(body, pace).await,
         };
-        let piece = match piece {
-            Ok(Some(piece)) => piece,
-            Ok(None) => return feed.finish(),
-            // Who takes it hears why, unless it has given up.
+        let chunk = match chunk {
+            Ok(Some(chunk)) => chunk,
+            Ok(None) => return sender.finish(),
+            // The receiver gets the error, unless it has been dropped.
             Err(why) => {
-                let _ = feed.send(Err(why)).await;
+                let _ = sender.send(Err(why)).await;
                 return;
             }
         };
-        let waits = Instant::now();
-        match timeout(STALL, feed.send(Ok(piece))).await {
+        let wait_start = Instant::now();
+        match timeout(STALL_TIMEOUT, sender.send(Ok(chunk))).await {
             Ok(Ok(())) => {}
-            Ok(Err(_)) => return linger(body, pace).await,
-            // The server's end of it breaks off with the feed.
+            Ok(Err(_)) => return discard_rest(body, pace).await,
+            // Dropping the sender ends the server's body with an error.
             Err(_) => return,
         }
-        // Not the client's delay.
-        pace.begun += waits.elapsed();
+        // The wait for the server does not count as the client's delay.
+        pace.begun += wait_start.elapsed();
     }
 }
 
-/// Takes the rest of a body whose request has been answered.
-async fn linger(mut body: Incoming, mut pace: Pace) {
-    let end = Instant::now() + LINGER;
+/// Reads and discards the rest of a body whose request has been answered.
+async fn discard_rest(mut body: Incoming, mut pace: BodyPace) {
+    let end = Instant::now() + DISCARD_TIMEOUT;
     while let Ok(Ok(Some(_))) = tokio::time::timeout_at(end, pace.next(&mut body)).await {}
 }
--- a/crates/engine/src/front/heard.rs
+++ b/crates/engine/src/front/recent_bytes.rs
@@ -1,43 +1,44 @@
-//! The bytes of a head as they came, where the parser shows less than it was sent.
+//! The raw bytes received last on a connection, to detect headers that the parser drops.
 //!
-//! Of a length beside a coding the parser keeps the coding only, and such a request may hide another in its body.
+//! The parser drops a `Content-Length` next to a `Transfer-Encoding`, and such a request may hide another one in its
+//! body.
 
 use memchr::{memchr_iter, memmem};
 
-/// The last bytes that came on a connection.
-pub(super) struct Heard {
+/// The last bytes received on a connection.
+pub(super) struct RecentBytes {
     bytes: Vec<u8>,
-    /// The most that is kept: what the parser's own buffer holds, in which a head must fit whole.
-    most: usize,
+    /// Most bytes kept: the size of the parser's buffer, which has to hold a whole head.
+    limit: usize,
 }
 
-impl Heard {
-    /// Nothing has come; so many bytes are kept.
-    pub(super) fn new(most: usize) -> Self {
-        Heard { bytes: Vec::new(), most }
+impl RecentBytes {
+    /// Creates an empty buffer that keeps the last `limit` bytes.
+    pub(super) fn new(limit: usize) -> Self {
+        RecentBytes { bytes: Vec::new(), limit }
     }
 
-    /// These bytes have come.
+    /// Appends received bytes.
     pub(super) fn push(&mut self, bytes: &[u8]) {
-        let bytes = &bytes[bytes.len().saturating_sub(self.most)..];
-        let over = (self.bytes.len() + bytes.len()).saturating_sub(self.most);
-        self.bytes.drain(..over);
+        let bytes = &bytes[bytes.len().saturating_sub(self.limit)..];
+        let excess = (self.bytes.len() + bytes.len()).saturating_sub(self.limit);
+        self.bytes.drain(..excess);
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Nothing that came so far belongs to a head that is still to be read.
+    /// Clears the buffer; called when no received byte belongs to a head still to be read.
     pub(super) fn forget(&mut self) {
         self.bytes = Vec::new();
     }
 
-    /// Whether the head in which this value stands has no `Content-Length`. A head that cannot be found has one, for
-    /// all that is known; without a value to find it by it may be any.
+    /// Whether the head that contains `value` has no `Content-Length`. Returns false if no such head is found. With an
+    /// empty value, all buffered bytes are searched.
     pub(super) fn has_no_length(&self, value: &[u8]) -> bool {
         let has_length = |head: &[u8]| head.split(|b| *b == b'\n').any(is_length);
         if value.is_empty() {
             return !has_length(&self.bytes);
         }
-        // Up to where heads have been looked at.
+        // End of the heads searched so far.
         let mut seen = 0;
         for at in memmem::find_iter(&self.bytes, value) {
             if at < seen {
@@ -54,7 +55,7 @@
     }
 }
 
-/// Where heads end: behind each empty line. The parser takes a bare line feed for a line's end, so this does too.
+/// Offsets after each empty line, where heads end. Like the parser, it accepts a bare line feed as a line ending.
 fn head_ends(bytes: &[u8]) -> impl Iterator<Item = usize> + '_ {
     memchr_iter(b'\n', bytes).filter_map(|at| match &bytes[at + 1..] {
         [b'\n', ..] => Some(at + 2),
--- a/crates/engine/src/handle.rs
+++ b/crates/engine/src/handle.rs
@@ -1,10 +1,10 @@
-//! The way to an engine from other threads.
+//! Access to an engine from other threads.
 //!
-//! An engine lives on one thread. A [`Handle`] may be cloned and used from any thread and runtime; what it
-//! sends waits in a bounded queue until the engine takes it.
+//! An engine lives on one thread. A [`Handle`] can be cloned and used from any thread and runtime; its requests wait in
+//! a bounded queue until the engine takes them.
 
-use crate::engine::{finish_within, Answer, Engine, Setup};
-use crate::ports::membership::{News, Told};
+use crate::engine::{shutdown_timeout, Answer, Engine, Setup};
+use crate::ports::membership::{MembershipSink, News};
 use crate::ports::upstream::Upstream;
 use oatbank_limiter_core::interface::{Millis, Request, RequestId};
 use std::collections::HashMap;
@@ -18,22 +18,21 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Requests taken from the queue in one go, before timers and attempts have their turn.
+/// Commands taken from the queue at once before timers and attempts run.
 const BATCH: usize = 64;
-/// Requests that may wait for the engine where nothing else is said: what it works off in some ms.
-pub const USUAL_QUEUE: usize = 4096;
-/// A request that finds the queue full is told to come back after this, ms: the queue is then empty again.
-pub const FULL_RETRY: Millis = 50.0;
-/// How a request ended that was given to a [`Handle`].
+/// Default capacity of the queue: requests that the engine handles within a few ms.
+pub const DEFAULT_QUEUE_CAPACITY: usize = 4096;
+/// Retry delay given when the queue is full, ms: by then the queue has been emptied.
+pub const QUEUE_FULL_RETRY_AFTER: Millis = 50.0;
+/// Result of a request submitted through a [`Handle`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended<A> {
+pub enum CallResult<A> {
     /// The engine's final answer.
     Answered(Answer<A>),
-    /// The queue was full, or the engine is shutting down: the engine never saw the request, no account was
-    /// touched, and trying again is harmless after this wait in ms.
-    NotTaken(Millis),
-    /// The engine ended with the request in hand, as it does when its thread or runtime is torn down: the
-    /// request may have run.
+    /// The queue was full or the engine is shutting down. The engine never saw the request, no quota was charged, and a
+    /// retry is safe after this wait in ms.
+    NotAccepted(Millis),
+    /// The engine ended before it answered, because its thread or runtime was shut down; the request may have run.
     Lost,
 }
 
@@ -46,17 +45,17 @@
 
 struct Shared<Q, A> {
     commands: mpsc::UnboundedSender<Command<Q, A>>,
-    /// Requests that the engine has not taken yet: what bounds the queue. All other commands are few: one a
-    /// request at most, or an operator's.
+    /// Requests that the engine has not taken yet; limits the queue. Other commands are not limited: there is at most
+    /// one per request, besides those of operators.
     waiting: Arc<AtomicUsize>,
     stopping: AtomicBool,
-    most: usize,
+    capacity: usize,
     next: AtomicU64,
     setup: Setup,
 }
 
-/// The way to an engine. Clones share it; when the last one and the last open request are dropped, the engine
-/// ends as by [`Handle::shutdown`].
+/// Submits requests to an engine. When the last clone and the last open request are dropped, the engine ends as by
+/// [`Handle::shutdown`].
 pub struct Handle<Q, A> {
     shared: Arc<Shared<Q, A>>,
 }
@@ -73,22 +72,22 @@
     }
 }
 
-/// The engine's side of a [`Handle`]: to be run on the engine's thread.
+/// The engine's side of a [`Handle`], which runs on the engine's thread.
 pub struct Work<Q, A> {
     commands: mpsc::UnboundedReceiver<Command<Q, A>>,
     waiting: Arc<AtomicUsize>,
 }
 
-/// A handle whose queue holds `most` requests, and the engine's side of it. `setup` is what requests are
-/// classified by.
-pub fn pair<Q, A>(setup: Setup, most: usize) -> (Handle<Q, A>, Work<Q, A>) {
+/// Creates a handle whose queue holds `capacity` requests, and the engine's side of it. `setup` is used to classify
+/// requests.
+pub fn pair<Q, A>(setup: Setup, capacity: usize) -> (Handle<Q, A>, Work<Q, A>) {
     let (sender, commands) = mpsc::unbounded_channel();
     let waiting = Arc::new(AtomicUsize::new(0));
     let shared = Shared {
         commands: sender,
         waiting: waiting.clone(),
         stopping: AtomicBool::new(false),
-        most,
+        capacity,
         next: AtomicU64::new(0),
         setup,
     };
@@ -96,52 +95,52 @@
 }
 
 impl<Q, A> Handle<Q, A> {
-    /// What requests are classified by.
+    /// Setup used to classify requests.
     pub fn setup(&self) -> &Setup {
         &self.shared.setup
     }
 
-    /// Requests that wait for the engine to take them.
+    /// Number of requests that wait for the engine.
     pub fn waiting(&self) -> usize {
         self.shared.waiting.load(Ordering::Relaxed)
     }
 
-    /// Hands a request to the engine. Its time runs from now on. Dropping the future is the client's leaving:
-    /// what was not sent to a server never will be, and what was is called off.
+    /// Submits a request, whose time limit runs from now on. Dropping the future counts as the client's disconnect: an
+    /// unsent request is never sent, and attempts in flight are cancelled.
     pub fn call(&self, request: Request, forward: Q) -> Pending<Q, A> {
         let shared = &self.shared;
-        let full = shared.waiting.fetch_add(1, Ordering::AcqRel) >= shared.most;
+        let full = shared.waiting.fetch_add(1, Ordering::AcqRel) >= shared.capacity;
         let ticket = shared.next.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         let command = Command::Arrive { ticket, at: Instant::now(), request, forward, reply };
-        let taken =
+        let accepted =
             !full && !shared.stopping.load(Ordering::Acquire) && shared.commands.send(command).is_ok();
-        if !taken {
+        if !accepted {
             shared.waiting.fetch_sub(1, Ordering::AcqRel);
         }
-        Pending { handle: self.clone(), ticket, answer: taken.then_some(answer) }
+        Pending { handle: self.clone(), ticket, answer: accepted.then_some(answer) }
     }
 
-    /// Tells the engine which servers there are. Not to be used beside a source that does so by itself.
-    pub fn tell(&self, news: News) {
-        // An engine that has ended needs no news.
+    /// Sends a membership update to the engine. Not to be combined with another membership source.
+    pub fn update_members(&self, news: News) {
+        // An engine that has ended needs no updates.
         let _ = self.shared.commands.send(Command::News(news));
     }
 
-    /// Takes no further request, answers what was taken (by 0.55 s after the longest deadline, 3 s at most),
-    /// and completes when the engine has ended.
+    /// Rejects further requests, waits for the answers to accepted ones (for the longest deadline, at most 3 s, plus
+    /// 0.55 s) and completes when the engine has ended.
     pub async fn shutdown(&self) {
         self.shared.stopping.store(true, Ordering::Release);
         let (done, ended) = oneshot::channel();
         if self.shared.commands.send(Command::Stop(done)).is_ok() {
-            // An error is the engine's end too.
+            // An error also means that the engine has ended.
             let _ = ended.await;
         }
     }
 }
 
-/// A request that the engine has or is to have.
-#[must_use = "a dropped request is a client that has left"]
+/// A submitted request; completes with its result.
+#[must_use = "dropping a request counts as the client's disconnect"]
 pub struct Pending<Q, A> {
     handle: Handle<Q, A>,
     ticket: u64,
@@ -149,13 +148,15 @@
 }
 
 impl<Q, A> Future for Pending<Q, A> {
-    type Output = Ended<A>;
+    type Output = CallResult<A>;
 
-    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Ended<A>> {
-        let Some(answer) = &mut self.answer else { return Poll::Ready(Ended::NotTaken(FULL_RETRY)) };
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<CallResult<A>> {
+        let Some(answer) = &mut self.answer else {
+            return Poll::Ready(CallResult::NotAccepted(QUEUE_FULL_RETRY_AFTER));
+        };
         let answer = ready!(Pin::new(answer).poll(cx));
         self.answer = None;
-        Poll::Ready(answer.map_or(Ended::Lost, Ended::Answered))
+        Poll::Ready(answer.map_or(CallResult::Lost, CallResult::Answered))
     }
 }
 
@@ -167,53 +168,53 @@
     }
 }
 
-/// Requests in hand by ticket; the number is none until the engine has given it.
+/// Open requests by ticket; the id is `None` until the engine has assigned it.
 type Tickets = Arc<Mutex<HashMap<u64, Option<RequestId>>>>;
 
 fn lock(tickets: &Tickets) -> MutexGuard<'_, HashMap<u64, Option<RequestId>>> {
-    // Each change is one step, so a panic beside it leaves nothing half done.
+    // Each change is a single operation, so a poisoned lock holds a valid map.
     tickets.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl<Q: Send + 'static, A: Send + 'static> Work<Q, A> {
-    /// Works off what the handles send until the last is dropped or one asks for the end; then answers all that
-    /// is owed. To be run inside the engine's [`tokio::task::LocalSet`].
+    /// Executes the handles' commands until the last handle is dropped or one requests a shutdown, then answers all
+    /// open requests. Must run inside the engine's [`tokio::task::LocalSet`].
     pub async fn run<U: Upstream<Request = Q, Answer = A>>(mut self, engine: Rc<Engine<U>>) {
-        let told = engine.told();
+        let sink = engine.membership_sink();
         let tickets = Tickets::default();
         let mut batch = Vec::with_capacity(BATCH);
-        let mut asked = Vec::new();
-        while asked.is_empty() && self.commands.recv_many(&mut batch, BATCH).await > 0 {
+        let mut waiters = Vec::new();
+        while waiters.is_empty() && self.commands.recv_many(&mut batch, BATCH).await > 0 {
             for command in batch.drain(..) {
-                self.obey(&engine, &tickets, &told, command, &mut asked);
+                self.execute(&engine, &tickets, &sink, command, &mut waiters);
             }
-            // Timers and attempts are tasks beside this one.
+            // Lets the tasks of timers and attempts run.
             tokio::task::yield_now().await;
         }
-        self.finish(&engine, &tickets, &told).await;
-        tell_end(asked);
+        self.finish(&engine, &tickets, &sink).await;
+        notify_stopped(waiters);
     }
 
-    fn obey<U: Upstream<Request = Q, Answer = A>>(
+    fn execute<U: Upstream<Request = Q, Answer = A>>(
         &self,
         engine: &Rc<Engine<U>>,
         tickets: &Tickets,
-        told: &Told,
+        sink: &MembershipSink,
         command: Command<Q, A>,
-        asked: &mut Vec<oneshot::Sender<()>>,
+        waiters: &mut Vec<oneshot::Sender<()>>,
     ) {
         match command {
             Command::Arrive { ticket, at, mut request, forward, reply } => {
                 self.waiting.fetch_sub(1, Ordering::AcqRel);
                 request.time_left -= at.elapsed().as_secs_f64() * 1000.0;
                 lock(tickets).insert(ticket, None);
-                let over = tickets.clone();
+                let open_tickets = tickets.clone();
                 let reply = Box::new(move |answer| {
-                    lock(&over).remove(&ticket);
-                    // A client that has just left needs no answer.
+                    lock(&open_tickets).remove(&ticket);
+                    // The receiver is gone if the client has disconnected.
                     let _ = reply.send(answer);
                 });
-                let id = engine.arrive(request, forward, reply);
+                let id = engine.submit(request, forward, reply);
                 if let Some(number) = lock(tickets).get_mut(&ticket) {
                     *number = Some(id);
                 }
@@ -221,49 +222,49 @@
             Command::Gone(ticket) => {
                 let id = lock(tickets).remove(&ticket).flatten();
                 if let Some(id) = id {
-                    engine.gone(id);
+                    engine.client_left(id);
                 }
             }
-            Command::News(news) => told(news),
-            Command::Stop(done) => asked.push(done),
+            Command::News(news) => sink(news),
+            Command::Stop(done) => waiters.push(done),
         }
     }
 
-    /// Answers what was taken, also what still waits in the queue, and fails what is left at the end.
+    /// Answers accepted requests, including those in the queue, and fails those left when the shutdown times out.
     async fn finish<U: Upstream<Request = Q, Answer = A>>(
         &mut self,
         engine: &Rc<Engine<U>>,
         tickets: &Tickets,
-        told: &Told,
+        sink: &MembershipSink,
     ) {
-        let end = Instant::now() + finish_within(engine.revision().settings());
-        let mut more = Vec::new();
-        while (engine.owed() > 0 || !self.commands.is_empty()) && Instant::now() < end {
+        let end = Instant::now() + shutdown_timeout(engine.revision().settings());
+        let mut late = Vec::new();
+        while (engine.unanswered() > 0 || !self.commands.is_empty()) && Instant::now() < end {
             match tokio::time::timeout(Duration::from_millis(5), self.commands.recv()).await {
-                Ok(Some(command)) => self.obey(engine, tickets, told, command, &mut more),
+                Ok(Some(command)) => self.execute(engine, tickets, sink, command, &mut late),
                 Ok(None) => tokio::time::sleep(Duration::from_millis(5)).await,
                 Err(_) => {}
             }
         }
         engine.fail_all();
-        tell_end(more);
+        notify_stopped(late);
     }
 }
 
-fn tell_end(asked: Vec<oneshot::Sender<()>>) {
-    for done in asked {
-        // Who asked need not have waited.
+fn notify_stopped(waiters: Vec<oneshot::Sender<()>>) {
+    for done in waiters {
+        // The caller may have stopped waiting.
         let _ = done.send(());
     }
 }
 
-/// Runs an engine on a thread of its own. `build` makes it there, inside its local set.
+/// Runs an engine on its own thread. `build` creates it there, inside its local set.
 ///
 /// # Errors
-/// When there is no thread or runtime to be had, or `build` fails; its error comes back as it is.
+/// If the thread or runtime cannot be created, or with the error of `build`.
 pub fn spawn<U, B>(
     setup: Setup,
-    most: usize,
+    capacity: usize,
     build: B,
 ) -> Result<Handle<U::Request, U::Answer>, std::io::Error>
 where
@@ -272,7 +273,7 @@
     U::Answer: Send,
     B: FnOnce() -> Result<Rc<Engine<U>>, std::io::Error> + Send + 'static,
 {
-    let (handle, work) = pair(setup, most);
+    let (handle, work) = pair(setup, capacity);
     let (up, started) = std::sync::mpsc::channel();
     std::thread::Builder::new().name("oatbank".into()).spawn(move || {
         let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
@@ -293,7 +294,7 @@
             tracing::error!("the engine's thread: {e}");
         }
     })?;
-    let lost = || std::io::Error::other("the engine's thread ended before it had started");
-    started.recv().map_err(|_| lost())??;
+    let startup_error = || std::io::Error::other("the engine thread ended before the engine started");
+    started.recv().map_err(|_| startup_error())??;
     Ok(handle)
 }
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -1,12 +1,12 @@
-//! A front before one server, on a thread of its own: on its connections several requests may be in hand at once, or one.
+//! A front for one server, on its own thread, with or without pipelining.
 
 use super::{class, setup};
 use http::request::Parts;
 use http::{HeaderName, Method, Response, StatusCode};
-use oatbank_engine::body::{Body, Room, Upload};
+use oatbank_engine::body::{Body, BodyPermit, Upload};
 use oatbank_engine::classify::Rejection;
 use oatbank_engine::engine::{Answer, Engine};
-use oatbank_engine::front::{Desk, Front, FrontLimits, Judged};
+use oatbank_engine::front::{Front, FrontLimits, HeadDecision, HttpHandler};
 use oatbank_engine::members::fixed;
 use oatbank_engine::ports::clock::SystemClock;
 use oatbank_engine::ports::membership::Member;
@@ -24,24 +24,24 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 
-pub type HallEngine = Engine<Http1<House>>;
+pub type TestEngine = Engine<Http1<House>>;
 
-/// How many requests a connection may have in hand.
+/// How many requests of a connection may be open at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InHand {
-    /// One; each has two attempts.
+pub enum OpenRequests {
+    /// One, with two attempts each.
     One,
-    /// Several; each has one attempt. What lies under `/once` may not overtake; it and what is posted runs at most once.
+    /// Several, with one attempt each. `POST` requests and those below `/once` run at most once and are not pipelined.
     Several,
 }
 
-/// Sends all that comes to one service, but for what goes to `/closed`: that is rejected.
-pub struct Hall {
-    in_hand: InHand,
-    pub engine: Rc<HallEngine>,
-    /// The front's clock is ahead of the engine's by this, ms.
+/// Forwards all requests to one service, except for those to `/closed`, which it answers with 503.
+pub struct TestHandler {
+    open_requests: OpenRequests,
+    pub engine: Rc<TestEngine>,
+    /// Offset of the front's clock from the engine's, ms.
     ahead: Cell<Millis>,
-    /// Called when a server has answered, before its answer is passed on.
+    /// Called when a server has answered, before the answer is passed on.
     pub on_answer: RefCell<Option<Box<dyn Fn()>>>,
 }
 
@@ -49,36 +49,36 @@
     head.method == Method::POST || head.uri.path().starts_with("/once")
 }
 
-impl Desk for Hall {
+impl HttpHandler for TestHandler {
     type Ticket = Request;
 
     fn now(&self) -> Millis {
         self.engine.now() + self.ahead.get()
     }
 
-    fn names_requests_by(&self) -> HeaderName {
+    fn request_id_header(&self) -> HeaderName {
         HeaderName::from_static("try-id")
     }
 
-    fn several_at_once(&self) -> bool {
-        self.in_hand == InHand::Several
+    fn supports_pipelining(&self) -> bool {
+        self.open_requests == OpenRequests::Several
     }
 
-    fn may_overtake(&self, head: &Parts) -> bool {
+    fn may_pipeline(&self, head: &Parts) -> bool {
         !is_at_most_once(head)
     }
 
-    fn judge(&self, head: &Parts) -> Result<Judged<Request>, Rejection> {
+    fn check_head(&self, head: &Parts) -> Result<HeadDecision<Request>, Rejection> {
         if head.uri.path() == "/closed" {
-            return Ok(Judged::Answer(respond::plain(StatusCode::SERVICE_UNAVAILABLE, "closed\n")));
+            return Ok(HeadDecision::Respond(respond::plain(StatusCode::SERVICE_UNAVAILABLE, "closed\n")));
         }
         let request = Request { units: 1.0, spread: 1.0, time_left: 3000.0, ..Request::default() };
-        if self.in_hand == InHand::One {
-            return Ok(Judged::Taken(request));
+        if self.open_requests == OpenRequests::One {
+            return Ok(HeadDecision::Accept(request));
         }
         let repeat = if is_at_most_once(head) { Repeat::Unsafe } else { Repeat::Safe };
         let rules = Rules { class: Class { repeat, ..class() }, max_attempts: 1 };
-        Ok(Judged::Taken(Request { rules: Some(Arc::new(rules)), ..request }))
+        Ok(HeadDecision::Accept(Request { rules: Some(Arc::new(rules)), ..request }))
     }
 
     async fn serve(
@@ -86,12 +86,12 @@
         mut request: Request,
         head: Parts,
         body: Upload,
-        room: Option<Room>,
+        permit: Option<BodyPermit>,
     ) -> Result<Response<Body>, Rejection> {
         request.uploading = body.is_stream();
         let headers = headers_on(&head.headers);
-        let forward = Forward { method: head.method, uri: head.uri, headers, body, room };
-        let answer: Answer<Response<Body>> = self.engine.ask(request, forward).await;
+        let forward = Forward { method: head.method, uri: head.uri, headers, body, permit };
+        let answer: Answer<Response<Body>> = self.engine.submit_and_wait(request, forward).await;
         if let Some(on_answer) = &*self.on_answer.borrow() {
             on_answer();
         }
@@ -99,62 +99,66 @@
     }
 }
 
-type Action = Box<dyn FnOnce(&Rc<Front<Hall>>) + Send>;
+type Action = Box<dyn FnOnce(&Rc<Front<TestHandler>>) + Send>;
 
-/// The front.
+/// A running front.
 pub struct Rig {
     pub address: SocketAddr,
     actions: UnboundedSender<Action>,
 }
 
 impl Rig {
-    /// Before this server, with several requests in hand.
+    /// Starts a front with pipelining for this server.
     pub fn start(server: &Server) -> Rig {
-        Rig::with_in_hand(server, InHand::Several)
+        Rig::with_open_requests(server, OpenRequests::Several)
     }
 
-    /// Before this server.
-    pub fn with_in_hand(server: &Server, in_hand: InHand) -> Rig {
-        let (tell, told) = mpsc::channel();
+    /// Starts a front for this server.
+    pub fn with_open_requests(server: &Server, open_requests: OpenRequests) -> Rig {
+        let (sender, receiver) = mpsc::channel();
         let (actions, mut wanted) = unbounded_channel::<Action>();
         let address = server.address;
         std::thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
             tokio::task::LocalSet::new().block_on(&runtime, async move {
-                let front = Front::new(hall(address, in_hand), budget(), FrontLimits::default());
+                let front =
+                    Front::new(test_handler(address, open_requests), budget(), FrontLimits::default());
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-                tell.send(listener.local_addr().expect("an address")).expect("the test");
-                tokio::task::spawn_local(front.clone().look_round());
+                sender.send(listener.local_addr().expect("an address")).expect("the test");
+                tokio::task::spawn_local(front.clone().close_stalled_connections());
                 tokio::task::spawn_local(front.clone().accept(Rc::new(listener)));
                 while let Some(action) = wanted.recv().await {
                     action(&front);
                 }
             });
         });
-        Rig { address: told.recv().expect("a front"), actions }
+        Rig { address: receiver.recv().expect("a front"), actions }
     }
 
-    /// Does something on the front's thread, and waits for what comes of it.
-    pub fn with<T: Send + 'static>(&self, action: impl FnOnce(&Rc<Front<Hall>>) -> T + Send + 'static) -> T {
-        let (tell, told) = mpsc::channel();
-        let action: Action = Box::new(move |front| tell.send(action(front)).expect("the test"));
+    /// Runs an action on the front's thread and returns its result.
+    pub fn with<T: Send + 'static>(
+        &self,
+        action: impl FnOnce(&Rc<Front<TestHandler>>) -> T + Send + 'static,
+    ) -> T {
+        let (sender, receiver) = mpsc::channel();
+        let action: Action = Box::new(move |front| sender.send(action(front)).expect("the test"));
         assert!(self.actions.send(action).is_ok(), "the front runs");
-        told.recv().expect("the front")
+        receiver.recv().expect("the front")
     }
 
-    /// For connections, so much time passes at once.
+    /// Advances the front's clock, which connections use, by `by` ms.
     pub fn advance(&self, by: Millis) {
         self.with(move |front| {
-            let ahead = &front.desk().ahead;
+            let ahead = &front.handler().ahead;
             ahead.set(ahead.get() + by);
         });
     }
 
-    /// A connection.
+    /// Opens a connection.
     pub fn connect(&self) -> (TcpStream, BufReader<TcpStream>) {
         let stream = TcpStream::connect(self.address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
         let reader = BufReader::new(stream.try_clone().expect("a clone"));
         (stream, reader)
     }
@@ -164,7 +168,7 @@
     Budget::divide(Limits::default(), 0, 1.0)
 }
 
-fn hall(server: SocketAddr, in_hand: InHand) -> Hall {
+fn test_handler(server: SocketAddr, open_requests: OpenRequests) -> TestHandler {
     let budget = budget();
     let connections = Connections {
         idle: 10_000.0,
@@ -172,22 +176,22 @@
         most: budget.servers,
         bodies_kib: budget.answers_kib,
     };
-    let attempts = if in_hand == InHand::One { 2 } else { 1 };
+    let attempts = if open_requests == OpenRequests::One { 2 } else { 1 };
     let clock = Rc::new(SystemClock::new());
     let house = House { held: 64, ..House::default() };
     let engine =
         Engine::new(&setup(class(), attempts), clock.clone(), Http1::speaking(house, clock, connections));
     engine.start();
-    if in_hand == InHand::Several {
-        engine.cancel_departed();
+    if open_requests == OpenRequests::Several {
+        engine.cancel_on_disconnect();
     }
-    fixed::tell(&engine.told(), vec![Member::ready("s-1", server)]);
-    Hall { in_hand, engine, ahead: Cell::new(0.0), on_answer: RefCell::default() }
+    fixed::tell(&engine.membership_sink(), vec![Member::ready("s-1", server)]);
+    TestHandler { open_requests, engine, ahead: Cell::new(0.0), on_answer: RefCell::default() }
 }
 
-/// An answer to this request, of so many bytes.
-pub fn to(m: &Message, length: usize, body: &str) -> Vec<u8> {
-    let id = m.header("Try-Id").expect("a name");
+/// An answer to this request with the given `Content-Length` and body.
+pub fn answer_to(m: &Message, length: usize, body: &str) -> Vec<u8> {
+    let id = m.header("Try-Id").expect("a try id");
     format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\nContent-Length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
@@ -200,17 +204,18 @@
     request_with(method, path, id, "")
 }
 
-/// With more lines in its head, each with its end.
+/// A request with additional header lines, each terminated by CR LF.
 pub fn request_with(method: &str, path: &str, id: &str, lines: &str) -> String {
     format!("{method} {path} HTTP/1.1\r\nHost: h\r\nTry-Id: {id}\r\n{lines}Content-Length: 0\r\n\r\n")
 }
 
-/// The paths of all that has reached a server.
+/// The paths of all requests that have reached a server.
 pub fn paths(server: &Server) -> Vec<String> {
     server.seen.lock().expect("a lock").iter().map(|m| path(m).to_owned()).collect()
 }
 
-/// Answers what is sent to `/wait` when the test says so, breaks off its answer to `/cut` then, and answers all else at once.
+/// A server that answers `/wait` when the test releases it, truncates its answer to `/cut` then, and answers all other
+/// requests at once.
 pub fn waiting_server() -> (Server, Sender<()>) {
     let (release, released) = mpsc::channel();
     let released: Mutex<Receiver<()>> = Mutex::new(released);
@@ -219,8 +224,8 @@
             let _ = released.lock().expect("a lock").recv();
         }
         match path(m) {
-            "/cut" => Act::Close(to(m, 900, &"x".repeat(100))),
-            path => Act::Write(to(m, path.len(), path)),
+            "/cut" => Act::Close(answer_to(m, 900, &"x".repeat(100))),
+            path => Act::Write(answer_to(m, path.len(), path)),
         }
     });
     (server, release)
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -1,5 +1,5 @@
-//! Clients that leave before their answer: no server works on for them where their request may be repeated, and what runs at
-//! most once is left to run.
+//! Clients that disconnect before their answer: attempts of repeatable requests are cancelled, at-most-once attempts
+//! continue.
 
 mod common;
 
@@ -10,24 +10,24 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A server's work ends by then; the bound that users are told is 500 ms.
-const NOTICED: Duration = Duration::from_millis(400);
+/// Time limit for the cancellation at the server; the documented bound is 500 ms.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leaving {
+enum Disconnect {
     Close,
     Reset,
 }
 
-fn leave(stream: TcpStream, how: Leaving) {
-    if matches!(how, Leaving::Reset) {
+fn disconnect(stream: TcpStream, how: Disconnect) {
+    if matches!(how, Disconnect::Reset) {
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
     }
     drop(stream);
 }
 
-/// What a client sends before it leaves, and how much of it reaches the server.
+/// Input of a client before its disconnect, and the number of requests that reach the server.
 struct Case {
     name: &'static str,
     sent: String,
@@ -40,31 +40,35 @@
     let case = |name, sent, at_server| Case { name, sent, at_server };
     vec![
         case("one request", get("1"), 1),
-        case("several at once", many(3), 3),
-        case("the last one", request_with("GET", "/silent", "1", "Connection: close\r\n"), 1),
-        case("of an old client", get("1").replace("HTTP/1.1", "HTTP/1.0"), 1),
-        case("one that waits its turn behind", get("1") + &request("POST", "/once", "2"), 1),
-        case("half a head behind", get("1") + "GET /silent HTTP/1.1\r\nHo", 1),
-        case("more than are taken at once", many(40), 8),
-        // More than is read ahead, and no more than the system takes in: else the close itself does not arrive.
-        case("more than is read ahead", get("1") + &request("POST", "/once", "2") + &many(800), 1),
+        case("several pipelined requests", many(3), 3),
+        case(
+            "a request with Connection: close",
+            request_with("GET", "/silent", "1", "Connection: close\r\n"),
+            1,
+        ),
+        case("an HTTP/1.0 request", get("1").replace("HTTP/1.1", "HTTP/1.0"), 1),
+        case("a request queued behind another", get("1") + &request("POST", "/once", "2"), 1),
+        case("half a head behind a request", get("1") + "GET /silent HTTP/1.1\r\nHo", 1),
+        case("more than can be open at once", many(40), 8),
+        // More than the read-ahead, but no more than the socket buffers hold, or the close itself would not arrive.
+        case("more than the read-ahead", get("1") + &request("POST", "/once", "2") + &many(800), 1),
     ]
 }
 
 #[test]
-fn no_server_works_on_for_a_client_that_has_left() {
-    let mut missed = Vec::new();
-    for how in [Leaving::Close, Leaving::Reset] {
+fn attempts_are_cancelled_when_the_client_disconnects() {
+    let mut failures = Vec::new();
+    for how in [Disconnect::Close, Disconnect::Reset] {
         for case in cases() {
             let server = Server::start(|_| Act::Silence);
             let rig = Rig::start(&server);
             let stream = TcpStream::connect(rig.address).expect("a connection");
             stream.set_nonblocking(true).expect("an option");
-            // What is not taken is not sent.
+            // Bytes that the socket does not accept are not sent.
             let _ = (&stream).write(case.sent.as_bytes());
             eventually(case.name, || server.count() >= case.at_server);
-            leave(stream, how);
-            let until = Instant::now() + NOTICED;
+            disconnect(stream, how);
+            let until = Instant::now() + CANCEL_TIMEOUT;
             let ended = (0..case.at_server)
                 .filter(|_| {
                     let left = until.saturating_duration_since(Instant::now());
@@ -72,30 +76,30 @@
                 })
                 .count();
             if ended < case.at_server {
-                missed.push(format!("{}, {how:?}: {ended} of {}", case.name, case.at_server));
+                failures.push(format!("{}, {how:?}: {ended} of {}", case.name, case.at_server));
             }
             let (open, abandoned) = rig.with(|front| {
-                (front.desk().engine.owed(), front.desk().engine.departures().abandoned_attempts)
+                (front.handler().engine.unanswered(), front.handler().engine.departures().abandoned_attempts)
             });
             if open > 0 || abandoned > 0 {
-                missed.push(format!("{}, {how:?}: {open} are owed, {abandoned} abandoned", case.name));
+                failures.push(format!("{}, {how:?}: {open} unanswered, {abandoned} abandoned", case.name));
             }
         }
     }
-    assert!(missed.is_empty(), "servers worked on:\n{}", missed.join("\n"));
+    assert!(failures.is_empty(), "attempts continued after the disconnect:\n{}", failures.join("\n"));
 }
 
 #[test]
-fn what_runs_at_most_once_goes_on_when_its_client_has_left() {
-    for how in [Leaving::Close, Leaving::Reset] {
+fn at_most_once_attempts_continue_after_the_client_disconnects() {
+    for how in [Disconnect::Close, Disconnect::Reset] {
         let server = Server::start(|_| Act::Silence);
         let rig = Rig::start(&server);
         let mut stream = TcpStream::connect(rig.address).expect("a connection");
         stream.write_all(request("POST", "/silent", "1").as_bytes()).expect("written");
-        eventually("it is out", || server.count() == 1);
-        leave(stream, how);
-        let departed = || rig.with(|front| front.desk().engine.departures().clients) == 1;
-        eventually("the departure is noticed", departed);
-        assert!(server.closed.recv_timeout(NOTICED).is_err(), "its server was broken off, {how:?}");
+        eventually("the attempt is in flight", || server.count() == 1);
+        disconnect(stream, how);
+        let departed = || rig.with(|front| front.handler().engine.departures().clients) == 1;
+        eventually("the disconnect is noticed", departed);
+        assert!(server.closed.recv_timeout(CANCEL_TIMEOUT).is_err(), "the attempt was cancelled, {how:?}");
     }
 }
--- a/crates/engine/tests/front.rs
+++ b/crates/engine/tests/front.rs
@@ -1,13 +1,13 @@
-//! Clients of a desk of another kind than the platform's, through an engine to servers that name each try.
+//! End-to-end tests of a front without pipelining, with servers that identify each try.
 
 mod common;
 
-use common::front::{InHand, Rig};
+use common::front::{OpenRequests, Rig};
 use oatbank_testkit::{read_message, Act, Message, Server};
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
 
-/// A client of a front, which runs as long as it does.
+/// A client and its front, which runs as long as the client exists.
 struct Client(
     TcpStream,
     BufReader<TcpStream>,
@@ -16,7 +16,7 @@
 
 impl Client {
     fn of(server: &Server) -> Client {
-        let rig = Rig::with_in_hand(server, InHand::One);
+        let rig = Rig::with_open_requests(server, OpenRequests::One);
         let (stream, reader) = rig.connect();
         Client(stream, reader, rig)
     }
@@ -31,25 +31,25 @@
     }
 }
 
-fn to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
-    let (id, length) = (m.header("Try-Id").expect("a name"), body.len());
+fn answer_to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
+    let (id, length) = (m.header("Try-Id").expect("a try id"), body.len());
     format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
 
 fn echo() -> Server {
     Server::start(|m| {
-        let said = format!("{} {}", m.start, String::from_utf8_lossy(&m.body));
-        Act::Write(to(m, "200 OK", "Server-Seal: s\r\n", &said))
+        let echoed = format!("{} {}", m.start, String::from_utf8_lossy(&m.body));
+        Act::Write(answer_to(m, "200 OK", "Server-Seal: s\r\n", &echoed))
     })
 }
 
 #[test]
-fn any_request_that_can_be_read_in_one_way_goes_on_and_its_answer_comes_back() {
+fn unambiguous_requests_are_forwarded_and_answered() {
     let server = echo();
     let mut client = Client::of(&server);
     let get = client.ask("GET /a?b HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\nContent-Length: 2\r\n\r\nhi");
-    assert_eq!((get.status(), &get.body[..]), (200, &b"GET /a?b HTTP/1.1 hi"[..]), "a body with GET");
+    assert_eq!((get.status(), &get.body[..]), (200, &b"GET /a?b HTTP/1.1 hi"[..]), "a GET with a body");
     assert_eq!((get.header("Try-Id"), get.header("Server-Seal")), (Some("1"), Some("s")));
     let put = client.ask(
         "PUT http://u@shop:81/a HTTP/1.1\r\nHost: other\r\nTry-Id: 2\r\nTransfer-Encoding: chunked\r\n\r\n\
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_can_be_read_in_two_ways_is_turned_away() {
+fn ambiguous_requests_are_rejected() {
     let server = echo();
     for head in [
         "POST / HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n",
@@ -86,26 +86,26 @@
 }
 
 #[test]
-fn a_servers_own_error_is_given_on_where_nothing_better_comes() {
-    let server = Server::start(|m| Act::Write(to(m, "404 Not Found", "X-A: 1\r\n", "no such thing")));
+fn a_server_error_is_passed_on_if_no_attempt_succeeds() {
+    let server = Server::start(|m| Act::Write(answer_to(m, "404 Not Found", "X-A: 1\r\n", "no such thing")));
     let answer = Client::of(&server).ask("GET / HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\n\r\n");
     assert_eq!((answer.status(), answer.header("X-A")), (404, Some("1")));
     assert_eq!(answer.body, b"no such thing");
 }
 
 #[test]
-fn what_a_server_spoilt_is_no_answer_of_its_own() {
-    let server = Server::start(|m| Act::Write(to(m, "200 OK", "", "unsealed")));
+fn an_invalid_server_answer_is_not_passed_on() {
+    let server = Server::start(|m| Act::Write(answer_to(m, "200 OK", "", "unsealed")));
     let answer = Client::of(&server).ask("GET / HTTP/1.1\r\nHost: h\r\nTry-Id: 1\r\n\r\n");
-    // The class may run again, so a refusal is an answer too.
+    // The class is repeatable, so a refusal is allowed as well.
     assert!(matches!(answer.status(), 429 | 502), "{}", answer.start);
 }
 
 #[test]
-fn an_answer_that_breaks_off_never_looks_whole() {
+fn a_truncated_answer_never_looks_complete() {
     for (length, version) in [(true, "1.1"), (false, "1.1"), (true, "1.0"), (false, "1.0")] {
         let server = Server::start(move |m| {
-            let (id, body) = (m.header("Try-Id").expect("a name"), "x".repeat(100));
+            let (id, body) = (m.header("Try-Id").expect("a try id"), "x".repeat(100));
             let (framing, body) = match length {
                 true => ("Content-Length: 900", body),
                 false => ("Transfer-Encoding: chunked", format!("64\r\n{body}\r\n")),
@@ -118,12 +118,12 @@
         let mut all = Vec::new();
         let end = client.1.read_to_end(&mut all);
         let text = String::from_utf8_lossy(&all).to_lowercase();
-        let by_itself = text.contains("content-length: 900") || text.contains("transfer-encoding: chunked");
+        let has_framing = text.contains("content-length: 900") || text.contains("transfer-encoding: chunked");
         let cut = !text.ends_with("\r\n0\r\n\r\n");
-        // It may have broken off before any of it was written.
-        let nothing = text.is_empty();
+        // The answer may have broken off before any of it was written.
+        let is_empty = text.is_empty();
         assert!(
-            end.is_err() || text.starts_with("http/1.1 502") || by_itself && cut || nothing,
+            end.is_err() || text.starts_with("http/1.1 502") || has_framing && cut || is_empty,
             "{length} {version}: {end:?}, {text}"
         );
     }
--- a/crates/engine/tests/pipelined.rs
+++ b/crates/engine/tests/pipelined.rs
@@ -1,5 +1,5 @@
-//! Requests that stand behind each other on a client's connection: each answer in the place of its own request, and
-//! nothing that runs once begun behind an answer that may end the connection.
+//! Pipelined requests: answers keep the order of the requests, and no at-most-once request starts behind an answer that
+//! may end the connection.
 
 mod common;
 
@@ -8,13 +8,13 @@
 use std::io::{Read, Write};
 
 #[test]
-fn answers_go_out_in_the_order_of_their_requests_whichever_is_there_first() {
+fn answers_are_written_in_request_order() {
     let (server, release) = waiting_server();
     let rig = Rig::start(&server);
     let (mut stream, mut reader) = rig.connect();
     let all = request("GET", "/wait", "1") + &request("GET", "/b", "2") + &request("GET", "/c", "3");
     stream.write_all(all.as_bytes()).expect("written");
-    eventually("all three are out", || server.count() == 3);
+    eventually("all three are in flight", || server.count() == 3);
     release.send(()).expect("the server");
     for (id, body) in [("1", "/wait"), ("2", "/b"), ("3", "/c")] {
         let answer = read_message(&mut reader).expect("an answer");
@@ -23,41 +23,42 @@
 }
 
 #[test]
-fn behind_an_answer_that_breaks_off_nothing_comes_and_nothing_that_runs_once_was_begun() {
-    for (method, behind) in [("POST", "/post"), ("GET", "/once"), ("GET", "/b")] {
+fn nothing_follows_a_truncated_answer_and_no_at_most_once_request_starts_behind_it() {
+    for (method, second_path) in [("POST", "/post"), ("GET", "/once"), ("GET", "/b")] {
         let (server, release) = waiting_server();
         let rig = Rig::start(&server);
         let (mut stream, mut reader) = rig.connect();
         stream
-            .write_all((request("GET", "/cut", "1") + &request(method, behind, "2")).as_bytes())
+            .write_all((request("GET", "/cut", "1") + &request(method, second_path, "2")).as_bytes())
             .expect("written");
-        // What may overtake shows that the one behind has been read.
-        let out = if behind == "/b" { 2 } else { 1 };
-        eventually("it is out", || server.count() == out);
+        // A pipelined second request shows that the bytes behind the first one have been read.
+        let expected = if second_path == "/b" { 2 } else { 1 };
+        eventually("the expected requests are in flight", || server.count() == expected);
         release.send(()).expect("the server");
         let mut all = Vec::new();
         let _ = reader.read_to_end(&mut all);
         let text = String::from_utf8_lossy(&all);
         assert!(!text.contains("Try-Id: 2") && !text.contains("try-id: 2"), "{text}");
-        assert!(!text.ends_with(behind), "{text}");
-        assert_eq!(paths(&server).len(), out, "{behind}: {:?}", paths(&server));
+        assert!(!text.ends_with(second_path), "{text}");
+        assert_eq!(paths(&server).len(), expected, "{second_path}: {:?}", paths(&server));
     }
 }
 
 #[test]
-fn what_runs_once_is_begun_once_all_before_it_have_their_answers() {
-    for (method, behind) in [("POST", "/post"), ("GET", "/once")] {
+fn at_most_once_requests_start_after_all_earlier_answers() {
+    for (method, second_path) in [("POST", "/post"), ("GET", "/once")] {
         let (server, release) = waiting_server();
         let rig = Rig::start(&server);
         let (mut stream, mut reader) = rig.connect();
-        let all = request("GET", "/wait", "1") + &request("GET", "/b", "2") + &request(method, behind, "3");
+        let all =
+            request("GET", "/wait", "1") + &request("GET", "/b", "2") + &request(method, second_path, "3");
         stream.write_all(all.as_bytes()).expect("written");
-        eventually("two are out", || server.count() == 2);
+        eventually("two are in flight", || server.count() == 2);
         release.send(()).expect("the server");
         for id in ["1", "2", "3"] {
             assert_eq!(read_message(&mut reader).expect("an answer").header("Try-Id"), Some(id));
         }
-        assert_eq!(paths(&server).last().map(String::as_str), Some(behind));
+        assert_eq!(paths(&server).last().map(String::as_str), Some(second_path));
         assert_eq!(server.count(), 3);
     }
 }
--- a/crates/engine/tests/ports.rs
+++ b/crates/engine/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Every implementation of a port, run through its suite.
+//! Runs the conformance suites on all implementations of the ports.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method};
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn the_systems_clock() {
+fn the_system_clock_conforms() {
     on_local_set(async { clock::suite(&SystemClock::new()).await });
 }
 
 #[test]
-fn a_clock_whose_time_stands() {
+fn a_paused_clock_conforms() {
     on_local_set(async {
         tokio::time::pause();
         clock::suite(&SystemClock::starting_at(1e12)).await;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_counter_within_the_process() {
+fn the_local_counter_conforms() {
     on_local_set(async {
         let numbers = Numbers::default();
         let rig = counter::Rig::new(|ends| LocalCounter::start(numbers, system(), ends));
@@ -49,58 +49,58 @@
 }
 
 #[test]
-fn the_text_counter() {
+fn the_text_counter_conforms() {
     let stand_in = Counter::ok();
     on_local_set(async move { counter::suite(&text(stand_in.address)).await });
 }
 
 #[test]
-fn a_text_counter_that_answers_nonsense_leaves_its_call_in_doubt() {
+fn a_malformed_counter_answer_leaves_the_call_unknown() {
     let stand_in = Counter::start(|_, _| b"ok many\r\n".to_vec());
     on_local_set(async move { counter::lost_after_adding(&text(stand_in.address)).await });
 }
 
 #[test]
-fn a_text_counter_that_turns_away_or_is_not_there() {
+fn a_busy_or_unreachable_text_counter_is_reported() {
     let stand_in = Counter::start(|_, _| b"busy\r\n".to_vec());
     on_local_set(async move { counter::busy(&text(stand_in.address)).await });
-    // A port that no test is given.
-    let nobody: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-    on_local_set(async move { counter::unreachable(&text(nobody)).await });
+    // A port on which no test listens.
+    let unreachable: SocketAddr = "127.0.0.1:1".parse().expect("an address");
+    on_local_set(async move { counter::unreachable(&text(unreachable)).await });
     on_local_set(async {
         let rig = counter::Rig::new(|ends| TextCounter::start(None, system(), ends));
         counter::unreachable(&rig).await;
     });
 }
 
-fn somewhere() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     "127.0.0.1:9".parse().expect("an address")
 }
 
 #[test]
-fn a_fixed_list() {
+fn the_fixed_list_conforms() {
     on_local_set(async {
         let seen = membership::Seen::default();
-        let told = seen.told();
-        let say = |ids: Vec<&'static str>| -> Box<dyn FnOnce()> {
-            let told = told.clone();
-            let members = ids.into_iter().map(|id| Member::ready(id, somewhere())).collect();
-            Box::new(move || fixed::tell(&told, members))
+        let sink = seen.told();
+        let report = |ids: Vec<&'static str>| -> Box<dyn FnOnce()> {
+            let sink = sink.clone();
+            let members = ids.into_iter().map(|id| Member::ready(id, unused_address())).collect();
+            Box::new(move || fixed::tell(&sink, members))
         };
-        let steps = vec![(say(vec!["a", "b"]), vec!["a", "b"]), (say(vec!["b"]), vec!["b"])];
+        let steps = vec![(report(vec!["a", "b"]), vec!["a", "b"]), (report(vec!["b"]), vec!["b"])];
         membership::suite(&seen, steps).await;
     });
 }
 
 #[test]
-fn the_discovery_agent() {
-    let entry = |id: &str, phase: &str| member(id, somewhere(), phase);
-    let whole = list(1, true, &[entry("a", "Ready"), entry("b", "Ready")]);
-    let agent = Discovery::start(whole);
+fn the_discovery_agent_conforms() {
+    let entry = |id: &str, phase: &str| member(id, unused_address(), phase);
+    let complete_list = list(1, true, &[entry("a", "Ready"), entry("b", "Ready")]);
+    let agent = Discovery::start(complete_list);
     on_local_set(async move {
         let seen = membership::Seen::default();
-        let (told, at) = (seen.told(), agent::Agent { address: agent.address, on_request: false });
-        keep_running("discovery", move || agent::follow(told.clone(), at, None, 1));
+        let (sink, at) = (seen.told(), agent::Agent { address: agent.address, on_request: false });
+        keep_running("discovery", move || agent::follow(sink.clone(), at, None, 1));
         seen.ready(&["a", "b"]).await;
         while agent.watching() == 0 {
             tokio::task::yield_now().await;
@@ -120,13 +120,13 @@
     });
 }
 
-/// HTTP/1.1 with one stand-in for each behaviour.
-struct OverHttp {
+/// HTTP/1.1 upstream with one test server for each behaviour.
+struct HttpUnderTest {
     way: Http1,
     servers: Vec<(Behaviour, Server)>,
 }
 
-impl OverHttp {
+impl HttpUnderTest {
     fn new() -> Self {
         let connections = Connections { idle: 10_000.0, connect_timeout: 1000.0, most: 16, bodies_kib: 1024 };
         let servers = [
@@ -139,11 +139,11 @@
             (Behaviour::Breaks, Server::start(|_| Act::Close(Vec::new()))),
             (Behaviour::Silent, Server::start(|_| Act::Silence)),
         ];
-        OverHttp { way: Http1::new(system(), connections, Vec::new()), servers: servers.into() }
+        HttpUnderTest { way: Http1::new(system(), connections, Vec::new()), servers: servers.into() }
     }
 }
 
-impl UnderTest for OverHttp {
+impl UnderTest for HttpUnderTest {
     type Way = Http1;
 
     fn way(&self) -> &Http1 {
@@ -153,7 +153,7 @@
     fn server(&self, behaviour: Behaviour) -> (SocketAddr, Forward) {
         let (_, server) = self.servers.iter().find(|(b, _)| *b == behaviour).expect("a server");
         let (uri, headers, body) = ("/x?y=1".parse().expect("a path"), HeaderMap::new(), Bytes::new());
-        (server.address, Forward { method: Method::GET, uri, headers, body: body.into(), room: None })
+        (server.address, Forward { method: Method::GET, uri, headers, body: body.into(), permit: None })
     }
 
     fn reached(&self) -> usize {
@@ -167,19 +167,19 @@
 }
 
 #[test]
-fn servers_over_http() {
-    on_local_set(async { upstream::suite(&OverHttp::new()).await });
+fn the_http_upstream_conforms() {
+    on_local_set(async { upstream::suite(&HttpUnderTest::new()).await });
 }
 
-/// A handler in the process, played by a task for each request.
+/// In-process upstream whose handler is a task for each request.
 #[derive(Default)]
-struct Within {
+struct InProcessUnderTest {
     way: InProcess,
     reached: Rc<Cell<usize>>,
     called_off: Rc<Cell<usize>>,
 }
 
-impl UnderTest for Within {
+impl UnderTest for InProcessUnderTest {
     type Way = InProcess;
 
     fn way(&self) -> &InProcess {
@@ -203,7 +203,7 @@
                 }
             }
         });
-        (somewhere(), start)
+        (unused_address(), start)
     }
 
     fn reached(&self) -> usize {
@@ -216,6 +216,6 @@
 }
 
 #[test]
-fn a_handler_within_the_process() {
-    on_local_set(async { upstream::suite(&Within::default()).await });
+fn the_in_process_upstream_conforms() {
+    on_local_set(async { upstream::suite(&InProcessUnderTest::default()).await });
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -92,8 +92,8 @@
         let handler = RequestHandler::new(view.clone(), settings.clone(), counter.clone());
         let session = Session::new(view.clone(), settings.clone(), peers);
         let limits = FrontLimits {
-            whole_within: HEAD_TIMEOUT_MS,
-            keep_idle: CLIENT_IDLE_MS,
+            head_timeout: HEAD_TIMEOUT_MS,
+            idle_timeout: CLIENT_IDLE_MS,
             ..FrontLimits::default()
         };
         let front = Front::new(FrontAdapter(handler.clone()), budget(node), limits);
@@ -146,7 +146,7 @@
         tokio::task::spawn_local(self.session.clone().run());
         self.session.follow_limiters();
         tokio::task::spawn_local(self.counter.clone().run());
-        tokio::task::spawn_local(self.front.clone().look_round());
+        tokio::task::spawn_local(self.front.clone().close_stalled_connections());
         // Changes of the view are applied at once, changes by time alone with a delay.
         let handler = self.handler.clone();
         self.view.on_change(Rc::new(move || handler.refresh()));
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -19,7 +19,7 @@
 use oatbank_cluster_state::messages::{ObservationRow, Table};
 use oatbank_cluster_state::state::Millis;
 use oatbank_config_model::{Customer, Route, RouteKind, RouteTable};
-use oatbank_engine::body::{Body, Room, Upload};
+use oatbank_engine::body::{Body, BodyPermit, Upload};
 use oatbank_engine::engine::{Answer, Departures};
 use oatbank_engine::open_ids::OpenIds;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
@@ -81,7 +81,7 @@
     /// The body; a stream if it has not arrived completely.
     pub body: Upload,
     /// Memory reserved for a long body.
-    pub room: Option<Room>,
+    pub room: Option<BodyPermit>,
 }
 
 /// Handles the requests of clients.
@@ -151,12 +151,12 @@
 
     /// Number of at-most-once requests that are being executed by servers.
     pub fn at_most_once_in_flight(&self) -> usize {
-        self.pools.all().iter().map(|(_, pool)| pool.engine.out_once()).sum()
+        self.pools.all().iter().map(|(_, pool)| pool.engine.at_most_once_in_flight()).sum()
     }
 
     /// Number of requests that have not been answered yet.
     pub fn unanswered(&self) -> usize {
-        self.pools.all().iter().map(|(_, pool)| pool.engine.owed()).sum()
+        self.pools.all().iter().map(|(_, pool)| pool.engine.unanswered()).sum()
     }
 
     /// Counts of clients that left before their answer, and of their attempts, over all services.
@@ -186,7 +186,11 @@
     /// would have broken at-most-once execution. Its title gives the size of the outcome log.
     pub fn attempts_table(&self) -> Table {
         let row = |(name, pool): &(String, Rc<crate::service_pool::ServicePool>)| {
-            vec![name.clone(), pool.engine.out_once().to_string(), pool.engine.kept_from().to_string()]
+            vec![
+                name.clone(),
+                pool.engine.at_most_once_in_flight().to_string(),
+                pool.engine.prevented_violations().to_string(),
+            ]
         };
         let log = self.outcomes.log().borrow();
         let title =
@@ -264,7 +268,7 @@
             self.plans.update(&snapshot, &node.bounds);
         }
         for (name, pool) in self.pools.all() {
-            let ends = pool.engine.ends_of_attempts();
+            let ends = pool.engine.take_finished_attempts();
             if !ends.is_empty() {
                 self.outliers.record_ends(self.view.now(), &name, &pool.class_names(), &ends);
             }
@@ -364,8 +368,8 @@
             ..Request::default()
         };
         let headers = forwarded_headers(&head.headers, tenant.map(|tenant| tenant.name.as_str()));
-        let forward = Forward { method: head.method, uri: head.uri, headers, body, room };
-        match pool.engine.ask(decision, forward).await {
+        let forward = Forward { method: head.method, uri: head.uri, headers, body, permit: room };
+        match pool.engine.submit_and_wait(decision, forward).await {
             Answer::Served(response) => Ok(response),
             Answer::Refused(wait) => {
                 self.log_unserved("rejected");
--- a/crates/proxy/tests/apart.rs
+++ b/crates/proxy/tests/apart.rs
@@ -127,7 +127,8 @@
         if random() < if ms < scenario.overload_start { 0.62 } else { 7.5 * 0.62 } * RATE / 1000.0 {
             let (at, mut actions) = ((random() * limiters as f64) as usize % limiters, Vec::new());
             let spread = if planned_partitions[at].is_alone { 1.0 } else { limiters as f64 };
-            let draw = QuotaRequest { customer: CustomerId(1), units: 1.0, spread, ..QuotaRequest::default() };
+            let draw =
+                QuotaRequest { customer: CustomerId(1), units: 1.0, spread, ..QuotaRequest::default() };
             let within = all[at].admit(now, draw, &mut actions) == Verdict::Within;
             all[at].record(now, CustomerId(1), 1.0, within);
             if within {
--- a/crates/proxy/tests/counting.rs
+++ b/crates/proxy/tests/counting.rs
@@ -93,7 +93,8 @@
         let now = 2000.0 + f64::from(tick) * 10.0;
         let mut actions = Vec::new();
         if tick % 2 == 0 && tick < 120 {
-            let draw = QuotaRequest { customer: CustomerId(1), units: 1.0, spread: 1.0, ..QuotaRequest::default() };
+            let draw =
+                QuotaRequest { customer: CustomerId(1), units: 1.0, spread: 1.0, ..QuotaRequest::default() };
             assert!(!matches!(quotas.admit(now, draw, &mut actions), Verdict::Refuse { .. }));
             quotas.record(now, CustomerId(1), 1.0, true);
         }
--- a/crates/tower/src/client.rs
+++ b/crates/tower/src/client.rs
@@ -4,7 +4,7 @@
 use crate::start::{Builder, Place, StartError};
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
-use oatbank_engine::body::{Body, LONGEST};
+use oatbank_engine::body::{Body, MAX_BODY_BYTES};
 use oatbank_engine::classify::{self, Rejection};
 use oatbank_engine::config::Config;
 use oatbank_engine::handle::{Handle, Pending};
@@ -62,7 +62,7 @@
 
     /// Tells the limiter which servers there are.
     pub fn tell(&self, news: News) {
-        self.handle.tell(news);
+        self.handle.update_members(news);
     }
 
     /// Answers what was taken and ends; see [`Handle::shutdown`].
@@ -73,7 +73,7 @@
     fn take(&self, request: Request<Bytes>) -> Result<(Pending<Forward, Body>, Held), Rejection> {
         let (head, body) = request.into_parts();
         let request = self.extract.extract(&head, self.handle.setup())?;
-        if body.len() as u64 > LONGEST {
+        if body.len() as u64 > MAX_BODY_BYTES {
             return Err(Rejection { status: StatusCode::PAYLOAD_TOO_LARGE, why: "over 64 MiB\n" });
         }
         let id = classify::single(&head.headers, &classify::CORRELATION)?.unwrap_or_default();
@@ -82,8 +82,10 @@
         let path = head.uri.path_and_query().cloned();
         let uri = path.map_or_else(|| head.uri.clone(), http::Uri::from);
         Ok((
-            self.handle
-                .call(request, Forward { method: head.method, uri, headers, body: body.into(), room: None }),
+            self.handle.call(
+                request,
+                Forward { method: head.method, uri, headers, body: body.into(), permit: None },
+            ),
             held,
         ))
     }
