--- a/crates/limiter-core/src/interface.rs
+++ b/crates/limiter-core/src/interface.rs
@@ -244,11 +244,11 @@
     /// Recovered recently: it gets a reduced share of the idempotent requests.
     Returning,
     /// Possibly unhealthy: it gets no requests while other servers are available.
-    Suspect,
-    /// Unhealthy: it gets no requests while other servers are available, for longer than a suspect one.
-    Ejected,
+    Doubtful,
+    /// Unhealthy: it gets no requests while other servers are available, for longer than a doubtful one.
+    Shunned,
     /// Unhealthy, and this gateway probes it with idempotent requests.
-    Probing,
+    Tried,
 }
 
 /// One entry of a server list.
--- a/crates/limiter-core/src/state.rs
+++ b/crates/limiter-core/src/state.rs
@@ -373,7 +373,7 @@
         let idempotent = open.class.repeat == Repeat::Safe;
         let due = |a: &Candidate| self.servers.get(&a.id).is_some_and(|s| now - s.sent_at > PROBE_INTERVAL);
         if idempotent && open.attempts.is_empty() {
-            if let Some(at) = candidates.iter().position(|a| standing(a) == Standing::Probing && due(a)) {
+            if let Some(at) = candidates.iter().position(|a| standing(a) == Standing::Tried && due(a)) {
                 return vec![candidates.swap_remove(at)];
             }
         }
--- a/crates/limiter-core/tests/standing.rs
+++ b/crates/limiter-core/tests/standing.rs
@@ -54,8 +54,8 @@
 
 #[test]
 fn non_idempotent_requests_use_healthy_servers_only_and_reads_also_returning_ones() {
-    use Standing::{Ejected, Probing, Returning, Suspect, Well};
-    let all = [Well, Well, Returning, Suspect, Ejected, Probing];
+    use Standing::{Doubtful, Returning, Shunned, Tried, Well};
+    let all = [Well, Well, Returning, Doubtful, Shunned, Tried];
     let once = shares(&all, Repeat::Unsafe, 300, Outcome::Ok);
     assert_eq!(once.keys().copied().collect::<Vec<_>>(), [0, 1]);
     let reads = shares(&all, Repeat::Safe, 300, Outcome::Ok);
@@ -67,13 +67,13 @@
 
 #[test]
 fn unhealthy_servers_are_used_when_no_other_is_available() {
-    let unhealthy = [Standing::Ejected, Standing::Suspect, Standing::Ejected];
+    let unhealthy = [Standing::Shunned, Standing::Doubtful, Standing::Shunned];
     for repeat in [Repeat::Safe, Repeat::Unsafe] {
         let sent = shares(&unhealthy, repeat, 60, Outcome::Ok);
         assert_eq!(sent.values().sum::<u32>(), 60, "{sent:?}");
     }
     // The only healthy server is unreachable, so the unhealthy one gets all requests.
-    let left = shares(&[Standing::Ejected, Standing::Well], Repeat::Safe, 60, Outcome::ConnectFailed);
+    let left = shares(&[Standing::Shunned, Standing::Well], Repeat::Safe, 60, Outcome::ConnectFailed);
     assert!(left[&0] > 30, "{left:?}");
 }
 
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -189,9 +189,9 @@
         let standing = |id: &String| match detector.state(id) {
             HealthState::Healthy => Standing::Well,
             HealthState::Returning => Standing::Returning,
-            _ if detector.is_due(now, id) && probes(id) => Standing::Probing,
-            HealthState::Suspect => Standing::Suspect,
-            HealthState::Ejected => Standing::Ejected,
+            _ if detector.is_due(now, id) && probes(id) => Standing::Tried,
+            HealthState::Suspect => Standing::Doubtful,
+            HealthState::Ejected => Standing::Shunned,
         };
         let standings = unhealthy.keys().map(|id| (id.clone(), standing(id)));
         let standings: BTreeMap<String, Standing> = standings.filter(|(_, s)| *s != Standing::Well).collect();
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -304,7 +304,7 @@
                     takes_warming(row)
                 } else {
                     // Whoever probes an unhealthy server is drawn from all limiters, whichever subset it is in.
-                    is_in_subset || standing(row) == Standing::Probing
+                    is_in_subset || standing(row) == Standing::Tried
                 };
                 if !is_selected {
                     continue;
