--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -306,7 +306,7 @@
                 } else {
                     // The limiter that probes an unhealthy server is drawn from all, so the server may be outside its
                     // subset.
-                    is_in_subset || standing(row) == Standing::Probing
+                    is_in_subset || standing(row) == Standing::Tried
                 };
                 if !is_selected {
                     continue;
