--- a/crates/engine/src/config/fleet.rs
+++ b/crates/engine/src/config/fleet.rs
@@ -242,7 +242,7 @@
         mistakes.push(at("peers", why));
     }
     if let Err(broken) = table.timing().check() {
-        mistakes.push(at(broken.key, broken.why));
+        mistakes.push(at(broken.key, broken.reason));
     }
     mistakes
 }
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -56,7 +56,7 @@
     /// The key.
     pub key: &'static str,
     /// What is wrong, and what is allowed.
-    pub why: String,
+    pub reason: String,
 }
 
 impl LeaseTiming {
@@ -96,25 +96,25 @@
     /// # Errors
     /// The key to be changed, with what it allows.
     pub fn check(&self) -> Result<(), TimingError> {
-        let broken = |key, why| Err(TimingError { key, why });
+        let broken = |key, reason| Err(TimingError { key, reason });
         if self.heartbeat == 0 {
             return broken("heartbeat_ms", "0 is not allowed; a whole number from 1 is".into());
         }
         if self.drift_ppm > 100_000 {
-            let why = format!("{} is not allowed; up to 100000, a tenth, is", self.drift_ppm);
-            return broken("drift_ppm", why);
+            let reason = format!("{} is not allowed; up to 100000, a tenth, is", self.drift_ppm);
+            return broken("drift_ppm", reason);
         }
         let least = 3 * self.heartbeat + self.message_delay;
         if self.lease < least {
-            let why = format!(
+            let reason = format!(
                 "{} is not allowed beside heartbeat_ms {} and message_ms {}; from {least} is: two questions of \
                  three may be lost",
                 self.lease, self.heartbeat, self.message_delay
             );
-            return broken("lease_ms", why);
+            return broken("lease_ms", reason);
         }
         if self.divergence_bound() > self.max_divergence {
-            let why = format!(
+            let reason = format!(
                 "{} is not allowed: lease_ms {} with drift_ppm {}, effect_ms {} and message_ms {} come to {}; from \
                  that on it is, or a shorter lease_ms",
                 self.max_divergence,
@@ -124,7 +124,7 @@
                 self.message_delay,
                 self.divergence_bound()
             );
-            return broken("within_ms", why);
+            return broken("within_ms", reason);
         }
         Ok(())
     }
