--- a/crates/daemon/src/fleet/told.rs
+++ b/crates/daemon/src/fleet/told.rs
@@ -206,7 +206,7 @@
 
     fn limiters(&self, now: Millis) -> Vec<Value> {
         let node = self.node.borrow();
-        let Some(known) = node.known() else { return Vec::new() };
+        let Some(known) = node.member_records() else { return Vec::new() };
         let current = node.held().map(|r| r.id());
         let line = |(peer, known): (&Peer, &oatbank_fleet::decider::MemberRecord)| {
             let veto = match &known.staged {
--- a/crates/fleet/src/decider.rs
+++ b/crates/fleet/src/decider.rs
@@ -167,7 +167,7 @@
     }
 
     /// The other limiters.
-    pub fn known(&self) -> &BTreeMap<Peer, MemberRecord> {
+    pub fn member_records(&self) -> &BTreeMap<Peer, MemberRecord> {
         &self.known
     }
 
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -324,8 +324,8 @@
     }
 
     /// What the decider knows of the others; nothing elsewhere.
-    pub fn known(&self) -> Option<&BTreeMap<Peer, MemberRecord>> {
-        self.as_decider().map(Decider::known)
+    pub fn member_records(&self) -> Option<&BTreeMap<Peer, MemberRecord>> {
+        self.as_decider().map(Decider::member_records)
     }
 
     /// Its decider's side, where it is the one.
