--- a/crates/daemon/src/fleet/told.rs
+++ b/crates/daemon/src/fleet/told.rs
@@ -198,7 +198,7 @@
         }
         if let Some(decider) = node.as_decider() {
             status["recovering"] = decider.recovering().into();
-            status["deciding"] = decider.running().map(|(r, _)| row(r)).into();
+            status["deciding"] = decider.pending().map(|(r, _)| row(r)).into();
             status["limiters"] = self.limiters(now).into();
         }
         status
--- a/crates/fleet/src/decider.rs
+++ b/crates/fleet/src/decider.rs
@@ -177,7 +177,7 @@
     }
 
     /// The proposal that is being decided, and whether it is decided already.
-    pub fn running(&self) -> Option<(&Arc<Revision>, bool)> {
+    pub fn pending(&self) -> Option<(&Arc<Revision>, bool)> {
         self.running.as_ref().map(|r| (&r.revision, r.effective_at.is_some()))
     }
 
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -300,7 +300,7 @@
     pub fn confirmed(&self) -> Option<&Arc<Revision>> {
         match &self.role {
             Role::Member(member) => member.confirmed(),
-            Role::Decider(decider) => decider.running().map(|(revision, _)| revision),
+            Role::Decider(decider) => decider.pending().map(|(revision, _)| revision),
         }
     }
 
