--- a/crates/fleet/src/decider.rs
+++ b/crates/fleet/src/decider.rs
@@ -2,12 +2,12 @@
 //!
 //! | module | does |
 //! | --- | --- |
-//! | `member_record` | what is known of one limiter: its process, its lease, what it has confirmed |
-//! | `leases` | answers the limiters' questions, each answer a lease |
-//! | `proposal` | an operator's proposal, its outcome, and the revision that is being decided |
+//! | `member_record` | the decider's record of one limiter: its process, its lease, its confirmations |
+//! | `leases` | answers pings; each answer grants a lease |
+//! | `proposal` | an operator's proposal, its outcome, and the pending revision |
 //! | `decision` | who must confirm, who may veto, and when a revision is decided |
-//! | `recovery` | after a start: what the others may act by is decided again first |
-//! | `term` | a decider that a coordinator elected, and what it stores there |
+//! | `recovery` | decides again, after a start, the revision that others may apply |
+//! | `term` | the term of an elected decider, and the rules that it stores with the coordinator |
 
 mod decision;
 mod leases;
@@ -32,10 +32,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Revisions whose texts are kept, to show and to go back to.
+/// Number of revisions kept in the history, for display and rollback.
 const MAX_HISTORY: usize = 64;
 
-/// The decider's own state.
+/// State of the decider.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Decider {
     timing: LeaseTiming,
@@ -45,25 +45,25 @@
     number: u64,
     current: Option<Arc<Revision>>,
     running: Option<PendingRevision>,
-    /// Until it is over nothing is current: others may act by what this process does not know.
+    /// While true, no revision is current: others may apply one that this process does not know.
     recovering: bool,
-    /// Confirmed by some, and never decided, as was found while recovering.
+    /// Revisions found during recovery that some limiters confirmed but that were never decided.
     undecided: BTreeSet<Id>,
-    /// The text of the highest revision heard of while recovering, on its way.
+    /// Transfer of the highest revision found during recovery.
     fetch: Option<Fetch>,
-    /// What to begin with if nobody has anything.
+    /// Text of the first revision, proposed if no limiter holds any.
     first: Arc<str>,
-    /// Limiters that are gone by the operator's word.
+    /// Limiters that an operator declared gone.
     excluded: BTreeSet<Peer>,
     history: VecDeque<Arc<Revision>>,
     seed: u64,
-    /// Where a coordinator's tree elects it.
+    /// Term of an elected decider; `None` for one named in the settings.
     term: Option<Box<Term>>,
 }
 
 impl Decider {
-    /// A decider that has just started. `incarnation` grows with each start (Unix ms); `first` is what to begin
-    /// with if no limiter has anything.
+    /// Creates a decider that has just started. `incarnation` must grow with each start (Unix ms); `first` is the
+    /// text to begin with if no limiter holds a revision.
     pub fn new(
         timing: LeaseTiming,
         me: Peer,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// One that has just won a term, and was a member until now.
+    /// Turns it into the decider of a term that it has just won, after having been a member.
     pub(crate) fn elected(
         mut self,
         number: u64,
@@ -106,7 +106,7 @@
     ) -> Decider {
         let over = self.timing.lease_expiry();
         for known in self.known.values_mut() {
-            // The holder before this one may have gone on for a lease, and have let others go on for another.
+            // The previous holder may have continued for one lease, and may have granted leases until its end.
             known.leased_until = known.leased_until.saturating_add(over);
             known.bound_until = known.bound_until.saturating_add(over);
         }
@@ -128,13 +128,13 @@
         self
     }
 
-    /// What is in force, and what this limiter itself acts by: nobody else changes it.
+    /// Returns the revision in force, which this limiter itself applies. Only this decider changes it.
     pub fn current(&self) -> Option<&Arc<Revision>> {
         self.current.as_ref()
     }
 
-    /// What it may act by now: nobody else changes it. One that stood still while a revision took effect elsewhere acts by
-    /// none until it has noticed.
+    /// Returns the rules that this limiter may apply now. After a pause during which a revision took effect, it
+    /// rejects requests until it has activated that revision.
     pub fn active_rules(&self, now: Millis) -> ActiveRules {
         if let Some(before) = self.term.as_ref().and_then(|t| t.former_member.as_ref()) {
             return before.active_rules(now);
@@ -154,44 +154,44 @@
         }
     }
 
-    /// Until when it may decide and let others act: without an end where nobody else can.
+    /// Returns until when it may decide and grant leases: [`Millis::MAX`] for a named decider.
     pub fn authority(&self) -> Millis {
         self.term.as_ref().map_or(Millis::MAX, |term| term.until.max(self.unanimous()))
     }
 
-    /// Without the tree it goes on while every other limiter, by what each has said lately, knows of no other decider:
-    /// nobody has won a term, or whoever has waits for longer than this lasts.
+    /// Without the coordinator it continues as long as every other limiter has recently acknowledged it as the
+    /// decider: no other limiter can have won a term, or its winner still waits for longer than this lasts.
     fn unanimous(&self) -> Millis {
         let oldest = self.known.values().map(|k| k.last_acked.unwrap_or(0)).min();
         oldest.filter(|at| *at > 0).map_or(0, |at| at + self.timing.lease)
     }
 
-    /// The other limiters.
+    /// Returns the records of the other limiters.
     pub fn member_records(&self) -> &BTreeMap<Peer, MemberRecord> {
         &self.known
     }
 
-    /// Revisions that were in force, oldest first, the current one last.
+    /// Iterates over past revisions in the order of their activation; the current one is last.
     pub fn history(&self) -> impl Iterator<Item = &Arc<Revision>> {
         self.history.iter()
     }
 
-    /// The proposal that is being decided, and whether it is decided already.
+    /// Returns the pending revision, and whether it is decided already.
     pub fn pending(&self) -> Option<(&Arc<Revision>, bool)> {
         self.running.as_ref().map(|r| (&r.revision, r.effective_at.is_some()))
     }
 
-    /// It does not know yet what the others act by.
+    /// Whether it still has to find out what the other limiters may apply.
     pub fn recovering(&self) -> bool {
         self.recovering
     }
 
-    /// Its term, where a tree has elected it, and until when the tree lets it decide.
+    /// Returns its term and until when the coordinator allows it to decide; `None` for a named decider.
     pub fn term(&self) -> Option<(u64, Millis)> {
         self.term.as_ref().map(|t| (t.number, t.until))
     }
 
-    /// When [`Decider::tick`] is to be called at the latest.
+    /// Returns the latest time for the next call of [`Decider::tick`].
     pub fn next_due(&self, now: Millis) -> Millis {
         let (mut due, mut bounds) = (Millis::MAX, self.recovering);
         if let Some(running) = &self.running {
@@ -206,7 +206,7 @@
         due.min(from).min(before).min(term.next_announcement).min(term.rules_register.next_due())
     }
 
-    /// Time has passed.
+    /// Handles all timers that are due.
     pub fn tick(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         self.announce_term(now, out);
         if let Some(former_member) = self.term.as_mut().and_then(|t| t.former_member.as_mut()) {
@@ -223,7 +223,8 @@
         } else if running.effective_at.is_none() && now >= running.until {
             let id = running.revision.id();
             if running.persistence != Persistence::NotStored {
-                // The tree may have it: nobody waits any more, and it is decided if it can be.
+                // The coordinator may have stored it. The operator gets an answer now, and the revision is still
+                // decided if possible.
                 (running.until, running.ask.timeout) = (Millis::MAX, Millis::MAX);
                 let ticket = std::mem::take(&mut running.ask.ticket);
                 return out.push_back(Output::ProposalFinished(ticket, ProposalOutcome::Unknown(id)));
@@ -234,7 +235,7 @@
         }
     }
 
-    /// The text of this hash, if it is to be had here.
+    /// Returns the pending or current revision whose text has this hash.
     pub fn text(&self, digest: &Digest) -> Option<&Arc<Revision>> {
         let running = self.running.as_ref().map(|r| &r.revision);
         running.into_iter().chain(self.current.as_ref()).find(|r| r.head.digest == *digest)
--- a/crates/fleet/src/decider/decision.rs
+++ b/crates/fleet/src/decider/decision.rs
@@ -1,4 +1,4 @@
-//! From a proposal to its effect: who must confirm it, who may veto it, and when it is decided.
+//! Decision of a proposal: who must confirm it, who may veto it, and when it takes effect.
 
 use super::member_record::MemberRecord;
 use super::proposal::{PendingRevision, Persistence};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl Decider {
-    /// An operator asks for a change.
+    /// Starts an operator's proposal, or reports at once why it is rejected.
     pub fn propose(&mut self, now: Millis, ask: Proposal, out: &mut VecDeque<Output>) {
         self.excluded.extend(ask.excluded.iter().copied());
         if self.recovering {
@@ -51,7 +51,7 @@
             return Some(ProposalOutcome::Busy(running.revision.id()));
         }
         let expected = ask.expect.is_none_or(|number| number == current.id().number);
-        // The same change once more, its answer lost: it stands already.
+        // A repeated request, whose answer was lost: the revision is in force already.
         let repeated = ask.expect.is_some_and(|number| number == current.head.parent.number);
         if current.text == ask.text && (expected || repeated) {
             return Some(ProposalOutcome::Decided(current.id(), 0));
@@ -64,11 +64,12 @@
         Id { epoch: self.epoch, number: self.number }
     }
 
-    /// What this limiter itself finds of a proposal.
+    /// Handles the result of this limiter's own check of the pending revision.
     pub fn checked(&mut self, now: Millis, id: Id, verdict: Verdict, out: &mut VecDeque<Output>) {
         let Some(running) = self.running.as_mut().filter(|r| r.revision.id() == id) else { return };
         match verdict {
-            // What is decided again was taken before: it waits for whoever may act by something else.
+            // A revision that is decided again passed the check before: keep waiting for the limiters that may apply
+            // another one, and let another limiter decide.
             Verdict::Vetoed(_) if self.recovering || running.persistence != Persistence::NotStored => {
                 if let Some(term) = &mut self.term {
                     term.unable_to_apply = true;
@@ -82,7 +83,8 @@
                 running.own = Some(Verdict::Confirmed);
                 if let Some(former_member) = self.term.as_mut().and_then(|t| t.former_member.as_mut()) {
                     if former_member.held().is_none_or(|held| held.id() != id) {
-                        // What it had confirmed may be in force elsewhere, and is given up for this.
+                        // A revision that it had confirmed may be in force elsewhere, and must be given up for this
+                        // one.
                         former_member.distrust_held(Some(&running.revision.head), out);
                         former_member.confirm(running.revision.clone(), None);
                     }
@@ -93,7 +95,7 @@
     }
 
     pub(super) fn on_veto(&mut self, from: Peer, out: &mut VecDeque<Output>) {
-        // What the tree is asked to keep may be kept: first that is to be known.
+        // While a write to the coordinator is in progress, its result must be known first.
         let open = |r: &&PendingRevision| r.effective_at.is_none() && r.persistence != Persistence::Storing;
         let Some(running) = self.running.as_ref().filter(open) else { return };
         let Some((id, Verdict::Vetoed(reason))) = self.known.get(&from).and_then(|k| k.staged.clone()) else {
@@ -106,12 +108,13 @@
             if let (Persistence::Stored, Some(term), Some(current)) =
                 (running.persistence, &mut self.term, &self.current)
             {
-                // It came after the others had confirmed, and holds something else.
+                // The veto came from a limiter that holds another revision, after the others had confirmed. Restore
+                // the current revision with the coordinator.
                 term.rules_register.store(current.clone());
             }
             return self.finish(ProposalOutcome::Vetoed(from, reason), out);
         }
-        // One that is bound without end was waited for before too: so this was never decided.
+        // A limiter bound without end had to confirm every earlier decision, so this revision was never decided.
         let endless = |k: &MemberRecord| k.holds != Id::NONE && k.bound_until == Millis::MAX;
         if self.known.get(&from).is_some_and(endless) {
             self.undecided.insert(id);
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Who has neither confirmed nor surely stopped.
+    /// Returns the limiters that have neither confirmed nor certainly stopped.
     pub(super) fn unconfirmed(&self, now: Millis, running: &PendingRevision) -> Vec<Peer> {
         let id = running.revision.id();
         let bound = |(peer, known): &(&Peer, &MemberRecord)| {
--- a/crates/fleet/src/decider/leases.rs
+++ b/crates/fleet/src/decider/leases.rs
@@ -1,4 +1,4 @@
-//! Questions of limiters and the leases that their answers grant.
+//! Pings of limiters, and the leases granted by their answers.
 
 use super::Decider;
 use crate::document::Id;
@@ -8,10 +8,10 @@
 use std::collections::VecDeque;
 
 impl Decider {
-    /// Takes in a limiter's question and answers it.
+    /// Records a limiter's ping and answers it.
     pub fn ping(&mut self, now: Millis, from: Peer, ping: Ping, out: &mut VecDeque<Output>) {
         let Some(known) = self.known.get_mut(&from) else { return };
-        // One for each process, whatever comes twice or late: only that process is told it.
+        // Duplicate and delayed pings of one process yield the same token, and only that process learns it.
         let token = match ping.token == known.token && known.token != 0 {
             true => known.token,
             false => splitmix64(
@@ -38,7 +38,7 @@
         (known.last_heard, known.holds, known.staged) = (Some(now), holds, ping.staged);
         let confirmed = matches!(known.staged, Some((_, Verdict::Confirmed)));
         if holds == Id::NONE && !confirmed && ping.answered >= known.last_lease_seq {
-            // It acts by nothing, no answer that is still on its way lets it, and it waits for no effect.
+            // It applies no rules, waits for no activation, and no answer still on its way can grant it a lease.
             (known.leased_until, known.bound_until) = (now, now);
         }
         self.excluded.remove(&from);
@@ -56,7 +56,8 @@
             known.push_pong(seq, now);
         }
         if !may {
-            // It lets nobody do anything, and hears by the next question that it is taken for the decider still.
+            // Without authority the answer grants no lease. The next ping confirms that the limiter still considers
+            // this one the decider.
             let pong = Pong { seq, token: known.token, current: None, proposal: None, effective_in: None };
             return out.push_back(Output::Send(to, Message::Pong(pong)));
         }
@@ -64,13 +65,13 @@
         let running = self.running.as_ref();
         let confirmed = running.is_some_and(|r| known.confirms(r.revision.id()));
         let effective_in = running.and_then(|r| r.effective_at).map(|at| at.saturating_sub(now));
-        // Once it is decided, the old rules are kept current for nobody to whom the new ones are news, and who holds
-        // none waits for the new.
+        // After a decision, leases on the old rules are renewed only for limiters that have confirmed the new ones. A
+        // limiter that holds no rules waits for the new ones.
         let keeps = effective_in.is_none() || confirmed && known.holds != Id::NONE;
         let current = self.current.as_ref().filter(|_| keeps).map(|r| r.head.clone());
         let proposal = running.map(|r| r.revision.head.clone());
         let token = known.token;
-        // Either lets it act by something, now or when that takes effect.
+        // Either value lets the limiter apply rules, now or once the revision takes effect.
         if current.is_some() || effective_in.is_some() {
             if let Some(known) = self.known.get_mut(&to) {
                 known.last_lease_seq = seq;
@@ -82,7 +83,7 @@
     }
 }
 
-/// A number that does not come again (splitmix64), never 0.
+/// Returns a number that is unlikely to repeat (splitmix64), never 0.
 fn splitmix64(seed: u64) -> u64 {
     let mut x = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ x >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/fleet/src/decider/member_record.rs
+++ b/crates/fleet/src/decider/member_record.rs
@@ -1,42 +1,42 @@
-//! What the decider knows of one limiter: its process, its lease and what it has confirmed.
+//! The decider's record of one limiter: its process, its lease and its confirmations.
 
 use crate::document::Id;
 use crate::message::Verdict;
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// Answers to a limiter whose being taken in is looked for.
+/// Number of recent answers for which an acknowledgement is still recognized.
 const MAX_RECENT_PONGS: usize = 16;
 
-/// What the decider knows of a limiter.
+/// Last reported state of a limiter, and the times until which it may apply rules.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberRecord {
-    /// Of the process that is known; 0: of none yet.
+    /// Token of the known process; 0 if none is known.
     pub(super) token: u64,
-    /// Counts the processes that were known: a token that was given out before the last of them came is no good any more,
-    /// as who would show it may have ended long ago.
+    /// Number of processes known so far. Tokens handed out before the latest one was accepted are invalid, since
+    /// their processes may have ended long ago.
     pub(super) incarnations: u64,
     pub(super) last_seq: u64,
-    /// The last question whose answer kept something current.
+    /// Sequence number of the last ping whose answer granted a lease.
     pub(super) last_lease_seq: u64,
-    /// When it last said something of itself.
+    /// Time of its last valid ping.
     pub last_heard: Option<Millis>,
-    /// Until then it may act by the rules of the last answer, its clock as slow as may be.
+    /// Latest time at which it may still apply the rules of its last answer, at the largest clock drift.
     pub leased_until: Millis,
-    /// And until then by stricter ones.
+    /// Latest time at which it may still apply rules at all, including the strict period after its lease.
     pub bound_until: Millis,
-    /// What it holds.
+    /// Id of the revision that it holds.
     pub holds: Id,
-    /// What it was shown, and what it found.
+    /// Revision that it has staged, and the result of its check.
     pub staged: Option<(Id, Verdict)>,
-    /// Its latest questions that were answered, and when; kept by a decider with a term.
+    /// Latest answered pings and the times of their answers; kept only by an elected decider.
     pub(super) recent_pongs: VecDeque<(u64, Millis)>,
-    /// The latest of these answers that it has taken in: then it knew of no other decider.
+    /// Time of the latest answer that it acknowledged; at that time it knew of no other decider.
     pub(super) last_acked: Option<Millis>,
 }
 
 impl MemberRecord {
-    /// A limiter of which nothing is known yet: it may hold a lease until then.
+    /// Creates the record of a limiter that was not heard yet, and that may hold a lease until these times.
     pub(super) fn unknown(leased_until: Millis, bound_until: Millis) -> MemberRecord {
         MemberRecord {
             token: 0,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Whether it holds this revision or has confirmed it.
+    /// Whether it holds or has confirmed this revision.
     pub(super) fn confirms(&self, id: Id) -> bool {
         self.holds == id
             || self.staged.as_ref().is_some_and(|(staged, v)| *staged == id && *v == Verdict::Confirmed)
     }
 
-    /// Remembers that this question was answered now.
+    /// Records that this ping was answered now.
     pub(super) fn push_pong(&mut self, seq: u64, now: Millis) {
         self.recent_pongs.push_back((seq, now));
         if self.recent_pongs.len() > MAX_RECENT_PONGS {
--- a/crates/fleet/src/decider/proposal.rs
+++ b/crates/fleet/src/decider/proposal.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for, what becomes of it, and the revision that is being decided.
+//! An operator's proposal, its outcome, and the pending revision.
 
 use crate::document::{Id, Revision};
 use crate::message::Verdict;
@@ -6,49 +6,49 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What an operator asks for.
+/// Change of the rules requested by an operator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Proposal {
-    /// By which the answer is known.
+    /// Identifies the proposal in [`crate::node::Output::ProposalFinished`].
     pub ticket: u64,
-    /// The number of the revision it is to follow; without, whichever is current.
+    /// Number of the revision that the change expects to be current; `None` accepts any.
     pub expect: Option<u64>,
-    /// Who asks.
+    /// Author of the change.
     pub author: String,
-    /// The text.
+    /// Text of the new revision.
     pub text: Arc<str>,
-    /// Limiters that are gone by the operator's word: they are not waited for.
+    /// Limiters declared gone by the operator. Their confirmation is awaited only until their lease has expired.
     pub excluded: BTreeSet<Peer>,
-    /// Only whether all would confirm.
+    /// Whether only to check that all limiters would confirm.
     pub dry_run: bool,
-    /// How long it may take, ms.
+    /// Time limit for the decision, ms.
     pub timeout: Millis,
 }
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalOutcome {
-    /// It is decided, and takes effect after this, ms.
+    /// Decided; takes effect after this time, ms.
     Decided(Id, Millis),
-    /// All could take it; nothing has changed.
+    /// Dry run: all limiters confirmed, and nothing has changed.
     Acceptable,
-    /// A limiter cannot take it.
+    /// This limiter cannot apply the revision, for this reason.
     Vetoed(Peer, String),
-    /// Another revision is current.
+    /// The expected revision is not current; this one is.
     Conflict(Id),
-    /// Another proposal is being decided.
+    /// This other proposal is still pending.
     Busy(Id),
-    /// These have neither confirmed nor surely stopped; nothing has changed.
+    /// Timed out: these limiters have neither confirmed nor certainly stopped. Nothing has changed.
     TimedOut(Vec<Peer>),
-    /// The decider has just started, and these may still act by rules that it does not know.
+    /// The decider has just started, and these limiters may still apply rules that it does not know.
     Recovering(Vec<Peer>),
-    /// The text is too long.
+    /// The text, of this length in bytes, exceeds [`crate::document::MAX_REVISION_BYTES`].
     TooLong(usize),
-    /// This limiter does not decide; who does, if it knows.
+    /// This limiter is not the decider; the decider, if known.
     NotDecider(Option<Peer>),
-    /// The coordinator does not answer, and nothing is decided without it.
+    /// The coordinator does not respond, and no new revision is accepted without it.
     NoCoordinator,
-    /// It may be decided or not: the coordinator did not answer in time, or this limiter has lost its term.
+    /// Undetermined: the coordinator did not respond in time, or this limiter has lost its term.
     Unknown(Id),
 }
 
@@ -57,15 +57,15 @@
     pub(super) revision: Arc<Revision>,
     pub(super) ask: Proposal,
     pub(super) until: Millis,
-    /// What it finds itself.
+    /// Result of the decider's own check.
     pub(super) own: Option<Verdict>,
-    /// When it takes effect, once it is decided.
+    /// Time of the activation, once it is decided.
     pub(super) effective_at: Option<Millis>,
-    /// Whether the coordinator keeps it.
+    /// Whether the coordinator has stored it.
     pub(super) persistence: Persistence,
 }
 
-/// How far a revision has come with the coordinator.
+/// State of storing a revision with the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Persistence {
     NotStored,
--- a/crates/fleet/src/decider/recovery.rs
+++ b/crates/fleet/src/decider/recovery.rs
@@ -1,4 +1,4 @@
-//! The time after a start: finds out what the others may act by, and decides it again before anything else.
+//! Recovery after a start: finds the revision that others may apply, and decides it again before anything else.
 
 use super::member_record::MemberRecord;
 use super::proposal::{PendingRevision, Persistence};
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 
 impl Decider {
-    /// The highest revision that a limiter acts by or has confirmed, and who has it. What was confirmed may have been
-    /// decided, and others may act by it.
+    /// Returns the highest revision that any limiter holds or has confirmed, and the limiters that have it. A
+    /// confirmed revision may have been decided and may be applied by others.
     pub(super) fn highest(&self) -> Option<(Id, Vec<Peer>)> {
         let has = |known: &MemberRecord| {
             let staged = known.staged.as_ref().filter(|(_, v)| *v == Verdict::Confirmed).map(|(id, _)| *id);
@@ -26,8 +26,8 @@
         Some((highest, who.map(|(peer, _)| *peer).collect()))
     }
 
-    /// Revisions with their texts that are known here before the recovery is over: what the tree has, and what this limiter
-    /// held and had confirmed.
+    /// Returns the revisions available here before the recovery ends: the one stored with the coordinator, and those
+    /// that this limiter held and had confirmed as a member.
     pub(super) fn locally_known(&self) -> impl Iterator<Item = &Arc<Revision>> {
         let term = self.term.as_ref();
         let found = term.and_then(|t| t.found.as_ref()).into_iter().flatten();
@@ -39,7 +39,7 @@
         known.last_heard.is_none() && !self.excluded.contains(peer)
     }
 
-    /// Ends the recovery once every limiter was heard, or has surely stopped, or is gone by the operator's word.
+    /// Ends the recovery once every limiter was heard, has certainly stopped, or was declared gone by the operator.
     pub(super) fn recover(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         let mut found = None;
         if let Some(term) = &self.term {
@@ -70,7 +70,7 @@
         if let Some(revision) = known_here {
             return self.redecide(now, revision, out);
         }
-        // Each in turn: one may have died since it was heard.
+        // Asks the limiters in turn, as one may have failed since its last ping.
         let turn = (now / self.timing.heartbeat) as usize % who.len().max(1);
         let Some(from) = who.get(turn).copied() else { return };
         match self.fetch.as_mut().filter(|f| f.head.id == id) {
@@ -82,22 +82,23 @@
         }
     }
 
-    /// The other limiters, without those that are gone by the operator's word.
+    /// Returns the number of other limiters, without those declared gone.
     pub(super) fn others(&self) -> usize {
         self.known.keys().filter(|peer| !self.excluded.contains(peer)).count()
     }
 
-    /// How many of them must have confirmed what is decided, beside all that may still act: so that it is known again
-    /// after this process has died, from any others that remember enough to be more than the rest.
+    /// Returns how many other limiters must have confirmed a revision in addition to all that may still apply rules.
+    /// A decider that has lost its state then finds the revision again: the set of limiters that [`Decider::recover`]
+    /// waits for is large enough to overlap with them.
     pub(super) fn witnesses(&self) -> usize {
         match self.term {
-            // The tree knows it again.
+            // The coordinator stores the decided revision.
             Some(_) => 0,
             None => self.others().div_ceil(2),
         }
     }
 
-    /// A limiter shows the head of what it holds.
+    /// Starts fetching the text of the revision to recover, once a limiter has sent its head.
     pub fn on_head(&mut self, now: Millis, from: Peer, head: Head, out: &mut VecDeque<Output>) {
         let wanted = self.recovering && self.highest().is_some_and(|(id, _)| id == head.id);
         if wanted && self.fetch.as_ref().is_none_or(|f| f.head != head) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A part of the text that is wanted while recovering.
+    /// Handles a chunk of the text that is fetched during recovery.
     pub fn on_chunk(&mut self, now: Millis, from: Peer, message: &Message, out: &mut VecDeque<Output>) {
         let Some(fetch) = self.fetch.as_mut().filter(|_| self.recovering) else { return };
         match fetch.take(message) {
@@ -122,11 +123,11 @@
         }
     }
 
-    /// What was decided before, or might have been, is decided again: by then everybody who may act by something else
-    /// has confirmed it, or has surely stopped.
+    /// Decides again a revision that was or may have been decided. It takes effect once every limiter that may apply
+    /// another one has confirmed it or has certainly stopped.
     pub(super) fn redecide(&mut self, now: Millis, revision: Arc<Revision>, out: &mut VecDeque<Output>) {
         match &self.term {
-            // The tree counts the terms, unless it was set back.
+            // The term from the coordinator grows, unless its data was restored to an earlier state.
             Some(_) => self.advance_epoch(revision.id()),
             None => self.epoch = self.epoch.max(revision.id().epoch + 1),
         }
@@ -145,7 +146,7 @@
         self.tick(now, out);
     }
 
-    /// A limiter knows a later epoch than this decider's own: what is decided from now on must come after it.
+    /// Moves past a later epoch reported by a limiter, so that revisions decided from now on are greater.
     pub(super) fn advance_epoch(&mut self, id: Id) {
         if id.epoch > self.epoch {
             self.epoch = id.epoch + 1;
--- a/crates/fleet/src/decider/term.rs
+++ b/crates/fleet/src/decider/term.rs
@@ -1,4 +1,4 @@
-//! A decider that a coordinator elected: its term, the register in which it stores the rules, and its resignation.
+//! Term of an elected decider: the register in which it stores the rules, and its resignation.
 
 use super::proposal::Persistence;
 use super::{Decider, MemberRecord, ProposalOutcome};
@@ -12,33 +12,34 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// So many leases without a message from any other limiter end a term.
+/// Number of leases without a ping from any other limiter after which a decider resigns.
 const SILENT_LEASES: u64 = 3;
 
-/// What only a decider that was elected has.
+/// State of an elected decider in addition to that of a named one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Term {
     pub(super) number: u64,
     pub(super) since: Millis,
-    /// The tree was seen without a gap from then until the term began.
+    /// Start of the gapless observation of the coordinator's register that preceded the term.
     pub(super) unbroken: Millis,
-    /// Until then the tree lets it decide.
+    /// Until when the coordinator allows it to decide.
     pub(super) until: Millis,
-    /// Nothing new is decided before: whoever held the term before may have kept leases current until then.
+    /// Earliest time of a decision: the previous holder may have granted leases that last until then.
     pub(super) decides_from: Millis,
     pub(super) rules_register: RulesRegister,
-    /// What the tree knows to be decided, once that is known.
+    /// Revision stored with the coordinator; the outer `None` means that it was not read yet.
     pub(super) found: Option<Option<Arc<Revision>>>,
-    /// What this limiter was until it knows what is in force.
+    /// State as a member before the term, until the revision in force is known.
     pub(super) former_member: Option<Member>,
     pub(super) next_announcement: Millis,
-    /// It cannot take what is in force: another one is to decide.
+    /// Set if this limiter cannot apply the revision in force, so that another one must decide.
     pub(super) unable_to_apply: bool,
 }
 
 impl Term {
-    /// This, which the tree has, took effect here, and nothing else has been decided since: without this limiter's word
-    /// nothing could be, or the tree would tell, as it was not away in which time it might have been set back.
+    /// Whether the stored revision took effect here and no other has been decided since. Without this limiter's
+    /// confirmation none can have been, or else the coordinator would have it: it was observed without a gap in which
+    /// its data could have been restored to an earlier state.
     pub(super) fn in_force(&self, now: Millis, kept: &Revision) -> bool {
         let Some(before) =
             self.former_member.as_ref().filter(|b| b.held().is_some_and(|h| h.head == kept.head))
@@ -54,14 +55,14 @@
 }
 
 impl Decider {
-    /// The tree lets it decide until then.
+    /// Sets until when the coordinator allows it to decide.
     pub(crate) fn extend_term(&mut self, until: Millis) {
         if let Some(term) = &mut self.term {
             term.until = until;
         }
     }
 
-    /// It goes on in another term, and nobody has decided between.
+    /// Continues in another term after one in which nobody else decided.
     pub(crate) fn continue_in_term(&mut self, number: u64, now: Millis) {
         if let Some(term) = &mut self.term {
             term.rules_register.continue_in_term(number);
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Another one is to decide: this limiter cannot take what is in force, or none of the others has said anything to it
-    /// for three leases.
+    /// Whether another limiter should decide: this one cannot apply the revision in force, or has heard from no other
+    /// limiter for three leases.
     pub(crate) fn should_resign(&self, now: Millis) -> bool {
         let since = |at: Millis| now.saturating_sub(at) > SILENT_LEASES * self.timing.lease;
         let unheard = |known: &MemberRecord| known.last_heard.is_none_or(since);
@@ -80,7 +81,7 @@
         unable_to_apply || long && !self.known.is_empty() && self.known.values().all(unheard)
     }
 
-    /// Another one decides from now on, or may.
+    /// Becomes a member again, since another limiter decides or may decide from now on.
     pub(crate) fn into_member(mut self, process_id: u64, now: Millis, out: &mut VecDeque<Output>) -> Member {
         if let Some(running) = self.running.as_ref().filter(|r| r.effective_at.is_none()) {
             out.push_back(Output::ProposalFinished(
@@ -99,7 +100,7 @@
         member
     }
 
-    /// Tells those who may not know whose term it is.
+    /// Announces the term to limiters that were not heard for a lease and so may not know it.
     pub(super) fn announce_term(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         let Some(term) = self.term.as_mut().filter(|t| now >= t.next_announcement) else { return };
         term.next_announcement = now + self.timing.heartbeat;
@@ -118,7 +119,8 @@
         }
     }
 
-    /// What came of what the tree was asked to keep. Whether another holder has written since.
+    /// Handles the coordinator's response to a request for the rules register. Returns whether a later holder has
+    /// written to it.
     pub(crate) fn on_register_response(
         &mut self,
         now: Millis,
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -1,55 +1,56 @@
-//! Who decides, where the fleet has a coordinator: one register there, changed by compare-and-set only, names the one
-//! that holds a term. Nothing is taken from the coordinator's clock, nor from its sessions.
+//! Election of the decider through a coordinator. One register there, changed only by compare-and-swap, names the
+//! holder of the current term. Neither the coordinator's clock nor its sessions are relied upon.
 //!
-//! The holder writes the register again and again; a write that went well lets it decide for a span counted from when it
-//! *asked*. Another limiter takes the next term once it has seen the register unchanged for that span by the slowest
-//! clock, by a write that goes well only if it is unchanged still: so the spans of two holders never meet.
+//! The holder renews the register periodically; a successful write lets it decide for a span counted from when it
+//! *sent* the request. Another limiter takes the next term once it has seen the register unchanged for that span by
+//! the slowest clock, and only with a write that succeeds if the register is still unchanged. The spans of two
+//! holders therefore never overlap.
 
 use crate::timing::LeaseTiming;
 use crate::{Millis, Peer};
 
-/// What the tree keeps for a fleet.
+/// Registers that the coordinator stores for a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Register {
-    /// Who decides.
+    /// Holder of the current term.
     Decider,
-    /// What was decided last.
+    /// Last decided revision.
     Rules,
 }
 
-/// A register's value, and the version that the coordinator counts for it.
+/// Value of a register and its version, as counted by the coordinator; `None` if it does not exist.
 pub type VersionedValue = Option<(i32, Vec<u8>)>;
 
-/// What is asked of the tree. Each has one [`RegisterResponse`].
+/// Request to the coordinator. Each gets exactly one [`RegisterResponse`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RegisterRequest {
-    /// The register as it is.
+    /// Reads the register.
     Read,
-    /// It is to be this from now on, if it still is of that version; nothing: if it is not there.
+    /// Writes this value if the register still has this version, or does not exist if that is `None`.
     CompareAndSwap(Option<i32>, Vec<u8>),
 }
 
-/// What came of it.
+/// Outcome of a [`RegisterRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RegisterResponse {
-    /// As asked for by [`RegisterRequest::Read`].
+    /// Value read by [`RegisterRequest::Read`].
     Value(VersionedValue),
-    /// Done, and this is its version now.
+    /// The write succeeded, with this new version.
     Swapped(i32),
-    /// Not done: it is of another version.
+    /// Nothing was written, because the register has another version.
     VersionMismatch,
-    /// No answer: it may have been done.
+    /// No response: the request may or may not have been carried out.
     Unknown,
 }
 
-/// Who holds which term, as the register tells.
+/// Holder of a term, as stored in the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    /// Counts on with each holder.
+    /// Number of the term, which grows with each holder.
     pub term: u64,
-    /// The limiter that holds it.
+    /// Limiter that holds the term.
     pub peer: Peer,
-    /// Counts the holder's writes.
+    /// Number of renewals of the register by the holder.
     renewals: u64,
 }
 
@@ -69,20 +70,20 @@
     }
 }
 
-/// What a limiter learns of it.
+/// Result of a response from the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ElectionEvent {
     /// This limiter holds this term from now on.
     Won(u64),
-    /// Another one holds a term.
+    /// Another limiter holds a term.
     HolderObserved(Holder),
 }
 
-/// The register as it was last seen.
+/// Last observed state of the register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Observation {
     value: VersionedValue,
-    /// It has been so since then, seen without a gap.
+    /// Start of the gapless observation of this value.
     since: Millis,
     last: Millis,
 }
@@ -94,30 +95,30 @@
     Renew(Holder),
 }
 
-/// A limiter's part in the election.
+/// State of a limiter in the election.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Election {
     timing: LeaseTiming,
     me: Peer,
     seen: Option<Observation>,
-    /// What was asked and is not answered, and when it was asked.
+    /// Request without a response, and when it was sent.
     open: Option<(InFlight, Millis)>,
     next: Millis,
     holds: Option<Holder>,
-    /// Until then its last good write lets it decide.
+    /// Until when its last successful write lets it decide.
     until: Millis,
-    /// The register has been seen without a gap since then, and never an earlier state after a later one.
+    /// Start of the observation of the register without a gap and without a return to an earlier state.
     unbroken: Millis,
     first: u64,
-    /// The highest term that it has heard of.
+    /// Highest known term.
     highest: u64,
-    /// It does not stand before.
+    /// Earliest time of its next candidacy.
     campaign_not_before: Millis,
 }
 
 impl Election {
-    /// A limiter that has just started. The first term of all, in a tree that has none, is `incarnation` (Unix ms): after
-    /// the loss of all memory no term and no revision has a number that was used before.
+    /// Creates the state of a limiter that has just started. `incarnation` (Unix ms) becomes the first term if the
+    /// coordinator has none, so that terms and revision ids are not reused after the coordinator has lost its data.
     pub fn new(timing: LeaseTiming, me: Peer, incarnation: u64, now: Millis) -> Election {
         let (seen, open, holds) = Default::default();
         Election {
@@ -135,12 +136,12 @@
         }
     }
 
-    /// The term that this limiter holds.
+    /// Returns the term that this limiter holds.
     pub fn holds(&self) -> Option<u64> {
         self.holds.map(|h| h.term)
     }
 
-    /// Until when its last good write lets it decide.
+    /// Returns until when its last successful write lets it decide; 0 if it holds no term.
     pub fn until(&self) -> Millis {
         if self.holds.is_some() {
             self.until
@@ -149,17 +150,18 @@
         }
     }
 
-    /// Since when it has seen the register without a gap and without a step back: a tree that was set back was away.
+    /// Returns the start of the observation of the register without a gap and without a return to an earlier state. A
+    /// coordinator whose data was restored to an earlier state was unavailable meanwhile.
     pub(crate) fn unbroken(&self) -> Millis {
         self.unbroken
     }
 
-    /// When the tree has last answered.
+    /// Returns when the coordinator last responded.
     pub fn heard(&self) -> Option<Millis> {
         self.seen.as_ref().map(|s| s.last)
     }
 
-    /// When [`Election::tick`] is to be called at the latest.
+    /// Returns the latest time for the next call of [`Election::tick`].
     pub fn next_due(&self) -> Millis {
         if self.open.is_some() {
             return Millis::MAX;
@@ -167,19 +169,20 @@
         self.next
     }
 
-    /// Time has passed: what is to be asked of [`Register::Decider`] now.
+    /// Returns the request to send for [`Register::Decider`] now, if one is due.
     pub fn tick(&mut self, now: Millis) -> Option<RegisterRequest> {
         if self.open.is_some() || now < self.next {
             return None;
         }
         let version = self.seen.as_ref().map(|s| s.value.as_ref().map(|v| v.0));
         let (Some(holds), Some(version)) = (self.holds, version) else {
-            // Three times in the span that it must be seen unchanged.
+            // Three reads within the span over which it must be seen unchanged.
             self.next = now + self.timing.lease / 3;
             return Some(self.ask(now, InFlight::Read));
         };
         self.next = now + self.timing.heartbeat;
-        // Somebody knows a later term, or the same of another holder: the tree has been set back meanwhile.
+        // A later term, or this one with another holder, is known: the coordinator's data was restored to an earlier
+        // state.
         let term = if self.highest > holds.term { self.highest + 1 } else { holds.term };
         let renewed = Holder { term, renewals: holds.renewals + 1, ..holds };
         self.open = Some((InFlight::Renew(renewed), now));
@@ -191,19 +194,19 @@
         RegisterRequest::Read
     }
 
-    /// A limiter says that this one holds a term, or that somebody does.
+    /// Records a term announced by another limiter, and its holder if known.
     pub fn observe_term(&mut self, term: u64, peer: Option<Peer>) {
         let same = self.holds.is_some_and(|h| h.term == term && peer != Some(self.me));
         self.highest = self.highest.max(term + u64::from(same));
     }
 
-    /// Gives the term up, and does not stand again before the others had their turn.
+    /// Gives up the term, and leaves the others two leases before its next candidacy.
     pub fn resign(&mut self, now: Millis) {
         self.holds = None;
         self.campaign_not_before = now + 2 * self.timing.lease;
     }
 
-    /// What came of what was asked, and what is to be asked at once.
+    /// Handles a response; returns its result and the request to send next, if any.
     pub fn answered(
         &mut self,
         now: Millis,
@@ -223,9 +226,9 @@
                 let anew = before.is_some_and(|b| b.term != holder.term);
                 (anew.then_some(ElectionEvent::Won(holder.term)), None)
             }
-            // Read before anything else: it is not what it was, or may not be.
+            // The register has changed, or may have: read it before anything else.
             (_, RegisterResponse::VersionMismatch) => (None, Some(self.ask(now, InFlight::Read))),
-            // No answer: what was seen before still tells what to write over, and whether there was a gap.
+            // No response: the last observation still gives the version to replace and reveals a gap.
             _ => (None, None),
         }
     }
@@ -237,7 +240,7 @@
         self.seen = Some(Observation { value: Some((version, holder.bytes())), since: now, last: now });
     }
 
-    /// The register is like this now.
+    /// Records an observation of the register, and detects gaps and returns to an earlier state.
     fn observe(&mut self, now: Millis, holder: Option<Holder>) {
         let order = |holder: Option<Holder>| holder.map(|h| (h.term, h.renewals));
         let before = self.seen.as_ref().map(|s| (s.last, s.value.as_ref().and_then(|v| Holder::read(&v.1))));
@@ -256,13 +259,14 @@
         let holder = value.as_ref().and_then(|(_, bytes)| Holder::read(bytes));
         self.highest = self.highest.max(holder.map_or(0, |h| h.term));
         self.observe(now, holder);
-        // One seen before a gap may have changed meanwhile and back: the tree may have been set back.
+        // An equal value after a gap counts as new: the coordinator's data may have been restored to an earlier
+        // state.
         let same = self.seen.as_ref().filter(|s| s.value == value && now - s.last < self.timing.lease);
         let since = same.map_or(now, |s| s.since);
         let version = value.as_ref().map(|v| v.0);
         self.seen = Some(Observation { value, since, last: now });
         if let Some(holds) = self.holds {
-            // A write without an answer was done after all; or the tree is not what it was.
+            // Either a write without a response was carried out, or the register is in another state.
             if holder.is_some_and(|h| h.peer == self.me && h.term >= holds.term) {
                 self.next = now;
                 return (None, None);
@@ -270,7 +274,7 @@
             self.holds = None;
         }
         let unchanged = now - since;
-        // Not all at once.
+        // Staggers the candidacies of the limiters.
         let turn = u64::from(self.me.0 % 16) * self.timing.heartbeat / 4;
         if unchanged >= self.timing.lease_expiry() + turn && now >= self.campaign_not_before {
             let first = if holder.is_none() { self.first } else { 0 };
--- a/crates/fleet/src/fetch.rs
+++ b/crates/fleet/src/fetch.rs
@@ -1,4 +1,4 @@
-//! A text on its way, part by part.
+//! Transfer of a revision's text in chunks.
 
 use crate::document::{Head, Revision, MAX_REVISION_BYTES};
 use crate::message::{Message, CHUNK_BYTES};
@@ -6,32 +6,32 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Parts that are asked for at once.
+/// Number of chunks sent for one request.
 const CHUNK_WINDOW: usize = 16;
 
-/// What has come so far.
+/// State of an incomplete transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Fetch {
     pub(crate) head: Head,
-    /// By where each begins: they come in any order.
+    /// Received chunks by offset; they may arrive in any order.
     parts: BTreeMap<u32, Vec<u8>>,
     asked_at: Millis,
 }
 
-/// What a part has brought.
+/// Result of receiving a chunk.
 pub(crate) enum FetchProgress {
-    /// More is to be asked for now.
+    /// The next window of chunks has to be requested.
     RequestMore,
-    /// More is on its way, or the part was none that is missing.
+    /// More chunks are on their way, or this one was not needed.
     Waiting,
-    /// The text is here, and is the one that was named.
+    /// The text is complete and matches its hash.
     Complete(Arc<Revision>),
-    /// It is here and is another one.
+    /// The text is complete but does not match its hash.
     HashMismatch,
 }
 
 impl Fetch {
-    /// Nothing where the text would be too long.
+    /// Starts a transfer. Returns `None` if the text would exceed [`MAX_REVISION_BYTES`].
     pub(crate) fn new(head: Head, now: Millis) -> Option<Fetch> {
         ((head.len as usize) <= MAX_REVISION_BYTES).then(|| Fetch {
             head,
@@ -40,28 +40,28 @@
         })
     }
 
-    /// Asks for what is missing.
+    /// Builds a request for the chunks from the first missing byte on.
     pub(crate) fn want(&mut self, now: Millis) -> Message {
         self.asked_at = now;
         Message::ChunkRequest { digest: self.head.digest, from: self.missing_from() }
     }
 
-    /// Whether what was asked for must have been lost.
+    /// Whether no request was sent for `timeout` ms, so that the answer must have been lost.
     pub(crate) fn overdue(&self, now: Millis, timeout: Millis) -> bool {
         now >= self.asked_at.saturating_add(timeout)
     }
 
-    /// The first byte that is missing.
+    /// Returns the offset of the first missing byte.
     fn missing_from(&self) -> u32 {
         self.parts
             .iter()
             .fold(0, |end, (from, part)| if *from == end { end + part.len() as u32 } else { end })
     }
 
-    /// Takes in a part.
+    /// Stores a received chunk, and assembles the text once it is complete.
     pub(crate) fn take(&mut self, message: &Message) -> FetchProgress {
         let Message::Chunk { digest, from, bytes } = message else { return FetchProgress::Waiting };
-        // Parts begin where whole ones end, so that none covers another.
+        // Chunks start at multiples of the chunk size, so that they never overlap.
         let fits =
             *from as usize % CHUNK_BYTES == 0 && (*from as usize + bytes.len()) <= self.head.len as usize;
         if *digest != self.head.digest || !fits || bytes.is_empty() && self.head.len > 0 {
@@ -85,7 +85,7 @@
     }
 }
 
-/// The parts that are sent at once when a text is wanted from a byte on. An empty text is one empty part.
+/// Returns the window of chunks to send from offset `from` on. An empty text is sent as one empty chunk.
 pub(crate) fn parts(revision: &Revision, from: u32) -> impl Iterator<Item = Message> + '_ {
     let digest = revision.head.digest;
     let rest = revision.text.as_bytes().get(from as usize..).unwrap_or_default();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,19 +1,20 @@
-//! One fleet, one set of rules: how limiters agree on a revision, and for how long two may act by different ones.
+//! Agreement of a fleet of limiters on one revision of the rules, with a bound on how long two limiters may apply
+//! different ones.
 //!
-//! Nothing here does I/O or reads a clock: time is handed in, in ms on a monotonic clock of the caller's own, and what is
-//! to be done comes out as [`node::Output`]. The argument why it is safe is in `docs/design/agreement.md`.
+//! Nothing here performs I/O or reads a clock: the caller passes the time in, in ms on its own monotonic clock, and
+//! receives the actions to carry out as [`node::Output`]. The safety argument is in `docs/design/agreement.md`.
 //!
 //! | module | does |
 //! | --- | --- |
-//! | `timing` | the times, and the formula that the stated time must keep |
+//! | `timing` | lease durations and delays, and the bound on divergence that they must keep |
 //! | `document` | revisions: immutable, numbered, hashed |
-//! | `fetch` | their texts, part by part |
-//! | `message` | what limiters say to each other, and frames that only their fleet can read and write |
-//! | `member` | a limiter's lease on its rules, and what it holds, stages and switches to |
-//! | `decider` | who has confirmed what, and when a revision may be decided |
-//! | `election`, `rules_register` | who decides, and what was decided last, where a coordinator's tree keeps that |
-//! | `node` | one limiter of a fleet: a member, or the decider where it is the one named or elected |
-//! | `strict` | what contradicts, and the stricter of two sets of rules |
+//! | `fetch` | transfers texts of revisions in chunks |
+//! | `message` | messages between limiters, and their authenticated frames |
+//! | `member` | a limiter's lease on its rules, and the revisions that it holds, stages and activates |
+//! | `decider` | collects confirmations and decides revisions |
+//! | `election`, `rules_register` | elects the decider through a coordinator, and stores the last decided revision there |
+//! | `node` | one limiter of a fleet: a member, or the named or elected decider |
+//! | `strict` | contradictions between two sets of rules, and the stricter of the two |
 
 pub mod decider;
 pub mod document;
@@ -26,10 +27,10 @@
 pub mod strict;
 pub mod timing;
 
-/// A point in time or a span, ms; points are on a monotonic clock of the caller's.
+/// A span of time, or a point on the caller's monotonic clock, ms.
 pub type Millis = u64;
 
-/// A limiter, by its place in the fleet's list, which is the same at all of them.
+/// A limiter, by its index in the fleet's list, which is the same at all limiters.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! One limiter's side: the lease on its rules, what it holds and stages, and when it switches.
+//! A fleet member: the lease on its rules, and the revisions that it holds, stages and activates.
 
 use crate::document::{Head, Id, Revision};
 use crate::fetch::{Fetch, FetchProgress};
@@ -9,40 +9,40 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Questions whose answers are still taken: those of a lease, which is three heartbeats at least.
+/// Number of unanswered pings whose answers are still accepted. A lease covers at least three heartbeats.
 const MAX_UNANSWERED_PINGS: usize = 64;
 
-/// By which rules a limiter may act at a moment.
+/// Rules that a limiter may apply at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ActiveRules {
-    /// By this revision, which is current as far as a lease can tell.
+    /// Apply this revision, which is current according to the lease.
     Current(Id),
-    /// Its lease is over: by the stricter of these two, where it has confirmed another.
+    /// The lease has expired: apply the stricter of the held revision and the confirmed one, if any.
     Strict(Id, Option<Id>),
-    /// By none: what comes is refused at once.
+    /// Apply none: reject every request.
     Reject,
 }
 
-/// A revision that was shown and is not in force here.
+/// Received revision that is not in force here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Staged {
     revision: Arc<Revision>,
     verdict: Option<Verdict>,
 }
 
-/// A limiter as one of a fleet.
+/// State of a limiter that follows a decider.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     timing: LeaseTiming,
-    /// Nothing: it has not heard of one.
+    /// `None` while no decider is known.
     decider: Option<Peer>,
     process_id: u64,
     held: Option<Arc<Revision>>,
     staged: Option<Staged>,
-    /// The staged revision is decided, and takes effect then.
+    /// Id and activation time of the staged revision, once it is decided.
     due: Option<(Id, Millis)>,
     lease_until: Millis,
-    /// Questions without an answer, and when each was asked.
+    /// Unanswered pings: sequence number and time of sending.
     unanswered: VecDeque<(u64, Millis)>,
     seq: u64,
     answered: u64,
@@ -52,7 +52,7 @@
 }
 
 impl Member {
-    /// A limiter that has just started and holds nothing.
+    /// Creates a member that has just started and holds no revision.
     pub fn new(timing: LeaseTiming, decider: Option<Peer>, process_id: u64, now: Millis) -> Member {
         let (held, staged, due, fetch) = Default::default();
         let unanswered = VecDeque::new();
@@ -73,27 +73,26 @@
         }
     }
 
-    /// One that has decided until now, and holds this until then; what it has confirmed beside it takes effect when it
-    /// says.
+    /// Takes over the held revision and its lease from a term as decider that has just ended.
     pub(crate) fn after_term(mut self, held: Option<Arc<Revision>>, lease_until: Millis) -> Member {
         (self.held, self.lease_until) = (held, lease_until);
         self
     }
 
-    /// It has confirmed this, which is decided where it takes effect then.
+    /// Stages a confirmed revision, with its activation time if it is decided.
     pub(crate) fn confirm(&mut self, revision: Arc<Revision>, effective_at: Option<Millis>) {
         self.due = effective_at.map(|at| (revision.id(), at));
         self.staged = Some(Staged { revision, verdict: Some(Verdict::Confirmed) });
     }
 
-    /// What is due takes effect.
+    /// Activates the decided revision if its time has come.
     pub(crate) fn activate_due(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         if self.due.is_some_and(|(_, at)| now >= at) {
             self.activate(out);
         }
     }
 
-    /// Another one decides from now on. What it holds, and for how long, stays.
+    /// Follows another decider from now on. The held revision and its lease remain.
     pub(crate) fn set_decider(&mut self, now: Millis, decider: Option<Peer>) {
         (self.decider, self.token, self.next_ping, self.fetch) = (decider, 0, now, None);
         self.unanswered.clear();
@@ -102,8 +101,8 @@
         }
     }
 
-    /// By which rules it may act now. Asked right before each first byte: a process that stood still finds its lease
-    /// over before it does anything.
+    /// Returns the rules that it may apply now. Called right before each first byte is sent, so that a process that
+    /// was paused notices an expired lease before it acts.
     pub fn active_rules(&self, now: Millis) -> ActiveRules {
         let overdue = self.due.is_some_and(|(_, at)| now >= at);
         let Some(held) = self.held.as_ref().filter(|_| !overdue) else { return ActiveRules::Reject };
@@ -118,17 +117,17 @@
         }
     }
 
-    /// What it holds.
+    /// Returns the held revision.
     pub fn held(&self) -> Option<&Arc<Revision>> {
         self.held.as_ref()
     }
 
-    /// What it has confirmed beside that.
+    /// Returns the confirmed revision that is not in force here yet.
     pub fn confirmed(&self) -> Option<&Arc<Revision>> {
         self.staged.as_ref().filter(|s| s.verdict == Some(Verdict::Confirmed)).map(|s| &s.revision)
     }
 
-    /// What it was shown, and the reason why it cannot take it, if so.
+    /// Returns the staged revision and the reason, if it was vetoed.
     pub fn veto(&self) -> Option<(Id, &str)> {
         self.staged.as_ref().and_then(|s| match &s.verdict {
             Some(Verdict::Vetoed(reason)) => Some((s.revision.id(), reason.as_str())),
@@ -136,7 +135,7 @@
         })
     }
 
-    /// How long its rules are still known to be current.
+    /// Returns the remaining time of the lease, ms.
     pub fn lease_left(&self, now: Millis) -> Millis {
         self.lease_until.saturating_sub(now)
     }
@@ -145,19 +144,19 @@
         &self.timing
     }
 
-    /// Until when its rules were last known to be current.
+    /// Returns when the lease expires or expired.
     pub(crate) fn lease_until(&self) -> Millis {
         self.lease_until
     }
 
-    /// When [`Member::tick`] is to be called at the latest.
+    /// Returns the latest time for the next call of [`Member::tick`].
     pub fn next_due(&self, now: Millis) -> Millis {
         let lapse = Some(self.lease_until).filter(|at| *at > now);
         let due = self.due.map(|(_, at)| at);
         lapse.into_iter().chain(due).fold(self.next_ping, Millis::min)
     }
 
-    /// Time has passed.
+    /// Handles all timers that are due.
     pub fn tick(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         self.activate_due(now, out);
         if now >= self.next_ping {
@@ -193,8 +192,8 @@
         self.held.as_ref().map_or(Id::NONE, |r| r.id())
     }
 
-    /// Takes in the decider's answer. Those to older questions than the last one answered, and those to questions never
-    /// asked, tell nothing.
+    /// Handles the decider's answer. Answers to pings older than the last answered one, or to pings never sent, are
+    /// ignored.
     pub fn pong(&mut self, now: Millis, pong: Pong, out: &mut VecDeque<Output>) {
         let Some(place) = self.unanswered.iter().position(|(seq, _)| *seq == pong.seq) else { return };
         let (_, asked_at) = self.unanswered[place];
@@ -202,15 +201,16 @@
         self.answered = pong.seq;
         let greeted = std::mem::replace(&mut self.token, pong.token) == pong.token;
         if !greeted {
-            // The decider knows this limiter only once it has heard its token back.
+            // The decider recognizes this process only after it has received the token, so the next ping is sent at
+            // once.
             self.next_ping = now;
         }
         if asked_at.saturating_add(self.timing.lease) <= now {
-            // It keeps nothing current any more, and others may have gone on since.
+            // The granted lease is over already, and others may have moved on since.
             return;
         }
         if self.held.is_some() && pong.proposal.as_ref().is_some_and(|head| head.id == self.id()) {
-            // From before the effect of what this limiter acts by already.
+            // Sent before the revision that is held here took effect.
             return;
         }
         if let Some(current) = &pong.current {
@@ -218,10 +218,10 @@
                 self.adopt_current(now, current, out);
             }
             if self.id() != current.id {
-                // First the text of what is current.
+                // The text of the current revision has to arrive first.
                 return;
             }
-            // From when the question went out: the decider counts from when it answered, and so for longer.
+            // Counted from when the ping was sent. The decider counts from its answer, so it assumes a longer lease.
             self.lease_until = self.lease_until.max(asked_at + self.timing.lease);
         }
         if pong.current.is_none() {
@@ -234,8 +234,8 @@
         }
     }
 
-    /// A decider that does not say what is current shows another revision than the one that was confirmed here. That one
-    /// may be in force elsewhere, so nothing can be done by what is held, strictly or not.
+    /// Gives up the held revision if the decider names no current one and proposes another than the one confirmed
+    /// here. The confirmed revision may be in force elsewhere, so not even strict rules are safe.
     pub(crate) fn distrust_held(&mut self, proposal: Option<&Head>, out: &mut VecDeque<Output>) {
         let other = |head: &Head| self.confirmed().is_some_and(|r| r.head != *head);
         if proposal.is_some_and(other) && self.held.take().is_some() {
@@ -244,7 +244,7 @@
         }
     }
 
-    /// A revision is to follow, or is decided already and takes effect in `left`.
+    /// Stages a proposed revision; if it is decided, schedules its activation in `left` ms.
     fn proposed(&mut self, now: Millis, head: &Head, left: Option<Millis>, out: &mut VecDeque<Output>) {
         if self.id() == head.id {
             return;
@@ -256,7 +256,7 @@
         }
     }
 
-    /// What it holds is not what is current: it must not go on by it, and switches as soon as it has the text.
+    /// Gives up the held revision because another one is current, and switches to that as soon as its text is here.
     fn adopt_current(&mut self, now: Millis, current: &Head, out: &mut VecDeque<Output>) {
         if self.confirmed().is_some_and(|r| r.head == *current) {
             return self.activate(out);
@@ -268,7 +268,7 @@
         self.stage(now, current, out);
     }
 
-    /// Sees to it that this revision's text comes and is checked.
+    /// Starts fetching a revision, unless it is staged or being fetched already.
     fn stage(&mut self, now: Millis, head: &Head, out: &mut VecDeque<Output>) {
         let staged = self.staged.as_ref().is_some_and(|s| s.revision.head == *head);
         let coming = self.fetch.as_ref().is_some_and(|f| f.head == *head);
@@ -286,13 +286,13 @@
         }
     }
 
-    /// Takes in a part of a text.
+    /// Handles a chunk of the text that is being fetched.
     pub fn on_chunk(&mut self, now: Millis, message: &Message, out: &mut VecDeque<Output>) {
         let Some(fetch) = &mut self.fetch else { return };
         match fetch.take(message) {
             FetchProgress::RequestMore => self.want(now, out),
             FetchProgress::Waiting => {}
-            // Asked for anew with the next answer that names it.
+            // The next answer that names the revision starts the fetch anew.
             FetchProgress::HashMismatch => self.fetch = None,
             FetchProgress::Complete(revision) => {
                 self.fetch = None;
@@ -302,12 +302,12 @@
         }
     }
 
-    /// What it can show of: what it holds, and what it has confirmed.
+    /// Returns the held or confirmed revision that satisfies the predicate.
     pub fn known_revision(&self, which: impl Fn(&Revision) -> bool) -> Option<&Arc<Revision>> {
         self.held.iter().chain(self.confirmed()).find(|r| which(r))
     }
 
-    /// What was found of a revision that was to be checked.
+    /// Records the result of the check of the staged revision.
     pub fn checked(&mut self, now: Millis, id: Id, verdict: Verdict) {
         if let Some(staged) = self.staged.as_mut().filter(|s| s.revision.id() == id) {
             staged.verdict = Some(match verdict {
@@ -316,7 +316,7 @@
                 }
                 confirmed => confirmed,
             });
-            // Said at once: everybody waits for it.
+            // Reported at once, as the decision waits for it.
             self.next_ping = now;
         }
     }
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,117 +1,117 @@
-//! What limiters say to each other, one datagram each, and the frames that carry it.
+//! Messages between limiters, one datagram each, and the frames that carry them.
 //!
-//! A frame is a version, a fleet's key's mark, the sender and a message. Whoever does not have the fleet's key can neither
-//! make nor change one. A frame that comes twice or late is no danger: questions are numbered and each is answered
-//! once to its asker, and what a limiter says of itself counts with the token it was last given only.
+//! A frame consists of a version, a message authentication code, the sender, the receiver and a message. It can
+//! neither be forged nor altered without the fleet's key. Duplicate and delayed frames are harmless: pings are
+//! numbered and each is answered only once, and a limiter's report counts only with the token that it was last given.
 
 use crate::document::{Digest, Head, Id};
 use crate::{Millis, Peer};
 use serde::{Deserialize, Serialize};
 
-/// Version of the frames. Another one is dropped, and counted.
+/// Version of the frame format. Frames of another version are dropped and counted.
 pub const VERSION: u8 = 1;
-/// Most bytes of a text in one message: a datagram stays whole on usual networks.
+/// Most bytes of a text in one message, so that a datagram is not fragmented on common networks.
 pub const CHUNK_BYTES: usize = 1024;
-/// The longest frame, bytes: a veto's reason is cut to fit.
+/// Maximum length of a frame, bytes. The reason of a veto is truncated to fit.
 pub const MAX_FRAME_BYTES: usize = 1400;
-/// The longest reason of a veto, bytes.
+/// Maximum length of a veto's reason, bytes.
 pub const MAX_REASON_BYTES: usize = 300;
-/// The longest name of an author, bytes.
+/// Maximum length of an author's name, bytes.
 pub const MAX_AUTHOR_BYTES: usize = 64;
 const MAC_BYTES: usize = 16;
 
-/// What a limiter has found of a revision that it was shown.
+/// Result of a limiter's check of a proposed revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It holds the text and can act by it.
+    /// It holds the text and can apply it.
     Confirmed,
-    /// It cannot, for this reason, which names the key.
+    /// It cannot apply the revision; the reason names the offending key.
     Vetoed(String),
 }
 
-/// A question of a limiter to the decider, and what it says of itself.
+/// Heartbeat of a limiter to the decider, with its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ping {
-    /// Tells a limiter's process from those before it: a number by chance.
+    /// Random number that distinguishes this process from earlier ones of the same limiter.
     pub process_id: u64,
-    /// Counts the limiter's questions.
+    /// Sequence number of the ping.
     pub seq: u64,
-    /// The token that the decider last gave it; 0: none yet.
+    /// Token last assigned by the decider; 0 if none.
     pub token: u64,
-    /// The last question to which it has taken an answer: older answers tell it nothing any more.
+    /// Sequence number of the last ping whose answer was accepted; older answers are ignored.
     pub answered: u64,
-    /// What it acts by or would.
+    /// Id of the held revision, also while the lease has expired.
     pub holds: Id,
-    /// What it was shown beside that, and what it found.
+    /// Staged revision and the result of its check.
     pub staged: Option<(Id, Verdict)>,
 }
 
-/// The decider's answer.
+/// Answer of the decider to a ping.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pong {
-    /// The question's number.
+    /// Sequence number of the answered ping.
     pub seq: u64,
-    /// What is to stand in the next question.
+    /// Token to send with the next ping.
     pub token: u64,
-    /// The rules that are current. Without it the answer keeps nothing current.
+    /// Current revision, on which this answer renews the lease. `None` renews no lease.
     pub current: Option<Head>,
-    /// What is proposed to follow them.
+    /// Proposed next revision.
     pub proposal: Option<Head>,
-    /// That is decided, and takes effect after this, ms.
+    /// Time until the decided proposal takes effect, ms; `None` while it is undecided.
     pub effective_in: Option<Millis>,
 }
 
-/// A message.
+/// Message between two limiters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     #[allow(missing_docs)]
     Ping(Ping),
     #[allow(missing_docs)]
     Pong(Pong),
-    /// The text of this hash is wanted, from this byte on.
+    /// Requests the text with this hash.
     ChunkRequest {
-        /// The text.
+        /// Hash of the text.
         digest: Digest,
-        /// The first byte.
+        /// Offset of the first requested byte.
         from: u32,
     },
-    /// The head of this revision is wanted.
+    /// Requests the head of this revision.
     HeadRequest(Id),
-    /// That head.
+    /// Answers a [`Message::HeadRequest`].
     HeadResponse(Head),
-    /// A part of a text.
+    /// Carries a part of a text.
     Chunk {
-        /// The text.
+        /// Hash of the text.
         digest: Digest,
-        /// Where the part begins.
+        /// Offset of the part, bytes.
         from: u32,
-        /// The part.
+        /// Content of the part.
         bytes: Vec<u8>,
     },
-    /// What a limiter tells the decider beside the agreement, which passes it on unread.
+    /// Application data sent to the decider along with the agreement protocol, which does not interpret it.
     Attachment(Vec<u8>),
-    /// Who holds the latest term that the sender knows of, where a coordinator's tree elects the decider.
+    /// Announces the latest term that the sender knows of, in a fleet whose decider is elected through a coordinator.
     TermAnnouncement {
-        /// The term.
+        /// Number of the term.
         term: u64,
-        /// Its holder, if the sender knows that too.
+        /// Holder of the term, if known.
         peer: Option<Peer>,
     },
 }
 
-/// Why a frame was dropped.
+/// Reason for dropping a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FrameError {
-    /// Of another version of frames.
+    /// Unsupported version of the frame format.
     Version,
-    /// Not made with this fleet's key, or changed.
+    /// Authentication failed: made with another key, or altered.
     Key,
-    /// It cannot be read, or is too long.
+    /// Cannot be decoded, is too long, or is addressed to another limiter.
     Malformed,
 }
 
 impl FrameError {
-    /// The name that the status page gives it.
+    /// Returns the name under which the status page counts it.
     pub fn name(self) -> &'static str {
         match self {
             FrameError::Version => "version",
@@ -121,24 +121,24 @@
     }
 }
 
-/// What a fleet's frames are made and read with.
+/// Encodes and authenticates the frames of a fleet.
 #[derive(Clone)]
 pub struct FrameCodec {
     key: [u8; 32],
 }
 
 impl FrameCodec {
-    /// From a secret that all limiters of the fleet share.
+    /// Derives the key from a secret that all limiters of the fleet share.
     pub fn new(secret: &str) -> FrameCodec {
         FrameCodec { key: blake3::derive_key("oatbank fleet frames 1", secret.as_bytes()) }
     }
 
-    /// A frame with this message, from this limiter to that one.
+    /// Encodes a frame with this message from `from` to `to`.
     pub fn frame(&self, from: Peer, to: Peer, message: &Message) -> Vec<u8> {
         let mut frame = vec![VERSION];
         frame.extend_from_slice(&[0; MAC_BYTES]);
         let body = postcard::to_extend(&(from, to, message), frame);
-        // Plain data without maps or floats has no way to fail.
+        // Encoding cannot fail: the data holds no maps or floats.
         let mut frame = body.unwrap_or_default();
         if frame.len() > MAC_BYTES {
             let mark = self.mark(&frame[1 + MAC_BYTES..]);
@@ -147,10 +147,10 @@
         frame
     }
 
-    /// Reads a frame that came to this limiter.
+    /// Decodes a frame received by `to`.
     ///
     /// # Errors
-    /// Why it is to be dropped.
+    /// Returns the reason for which the frame must be dropped.
     pub fn read(&self, to: Peer, frame: &[u8]) -> Result<(Peer, Message), FrameError> {
         let (version, rest) = frame.split_first().ok_or(FrameError::Malformed)?;
         if *version != VERSION {
@@ -160,7 +160,7 @@
             return Err(FrameError::Malformed);
         }
         let (mark, body) = rest.split_at(MAC_BYTES);
-        // In constant time: blake3's hashes compare so.
+        // `blake3::Hash` compares in constant time.
         if blake3::Hash::from_bytes(widen(mark)) != blake3::Hash::from_bytes(widen(&self.mark(body))) {
             return Err(FrameError::Key);
         }
@@ -185,7 +185,7 @@
     wide
 }
 
-/// At most so many bytes of a text, cut between two characters.
+/// Returns the longest prefix of `text` of at most `most` bytes that ends on a character boundary.
 pub fn truncate_utf8(text: &str, most: usize) -> &str {
     let mut end = text.len().min(most);
     while !text.is_char_boundary(end) {
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,4 +1,4 @@
-//! One limiter of a fleet: events in, outputs out.
+//! One limiter of a fleet as a state machine: takes events, emits outputs.
 
 use crate::decider::{Decider, MemberRecord, Proposal, ProposalOutcome};
 use crate::document::{Id, Revision};
@@ -11,54 +11,54 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// What a limiter of a fleet is started with.
+/// Settings with which a limiter of a fleet starts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeOptions {
-    /// The fleet's times.
+    /// Timing parameters of the fleet.
     pub timing: LeaseTiming,
     /// This limiter.
     pub me: Peer,
-    /// How many there are on the list.
+    /// Number of limiters in the fleet, including this one.
     pub peers: u16,
-    /// The one that decides; nothing: whom the coordinator's tree elects.
+    /// Decider named in the settings; `None` if it is elected through the coordinator.
     pub decider: Option<Peer>,
     /// Grows with each start of this limiter (Unix ms).
     pub incarnation: u64,
-    /// For tokens that do not come again.
+    /// Seed of tokens, and id of this process.
     pub seed: u64,
-    /// What the decider begins with if no limiter of the fleet has anything.
+    /// Text of the first revision, decided if no limiter of the fleet holds any.
     pub first: Arc<str>,
 }
 
-/// What a limiter learns.
+/// Input of a limiter.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Another limiter says this.
+    /// Message received from another limiter.
     Message(Peer, Message),
-    /// What was found of a revision, after [`Output::Check`].
+    /// Result of the check requested by [`Output::Check`].
     Checked(Id, Verdict),
-    /// An operator asks for a change.
+    /// Proposal of an operator.
     Propose(Proposal),
-    /// What came of [`Output::Register`], by its register and serial number.
+    /// Response to an [`Output::Register`], with its register and serial number.
     Register(Register, u64, RegisterResponse),
-    /// Time has passed.
+    /// A timer may be due; see [`Node::next_due`].
     Tick,
 }
 
-/// What is to be done.
+/// Action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Tell another limiter.
+    /// Send this message to this limiter.
     Send(Peer, Message),
-    /// Check whether this revision could be acted by, whole, and say so with [`Event::Checked`].
+    /// Check whether this revision could be applied as a whole, and report the result with [`Event::Checked`].
     Check(Arc<Revision>),
-    /// Act by this revision from now on, as long as [`Node::active_rules`] says so.
+    /// Apply this revision from now on, as far as [`Node::active_rules`] allows.
     Activate(Arc<Revision>),
-    /// Act by none until the next [`Output::Activate`]: what was held is not current.
+    /// Apply no rules until the next [`Output::Activate`]: the held revision is not current.
     Deactivate,
-    /// What became of a proposal, by its ticket.
+    /// Outcome of the proposal with this ticket.
     ProposalFinished(u64, ProposalOutcome),
-    /// Ask this of the coordinator's tree, and say what came of it with [`Event::Register`], each once.
+    /// Send this request to the coordinator, and report its response with exactly one [`Event::Register`].
     Register(Register, u64, RegisterRequest),
 }
 
@@ -68,13 +68,13 @@
     Decider(Box<Decider>),
 }
 
-/// One limiter of a fleet.
+/// State of one limiter of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     options: NodeOptions,
-    /// The one that decides, as far as is known.
+    /// Decider, as far as known.
     decider: Option<Peer>,
-    /// The latest term that was heard of.
+    /// Latest known term.
     term: u64,
     role: Role,
     election: Option<Box<Election>>,
@@ -82,7 +82,7 @@
 }
 
 impl Node {
-    /// A limiter that has just started.
+    /// Creates a limiter that has just started.
     pub fn new(options: &NodeOptions, now: Millis) -> Node {
         let NodeOptions { timing, me, decider, seed, .. } = *options;
         let role = match decider == Some(me) {
@@ -94,7 +94,7 @@
         Node { options: options.clone(), decider, term: 0, role, election, outputs: VecDeque::new() }
     }
 
-    /// Takes in one event.
+    /// Handles one event. Its actions are queued for [`Node::output`].
     pub fn handle(&mut self, now: Millis, event: Event) {
         let out = &mut self.outputs;
         match (&mut self.role, event) {
@@ -124,7 +124,7 @@
         self.elect(now);
     }
 
-    // ---- Who decides --------------------------------------------------------------------------
+    // ---- Election of the decider ---------------------------------------------------------------
 
     fn elect(&mut self, now: Millis) {
         let Some(election) = &mut self.election else { return };
@@ -172,7 +172,7 @@
         (self.role, self.decider) = (Role::Decider(Box::new(decider)), Some(self.options.me));
     }
 
-    /// A limiter, or the tree, says who holds a term.
+    /// Handles the news, from a limiter or the coordinator, of who holds a term.
     fn observe_term(&mut self, now: Millis, term: u64, peer: Option<Peer>) {
         let Some(election) = &mut self.election else { return };
         election.observe_term(term, peer);
@@ -182,8 +182,9 @@
         }
     }
 
-    /// One that holds a term says so, or another limiter of it. Who knows of that term with another holder, or of a later
-    /// one, tells the holder: the tree has been set back, and it is to take one that is later than all.
+    /// Handles a term announcement. A limiter that knows of the same term with another holder, or of a later one,
+    /// tells the sender: the coordinator's data was restored to an earlier state, and the sender has to take a term
+    /// later than all known ones.
     fn called(&mut self, now: Millis, from: Peer, term: u64, peer: Option<Peer>) {
         let known = (self.term, self.decider);
         if peer == Some(from) && matches!(self.role, Role::Member(_)) && term <= known.0 && peer != known.1 {
@@ -200,7 +201,7 @@
         self.adopt_current(now, None);
     }
 
-    /// It is a member from now on, if it was none.
+    /// Follows this decider; becomes a member if it was the decider.
     fn adopt_current(&mut self, now: Millis, peer: Option<Peer>) {
         let out = &mut self.outputs;
         if let Role::Decider(decider) = &self.role {
@@ -229,13 +230,13 @@
                     out.extend(parts(revision, byte).map(|part| Output::Send(from, part)));
                 }
             }
-            // Who asks has not heard of the latest term.
+            // The sender has not heard of the latest term.
             (Role::Member(_), Message::Ping(_)) if self.election.is_some() => {
                 let (term, holder) = (self.term, self.decider.filter(|peer| *peer != from));
                 let told = |peer| Output::Send(from, Message::TermAnnouncement { term, peer: Some(peer) });
                 out.extend(holder.map(told));
             }
-            // Only the decider's word counts.
+            // Members accept messages from the decider only.
             (Role::Member(_), _) if Some(from) != self.decider => {}
             (Role::Member(member), Message::Pong(pong)) => {
                 member.pong(now, pong, out);
@@ -256,12 +257,12 @@
         }
     }
 
-    /// What is to be done next. To be asked until there is nothing more.
+    /// Returns the next action to carry out. Call it until it returns `None`.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Event::Tick`] is to come at the latest.
+    /// Returns the latest time for the next [`Event::Tick`].
     pub fn next_due(&self, now: Millis) -> Millis {
         let role = match &self.role {
             Role::Member(member) => member.next_due(now),
@@ -270,17 +271,17 @@
         role.min(self.election.as_ref().map_or(Millis::MAX, |e| e.next_due()))
     }
 
-    /// The one that decides, as far as this limiter knows, and the term, where it was elected.
+    /// Returns the decider, as far as known, and the latest known term; 0 if none was elected.
     pub fn decider(&self) -> (Option<Peer>, u64) {
         (self.decider, self.term)
     }
 
-    /// When the coordinator's tree has last answered; nothing where there is none.
+    /// Returns when the coordinator last responded, if ever; the outer `None` means that there is no coordinator.
     pub fn register_last_response(&self) -> Option<Option<Millis>> {
         self.election.as_ref().map(|e| e.heard())
     }
 
-    /// By which rules this limiter may act now.
+    /// Returns the rules that this limiter may apply now.
     pub fn active_rules(&self, now: Millis) -> ActiveRules {
         match &self.role {
             Role::Member(member) => member.active_rules(now),
@@ -288,7 +289,7 @@
         }
     }
 
-    /// What it holds.
+    /// Returns the held revision.
     pub fn held(&self) -> Option<&Arc<Revision>> {
         match &self.role {
             Role::Member(member) => member.held(),
@@ -296,7 +297,7 @@
         }
     }
 
-    /// What it has confirmed beside that; for the decider, what is being decided.
+    /// Returns the confirmed revision that is not in force yet; at the decider, the pending one.
     pub fn confirmed(&self) -> Option<&Arc<Revision>> {
         match &self.role {
             Role::Member(member) => member.confirmed(),
@@ -304,7 +305,7 @@
         }
     }
 
-    /// How long its rules are known to be current, ms; for a named decider, without end.
+    /// Returns the remaining time of the lease, ms; [`Millis::MAX`] for a named decider.
     pub fn lease_left(&self, now: Millis) -> Millis {
         match &self.role {
             Role::Member(member) => member.lease_left(now),
@@ -315,7 +316,7 @@
         }
     }
 
-    /// What it was shown and cannot take, and why.
+    /// Returns the revision that this member cannot apply, and the reason.
     pub fn veto(&self) -> Option<(Id, &str)> {
         match &self.role {
             Role::Member(member) => member.veto(),
@@ -323,12 +324,12 @@
         }
     }
 
-    /// What the decider knows of the others; nothing elsewhere.
+    /// Returns the decider's records of the other limiters; `None` at members.
     pub fn member_records(&self) -> Option<&BTreeMap<Peer, MemberRecord>> {
         self.as_decider().map(Decider::member_records)
     }
 
-    /// Its decider's side, where it is the one.
+    /// Returns the decider's state; `None` at members.
     pub fn as_decider(&self) -> Option<&Decider> {
         match &self.role {
             Role::Member(_) => None,
--- a/crates/fleet/src/rules_register.rs
+++ b/crates/fleet/src/rules_register.rs
@@ -1,49 +1,50 @@
-//! What the coordinator's tree keeps of the rules: a decider with a term writes there what it decides, before it counts.
+//! The rules register at the coordinator. An elected decider writes each revision there before the decision takes
+//! effect.
 //!
-//! A new holder first writes again what it finds, under its own term: from then on nothing that an earlier holder still
-//! has on its way can be written.
+//! A new holder first writes the value that it finds again under its own term. From then on, a delayed write of an
+//! earlier holder fails.
 
 use crate::document::{Head, Revision};
 use crate::election::{RegisterRequest, RegisterResponse, VersionedValue};
 use crate::Millis;
 use std::sync::Arc;
 
-/// What an answer of the tree has brought.
+/// Result of a response from the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RegisterEvent {
     Nothing,
-    /// This is what was decided last, as far as the tree knows, and no earlier holder can change it any more.
+    /// The last decided revision, as stored by the coordinator; earlier holders can no longer change it.
     Found(Option<Arc<Revision>>),
-    /// What was to be kept is kept.
+    /// This revision was stored.
     Stored(Arc<Revision>),
-    /// A holder of a later term has written.
+    /// The holder of a later term has written to the register.
     Superseded,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Work {
-    /// To be written again under the own term, once it is read.
+    /// Write the value again under the own term, once it was read.
     Fence(Option<VersionedValue>),
     Store(Arc<Revision>),
 }
 
-/// One holder's way to what is kept.
+/// Access of one holder to the register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RulesRegister {
     term: u64,
     retry_interval: Millis,
     version: Option<i32>,
     work: Option<Work>,
-    /// What the last write changed is not known: to be read first.
+    /// The outcome of the last write is unknown, so the register has to be read first.
     outcome_unknown: bool,
-    /// Numbers what is asked; an answer to anything but the last is of another holder's time.
+    /// Serial number of the last request. Responses with another number belong to an earlier request or holder.
     serial: u64,
     open: bool,
     next: Millis,
 }
 
 impl RulesRegister {
-    /// For the holder of `term`; after no answer it asks again once `retry_interval` is over.
+    /// Creates the access of the holder of `term`, which waits `retry_interval` ms between two requests.
     pub(crate) fn new(term: u64, retry_interval: Millis, now: Millis) -> RulesRegister {
         let work = Some(Work::Fence(None));
         RulesRegister {
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Its holder has taken another term, with nobody between.
+    /// Continues in another term after one in which nobody else decided.
     pub(crate) fn continue_in_term(&mut self, term: u64) {
         self.term = term;
     }
 
-    /// This is to be kept.
+    /// Requests that this revision be stored.
     pub(crate) fn store(&mut self, revision: Arc<Revision>) {
         self.work = Some(Work::Store(revision));
     }
@@ -75,7 +76,7 @@
         }
     }
 
-    /// What is to be asked now.
+    /// Returns the serial number and the request to send now, if one is due.
     pub(crate) fn tick(&mut self, now: Millis) -> Option<(u64, RegisterRequest)> {
         if now < self.next_due() {
             return None;
@@ -133,7 +134,7 @@
         RegisterEvent::Nothing
     }
 
-    /// It has read what stands where its write may have gone.
+    /// Compares the value read after a write of unknown outcome with the revision to store.
     fn verify_write(&mut self, now: Millis, revision: Arc<Revision>, found: VersionedValue) -> RegisterEvent {
         let (term, stands) = found.as_ref().map_or((0, None), |(_, bytes)| read(bytes));
         if term > self.term {
@@ -143,7 +144,7 @@
         if stands.is_some_and(|stands| stands.head == revision.head) {
             return RegisterEvent::Stored(revision);
         }
-        // Not written, or the tree has been set back.
+        // The write was not carried out, or the coordinator's data was restored to an earlier state.
         (self.work, self.next) = (Some(Work::Store(revision)), now);
         RegisterEvent::Nothing
     }
@@ -151,11 +152,11 @@
 
 fn bytes(term: u64, revision: Option<&Revision>) -> Vec<u8> {
     let kept = revision.map(|r| (&r.head, &*r.text));
-    // Plain data without maps or floats has no way to fail.
+    // Encoding cannot fail: the data holds no maps or floats.
     postcard::to_stdvec(&(term, kept)).unwrap_or_default()
 }
 
-/// The term it was written in and what it is; of what cannot be read, nothing.
+/// Decodes the term and the revision; undecodable bytes yield term 0 and no revision.
 fn read(bytes: &[u8]) -> (u64, Option<Arc<Revision>>) {
     let Ok((term, kept)) = postcard::from_bytes::<(u64, Option<(Head, &str)>)>(bytes) else {
         return (0, None);
--- a/crates/fleet/src/strict.rs
+++ b/crates/fleet/src/strict.rs
@@ -1,9 +1,9 @@
-//! What contradicts, in one place, and the rules that contradict neither of two sets.
+//! Contradictions between two sets of rules, and the strict rules that contradict neither.
 
 use oatbank_limiter_core::interface::{Class, Plan, Repeat};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rules as limiters act by them, by name.
+/// Rules in the form that limiters apply, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
     /// Classes of requests.
@@ -12,17 +12,18 @@
     pub plans: Vec<(String, Plan)>,
     /// Servers that requests may be sent to.
     pub servers: Vec<String>,
-    /// Servers that get nothing, wherever the list of servers comes from.
+    /// Servers that receive no requests, whichever source lists them.
     pub suspended: BTreeSet<String>,
-    /// Zones of which only this part is used.
+    /// Share to which a zone is used, 0 to 1; zones not listed are used fully.
     pub left: BTreeMap<String, f64>,
-    /// Attempts of one request; 0: no limit.
+    /// Maximum number of attempts of one request; 0 means no limit.
     pub max_attempts: u32,
 }
 
-/// Where two sets of rules contradict each other: two figures for one class or plan, two numbers of attempts, or a
-/// server that is used by one and not by the other. An account or a class that only one of them knows is none: the
-/// other refuses it. Requests that are open keep the rules they came with, and are none either.
+/// Returns the keys where two sets of rules contradict each other: different values for one class or plan, different
+/// numbers of attempts, or a server or zone that only one of them uses. An account or class that only one of them
+/// knows is no contradiction, as the other rejects it. Neither are open requests, which keep the rules they arrived
+/// with.
 pub fn contradictions(a: &Rules, b: &Rules) -> Vec<String> {
     let mut found = Vec::new();
     for (name, one) in &a.classes {
@@ -41,7 +42,7 @@
         x.servers.iter().filter(|s| !y.servers.contains(s)).cloned().collect::<Vec<_>>()
     };
     found.extend(only(a, b).into_iter().chain(only(b, a)).map(|server| format!("servers.{server}")));
-    // A part more or less is a step on one way; nothing and something is not.
+    // Different shares are steps of the same change; only a zone used by one and not by the other contradicts.
     let used = |r: &Rules, zone: &String| r.left.get(zone).is_none_or(|share| *share > 0.0);
     let zones: BTreeSet<&String> = a.left.keys().chain(b.left.keys()).collect();
     let apart = zones.into_iter().filter(|zone| used(a, zone) != used(b, zone));
@@ -54,7 +55,8 @@
     found
 }
 
-/// The stricter of two sets of rules: of each limit the lower, and only what both know.
+/// Returns the stricter of two sets of rules: the lower of each limit, only the classes, plans and
+/// servers that both know, and the suspensions of both.
 pub fn stricter(a: &Rules, b: &Rules) -> Rules {
     let classes = a.classes.iter().filter_map(|(name, one)| {
         let (_, other) = b.classes.iter().find(|(n, _)| n == name)?;
@@ -74,7 +76,7 @@
     }
 }
 
-/// Of each zone the smaller part.
+/// Returns the smaller share of each zone.
 fn less(a: &BTreeMap<String, f64>, b: &BTreeMap<String, f64>) -> BTreeMap<String, f64> {
     let mut both = a.clone();
     for (zone, share) in b {
@@ -94,7 +96,7 @@
     }
 }
 
-/// What both allow: where one says "never again", nothing runs twice.
+/// Returns the repetitions that both allow; if one forbids them, nothing runs twice.
 fn stricter_repeat(a: Repeat, b: Repeat) -> Repeat {
     match (a, b) {
         (Repeat::Safe, other) | (other, Repeat::Safe) => other,
@@ -103,13 +105,13 @@
         {
             Repeat::Keyed { group: one, window: w.min(v) }
         }
-        // Two groups have no server in common for sure.
+        // Two different groups have no server in common for certain.
         _ => Repeat::Unsafe,
     }
 }
 
 fn stricter_plan(a: &Plan, b: &Plan) -> Plan {
-    // A quota of one alone is the stricter; the burst goes with it.
+    // A quota that only one plan sets is the stricter one, and its burst applies with it.
     let of = |rate: fn(&Plan) -> f64, burst: fn(&Plan) -> f64| {
         let bursts = [a, b].into_iter().filter(|p| rate(p) > 0.0).map(burst);
         (least(rate(a), rate(b)), bursts.fold(f64::INFINITY, f64::min))
@@ -131,7 +133,7 @@
     }
 }
 
-/// The lower of two limits, of which 0 is none.
+/// Returns the lower of two limits, where 0 means no limit.
 fn least(a: f64, b: f64) -> f64 {
     match (a > 0.0, b > 0.0) {
         (true, true) => a.min(b),
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -1,38 +1,38 @@
-//! The times of an agreement. All but [`LeaseTiming::within`] are means; that one is the promise.
+//! Lease durations and delays that all limiters of a fleet share. [`LeaseTiming::max_divergence`] is the guarantee;
+//! the other values are chosen so that it holds.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Parts in a million.
+/// Parts per million in a whole.
 const MILLION: u64 = 1_000_000;
 
-/// What a limiter does once it cannot know any more that its rules are current.
+/// Behavior of a limiter whose lease has expired, so that its rules may be outdated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum OnLeaseExpiry {
-    /// Refuses at once what comes, and says when to come back. Changes go on without it.
+    /// Rejects new requests at once with a retry delay. Changes are decided without this limiter.
     Refuse,
-    /// Goes on by the stricter of what it holds and what it has confirmed, for this long (ms), then refuses. No change
-    /// is decided without it before that is over, so that it never acts by rules that contradict.
+    /// Applies the stricter of the held and the confirmed revision for this long (ms), then rejects. No change is
+    /// decided without this limiter before then, so it never applies contradicting rules.
     Strict(Millis),
 }
 
-/// The times that all limiters of a fleet share.
+/// Timing parameters that all limiters of a fleet share. Spans are in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTiming {
-    /// How long an answer of the decider keeps a limiter's rules current, counted from when it asked.
+    /// Lease duration granted by an answer of the decider, counted from when the limiter sent its ping.
     pub lease: Millis,
-    /// Between two questions of a limiter to the decider.
+    /// Interval between two pings of a limiter to the decider.
     pub heartbeat: Millis,
-    /// How long a message takes at most where links are well, and how long an attempt that was let go may take to
-    /// reach its engine.
+    /// Longest delivery time of a message on healthy links, and of an admitted attempt on its way to the engine.
     pub message_delay: Millis,
-    /// From a decision to its effect, in which the limiters learn of it.
+    /// Delay between a decision and its activation, during which the limiters learn of it.
     pub activation_delay: Millis,
-    /// How far a clock may run wrong, parts in a million.
+    /// Largest clock drift, in parts per million.
     pub drift_ppm: u32,
-    /// The stated time: for no longer do two limiters act by rules that contradict each other.
+    /// Guaranteed limit on how long two limiters may apply contradicting rules.
     pub max_divergence: Millis,
-    /// What happens at the end of a lease.
+    /// Behavior after a lease has expired.
     pub on_lapse: OnLeaseExpiry,
 }
 
@@ -50,30 +50,30 @@
     }
 }
 
-/// A key of the terms whose value breaks the formula.
+/// A timing key whose value is out of range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimingError {
-    /// The key.
+    /// Name of the key in the settings.
     pub key: &'static str,
-    /// What is wrong, and what is allowed.
+    /// Explains the violation and gives the allowed range.
     pub reason: String,
 }
 
 impl LeaseTiming {
-    /// What the longest contradiction can come to:
+    /// Returns the longest time for which two limiters can contradict each other:
     ///
-    /// `lease (1 + drift) + 2 drift effect + message`, up to the next ms.
+    /// `lease (1 + drift) + 2 drift effect + message`, rounded up to the next ms.
     ///
-    /// After a decision at `d` no answer renews a lease on the old rules without telling of the new, so who does not
-    /// hear of it stops by `d + lease (1 + drift)`. Nobody acts by the new before `d + effect (1 - drift)`, and who
-    /// hears of it in time switches by `effect (1 + drift)` after that. What was let go by then is with its engine
-    /// `message` later.
+    /// After a decision at `d`, no answer renews a lease on the old rules without announcing the new ones, so a
+    /// limiter that misses the announcement stops by `d + lease (1 + drift)`. No limiter applies the new rules before
+    /// `d + effect (1 - drift)`, and one that received them in time switches by `d + effect (1 + drift)`. An attempt
+    /// admitted before that reaches its engine up to `message` later.
     pub fn divergence_bound(&self) -> Millis {
         self.stretched_by_drift(self.lease) + 2 * self.drift(self.activation_delay) + self.message_delay
     }
 
-    /// How long after an answer the decider takes its reader for bound by it: longer than the reader does itself, by
-    /// both clocks' drift.
+    /// Returns how long after an answer the decider considers its receiver bound by it, including the strict period.
+    /// It exceeds the receiver's own limit by the drift of both clocks.
     pub fn certain_expiry(&self) -> Millis {
         let strict = match self.on_lapse {
             OnLeaseExpiry::Refuse => 0,
@@ -82,7 +82,8 @@
         self.stretched_by_triple_drift(self.lease.saturating_add(strict))
     }
 
-    /// The same without the time in which its reader acts by stricter rules.
+    /// Returns how long after an answer the decider considers the receiver's lease valid, excluding the strict
+    /// period.
     pub fn lease_expiry(&self) -> Millis {
         self.stretched_by_triple_drift(self.lease)
     }
@@ -91,10 +92,10 @@
         span.saturating_add(3u64.saturating_mul(self.drift(span)))
     }
 
-    /// Checks the formula.
+    /// Checks the ranges of the parameters, and that the bound does not exceed `max_divergence`.
     ///
     /// # Errors
-    /// The key to be changed, with what it allows.
+    /// Returns the first key that is out of range, with the allowed values.
     pub fn check(&self) -> Result<(), TimingError> {
         let broken = |key, reason| Err(TimingError { key, reason });
         if self.heartbeat == 0 {
@@ -129,9 +130,9 @@
         Ok(())
     }
 
-    /// The most by which a clock goes wrong in this span, up to the next ms.
+    /// Returns the largest clock error over this span, rounded up to the next ms.
     fn drift(&self, span: Millis) -> Millis {
-        // Exact also for spans without end: no product of the whole span.
+        // Splits the span so that the product does not overflow for spans up to `Millis::MAX`.
         let (whole, rest) = (span / MILLION, span % MILLION);
         let ppm = u64::from(self.drift_ppm);
         whole.saturating_mul(ppm).saturating_add((rest * ppm).div_ceil(MILLION))
