--- a/crates/fleet/src/decider.rs
+++ b/crates/fleet/src/decider.rs
@@ -111,7 +111,7 @@
             known.bound_until = known.bound_until.saturating_add(over);
         }
         former_member.set_decider(now, None);
-        former_member.activate_due(now, out);
+        former_member.activate_scheduled(now, out);
         self.epoch = number;
         self.term = Some(Box::new(Term {
             number,
@@ -210,7 +210,7 @@
     pub fn tick(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         self.announce_term(now, out);
         if let Some(former_member) = self.term.as_mut().and_then(|t| t.former_member.as_mut()) {
-            former_member.activate_due(now, out);
+            former_member.activate_scheduled(now, out);
         }
         if self.recovering && self.running.is_none() {
             self.recover(now, out);
--- a/crates/fleet/src/decider/decision.rs
+++ b/crates/fleet/src/decider/decision.rs
@@ -85,7 +85,7 @@
                     if former_member.held().is_none_or(|held| held.id() != id) {
                         // A revision that it had confirmed may be in force elsewhere, and must be given up for this
                         // one.
-                        former_member.distrust_held(Some(&running.revision.head), out);
+                        former_member.drop_doubtful_rules(Some(&running.revision.head), out);
                         former_member.confirm(running.revision.clone(), None);
                     }
                 }
--- a/crates/fleet/src/decider/recovery.rs
+++ b/crates/fleet/src/decider/recovery.rs
@@ -76,7 +76,7 @@
         match self.fetch.as_mut().filter(|f| f.head.id == id) {
             None => out.push_back(Output::Send(from, Message::HeadRequest(id))),
             Some(fetch) if fetch.overdue(now, self.timing.heartbeat) => {
-                out.push_back(Output::Send(from, fetch.want(now)));
+                out.push_back(Output::Send(from, fetch.request(now)));
             }
             Some(_) => {}
         }
@@ -104,7 +104,7 @@
         if wanted && self.fetch.as_ref().is_none_or(|f| f.head != head) {
             self.fetch = Fetch::new(head, now);
             if let Some(fetch) = &mut self.fetch {
-                out.push_back(Output::Send(from, fetch.want(now)));
+                out.push_back(Output::Send(from, fetch.request(now)));
             }
         }
     }
@@ -112,8 +112,8 @@
     /// Handles a chunk of the text that is fetched during recovery.
     pub fn on_chunk(&mut self, now: Millis, from: Peer, message: &Message, out: &mut VecDeque<Output>) {
         let Some(fetch) = self.fetch.as_mut().filter(|_| self.recovering) else { return };
-        match fetch.take(message) {
-            FetchProgress::RequestMore => out.push_back(Output::Send(from, fetch.want(now))),
+        match fetch.receive(message) {
+            FetchProgress::RequestMore => out.push_back(Output::Send(from, fetch.request(now))),
             FetchProgress::Waiting => {}
             FetchProgress::HashMismatch => self.fetch = None,
             FetchProgress::Complete(revision) => {
--- a/crates/fleet/src/fetch.rs
+++ b/crates/fleet/src/fetch.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Fetch {
     pub(crate) head: Head,
     /// Received chunks by offset; they may arrive in any order.
-    parts: BTreeMap<u32, Vec<u8>>,
+    chunks: BTreeMap<u32, Vec<u8>>,
     asked_at: Millis,
 }
 
@@ -35,13 +35,13 @@
     pub(crate) fn new(head: Head, now: Millis) -> Option<Fetch> {
         ((head.len as usize) <= MAX_REVISION_BYTES).then(|| Fetch {
             head,
-            parts: BTreeMap::new(),
+            chunks: BTreeMap::new(),
             asked_at: now,
         })
     }
 
     /// Builds a request for the chunks from the first missing byte on.
-    pub(crate) fn want(&mut self, now: Millis) -> Message {
+    pub(crate) fn request(&mut self, now: Millis) -> Message {
         self.asked_at = now;
         Message::ChunkRequest { digest: self.head.digest, from: self.missing_from() }
     }
@@ -53,45 +53,45 @@
 
     /// Returns the offset of the first missing byte.
     fn missing_from(&self) -> u32 {
-        self.parts
+        self.chunks
             .iter()
-            .fold(0, |end, (from, part)| if *from == end { end + part.len() as u32 } else { end })
+            .fold(0, |end, (from, chunk)| if *from == end { end + chunk.len() as u32 } else { end })
     }
 
     /// Stores a received chunk, and assembles the text once it is complete.
-    pub(crate) fn take(&mut self, message: &Message) -> FetchProgress {
+    pub(crate) fn receive(&mut self, message: &Message) -> FetchProgress {
         let Message::Chunk { digest, from, bytes } = message else { return FetchProgress::Waiting };
         // Chunks start at multiples of the chunk size, so that they never overlap.
-        let fits =
+        let aligned =
             *from as usize % CHUNK_BYTES == 0 && (*from as usize + bytes.len()) <= self.head.len as usize;
-        if *digest != self.head.digest || !fits || bytes.is_empty() && self.head.len > 0 {
+        if *digest != self.head.digest || !aligned || bytes.is_empty() && self.head.len > 0 {
             return FetchProgress::Waiting;
         }
-        let before = self.missing_from();
-        self.parts.insert(*from, bytes.clone());
+        let missing_before = self.missing_from();
+        self.chunks.insert(*from, bytes.clone());
         let end = self.missing_from();
         if end < self.head.len {
-            let row = (CHUNK_WINDOW * CHUNK_BYTES) as u32;
-            return if end / row > before / row {
+            let window_bytes = (CHUNK_WINDOW * CHUNK_BYTES) as u32;
+            return if end / window_bytes > missing_before / window_bytes {
                 FetchProgress::RequestMore
             } else {
                 FetchProgress::Waiting
             };
         }
-        let whole: Vec<u8> = self.parts.values().flatten().copied().collect();
-        let text = std::str::from_utf8(&whole).ok();
-        let whole = text.and_then(|text| Revision::of(self.head.clone(), text));
-        whole.map_or(FetchProgress::HashMismatch, FetchProgress::Complete)
+        let bytes_received: Vec<u8> = self.chunks.values().flatten().copied().collect();
+        let text = std::str::from_utf8(&bytes_received).ok();
+        let revision = text.and_then(|text| Revision::of(self.head.clone(), text));
+        revision.map_or(FetchProgress::HashMismatch, FetchProgress::Complete)
     }
 }
 
 /// Returns the window of chunks to send from offset `from` on. An empty text is sent as one empty chunk.
-pub(crate) fn parts(revision: &Revision, from: u32) -> impl Iterator<Item = Message> + '_ {
+pub(crate) fn chunks_from(revision: &Revision, from: u32) -> impl Iterator<Item = Message> + '_ {
     let digest = revision.head.digest;
-    let rest = revision.text.as_bytes().get(from as usize..).unwrap_or_default();
-    let empty = rest.is_empty().then_some(&[][..]);
-    rest.chunks(CHUNK_BYTES).chain(empty).take(CHUNK_WINDOW).enumerate().map(move |(i, part)| {
+    let remaining = revision.text.as_bytes().get(from as usize..).unwrap_or_default();
+    let empty = remaining.is_empty().then_some(&[][..]);
+    remaining.chunks(CHUNK_BYTES).chain(empty).take(CHUNK_WINDOW).enumerate().map(move |(i, chunk)| {
         let from = from + (i * CHUNK_BYTES) as u32;
-        Message::Chunk { digest, from, bytes: part.to_vec() }
+        Message::Chunk { digest, from, bytes: chunk.to_vec() }
     })
 }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -40,7 +40,7 @@
     held: Option<Arc<Revision>>,
     staged: Option<Staged>,
     /// Id and activation time of the staged revision, once it is decided.
-    due: Option<(Id, Millis)>,
+    scheduled: Option<(Id, Millis)>,
     lease_until: Millis,
     /// Unanswered pings: sequence number and time of sending.
     unanswered: VecDeque<(u64, Millis)>,
@@ -54,7 +54,7 @@
 impl Member {
     /// Creates a member that has just started and holds no revision.
     pub fn new(timing: LeaseTiming, decider: Option<Peer>, process_id: u64, now: Millis) -> Member {
-        let (held, staged, due, fetch) = Default::default();
+        let (held, staged, scheduled, fetch) = Default::default();
         let unanswered = VecDeque::new();
         Member {
             timing,
@@ -62,7 +62,7 @@
             process_id,
             held,
             staged,
-            due,
+            scheduled,
             lease_until: 0,
             unanswered,
             seq: 0,
@@ -81,13 +81,13 @@
 
     /// Stages a confirmed revision, with its activation time if it is decided.
     pub(crate) fn confirm(&mut self, revision: Arc<Revision>, effective_at: Option<Millis>) {
-        self.due = effective_at.map(|at| (revision.id(), at));
+        self.scheduled = effective_at.map(|at| (revision.id(), at));
         self.staged = Some(Staged { revision, verdict: Some(Verdict::Confirmed) });
     }
 
     /// Activates the decided revision if its time has come.
-    pub(crate) fn activate_due(&mut self, now: Millis, out: &mut VecDeque<Output>) {
-        if self.due.is_some_and(|(_, at)| now >= at) {
+    pub(crate) fn activate_scheduled(&mut self, now: Millis, out: &mut VecDeque<Output>) {
+        if self.scheduled.is_some_and(|(_, at)| now >= at) {
             self.activate(out);
         }
     }
@@ -104,7 +104,7 @@
     /// Returns the rules that it may apply now. Called right before each first byte is sent, so that a process that
     /// was paused notices an expired lease before it acts.
     pub fn active_rules(&self, now: Millis) -> ActiveRules {
-        let overdue = self.due.is_some_and(|(_, at)| now >= at);
+        let overdue = self.scheduled.is_some_and(|(_, at)| now >= at);
         let Some(held) = self.held.as_ref().filter(|_| !overdue) else { return ActiveRules::Reject };
         if now < self.lease_until {
             return ActiveRules::Current(held.id());
@@ -151,14 +151,14 @@
 
     /// Returns the latest time for the next call of [`Member::tick`].
     pub fn next_due(&self, now: Millis) -> Millis {
-        let lapse = Some(self.lease_until).filter(|at| *at > now);
-        let due = self.due.map(|(_, at)| at);
-        lapse.into_iter().chain(due).fold(self.next_ping, Millis::min)
+        let expiry = Some(self.lease_until).filter(|at| *at > now);
+        let activation = self.scheduled.map(|(_, at)| at);
+        expiry.into_iter().chain(activation).fold(self.next_ping, Millis::min)
     }
 
     /// Handles all timers that are due.
     pub fn tick(&mut self, now: Millis, out: &mut VecDeque<Output>) {
-        self.activate_due(now, out);
+        self.activate_scheduled(now, out);
         if now >= self.next_ping {
             self.ping(now, out);
         }
@@ -184,7 +184,7 @@
         };
         out.push_back(Output::Send(decider, Message::Ping(ping)));
         if self.fetch.as_ref().is_some_and(|f| f.overdue(now, self.timing.heartbeat)) {
-            self.want(now, out);
+            self.request_chunks(now, out);
         }
     }
 
@@ -195,12 +195,12 @@
     /// Handles the decider's answer. Answers to pings older than the last answered one, or to pings never sent, are
     /// ignored.
     pub fn pong(&mut self, now: Millis, pong: Pong, out: &mut VecDeque<Output>) {
-        let Some(place) = self.unanswered.iter().position(|(seq, _)| *seq == pong.seq) else { return };
-        let (_, asked_at) = self.unanswered[place];
-        self.unanswered.drain(..=place);
+        let Some(position) = self.unanswered.iter().position(|(seq, _)| *seq == pong.seq) else { return };
+        let (_, asked_at) = self.unanswered[position];
+        self.unanswered.drain(..=position);
         self.answered = pong.seq;
-        let greeted = std::mem::replace(&mut self.token, pong.token) == pong.token;
-        if !greeted {
+        let token_unchanged = std::mem::replace(&mut self.token, pong.token) == pong.token;
+        if !token_unchanged {
             // The decider recognizes this process only after it has received the token, so the next ping is sent at
             // once.
             self.next_ping = now;
@@ -225,34 +225,34 @@
             self.lease_until = self.lease_until.max(asked_at + self.timing.lease);
         }
         if pong.current.is_none() {
-            self.distrust_held(pong.proposal.as_ref(), out);
+            self.drop_doubtful_rules(pong.proposal.as_ref(), out);
         }
         match pong.proposal {
-            Some(head) => self.proposed(now, &head, pong.effective_in, out),
-            None if pong.current.is_some() => (self.staged, self.due) = (None, None),
+            Some(head) => self.on_proposal(now, &head, pong.effective_in, out),
+            None if pong.current.is_some() => (self.staged, self.scheduled) = (None, None),
             None => {}
         }
     }
 
     /// Gives up the held revision if the decider names no current one and proposes another than the one confirmed
     /// here. The confirmed revision may be in force elsewhere, so not even strict rules are safe.
-    pub(crate) fn distrust_held(&mut self, proposal: Option<&Head>, out: &mut VecDeque<Output>) {
-        let other = |head: &Head| self.confirmed().is_some_and(|r| r.head != *head);
-        if proposal.is_some_and(other) && self.held.take().is_some() {
+    pub(crate) fn drop_doubtful_rules(&mut self, proposal: Option<&Head>, out: &mut VecDeque<Output>) {
+        let differs = |head: &Head| self.confirmed().is_some_and(|r| r.head != *head);
+        if proposal.is_some_and(differs) && self.held.take().is_some() {
             self.lease_until = 0;
             out.push_back(Output::Deactivate);
         }
     }
 
-    /// Stages a proposed revision; if it is decided, schedules its activation in `left` ms.
-    fn proposed(&mut self, now: Millis, head: &Head, left: Option<Millis>, out: &mut VecDeque<Output>) {
+    /// Stages a proposed revision; if it is decided, schedules its activation after `delay` ms.
+    fn on_proposal(&mut self, now: Millis, head: &Head, delay: Option<Millis>, out: &mut VecDeque<Output>) {
         if self.id() == head.id {
             return;
         }
         self.stage(now, head, out);
-        if let (Some(left), true) = (left, self.confirmed().is_some_and(|r| r.id() == head.id)) {
-            let at = self.due.map_or(now + left, |(_, at)| at.min(now + left));
-            self.due = Some((head.id, at));
+        if let (Some(delay), true) = (delay, self.confirmed().is_some_and(|r| r.id() == head.id)) {
+            let at = self.scheduled.map_or(now + delay, |(_, at)| at.min(now + delay));
+            self.scheduled = Some((head.id, at));
         }
     }
 
@@ -271,26 +271,26 @@
     /// Starts fetching a revision, unless it is staged or being fetched already.
     fn stage(&mut self, now: Millis, head: &Head, out: &mut VecDeque<Output>) {
         let staged = self.staged.as_ref().is_some_and(|s| s.revision.head == *head);
-        let coming = self.fetch.as_ref().is_some_and(|f| f.head == *head);
-        if staged || coming {
+        let fetching = self.fetch.as_ref().is_some_and(|f| f.head == *head);
+        if staged || fetching {
             return;
         }
-        (self.staged, self.due) = (None, None);
+        (self.staged, self.scheduled) = (None, None);
         self.fetch = Fetch::new(head.clone(), now);
-        self.want(now, out);
+        self.request_chunks(now, out);
     }
 
-    fn want(&mut self, now: Millis, out: &mut VecDeque<Output>) {
+    fn request_chunks(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         if let (Some(fetch), Some(decider)) = (&mut self.fetch, self.decider) {
-            out.push_back(Output::Send(decider, fetch.want(now)));
+            out.push_back(Output::Send(decider, fetch.request(now)));
         }
     }
 
     /// Handles a chunk of the text that is being fetched.
     pub fn on_chunk(&mut self, now: Millis, message: &Message, out: &mut VecDeque<Output>) {
         let Some(fetch) = &mut self.fetch else { return };
-        match fetch.take(message) {
-            FetchProgress::RequestMore => self.want(now, out),
+        match fetch.receive(message) {
+            FetchProgress::RequestMore => self.request_chunks(now, out),
             FetchProgress::Waiting => {}
             // The next answer that names the revision starts the fetch anew.
             FetchProgress::HashMismatch => self.fetch = None,
@@ -303,8 +303,8 @@
     }
 
     /// Returns the held or confirmed revision that satisfies the predicate.
-    pub fn known_revision(&self, which: impl Fn(&Revision) -> bool) -> Option<&Arc<Revision>> {
-        self.held.iter().chain(self.confirmed()).find(|r| which(r))
+    pub fn known_revision(&self, predicate: impl Fn(&Revision) -> bool) -> Option<&Arc<Revision>> {
+        self.held.iter().chain(self.confirmed()).find(|r| predicate(r))
     }
 
     /// Records the result of the check of the staged revision.
@@ -322,7 +322,7 @@
     }
 
     fn activate(&mut self, out: &mut VecDeque<Output>) {
-        self.due = None;
+        self.scheduled = None;
         let Some(revision) = self.confirmed().cloned() else { return };
         (self.staged, self.fetch) = (None, None);
         self.held = Some(revision.clone());
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -141,8 +141,8 @@
         // Encoding cannot fail: the data holds no maps or floats.
         let mut frame = body.unwrap_or_default();
         if frame.len() > MAC_BYTES {
-            let mark = self.mark(&frame[1 + MAC_BYTES..]);
-            frame[1..=MAC_BYTES].copy_from_slice(&mark);
+            let code = self.authentication_code(&frame[1 + MAC_BYTES..]);
+            frame[1..=MAC_BYTES].copy_from_slice(&code);
         }
         frame
     }
@@ -159,35 +159,37 @@
         if frame.len() > MAX_FRAME_BYTES || rest.len() <= MAC_BYTES {
             return Err(FrameError::Malformed);
         }
-        let (mark, body) = rest.split_at(MAC_BYTES);
+        let (code, body) = rest.split_at(MAC_BYTES);
         // `blake3::Hash` compares in constant time.
-        if blake3::Hash::from_bytes(widen(mark)) != blake3::Hash::from_bytes(widen(&self.mark(body))) {
+        if blake3::Hash::from_bytes(padded_to_hash(code))
+            != blake3::Hash::from_bytes(padded_to_hash(&self.authentication_code(body)))
+        {
             return Err(FrameError::Key);
         }
-        let (from, meant, message) =
+        let (from, receiver, message) =
             postcard::from_bytes::<(Peer, Peer, Message)>(body).map_err(|_| FrameError::Malformed)?;
-        if meant != to {
+        if receiver != to {
             return Err(FrameError::Malformed);
         }
         Ok((from, message))
     }
 
-    fn mark(&self, body: &[u8]) -> [u8; MAC_BYTES] {
-        let mut mark = [0; MAC_BYTES];
-        mark.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..MAC_BYTES]);
-        mark
+    fn authentication_code(&self, body: &[u8]) -> [u8; MAC_BYTES] {
+        let mut code = [0; MAC_BYTES];
+        code.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..MAC_BYTES]);
+        code
     }
 }
 
-fn widen(mark: &[u8]) -> [u8; 32] {
-    let mut wide = [0; 32];
-    wide[..mark.len()].copy_from_slice(mark);
-    wide
+fn padded_to_hash(code: &[u8]) -> [u8; 32] {
+    let mut padded = [0; 32];
+    padded[..code.len()].copy_from_slice(code);
+    padded
 }
 
 /// Returns the longest prefix of `text` of at most `most` bytes that ends on a character boundary.
-pub fn truncate_utf8(text: &str, most: usize) -> &str {
-    let mut end = text.len().min(most);
+pub fn truncate_utf8(text: &str, max_bytes: usize) -> &str {
+    let mut end = text.len().min(max_bytes);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -3,7 +3,7 @@
 use crate::decider::{Decider, MemberRecord, Proposal, ProposalOutcome};
 use crate::document::{Id, Revision};
 use crate::election::{Election, ElectionEvent, Register, RegisterRequest, RegisterResponse};
-use crate::fetch::parts;
+use crate::fetch::chunks_from;
 use crate::member::{ActiveRules, Member};
 use crate::message::{Message, Verdict};
 use crate::timing::LeaseTiming;
@@ -225,9 +225,9 @@
             (Role::Decider(decider), chunk @ Message::Chunk { .. }) => {
                 decider.on_chunk(now, from, &chunk, out);
             }
-            (Role::Decider(decider), Message::ChunkRequest { digest, from: byte }) => {
+            (Role::Decider(decider), Message::ChunkRequest { digest, from: offset }) => {
                 if let Some(revision) = decider.text(&digest) {
-                    out.extend(parts(revision, byte).map(|part| Output::Send(from, part)));
+                    out.extend(chunks_from(revision, offset).map(|chunk| Output::Send(from, chunk)));
                 }
             }
             // The sender has not heard of the latest term.
@@ -243,9 +243,9 @@
                 member.tick(now, out);
             }
             (Role::Member(member), chunk @ Message::Chunk { .. }) => member.on_chunk(now, &chunk, out),
-            (Role::Member(member), Message::ChunkRequest { digest, from: byte }) => {
+            (Role::Member(member), Message::ChunkRequest { digest, from: offset }) => {
                 if let Some(revision) = member.known_revision(|r| r.head.digest == digest) {
-                    out.extend(parts(revision, byte).map(|part| Output::Send(from, part)));
+                    out.extend(chunks_from(revision, offset).map(|chunk| Output::Send(from, chunk)));
                 }
             }
             (Role::Member(member), Message::HeadRequest(id)) => {
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -97,22 +97,22 @@
     /// # Errors
     /// Returns the first key that is out of range, with the allowed values.
     pub fn check(&self) -> Result<(), TimingError> {
-        let broken = |key, reason| Err(TimingError { key, reason });
+        let invalid = |key, reason| Err(TimingError { key, reason });
         if self.heartbeat == 0 {
-            return broken("heartbeat_ms", "0 is not allowed; a whole number from 1 is".into());
+            return invalid("heartbeat_ms", "0 is not allowed; a whole number from 1 is".into());
         }
         if self.drift_ppm > 100_000 {
             let reason = format!("{} is not allowed; up to 100000, a tenth, is", self.drift_ppm);
-            return broken("drift_ppm", reason);
+            return invalid("drift_ppm", reason);
         }
-        let least = 3 * self.heartbeat + self.message_delay;
-        if self.lease < least {
+        let min_lease = 3 * self.heartbeat + self.message_delay;
+        if self.lease < min_lease {
             let reason = format!(
-                "{} is not allowed beside heartbeat_ms {} and message_ms {}; from {least} is: two questions of \
+                "{} is not allowed beside heartbeat_ms {} and message_ms {}; from {min_lease} is: two questions of \
                  three may be lost",
                 self.lease, self.heartbeat, self.message_delay
             );
-            return broken("lease_ms", reason);
+            return invalid("lease_ms", reason);
         }
         if self.divergence_bound() > self.max_divergence {
             let reason = format!(
@@ -125,7 +125,7 @@
                 self.message_delay,
                 self.divergence_bound()
             );
-            return broken("within_ms", reason);
+            return invalid("within_ms", reason);
         }
         Ok(())
     }
@@ -133,9 +133,9 @@
     /// Returns the largest clock error over this span, rounded up to the next ms.
     fn drift(&self, span: Millis) -> Millis {
         // Splits the span so that the product does not overflow for spans up to `Millis::MAX`.
-        let (whole, rest) = (span / MILLION, span % MILLION);
+        let (millions, remainder) = (span / MILLION, span % MILLION);
         let ppm = u64::from(self.drift_ppm);
-        whole.saturating_mul(ppm).saturating_add((rest * ppm).div_ceil(MILLION))
+        millions.saturating_mul(ppm).saturating_add((remainder * ppm).div_ceil(MILLION))
     }
 
     fn stretched_by_drift(&self, span: Millis) -> Millis {
