--- a/crates/fleet/src/decider.rs
+++ b/crates/fleet/src/decider.rs
@@ -40,11 +40,11 @@
 pub struct Decider {
     timing: LeaseTiming,
     me: Peer,
-    known: BTreeMap<Peer, MemberRecord>,
+    members: BTreeMap<Peer, MemberRecord>,
     epoch: u64,
     number: u64,
     current: Option<Arc<Revision>>,
-    running: Option<PendingRevision>,
+    pending: Option<PendingRevision>,
     /// While true, no revision is current: others may apply one that this process does not know.
     recovering: bool,
     /// Revisions found during recovery that some limiters confirmed but that were never decided.
@@ -52,7 +52,7 @@
     /// Transfer of the highest revision found during recovery.
     fetch: Option<Fetch>,
     /// Text of the first revision, proposed if no limiter holds any.
-    first: Arc<str>,
+    initial_text: Arc<str>,
     /// Limiters that an operator declared gone.
     excluded: BTreeSet<Peer>,
     history: VecDeque<Arc<Revision>>,
@@ -70,24 +70,24 @@
         peers: u16,
         incarnation: u64,
         seed: u64,
-        first: Arc<str>,
+        initial_text: Arc<str>,
         now: Millis,
     ) -> Decider {
         let leased_until = now.saturating_add(timing.lease_expiry());
         let bound_until = now.saturating_add(timing.certain_expiry());
-        let known = |n| (Peer(n), MemberRecord::unknown(leased_until, bound_until));
+        let unheard = |n| (Peer(n), MemberRecord::unknown(leased_until, bound_until));
         Decider {
             timing,
             me,
-            known: (0..peers).filter(|n| Peer(*n) != me).map(known).collect(),
+            members: (0..peers).filter(|n| Peer(*n) != me).map(unheard).collect(),
             epoch: incarnation.max(1),
             number: 0,
             current: None,
-            running: None,
+            pending: None,
             recovering: true,
             fetch: None,
             undecided: BTreeSet::new(),
-            first,
+            initial_text,
             excluded: BTreeSet::new(),
             history: VecDeque::new(),
             seed,
@@ -99,16 +99,16 @@
     pub(crate) fn elected(
         mut self,
         number: u64,
-        unbroken: Millis,
+        observed_since: Millis,
         mut former_member: Member,
         now: Millis,
         out: &mut VecDeque<Output>,
     ) -> Decider {
-        let over = self.timing.lease_expiry();
-        for known in self.known.values_mut() {
+        let lease_expiry = self.timing.lease_expiry();
+        for record in self.members.values_mut() {
             // The previous holder may have continued for one lease, and may have granted leases until its end.
-            known.leased_until = known.leased_until.saturating_add(over);
-            known.bound_until = known.bound_until.saturating_add(over);
+            record.leased_until = record.leased_until.saturating_add(lease_expiry);
+            record.bound_until = record.bound_until.saturating_add(lease_expiry);
         }
         former_member.set_decider(now, None);
         former_member.activate_scheduled(now, out);
@@ -116,11 +116,11 @@
         self.term = Some(Box::new(Term {
             number,
             since: now,
-            unbroken,
+            observed_since,
             until: now,
-            decides_from: now.saturating_add(over),
+            decides_from: now.saturating_add(lease_expiry),
             rules_register: RulesRegister::new(number, self.timing.heartbeat, now),
-            found: None,
+            stored_rules: None,
             former_member: Some(former_member),
             next_announcement: now,
             unable_to_apply: false,
@@ -136,10 +136,10 @@
     /// Returns the rules that this limiter may apply now. After a pause during which a revision took effect, it
     /// rejects requests until it has activated that revision.
     pub fn active_rules(&self, now: Millis) -> ActiveRules {
-        if let Some(before) = self.term.as_ref().and_then(|t| t.former_member.as_ref()) {
-            return before.active_rules(now);
+        if let Some(former_member) = self.term.as_ref().and_then(|t| t.former_member.as_ref()) {
+            return former_member.active_rules(now);
         }
-        let overdue = self.running.as_ref().and_then(|r| r.effective_at).is_some_and(|at| now >= at);
+        let overdue = self.pending.as_ref().and_then(|r| r.effective_at).is_some_and(|at| now >= at);
         let Some(current) = self.current.as_ref().filter(|_| !overdue) else { return ActiveRules::Reject };
         let authority = self.authority();
         if now < authority {
@@ -147,8 +147,8 @@
         }
         match self.timing.on_lapse {
             OnLeaseExpiry::Strict(span) if now < authority.saturating_add(span) => {
-                let own = self.running.as_ref().filter(|r| r.own == Some(Verdict::Confirmed));
-                ActiveRules::Strict(current.id(), own.map(|r| r.revision.id()))
+                let confirmed = self.pending.as_ref().filter(|r| r.own_verdict == Some(Verdict::Confirmed));
+                ActiveRules::Strict(current.id(), confirmed.map(|r| r.revision.id()))
             }
             _ => ActiveRules::Reject,
         }
@@ -156,19 +156,19 @@
 
     /// Returns until when it may decide and grant leases: [`Millis::MAX`] for a named decider.
     pub fn authority(&self) -> Millis {
-        self.term.as_ref().map_or(Millis::MAX, |term| term.until.max(self.unanimous()))
+        self.term.as_ref().map_or(Millis::MAX, |term| term.until.max(self.acknowledged_until()))
     }
 
     /// Without the coordinator it continues as long as every other limiter has recently acknowledged it as the
     /// decider: no other limiter can have won a term, or its winner still waits for longer than this lasts.
-    fn unanimous(&self) -> Millis {
-        let oldest = self.known.values().map(|k| k.last_acked.unwrap_or(0)).min();
+    fn acknowledged_until(&self) -> Millis {
+        let oldest = self.members.values().map(|k| k.last_acked.unwrap_or(0)).min();
         oldest.filter(|at| *at > 0).map_or(0, |at| at + self.timing.lease)
     }
 
     /// Returns the records of the other limiters.
     pub fn member_records(&self) -> &BTreeMap<Peer, MemberRecord> {
-        &self.known
+        &self.members
     }
 
     /// Iterates over past revisions in the order of their activation; the current one is last.
@@ -178,7 +178,7 @@
 
     /// Returns the pending revision, and whether it is decided already.
     pub fn pending(&self) -> Option<(&Arc<Revision>, bool)> {
-        self.running.as_ref().map(|r| (&r.revision, r.effective_at.is_some()))
+        self.pending.as_ref().map(|r| (&r.revision, r.effective_at.is_some()))
     }
 
     /// Whether it still has to find out what the other limiters may apply.
@@ -193,17 +193,17 @@
 
     /// Returns the latest time for the next call of [`Decider::tick`].
     pub fn next_due(&self, now: Millis) -> Millis {
-        let (mut due, mut bounds) = (Millis::MAX, self.recovering);
-        if let Some(running) = &self.running {
-            due = running.effective_at.unwrap_or(running.until);
-            bounds = running.effective_at.is_none();
+        let (mut due, mut undecided) = (Millis::MAX, self.recovering);
+        if let Some(pending) = &self.pending {
+            due = pending.effective_at.unwrap_or(pending.deadline);
+            undecided = pending.effective_at.is_none();
         }
-        let over = self.known.values().flat_map(|k| [k.leased_until, k.bound_until]);
-        let due = over.filter(|at| bounds && *at > now).fold(due, Millis::min);
+        let expiries = self.members.values().flat_map(|k| [k.leased_until, k.bound_until]);
+        let due = expiries.filter(|at| undecided && *at > now).fold(due, Millis::min);
         let Some(term) = &self.term else { return due };
-        let from = Some(term.decides_from).filter(|at| bounds && *at > now).unwrap_or(Millis::MAX);
-        let before = term.former_member.as_ref().map_or(Millis::MAX, |m| m.next_due(now).max(now + 1));
-        due.min(from).min(before).min(term.next_announcement).min(term.rules_register.next_due())
+        let decidable_at = Some(term.decides_from).filter(|at| undecided && *at > now).unwrap_or(Millis::MAX);
+        let member_due = term.former_member.as_ref().map_or(Millis::MAX, |m| m.next_due(now).max(now + 1));
+        due.min(decidable_at).min(member_due).min(term.next_announcement).min(term.rules_register.next_due())
     }
 
     /// Handles all timers that are due.
@@ -212,24 +212,24 @@
         if let Some(former_member) = self.term.as_mut().and_then(|t| t.former_member.as_mut()) {
             former_member.activate_scheduled(now, out);
         }
-        if self.recovering && self.running.is_none() {
+        if self.recovering && self.pending.is_none() {
             self.recover(now, out);
         }
         self.decide(now, out);
         self.poll_register(now, out);
-        let Some(running) = &mut self.running else { return };
-        if running.effective_at.is_some_and(|at| now >= at) {
-            self.take_effect(out);
-        } else if running.effective_at.is_none() && now >= running.until {
-            let id = running.revision.id();
-            if running.persistence != Persistence::NotStored {
+        let Some(pending) = &mut self.pending else { return };
+        if pending.effective_at.is_some_and(|at| now >= at) {
+            self.activate_pending(out);
+        } else if pending.effective_at.is_none() && now >= pending.deadline {
+            let id = pending.revision.id();
+            if pending.persistence != Persistence::NotStored {
                 // The coordinator may have stored it. The operator gets an answer now, and the revision is still
                 // decided if possible.
-                (running.until, running.ask.timeout) = (Millis::MAX, Millis::MAX);
-                let ticket = std::mem::take(&mut running.ask.ticket);
+                (pending.deadline, pending.proposal.timeout) = (Millis::MAX, Millis::MAX);
+                let ticket = std::mem::take(&mut pending.proposal.ticket);
                 return out.push_back(Output::ProposalFinished(ticket, ProposalOutcome::Unknown(id)));
             }
-            let missing = self.known.iter().filter(|(p, k)| !self.excluded.contains(p) && !k.confirms(id));
+            let missing = self.members.iter().filter(|(p, k)| !self.excluded.contains(p) && !k.confirms(id));
             let missing = missing.map(|(peer, _)| *peer).collect();
             self.finish(ProposalOutcome::TimedOut(missing), out);
         }
@@ -237,11 +237,11 @@
 
     /// Returns the pending or current revision whose text has this hash.
     pub fn text(&self, digest: &Digest) -> Option<&Arc<Revision>> {
-        let running = self.running.as_ref().map(|r| &r.revision);
-        running.into_iter().chain(self.current.as_ref()).find(|r| r.head.digest == *digest)
+        let pending = self.pending.as_ref().map(|r| &r.revision);
+        pending.into_iter().chain(self.current.as_ref()).find(|r| r.head.digest == *digest)
     }
 
-    fn put_in_force(&mut self, revision: Arc<Revision>, out: &mut VecDeque<Output>) {
+    fn activate(&mut self, revision: Arc<Revision>, out: &mut VecDeque<Output>) {
         self.number = self.number.max(revision.id().number);
         self.history.push_back(revision.clone());
         if self.history.len() > MAX_HISTORY {
--- a/crates/fleet/src/decider/decision.rs
+++ b/crates/fleet/src/decider/decision.rs
@@ -12,48 +12,55 @@
 
 impl Decider {
     /// Starts an operator's proposal, or reports at once why it is rejected.
-    pub fn propose(&mut self, now: Millis, ask: Proposal, out: &mut VecDeque<Output>) {
-        self.excluded.extend(ask.excluded.iter().copied());
+    pub fn propose(&mut self, now: Millis, proposal: Proposal, out: &mut VecDeque<Output>) {
+        self.excluded.extend(proposal.excluded.iter().copied());
         if self.recovering {
             self.tick(now, out);
-            let missing = match &self.running {
-                Some(running) => self.unconfirmed(now, running),
-                None => self.known.iter().filter(|(p, k)| self.awaits(p, k)).map(|(p, _)| *p).collect(),
+            let missing = match &self.pending {
+                Some(pending) => self.unconfirmed(now, pending),
+                None => self.members.iter().filter(|(p, k)| self.is_unheard(p, k)).map(|(p, _)| *p).collect(),
             };
-            return out.push_back(Output::ProposalFinished(ask.ticket, ProposalOutcome::Recovering(missing)));
+            return out
+                .push_back(Output::ProposalFinished(proposal.ticket, ProposalOutcome::Recovering(missing)));
         }
         let Some(current) = self.current.clone() else { return };
         if self.term.as_ref().is_some_and(|t| now >= t.until) {
-            return out.push_back(Output::ProposalFinished(ask.ticket, ProposalOutcome::NoCoordinator));
+            return out.push_back(Output::ProposalFinished(proposal.ticket, ProposalOutcome::NoCoordinator));
         }
-        let refused = self.rejection(&ask, &current);
-        if let Some(answer) = refused {
-            return out.push_back(Output::ProposalFinished(ask.ticket, answer));
+        let rejection = self.rejection(&proposal, &current);
+        if let Some(outcome) = rejection {
+            return out.push_back(Output::ProposalFinished(proposal.ticket, outcome));
         }
         let revision = Revision::new(
             self.next_id(),
             current.id(),
-            truncate_utf8(&ask.author, MAX_AUTHOR_BYTES),
-            ask.text.clone(),
+            truncate_utf8(&proposal.author, MAX_AUTHOR_BYTES),
+            proposal.text.clone(),
         );
         out.push_back(Output::Check(revision.clone()));
-        let until = now.saturating_add(ask.timeout);
+        let deadline = now.saturating_add(proposal.timeout);
         let persistence = Persistence::NotStored;
-        self.running =
-            Some(PendingRevision { revision, ask, until, own: None, effective_at: None, persistence });
+        self.pending = Some(PendingRevision {
+            revision,
+            proposal,
+            deadline,
+            own_verdict: None,
+            effective_at: None,
+            persistence,
+        });
     }
 
-    pub(super) fn rejection(&self, ask: &Proposal, current: &Arc<Revision>) -> Option<ProposalOutcome> {
-        if ask.text.len() > MAX_REVISION_BYTES {
-            return Some(ProposalOutcome::TooLong(ask.text.len()));
+    pub(super) fn rejection(&self, proposal: &Proposal, current: &Arc<Revision>) -> Option<ProposalOutcome> {
+        if proposal.text.len() > MAX_REVISION_BYTES {
+            return Some(ProposalOutcome::TooLong(proposal.text.len()));
         }
-        if let Some(running) = &self.running {
-            return Some(ProposalOutcome::Busy(running.revision.id()));
+        if let Some(pending) = &self.pending {
+            return Some(ProposalOutcome::Busy(pending.revision.id()));
         }
-        let expected = ask.expect.is_none_or(|number| number == current.id().number);
+        let expected = proposal.expect.is_none_or(|number| number == current.id().number);
         // A repeated request, whose answer was lost: the revision is in force already.
-        let repeated = ask.expect.is_some_and(|number| number == current.head.parent.number);
-        if current.text == ask.text && (expected || repeated) {
+        let is_repeated = proposal.expect.is_some_and(|number| number == current.head.parent.number);
+        if current.text == proposal.text && (expected || is_repeated) {
             return Some(ProposalOutcome::Decided(current.id(), 0));
         }
         (!expected).then(|| ProposalOutcome::Conflict(current.id()))
@@ -66,11 +73,11 @@
 
     /// Handles the result of this limiter's own check of the pending revision.
     pub fn checked(&mut self, now: Millis, id: Id, verdict: Verdict, out: &mut VecDeque<Output>) {
-        let Some(running) = self.running.as_mut().filter(|r| r.revision.id() == id) else { return };
+        let Some(pending) = self.pending.as_mut().filter(|r| r.revision.id() == id) else { return };
         match verdict {
             // A revision that is decided again passed the check before: keep waiting for the limiters that may apply
             // another one, and let another limiter decide.
-            Verdict::Vetoed(_) if self.recovering || running.persistence != Persistence::NotStored => {
+            Verdict::Vetoed(_) if self.recovering || pending.persistence != Persistence::NotStored => {
                 if let Some(term) = &mut self.term {
                     term.unable_to_apply = true;
                 }
@@ -80,13 +87,13 @@
                 self.finish(ProposalOutcome::Vetoed(me, reason), out);
             }
             Verdict::Confirmed => {
-                running.own = Some(Verdict::Confirmed);
+                pending.own_verdict = Some(Verdict::Confirmed);
                 if let Some(former_member) = self.term.as_mut().and_then(|t| t.former_member.as_mut()) {
                     if former_member.held().is_none_or(|held| held.id() != id) {
                         // A revision that it had confirmed may be in force elsewhere, and must be given up for this
                         // one.
-                        former_member.drop_doubtful_rules(Some(&running.revision.head), out);
-                        former_member.confirm(running.revision.clone(), None);
+                        former_member.drop_doubtful_rules(Some(&pending.revision.head), out);
+                        former_member.confirm(pending.revision.clone(), None);
                     }
                 }
                 self.tick(now, out);
@@ -94,19 +101,21 @@
         }
     }
 
-    pub(super) fn on_veto(&mut self, from: Peer, out: &mut VecDeque<Output>) {
+    pub(super) fn handle_veto(&mut self, from: Peer, out: &mut VecDeque<Output>) {
         // While a write to the coordinator is in progress, its result must be known first.
-        let open = |r: &&PendingRevision| r.effective_at.is_none() && r.persistence != Persistence::Storing;
-        let Some(running) = self.running.as_ref().filter(open) else { return };
-        let Some((id, Verdict::Vetoed(reason))) = self.known.get(&from).and_then(|k| k.staged.clone()) else {
+        let vetoable =
+            |r: &&PendingRevision| r.effective_at.is_none() && r.persistence != Persistence::Storing;
+        let Some(pending) = self.pending.as_ref().filter(vetoable) else { return };
+        let Some((id, Verdict::Vetoed(reason))) = self.members.get(&from).and_then(|k| k.staged.clone())
+        else {
             return;
         };
-        if id != running.revision.id() {
+        if id != pending.revision.id() {
             return;
         }
         if !self.recovering {
             if let (Persistence::Stored, Some(term), Some(current)) =
-                (running.persistence, &mut self.term, &self.current)
+                (pending.persistence, &mut self.term, &self.current)
             {
                 // The veto came from a limiter that holds another revision, after the others had confirmed. Restore
                 // the current revision with the coordinator.
@@ -115,66 +124,67 @@
             return self.finish(ProposalOutcome::Vetoed(from, reason), out);
         }
         // A limiter bound without end had to confirm every earlier decision, so this revision was never decided.
-        let endless = |k: &MemberRecord| k.holds != Id::NONE && k.bound_until == Millis::MAX;
-        if self.known.get(&from).is_some_and(endless) {
+        let bound_forever = |k: &MemberRecord| k.holds != Id::NONE && k.bound_until == Millis::MAX;
+        if self.members.get(&from).is_some_and(bound_forever) {
             self.undecided.insert(id);
-            self.running = None;
+            self.pending = None;
         }
     }
 
     /// Returns the limiters that have neither confirmed nor certainly stopped.
-    pub(super) fn unconfirmed(&self, now: Millis, running: &PendingRevision) -> Vec<Peer> {
-        let id = running.revision.id();
-        let bound = |(peer, known): &(&Peer, &MemberRecord)| {
-            let until = if self.excluded.contains(peer) { known.leased_until } else { known.bound_until };
-            now < until && !known.confirms(id)
+    pub(super) fn unconfirmed(&self, now: Millis, pending: &PendingRevision) -> Vec<Peer> {
+        let id = pending.revision.id();
+        let may_still_act = |(peer, record): &(&Peer, &MemberRecord)| {
+            let until = if self.excluded.contains(peer) { record.leased_until } else { record.bound_until };
+            now < until && !record.confirms(id)
         };
-        self.known.iter().filter(bound).map(|(peer, _)| *peer).collect()
+        self.members.iter().filter(may_still_act).map(|(peer, _)| *peer).collect()
     }
 
     pub(super) fn decide(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         if now >= self.authority() || self.term.as_ref().is_some_and(|t| now < t.decides_from) {
             return;
         }
-        let Some(running) = self.running.as_ref().filter(|r| r.effective_at.is_none()) else { return };
-        let id = running.revision.id();
-        let witnesses =
-            self.known.iter().filter(|(p, k)| !self.excluded.contains(p) && k.confirms(id)).count();
-        let enough = witnesses >= self.witnesses() && self.unconfirmed(now, running).is_empty();
-        if running.own != Some(Verdict::Confirmed) || !enough {
+        let Some(pending) = self.pending.as_ref().filter(|r| r.effective_at.is_none()) else { return };
+        let id = pending.revision.id();
+        let confirmations =
+            self.members.iter().filter(|(p, k)| !self.excluded.contains(p) && k.confirms(id)).count();
+        let all_confirmed =
+            confirmations >= self.required_confirmations() && self.unconfirmed(now, pending).is_empty();
+        if pending.own_verdict != Some(Verdict::Confirmed) || !all_confirmed {
             return;
         }
-        if running.ask.dry_run {
+        if pending.proposal.dry_run {
             return self.finish(ProposalOutcome::Acceptable, out);
         }
-        let effect = self.timing.activation_delay;
-        if let (Some(running), Some(term)) = (&mut self.running, &mut self.term) {
-            if running.persistence == Persistence::NotStored {
-                running.persistence = Persistence::Storing;
-                term.rules_register.store(running.revision.clone());
+        let delay = self.timing.activation_delay;
+        if let (Some(pending), Some(term)) = (&mut self.pending, &mut self.term) {
+            if pending.persistence == Persistence::NotStored {
+                pending.persistence = Persistence::Storing;
+                term.rules_register.store(pending.revision.clone());
             }
-            if running.persistence == Persistence::Storing {
+            if pending.persistence == Persistence::Storing {
                 return;
             }
         }
-        if let Some(running) = &mut self.running {
-            running.effective_at = Some(now + effect);
+        if let Some(pending) = &mut self.pending {
+            pending.effective_at = Some(now + delay);
             out.push_back(Output::ProposalFinished(
-                running.ask.ticket,
-                ProposalOutcome::Decided(running.revision.id(), effect),
+                pending.proposal.ticket,
+                ProposalOutcome::Decided(pending.revision.id(), delay),
             ));
         }
     }
 
-    pub(super) fn take_effect(&mut self, out: &mut VecDeque<Output>) {
-        if let Some(running) = self.running.take() {
-            self.put_in_force(running.revision, out);
+    pub(super) fn activate_pending(&mut self, out: &mut VecDeque<Output>) {
+        if let Some(pending) = self.pending.take() {
+            self.activate(pending.revision, out);
         }
     }
 
-    pub(super) fn finish(&mut self, answer: ProposalOutcome, out: &mut VecDeque<Output>) {
-        if let Some(running) = self.running.take() {
-            out.push_back(Output::ProposalFinished(running.ask.ticket, answer));
+    pub(super) fn finish(&mut self, outcome: ProposalOutcome, out: &mut VecDeque<Output>) {
+        if let Some(pending) = self.pending.take() {
+            out.push_back(Output::ProposalFinished(pending.proposal.ticket, outcome));
         }
     }
 }
--- a/crates/fleet/src/decider/proposal.rs
+++ b/crates/fleet/src/decider/proposal.rs
@@ -55,10 +55,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingRevision {
     pub(super) revision: Arc<Revision>,
-    pub(super) ask: Proposal,
-    pub(super) until: Millis,
+    pub(super) proposal: Proposal,
+    pub(super) deadline: Millis,
     /// Result of the decider's own check.
-    pub(super) own: Option<Verdict>,
+    pub(super) own_verdict: Option<Verdict>,
     /// Time of the activation, once it is decided.
     pub(super) effective_at: Option<Millis>,
     /// Whether the coordinator has stored it.
--- a/crates/fleet/src/decider/term.rs
+++ b/crates/fleet/src/decider/term.rs
@@ -21,14 +21,14 @@
     pub(super) number: u64,
     pub(super) since: Millis,
     /// Start of the gapless observation of the coordinator's register that preceded the term.
-    pub(super) unbroken: Millis,
+    pub(super) observed_since: Millis,
     /// Until when the coordinator allows it to decide.
     pub(super) until: Millis,
     /// Earliest time of a decision: the previous holder may have granted leases that last until then.
     pub(super) decides_from: Millis,
     pub(super) rules_register: RulesRegister,
     /// Revision stored with the coordinator; the outer `None` means that it was not read yet.
-    pub(super) found: Option<Option<Arc<Revision>>>,
+    pub(super) stored_rules: Option<Option<Arc<Revision>>>,
     /// State as a member before the term, until the revision in force is known.
     pub(super) former_member: Option<Member>,
     pub(super) next_announcement: Millis,
@@ -40,17 +40,17 @@
     /// Whether the stored revision took effect here and no other has been decided since. Without this limiter's
     /// confirmation none can have been, or else the coordinator would have it: it was observed without a gap in which
     /// its data could have been restored to an earlier state.
-    pub(super) fn in_force(&self, now: Millis, kept: &Revision) -> bool {
-        let Some(before) =
-            self.former_member.as_ref().filter(|b| b.held().is_some_and(|h| h.head == kept.head))
+    pub(super) fn in_force(&self, now: Millis, stored: &Revision) -> bool {
+        let Some(former_member) =
+            self.former_member.as_ref().filter(|m| m.held().is_some_and(|h| h.head == stored.head))
         else {
             return false;
         };
-        let bound =
-            matches!(before.active_rules(now), ActiveRules::Current(_) | ActiveRules::Strict(_, None));
-        let seen =
-            before.lease_until() >= self.unbroken && now.saturating_sub(self.since) < before.timing().lease;
-        bound || seen
+        let still_bound =
+            matches!(former_member.active_rules(now), ActiveRules::Current(_) | ActiveRules::Strict(_, None));
+        let observed_gapless = former_member.lease_until() >= self.observed_since
+            && now.saturating_sub(self.since) < former_member.timing().lease;
+        still_bound || observed_gapless
     }
 }
 
@@ -74,28 +74,28 @@
     /// Whether another limiter should decide: this one cannot apply the revision in force, or has heard from no other
     /// limiter for three leases.
     pub(crate) fn should_resign(&self, now: Millis) -> bool {
-        let since = |at: Millis| now.saturating_sub(at) > SILENT_LEASES * self.timing.lease;
-        let unheard = |known: &MemberRecord| known.last_heard.is_none_or(since);
-        let long = self.term.as_ref().is_some_and(|t| since(t.since));
+        let is_silent_since = |at: Millis| now.saturating_sub(at) > SILENT_LEASES * self.timing.lease;
+        let unheard = |record: &MemberRecord| record.last_heard.is_none_or(is_silent_since);
+        let old_enough = self.term.as_ref().is_some_and(|t| is_silent_since(t.since));
         let unable_to_apply = self.term.as_ref().is_some_and(|t| t.unable_to_apply);
-        unable_to_apply || long && !self.known.is_empty() && self.known.values().all(unheard)
+        unable_to_apply || old_enough && !self.members.is_empty() && self.members.values().all(unheard)
     }
 
     /// Becomes a member again, since another limiter decides or may decide from now on.
     pub(crate) fn into_member(mut self, process_id: u64, now: Millis, out: &mut VecDeque<Output>) -> Member {
-        if let Some(running) = self.running.as_ref().filter(|r| r.effective_at.is_none()) {
+        if let Some(pending) = self.pending.as_ref().filter(|r| r.effective_at.is_none()) {
             out.push_back(Output::ProposalFinished(
-                running.ask.ticket,
-                ProposalOutcome::Unknown(running.revision.id()),
+                pending.proposal.ticket,
+                ProposalOutcome::Unknown(pending.revision.id()),
             ));
         }
-        if let Some(before) = self.term.as_mut().and_then(|t| t.former_member.take()) {
-            return before;
+        if let Some(former_member) = self.term.as_mut().and_then(|t| t.former_member.take()) {
+            return former_member;
         }
         let authority = self.authority();
         let mut member = Member::new(self.timing, None, process_id, now).after_term(self.current, authority);
-        if let Some(running) = self.running.filter(|r| r.own == Some(Verdict::Confirmed)) {
-            member.confirm(running.revision, running.effective_at);
+        if let Some(pending) = self.pending.filter(|r| r.own_verdict == Some(Verdict::Confirmed)) {
+            member.confirm(pending.revision, pending.effective_at);
         }
         member
     }
@@ -104,18 +104,18 @@
     pub(super) fn announce_term(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         let Some(term) = self.term.as_mut().filter(|t| now >= t.next_announcement) else { return };
         term.next_announcement = now + self.timing.heartbeat;
-        let lost = |known: &MemberRecord| {
-            known.last_heard.is_none_or(|at| now.saturating_sub(at) >= self.timing.lease)
+        let unheard = |record: &MemberRecord| {
+            record.last_heard.is_none_or(|at| now.saturating_sub(at) >= self.timing.lease)
         };
         let message = Message::TermAnnouncement { term: term.number, peer: Some(self.me) };
-        let to = self.known.iter().filter(|(_, known)| lost(known));
-        out.extend(to.map(|(peer, _)| Output::Send(*peer, message.clone())));
+        let recipients = self.members.iter().filter(|(_, record)| unheard(record));
+        out.extend(recipients.map(|(peer, _)| Output::Send(*peer, message.clone())));
     }
 
     pub(super) fn poll_register(&mut self, now: Millis, out: &mut VecDeque<Output>) {
         let Some(term) = &mut self.term else { return };
-        if let Some((serial, ask)) = term.rules_register.tick(now) {
-            out.push_back(Output::Register(Register::Rules, serial, ask));
+        if let Some((serial, request)) = term.rules_register.tick(now) {
+            out.push_back(Output::Register(Register::Rules, serial, request));
         }
     }
 
@@ -125,21 +125,21 @@
         &mut self,
         now: Millis,
         serial: u64,
-        came: RegisterResponse,
+        response: RegisterResponse,
         out: &mut VecDeque<Output>,
     ) -> bool {
         let Some(term) = &mut self.term else { return false };
-        match term.rules_register.answered(now, serial, came) {
+        match term.rules_register.answered(now, serial, response) {
             RegisterEvent::Nothing => {}
             RegisterEvent::Found(found) => {
                 self.number = self.number.max(found.as_ref().map_or(0, |r| r.id().number));
-                term.found = Some(found);
+                term.stored_rules = Some(found);
             }
             RegisterEvent::Stored(revision) => {
-                if let Some(running) = self.running.as_mut().filter(|r| r.revision.id() == revision.id()) {
-                    running.persistence = Persistence::Stored;
+                if let Some(pending) = self.pending.as_mut().filter(|r| r.revision.id() == revision.id()) {
+                    pending.persistence = Persistence::Stored;
                 }
-                term.found = Some(Some(revision));
+                term.stored_rules = Some(Some(revision));
             }
             RegisterEvent::Superseded => return true,
         }
