--- a/crates/fleet/src/decider/term.rs
+++ b/crates/fleet/src/decider/term.rs
@@ -129,7 +129,7 @@
         out: &mut VecDeque<Output>,
     ) -> bool {
         let Some(term) = &mut self.term else { return false };
-        match term.rules_register.answered(now, serial, response) {
+        match term.rules_register.handle_response(now, serial, response) {
             RegisterEvent::Nothing => {}
             RegisterEvent::Found(found) => {
                 self.number = self.number.max(found.as_ref().map_or(0, |r| r.id().number));
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -55,11 +55,11 @@
 }
 
 impl Holder {
-    fn bytes(self) -> Vec<u8> {
+    fn encode(self) -> Vec<u8> {
         format!("{} {} {}", self.term, self.peer.0, self.renewals).into_bytes()
     }
 
-    fn read(bytes: &[u8]) -> Option<Holder> {
+    fn decode(bytes: &[u8]) -> Option<Holder> {
         let mut words = std::str::from_utf8(bytes).ok()?.split(' ');
         let holder = Holder {
             term: words.next()?.parse().ok()?,
@@ -100,18 +100,18 @@
 pub struct Election {
     timing: LeaseTiming,
     me: Peer,
-    seen: Option<Observation>,
+    observed: Option<Observation>,
     /// Request without a response, and when it was sent.
-    open: Option<(InFlight, Millis)>,
-    next: Millis,
-    holds: Option<Holder>,
+    in_flight: Option<(InFlight, Millis)>,
+    next_request_at: Millis,
+    held: Option<Holder>,
     /// Until when its last successful write lets it decide.
-    until: Millis,
+    authority_until: Millis,
     /// Start of the observation of the register without a gap and without a return to an earlier state.
-    unbroken: Millis,
-    first: u64,
+    observed_since: Millis,
+    initial_term: u64,
     /// Highest known term.
-    highest: u64,
+    highest_term: u64,
     /// Earliest time of its next candidacy.
     campaign_not_before: Millis,
 }
@@ -120,31 +120,31 @@
     /// Creates the state of a limiter that has just started. `incarnation` (Unix ms) becomes the first term if the
     /// coordinator has none, so that terms and revision ids are not reused after the coordinator has lost its data.
     pub fn new(timing: LeaseTiming, me: Peer, incarnation: u64, now: Millis) -> Election {
-        let (seen, open, holds) = Default::default();
+        let (observed, in_flight, held) = Default::default();
         Election {
             timing,
             me,
-            seen,
-            open,
-            next: now,
-            holds,
-            until: 0,
-            unbroken: now,
-            first: incarnation,
-            highest: 0,
+            observed,
+            in_flight,
+            next_request_at: now,
+            held,
+            authority_until: 0,
+            observed_since: now,
+            initial_term: incarnation,
+            highest_term: 0,
             campaign_not_before: now,
         }
     }
 
     /// Returns the term that this limiter holds.
-    pub fn holds(&self) -> Option<u64> {
-        self.holds.map(|h| h.term)
+    pub fn held_term(&self) -> Option<u64> {
+        self.held.map(|h| h.term)
     }
 
     /// Returns until when its last successful write lets it decide; 0 if it holds no term.
-    pub fn until(&self) -> Millis {
-        if self.holds.is_some() {
-            self.until
+    pub fn authority_until(&self) -> Millis {
+        if self.held.is_some() {
+            self.authority_until
         } else {
             0
         }
@@ -152,135 +152,138 @@
 
     /// Returns the start of the observation of the register without a gap and without a return to an earlier state. A
     /// coordinator whose data was restored to an earlier state was unavailable meanwhile.
-    pub(crate) fn unbroken(&self) -> Millis {
-        self.unbroken
+    pub(crate) fn observed_since(&self) -> Millis {
+        self.observed_since
     }
 
     /// Returns when the coordinator last responded.
-    pub fn heard(&self) -> Option<Millis> {
-        self.seen.as_ref().map(|s| s.last)
+    pub fn last_response(&self) -> Option<Millis> {
+        self.observed.as_ref().map(|s| s.last)
     }
 
     /// Returns the latest time for the next call of [`Election::tick`].
     pub fn next_due(&self) -> Millis {
-        if self.open.is_some() {
+        if self.in_flight.is_some() {
             return Millis::MAX;
         }
-        self.next
+        self.next_request_at
     }
 
     /// Returns the request to send for [`Register::Decider`] now, if one is due.
     pub fn tick(&mut self, now: Millis) -> Option<RegisterRequest> {
-        if self.open.is_some() || now < self.next {
+        if self.in_flight.is_some() || now < self.next_request_at {
             return None;
         }
-        let version = self.seen.as_ref().map(|s| s.value.as_ref().map(|v| v.0));
-        let (Some(holds), Some(version)) = (self.holds, version) else {
+        let version = self.observed.as_ref().map(|s| s.value.as_ref().map(|v| v.0));
+        let (Some(held), Some(version)) = (self.held, version) else {
             // Three reads within the span over which it must be seen unchanged.
-            self.next = now + self.timing.lease / 3;
-            return Some(self.ask(now, InFlight::Read));
+            self.next_request_at = now + self.timing.lease / 3;
+            return Some(self.request_read(now, InFlight::Read));
         };
-        self.next = now + self.timing.heartbeat;
+        self.next_request_at = now + self.timing.heartbeat;
         // A later term, or this one with another holder, is known: the coordinator's data was restored to an earlier
         // state.
-        let term = if self.highest > holds.term { self.highest + 1 } else { holds.term };
-        let renewed = Holder { term, renewals: holds.renewals + 1, ..holds };
-        self.open = Some((InFlight::Renew(renewed), now));
-        Some(RegisterRequest::CompareAndSwap(version, renewed.bytes()))
+        let term = if self.highest_term > held.term { self.highest_term + 1 } else { held.term };
+        let renewed = Holder { term, renewals: held.renewals + 1, ..held };
+        self.in_flight = Some((InFlight::Renew(renewed), now));
+        Some(RegisterRequest::CompareAndSwap(version, renewed.encode()))
     }
 
-    fn ask(&mut self, now: Millis, open: InFlight) -> RegisterRequest {
-        self.open = Some((open, now));
+    fn request_read(&mut self, now: Millis, request: InFlight) -> RegisterRequest {
+        self.in_flight = Some((request, now));
         RegisterRequest::Read
     }
 
     /// Records a term announced by another limiter, and its holder if known.
     pub fn observe_term(&mut self, term: u64, peer: Option<Peer>) {
-        let same = self.holds.is_some_and(|h| h.term == term && peer != Some(self.me));
-        self.highest = self.highest.max(term + u64::from(same));
+        let same_term = self.held.is_some_and(|h| h.term == term && peer != Some(self.me));
+        self.highest_term = self.highest_term.max(term + u64::from(same_term));
     }
 
     /// Gives up the term, and leaves the others two leases before its next candidacy.
     pub fn resign(&mut self, now: Millis) {
-        self.holds = None;
+        self.held = None;
         self.campaign_not_before = now + 2 * self.timing.lease;
     }
 
     /// Handles a response; returns its result and the request to send next, if any.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         now: Millis,
-        outcome: RegisterResponse,
+        response: RegisterResponse,
     ) -> (Option<ElectionEvent>, Option<RegisterRequest>) {
-        let Some((open, asked_at)) = self.open.take() else { return (None, None) };
-        match (open, outcome) {
-            (InFlight::Read, RegisterResponse::Value(value)) => self.read(now, value),
+        let Some((request, asked_at)) = self.in_flight.take() else { return (None, None) };
+        match (request, response) {
+            (InFlight::Read, RegisterResponse::Value(value)) => self.handle_read(now, value),
             (InFlight::Campaign(holder), RegisterResponse::Swapped(version)) => {
-                self.holds = Some(holder);
-                self.wrote(now, asked_at, holder, version);
+                self.held = Some(holder);
+                self.record_write(now, asked_at, holder, version);
                 (Some(ElectionEvent::Won(holder.term)), None)
             }
-            (InFlight::Renew(holder), RegisterResponse::Swapped(version)) if self.holds.is_some() => {
-                let before = self.holds.replace(holder);
-                self.wrote(now, asked_at, holder, version);
-                let anew = before.is_some_and(|b| b.term != holder.term);
-                (anew.then_some(ElectionEvent::Won(holder.term)), None)
+            (InFlight::Renew(holder), RegisterResponse::Swapped(version)) if self.held.is_some() => {
+                let before = self.held.replace(holder);
+                self.record_write(now, asked_at, holder, version);
+                let new_term = before.is_some_and(|b| b.term != holder.term);
+                (new_term.then_some(ElectionEvent::Won(holder.term)), None)
             }
             // The register has changed, or may have: read it before anything else.
-            (_, RegisterResponse::VersionMismatch) => (None, Some(self.ask(now, InFlight::Read))),
+            (_, RegisterResponse::VersionMismatch) => (None, Some(self.request_read(now, InFlight::Read))),
             // No response: the last observation still gives the version to replace and reveals a gap.
             _ => (None, None),
         }
     }
 
-    fn wrote(&mut self, now: Millis, asked_at: Millis, holder: Holder, version: i32) {
+    fn record_write(&mut self, now: Millis, asked_at: Millis, holder: Holder, version: i32) {
         self.observe(now, Some(holder));
-        self.until = asked_at + self.timing.lease;
-        self.highest = self.highest.max(holder.term);
-        self.seen = Some(Observation { value: Some((version, holder.bytes())), since: now, last: now });
+        self.authority_until = asked_at + self.timing.lease;
+        self.highest_term = self.highest_term.max(holder.term);
+        self.observed = Some(Observation { value: Some((version, holder.encode())), since: now, last: now });
     }
 
     /// Records an observation of the register, and detects gaps and returns to an earlier state.
     fn observe(&mut self, now: Millis, holder: Option<Holder>) {
-        let order = |holder: Option<Holder>| holder.map(|h| (h.term, h.renewals));
-        let before = self.seen.as_ref().map(|s| (s.last, s.value.as_ref().and_then(|v| Holder::read(&v.1))));
-        let on =
-            before.is_some_and(|(last, was)| now - last < self.timing.lease && order(holder) >= order(was));
-        if !on {
-            self.unbroken = now;
+        let sort_key = |holder: Option<Holder>| holder.map(|h| (h.term, h.renewals));
+        let before =
+            self.observed.as_ref().map(|s| (s.last, s.value.as_ref().and_then(|v| Holder::decode(&v.1))));
+        let continuous = before.is_some_and(|(last, previous)| {
+            now - last < self.timing.lease && sort_key(holder) >= sort_key(previous)
+        });
+        if !continuous {
+            self.observed_since = now;
         }
     }
 
-    fn read(
+    fn handle_read(
         &mut self,
         now: Millis,
         value: VersionedValue,
     ) -> (Option<ElectionEvent>, Option<RegisterRequest>) {
-        let holder = value.as_ref().and_then(|(_, bytes)| Holder::read(bytes));
-        self.highest = self.highest.max(holder.map_or(0, |h| h.term));
+        let holder = value.as_ref().and_then(|(_, bytes)| Holder::decode(bytes));
+        self.highest_term = self.highest_term.max(holder.map_or(0, |h| h.term));
         self.observe(now, holder);
         // An equal value after a gap counts as new: the coordinator's data may have been restored to an earlier
         // state.
-        let same = self.seen.as_ref().filter(|s| s.value == value && now - s.last < self.timing.lease);
-        let since = same.map_or(now, |s| s.since);
+        let unchanged_value =
+            self.observed.as_ref().filter(|s| s.value == value && now - s.last < self.timing.lease);
+        let since = unchanged_value.map_or(now, |s| s.since);
         let version = value.as_ref().map(|v| v.0);
-        self.seen = Some(Observation { value, since, last: now });
-        if let Some(holds) = self.holds {
+        self.observed = Some(Observation { value, since, last: now });
+        if let Some(held) = self.held {
             // Either a write without a response was carried out, or the register is in another state.
-            if holder.is_some_and(|h| h.peer == self.me && h.term >= holds.term) {
-                self.next = now;
+            if holder.is_some_and(|h| h.peer == self.me && h.term >= held.term) {
+                self.next_request_at = now;
                 return (None, None);
             }
-            self.holds = None;
+            self.held = None;
         }
-        let unchanged = now - since;
+        let unchanged_for = now - since;
         // Staggers the candidacies of the limiters.
-        let turn = u64::from(self.me.0 % 16) * self.timing.heartbeat / 4;
-        if unchanged >= self.timing.lease_expiry() + turn && now >= self.campaign_not_before {
-            let first = if holder.is_none() { self.first } else { 0 };
-            let holder = Holder { term: first.max(self.highest + 1), peer: self.me, renewals: 0 };
-            self.open = Some((InFlight::Campaign(holder), now));
-            return (None, Some(RegisterRequest::CompareAndSwap(version, holder.bytes())));
+        let stagger = u64::from(self.me.0 % 16) * self.timing.heartbeat / 4;
+        if unchanged_for >= self.timing.lease_expiry() + stagger && now >= self.campaign_not_before {
+            let initial_term = if holder.is_none() { self.initial_term } else { 0 };
+            let holder = Holder { term: initial_term.max(self.highest_term + 1), peer: self.me, renewals: 0 };
+            self.in_flight = Some((InFlight::Campaign(holder), now));
+            return (None, Some(RegisterRequest::CompareAndSwap(version, holder.encode())));
         }
         (holder.filter(|h| h.peer != self.me).map(ElectionEvent::HolderObserved), None)
     }
--- a/crates/fleet/src/election/tests.rs
+++ b/crates/fleet/src/election/tests.rs
@@ -26,7 +26,7 @@
     let mut news = Vec::new();
     let mut ask = election.tick(now);
     while let Some(open) = ask.take() {
-        let (told, next) = election.answered(now, tree.answer(open));
+        let (told, next) = election.handle_response(now, tree.answer(open));
         news.extend(told);
         ask = next;
     }
@@ -47,7 +47,7 @@
     for now in begun..begun + 9000 {
         if now < begun + 5000 {
             turn(&mut tree, &mut a, now);
-            stopped = a.until();
+            stopped = a.authority_until();
         }
         if won(turn(&mut tree, &mut b, now)) {
             taken = now;
@@ -62,7 +62,7 @@
         matches!(news[..], [ElectionEvent::HolderObserved(Holder { term: 2, peer: Peer(1), .. })]),
         "{news:?}"
     );
-    assert_eq!((a.holds(), a.until()), (None, 0));
+    assert_eq!((a.held_term(), a.authority_until()), (None, 0));
 }
 
 #[test]
@@ -70,21 +70,21 @@
     let timing = LeaseTiming::default();
     let (mut tree, mut a) = (Tree::default(), Election::new(timing, Peer(0), 1, 0));
     let mut now = 0;
-    while a.holds().is_none() {
+    while a.held_term().is_none() {
         turn(&mut tree, &mut a, now);
         now += 10;
     }
-    let until = a.until();
+    let until = a.authority_until();
     now = a.next_due();
     let ask = a.tick(now).expect("a write");
     tree.answer(ask);
-    assert_eq!(a.answered(now, RegisterResponse::Unknown), (None, None));
-    assert_eq!(a.until(), until, "what was not answered does not count");
+    assert_eq!(a.handle_response(now, RegisterResponse::Unknown), (None, None));
+    assert_eq!(a.authority_until(), until, "what was not answered does not count");
     for _ in 0..100 {
         now += 10;
         turn(&mut tree, &mut a, now);
     }
-    assert!(a.holds() == Some(1) && a.until() > now, "it goes on in its term");
+    assert!(a.held_term() == Some(1) && a.authority_until() > now, "it goes on in its term");
 }
 
 #[test]
@@ -109,8 +109,8 @@
 #[test]
 fn what_stands_there_and_is_no_holder_is_nobody() {
     for bad in ["", "1", "1 2", "1 2 3 4", "1 70000 3", "x 2 3"] {
-        assert_eq!(Holder::read(bad.as_bytes()), None, "{bad:?}");
+        assert_eq!(Holder::decode(bad.as_bytes()), None, "{bad:?}");
     }
     let holder = Holder { term: 9, peer: Peer(2), renewals: 4 };
-    assert_eq!(Holder::read(&holder.bytes()), Some(holder));
+    assert_eq!(Holder::decode(&holder.encode()), Some(holder));
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -86,7 +86,7 @@
     pub fn new(options: &NodeOptions, now: Millis) -> Node {
         let NodeOptions { timing, me, decider, seed, .. } = *options;
         let role = match decider == Some(me) {
-            true => Role::Decider(Box::new(deciding(options, options.incarnation, seed, now))),
+            true => Role::Decider(Box::new(new_decider(options, options.incarnation, seed, now))),
             false => Role::Member(Box::new(Member::new(timing, decider, seed, now))),
         };
         let election =
@@ -105,48 +105,49 @@
                 member.tick(now, out);
             }
             (Role::Decider(decider), Event::Checked(id, verdict)) => decider.checked(now, id, verdict, out),
-            (Role::Member(_), Event::Propose(ask)) => {
+            (Role::Member(_), Event::Propose(proposal)) => {
                 out.push_back(Output::ProposalFinished(
-                    ask.ticket,
+                    proposal.ticket,
                     ProposalOutcome::NotDecider(self.decider),
                 ));
             }
-            (Role::Decider(decider), Event::Propose(ask)) => decider.propose(now, ask, out),
-            (_, Event::Message(from, message)) => self.hear(now, from, message),
-            (_, Event::Register(Register::Decider, _, outcome)) => self.elected(now, outcome),
-            (Role::Decider(decider), Event::Register(Register::Rules, serial, outcome)) => {
-                if decider.on_register_response(now, serial, outcome, out) {
+            (Role::Decider(decider), Event::Propose(proposal)) => decider.propose(now, proposal, out),
+            (_, Event::Message(from, message)) => self.on_message(now, from, message),
+            (_, Event::Register(Register::Decider, _, response)) => self.on_election_response(now, response),
+            (Role::Decider(decider), Event::Register(Register::Rules, serial, response)) => {
+                if decider.on_register_response(now, serial, response, out) {
                     self.resign(now);
                 }
             }
             (Role::Member(_), Event::Register(Register::Rules, ..)) => {}
         }
-        self.elect(now);
+        self.run_election(now);
     }
 
     // ---- Election of the decider ---------------------------------------------------------------
 
-    fn elect(&mut self, now: Millis) {
+    fn run_election(&mut self, now: Millis) {
         let Some(election) = &mut self.election else { return };
-        let ask = election.tick(now);
-        self.outputs.extend(ask.map(|ask| Output::Register(Register::Decider, 0, ask)));
+        let request = election.tick(now);
+        self.outputs.extend(request.map(|request| Output::Register(Register::Decider, 0, request)));
         let Role::Decider(decider) = &mut self.role else { return };
-        decider.extend_term(election.until());
+        decider.extend_term(election.authority_until());
         if decider.should_resign(now) {
             self.resign(now);
         }
     }
 
-    fn elected(&mut self, now: Millis, outcome: RegisterResponse) {
+    fn on_election_response(&mut self, now: Millis, response: RegisterResponse) {
         let Some(election) = &mut self.election else { return };
-        let (news, ask) = election.answered(now, outcome);
-        self.outputs.extend(ask.map(|ask| Output::Register(Register::Decider, 0, ask)));
-        match news {
-            Some(ElectionEvent::Won(term)) => self.won(now, term),
+        let (result, request) = election.handle_response(now, response);
+        self.outputs.extend(request.map(|request| Output::Register(Register::Decider, 0, request)));
+        match result {
+            Some(ElectionEvent::Won(term)) => self.on_election_won(now, term),
             Some(ElectionEvent::HolderObserved(holder)) => {
-                let over = matches!(&self.role, Role::Decider(decider) if now >= decider.authority());
-                if over && holder.term <= self.term {
-                    self.adopt_current(now, None);
+                let authority_expired =
+                    matches!(&self.role, Role::Decider(decider) if now >= decider.authority());
+                if authority_expired && holder.term <= self.term {
+                    self.follow(now, None);
                 }
                 self.observe_term(now, holder.term, Some(holder.peer));
             }
@@ -154,20 +155,20 @@
         }
     }
 
-    fn won(&mut self, now: Millis, term: u64) {
+    fn on_election_won(&mut self, now: Millis, term: u64) {
         (self.term, self.decider) = (term, Some(self.options.me));
         if let Role::Decider(decider) = &mut self.role {
             if now < decider.authority() {
                 return decider.continue_in_term(term, now);
             }
         }
-        self.adopt_current(now, None);
+        self.follow(now, None);
         let Role::Member(member) = &self.role else { return };
         let seed = self.options.seed ^ term;
-        let decider = deciding(&self.options, term, seed, now);
-        let unbroken = self.election.as_ref().map_or(now, |e| e.unbroken());
-        let mut decider = decider.elected(term, unbroken, (**member).clone(), now, &mut self.outputs);
-        decider.extend_term(self.election.as_ref().map_or(0, |e| e.until()));
+        let decider = new_decider(&self.options, term, seed, now);
+        let observed_since = self.election.as_ref().map_or(now, |e| e.observed_since());
+        let mut decider = decider.elected(term, observed_since, (**member).clone(), now, &mut self.outputs);
+        decider.extend_term(self.election.as_ref().map_or(0, |e| e.authority_until()));
         decider.tick(now, &mut self.outputs);
         (self.role, self.decider) = (Role::Decider(Box::new(decider)), Some(self.options.me));
     }
@@ -178,14 +179,14 @@
         election.observe_term(term, peer);
         if let Some(peer) = peer.filter(|peer| term > self.term && *peer != self.options.me) {
             self.term = term;
-            self.adopt_current(now, Some(peer));
+            self.follow(now, Some(peer));
         }
     }
 
     /// Handles a term announcement. A limiter that knows of the same term with another holder, or of a later one,
     /// tells the sender: the coordinator's data was restored to an earlier state, and the sender has to take a term
     /// later than all known ones.
-    fn called(&mut self, now: Millis, from: Peer, term: u64, peer: Option<Peer>) {
+    fn on_term_announcement(&mut self, now: Millis, from: Peer, term: u64, peer: Option<Peer>) {
         let known = (self.term, self.decider);
         if peer == Some(from) && matches!(self.role, Role::Member(_)) && term <= known.0 && peer != known.1 {
             let message = Message::TermAnnouncement { term: known.0, peer: known.1 };
@@ -198,11 +199,11 @@
         if let Some(election) = &mut self.election {
             election.resign(now);
         }
-        self.adopt_current(now, None);
+        self.follow(now, None);
     }
 
     /// Follows this decider; becomes a member if it was the decider.
-    fn adopt_current(&mut self, now: Millis, peer: Option<Peer>) {
+    fn follow(&mut self, now: Millis, peer: Option<Peer>) {
         let out = &mut self.outputs;
         if let Role::Decider(decider) = &self.role {
             let member = decider.clone().into_member(self.options.seed, now, out);
@@ -214,9 +215,9 @@
         self.decider = peer;
     }
 
-    fn hear(&mut self, now: Millis, from: Peer, message: Message) {
+    fn on_message(&mut self, now: Millis, from: Peer, message: Message) {
         if let Message::TermAnnouncement { term, peer } = message {
-            return self.called(now, from, term, peer);
+            return self.on_term_announcement(now, from, term, peer);
         }
         let out = &mut self.outputs;
         match (&mut self.role, message) {
@@ -233,8 +234,9 @@
             // The sender has not heard of the latest term.
             (Role::Member(_), Message::Ping(_)) if self.election.is_some() => {
                 let (term, holder) = (self.term, self.decider.filter(|peer| *peer != from));
-                let told = |peer| Output::Send(from, Message::TermAnnouncement { term, peer: Some(peer) });
-                out.extend(holder.map(told));
+                let announcement =
+                    |peer| Output::Send(from, Message::TermAnnouncement { term, peer: Some(peer) });
+                out.extend(holder.map(announcement));
             }
             // Members accept messages from the decider only.
             (Role::Member(_), _) if Some(from) != self.decider => {}
@@ -278,7 +280,7 @@
 
     /// Returns when the coordinator last responded, if ever; the outer `None` means that there is no coordinator.
     pub fn register_last_response(&self) -> Option<Option<Millis>> {
-        self.election.as_ref().map(|e| e.heard())
+        self.election.as_ref().map(|e| e.last_response())
     }
 
     /// Returns the rules that this limiter may apply now.
@@ -338,7 +340,7 @@
     }
 }
 
-fn deciding(options: &NodeOptions, epoch: u64, seed: u64, now: Millis) -> Decider {
+fn new_decider(options: &NodeOptions, epoch: u64, seed: u64, now: Millis) -> Decider {
     let NodeOptions { timing, me, peers, ref first, .. } = *options;
     Decider::new(timing, me, peers, epoch, seed, first.clone(), now)
 }
--- a/crates/fleet/src/rules_register.rs
+++ b/crates/fleet/src/rules_register.rs
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Work {
+enum Operation {
     /// Write the value again under the own term, once it was read.
     Fence(Option<VersionedValue>),
     Store(Arc<Revision>),
@@ -34,28 +34,28 @@
     term: u64,
     retry_interval: Millis,
     version: Option<i32>,
-    work: Option<Work>,
+    operation: Option<Operation>,
     /// The outcome of the last write is unknown, so the register has to be read first.
     outcome_unknown: bool,
     /// Serial number of the last request. Responses with another number belong to an earlier request or holder.
     serial: u64,
-    open: bool,
-    next: Millis,
+    in_flight: bool,
+    next_request_at: Millis,
 }
 
 impl RulesRegister {
     /// Creates the access of the holder of `term`, which waits `retry_interval` ms between two requests.
     pub(crate) fn new(term: u64, retry_interval: Millis, now: Millis) -> RulesRegister {
-        let work = Some(Work::Fence(None));
+        let operation = Some(Operation::Fence(None));
         RulesRegister {
             term,
             retry_interval,
             version: None,
-            work,
+            operation,
             outcome_unknown: false,
             serial: (term & 0xffff_ffff) << 32,
-            open: false,
-            next: now,
+            in_flight: false,
+            next_request_at: now,
         }
     }
 
@@ -66,12 +66,12 @@
 
     /// Requests that this revision be stored.
     pub(crate) fn store(&mut self, revision: Arc<Revision>) {
-        self.work = Some(Work::Store(revision));
+        self.operation = Some(Operation::Store(revision));
     }
 
     pub(crate) fn next_due(&self) -> Millis {
-        match self.work.is_some() && !self.open {
-            true => self.next,
+        match self.operation.is_some() && !self.in_flight {
+            true => self.next_request_at,
             false => Millis::MAX,
         }
     }
@@ -81,52 +81,57 @@
         if now < self.next_due() {
             return None;
         }
-        let ask = match self.work.as_ref()? {
+        let request = match self.operation.as_ref()? {
             _ if self.outcome_unknown => RegisterRequest::Read,
-            Work::Fence(None) => RegisterRequest::Read,
-            Work::Fence(Some(found)) => {
-                let (_, revision) = found.as_ref().map_or((0, None), |(_, bytes)| read(bytes));
+            Operation::Fence(None) => RegisterRequest::Read,
+            Operation::Fence(Some(found)) => {
+                let (_, revision) = found.as_ref().map_or((0, None), |(_, bytes)| decode(bytes));
                 let version = found.as_ref().map(|(version, _)| *version);
-                RegisterRequest::CompareAndSwap(version, bytes(self.term, revision.as_deref()))
+                RegisterRequest::CompareAndSwap(version, encode(self.term, revision.as_deref()))
             }
-            Work::Store(revision) => {
-                RegisterRequest::CompareAndSwap(self.version, bytes(self.term, Some(revision)))
+            Operation::Store(revision) => {
+                RegisterRequest::CompareAndSwap(self.version, encode(self.term, Some(revision)))
             }
         };
         self.serial += 1;
-        (self.open, self.next) = (true, now + self.retry_interval);
-        Some((self.serial, ask))
+        (self.in_flight, self.next_request_at) = (true, now + self.retry_interval);
+        Some((self.serial, request))
     }
 
-    pub(crate) fn answered(&mut self, now: Millis, serial: u64, outcome: RegisterResponse) -> RegisterEvent {
-        if serial != self.serial || !self.open {
+    pub(crate) fn handle_response(
+        &mut self,
+        now: Millis,
+        serial: u64,
+        response: RegisterResponse,
+    ) -> RegisterEvent {
+        if serial != self.serial || !self.in_flight {
             return RegisterEvent::Nothing;
         }
-        self.open = false;
-        match (self.work.take(), outcome) {
-            (Some(Work::Fence(_)), RegisterResponse::Value(found)) => {
-                let (term, _) = found.as_ref().map_or((0, None), |(_, bytes)| read(bytes));
+        self.in_flight = false;
+        match (self.operation.take(), response) {
+            (Some(Operation::Fence(_)), RegisterResponse::Value(found)) => {
+                let (term, _) = found.as_ref().map_or((0, None), |(_, bytes)| decode(bytes));
                 if term > self.term {
                     return RegisterEvent::Superseded;
                 }
-                (self.work, self.next) = (Some(Work::Fence(Some(found))), now);
+                (self.operation, self.next_request_at) = (Some(Operation::Fence(Some(found))), now);
             }
-            (Some(Work::Fence(Some(found))), RegisterResponse::Swapped(version)) => {
+            (Some(Operation::Fence(Some(found))), RegisterResponse::Swapped(version)) => {
                 self.version = Some(version);
-                return RegisterEvent::Found(found.and_then(|(_, bytes)| read(&bytes).1));
+                return RegisterEvent::Found(found.and_then(|(_, bytes)| decode(&bytes).1));
             }
-            (Some(Work::Fence(_)), _) => self.work = Some(Work::Fence(None)),
-            (Some(Work::Store(revision)), RegisterResponse::Swapped(version)) => {
+            (Some(Operation::Fence(_)), _) => self.operation = Some(Operation::Fence(None)),
+            (Some(Operation::Store(revision)), RegisterResponse::Swapped(version)) => {
                 self.version = Some(version);
                 return RegisterEvent::Stored(revision);
             }
-            (Some(Work::Store(revision)), RegisterResponse::Value(found)) => {
+            (Some(Operation::Store(revision)), RegisterResponse::Value(found)) => {
                 return self.verify_write(now, revision, found)
             }
-            (Some(Work::Store(revision)), lost) => {
-                (self.work, self.outcome_unknown) = (Some(Work::Store(revision)), true);
-                if lost == RegisterResponse::VersionMismatch {
-                    self.next = now;
+            (Some(Operation::Store(revision)), failure) => {
+                (self.operation, self.outcome_unknown) = (Some(Operation::Store(revision)), true);
+                if failure == RegisterResponse::VersionMismatch {
+                    self.next_request_at = now;
                 }
             }
             (None, _) => {}
@@ -136,30 +141,30 @@
 
     /// Compares the value read after a write of unknown outcome with the revision to store.
     fn verify_write(&mut self, now: Millis, revision: Arc<Revision>, found: VersionedValue) -> RegisterEvent {
-        let (term, stands) = found.as_ref().map_or((0, None), |(_, bytes)| read(bytes));
+        let (term, present) = found.as_ref().map_or((0, None), |(_, bytes)| decode(bytes));
         if term > self.term {
             return RegisterEvent::Superseded;
         }
         (self.version, self.outcome_unknown) = (found.map(|(version, _)| version), false);
-        if stands.is_some_and(|stands| stands.head == revision.head) {
+        if present.is_some_and(|present| present.head == revision.head) {
             return RegisterEvent::Stored(revision);
         }
         // The write was not carried out, or the coordinator's data was restored to an earlier state.
-        (self.work, self.next) = (Some(Work::Store(revision)), now);
+        (self.operation, self.next_request_at) = (Some(Operation::Store(revision)), now);
         RegisterEvent::Nothing
     }
 }
 
-fn bytes(term: u64, revision: Option<&Revision>) -> Vec<u8> {
-    let kept = revision.map(|r| (&r.head, &*r.text));
+fn encode(term: u64, revision: Option<&Revision>) -> Vec<u8> {
+    let stored = revision.map(|r| (&r.head, &*r.text));
     // Encoding cannot fail: the data holds no maps or floats.
-    postcard::to_stdvec(&(term, kept)).unwrap_or_default()
+    postcard::to_stdvec(&(term, stored)).unwrap_or_default()
 }
 
 /// Decodes the term and the revision; undecodable bytes yield term 0 and no revision.
-fn read(bytes: &[u8]) -> (u64, Option<Arc<Revision>>) {
-    let Ok((term, kept)) = postcard::from_bytes::<(u64, Option<(Head, &str)>)>(bytes) else {
+fn decode(bytes: &[u8]) -> (u64, Option<Arc<Revision>>) {
+    let Ok((term, stored)) = postcard::from_bytes::<(u64, Option<(Head, &str)>)>(bytes) else {
         return (0, None);
     };
-    (term, kept.and_then(|(head, text)| Revision::of(head, text)))
+    (term, stored.and_then(|(head, text)| Revision::of(head, text)))
 }
--- a/crates/fleet/src/strict.rs
+++ b/crates/fleet/src/strict.rs
@@ -28,35 +28,40 @@
     let mut found = Vec::new();
     for (name, one) in &a.classes {
         let other = b.classes.iter().find(|(n, _)| n == name);
-        if other.is_some_and(|(_, other)| figures(one) != figures(other)) {
+        if other.is_some_and(|(_, other)| class_values(one) != class_values(other)) {
             found.push(format!("classes.{name}"));
         }
     }
     for (name, one) in &a.plans {
         let other = b.plans.iter().find(|(n, _)| n == name);
-        if other.is_some_and(|(_, other)| plan_figures(one) != plan_figures(other)) {
+        if other.is_some_and(|(_, other)| plan_values(one) != plan_values(other)) {
             found.push(format!("plans.{name}"));
         }
     }
-    let only = |x: &Rules, y: &Rules| {
+    let servers_only_in = |x: &Rules, y: &Rules| {
         x.servers.iter().filter(|s| !y.servers.contains(s)).cloned().collect::<Vec<_>>()
     };
-    found.extend(only(a, b).into_iter().chain(only(b, a)).map(|server| format!("servers.{server}")));
+    found.extend(
+        servers_only_in(a, b)
+            .into_iter()
+            .chain(servers_only_in(b, a))
+            .map(|server| format!("servers.{server}")),
+    );
     // Different shares are steps of the same change; only a zone used by one and not by the other contradicts.
     let used = |r: &Rules, zone: &String| r.left.get(zone).is_none_or(|share| *share > 0.0);
     let zones: BTreeSet<&String> = a.left.keys().chain(b.left.keys()).collect();
-    let apart = zones.into_iter().filter(|zone| used(a, zone) != used(b, zone));
-    found.extend(apart.map(|zone| format!("left.{zone}")));
-    let differ = a.suspended.symmetric_difference(&b.suspended);
-    found.extend(differ.map(|server| format!("suspended.{server}")));
+    let used_by_one = zones.into_iter().filter(|zone| used(a, zone) != used(b, zone));
+    found.extend(used_by_one.map(|zone| format!("left.{zone}")));
+    let suspended_by_one = a.suspended.symmetric_difference(&b.suspended);
+    found.extend(suspended_by_one.map(|server| format!("suspended.{server}")));
     if a.max_attempts != b.max_attempts {
         found.push("attempts.most".into());
     }
     found
 }
 
-/// Returns the stricter of two sets of rules: the lower of each limit, only the classes, plans and
-/// servers that both know, and the suspensions of both.
+/// Returns the stricter of two sets of rules: the lower of each limit, only the classes, plans and servers that both
+/// know, and the suspensions of both.
 pub fn stricter(a: &Rules, b: &Rules) -> Rules {
     let classes = a.classes.iter().filter_map(|(name, one)| {
         let (_, other) = b.classes.iter().find(|(n, _)| n == name)?;
@@ -71,19 +76,19 @@
         plans: plans.collect(),
         servers: a.servers.iter().filter(|s| b.servers.contains(s)).cloned().collect(),
         suspended: a.suspended.union(&b.suspended).cloned().collect(),
-        left: less(&a.left, &b.left),
-        max_attempts: least(f64::from(a.max_attempts), f64::from(b.max_attempts)) as u32,
+        left: smaller_shares(&a.left, &b.left),
+        max_attempts: lower_limit(f64::from(a.max_attempts), f64::from(b.max_attempts)) as u32,
     }
 }
 
 /// Returns the smaller share of each zone.
-fn less(a: &BTreeMap<String, f64>, b: &BTreeMap<String, f64>) -> BTreeMap<String, f64> {
-    let mut both = a.clone();
+fn smaller_shares(a: &BTreeMap<String, f64>, b: &BTreeMap<String, f64>) -> BTreeMap<String, f64> {
+    let mut smaller = a.clone();
     for (zone, share) in b {
-        let least = both.entry(zone.clone()).or_insert(*share);
-        *least = least.min(*share);
+        let lower = smaller.entry(zone.clone()).or_insert(*share);
+        *lower = lower.min(*share);
     }
-    both
+    smaller
 }
 
 fn stricter_class(a: &Class, b: &Class) -> Class {
@@ -112,17 +117,17 @@
 
 fn stricter_plan(a: &Plan, b: &Plan) -> Plan {
     // A quota that only one plan sets is the stricter one, and its burst applies with it.
-    let of = |rate: fn(&Plan) -> f64, burst: fn(&Plan) -> f64| {
+    let stricter_quota = |rate: fn(&Plan) -> f64, burst: fn(&Plan) -> f64| {
         let bursts = [a, b].into_iter().filter(|p| rate(p) > 0.0).map(burst);
-        (least(rate(a), rate(b)), bursts.fold(f64::INFINITY, f64::min))
+        (lower_limit(rate(a), rate(b)), bursts.fold(f64::INFINITY, f64::min))
     };
-    let (rate, burst) = of(|p| p.rate, |p| p.burst);
-    let (ceiling_rate, ceiling_burst) = of(|p| p.ceiling_rate, |p| p.ceiling_burst);
+    let (rate, burst) = stricter_quota(|p| p.rate, |p| p.burst);
+    let (ceiling_rate, ceiling_burst) = stricter_quota(|p| p.ceiling_rate, |p| p.ceiling_burst);
     let finite = |n: f64| if n.is_finite() { n } else { 0.0 };
     Plan {
         rate,
         burst: finite(burst),
-        max_open: least(a.max_open, b.max_open),
+        max_open: lower_limit(a.max_open, b.max_open),
         ceiling_rate,
         ceiling_burst: finite(ceiling_burst),
         ceiling_slack: a.ceiling_slack.min(b.ceiling_slack),
@@ -134,18 +139,18 @@
 }
 
 /// Returns the lower of two limits, where 0 means no limit.
-fn least(a: f64, b: f64) -> f64 {
+fn lower_limit(a: f64, b: f64) -> f64 {
     match (a > 0.0, b > 0.0) {
         (true, true) => a.min(b),
         _ => a.max(b),
     }
 }
 
-fn figures(class: &Class) -> ([f64; 4], Repeat) {
+fn class_values(class: &Class) -> ([f64; 4], Repeat) {
     ([class.target, class.deadline, class.late_worth, class.worth], class.repeat)
 }
 
-fn plan_figures(plan: &Plan) -> [f64; 6] {
+fn plan_values(plan: &Plan) -> [f64; 6] {
     [plan.rate, plan.burst, plan.max_open, plan.ceiling_rate, plan.ceiling_burst, plan.price]
 }
 
