--- a/crates/fleet/src/message/tests.rs
+++ b/crates/fleet/src/message/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_longest_messages_fit_and_come_whole() {
+fn longest_messages_fit_in_a_frame_and_round_trip() {
     let codec = FrameCodec::new("secret");
     let reason = Verdict::Vetoed("r".repeat(MAX_REASON_BYTES));
     let most = Id { epoch: u64::MAX, number: u64::MAX };
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn strangers_and_changed_frames_are_dropped() {
+fn frames_with_another_key_or_altered_bytes_are_dropped() {
     let (codec, other) = (FrameCodec::new("secret"), FrameCodec::new("another"));
     let frame = codec.frame(Peer(1), Peer(2), &pong());
     assert_eq!(other.read(Peer(2), &frame), Err(FrameError::Key));
-    assert_eq!(codec.read(Peer(3), &frame), Err(FrameError::Malformed), "meant for another limiter");
+    assert_eq!(codec.read(Peer(3), &frame), Err(FrameError::Malformed), "addressed to another limiter");
     for i in 0..frame.len() {
         let mut changed = frame.clone();
         changed[i] ^= 1;
--- a/crates/fleet/src/strict/tests.rs
+++ b/crates/fleet/src/strict/tests.rs
@@ -17,21 +17,21 @@
 }
 
 #[test]
-fn what_contradicts_is_named_and_the_stricter_allows_no_more_than_either() {
+fn contradictions_are_named_and_stricter_rules_allow_no_more_than_either_set() {
     let keyed = Repeat::Keyed { group: Group::All, window: 5000.0 };
     let (a, b) = (rules(50.0, Repeat::Safe, &["s1", "s2"]), rules(20.0, keyed, &["s2", "s3"]));
     let found = contradictions(&a, &b);
     assert_eq!(found, ["classes.quote", "plans.team", "servers.s1", "servers.s3"]);
     assert!(contradictions(&a, &a).is_empty());
-    let banned = |id: &str| Rules { suspended: [id.to_owned()].into(), ..a.clone() };
-    assert_eq!(contradictions(&banned("s1"), &banned("s2")), ["suspended.s1", "suspended.s2"]);
-    let leaves = |share: f64| Rules { left: [("a".to_owned(), share)].into(), ..a.clone() };
-    assert_eq!(contradictions(&leaves(0.0), &a), ["left.a"]);
-    assert!(contradictions(&leaves(0.5), &a).is_empty(), "a step on the same way");
-    assert_eq!(stricter(&leaves(0.5), &leaves(0.2)).left["a"], 0.2);
-    assert_eq!(stricter(&leaves(0.5), &a).left["a"], 0.5);
-    let both: Vec<String> = stricter(&banned("s1"), &banned("s2")).suspended.into_iter().collect();
-    assert_eq!(both, ["s1", "s2"], "what either bans gets nothing");
+    let suspending = |id: &str| Rules { suspended: [id.to_owned()].into(), ..a.clone() };
+    assert_eq!(contradictions(&suspending("s1"), &suspending("s2")), ["suspended.s1", "suspended.s2"]);
+    let with_share = |share: f64| Rules { left: [("a".to_owned(), share)].into(), ..a.clone() };
+    assert_eq!(contradictions(&with_share(0.0), &a), ["left.a"]);
+    assert!(contradictions(&with_share(0.5), &a).is_empty(), "a smaller share of a zone is no contradiction");
+    assert_eq!(stricter(&with_share(0.5), &with_share(0.2)).left["a"], 0.2);
+    assert_eq!(stricter(&with_share(0.5), &a).left["a"], 0.5);
+    let both: Vec<String> = stricter(&suspending("s1"), &suspending("s2")).suspended.into_iter().collect();
+    assert_eq!(both, ["s1", "s2"], "a server suspended by either set stays suspended");
     for strict in [stricter(&a, &b), stricter(&b, &a)] {
         assert_eq!((strict.plans[0].1.rate, strict.plans[0].1.burst), (20.0, 40.0));
         assert_eq!(strict.classes[0].1.repeat, keyed);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn no_limit_is_the_weaker_one_and_two_groups_of_keys_have_no_server_in_common() {
+fn a_limit_is_stricter_than_none_and_different_key_groups_forbid_repeats() {
     let (none, some) = (rules(0.0, Repeat::Unsafe, &[]), rules(7.0, Repeat::Safe, &[]));
     let strict = stricter(&none, &some);
     assert_eq!((strict.plans[0].1.rate, strict.plans[0].1.burst), (7.0, 14.0));
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -99,25 +99,25 @@
     pub fn check(&self) -> Result<(), TimingError> {
         let invalid = |key, reason| Err(TimingError { key, reason });
         if self.heartbeat == 0 {
-            return invalid("heartbeat_ms", "0 is not allowed; a whole number from 1 is".into());
+            return invalid("heartbeat_ms", "0 is not allowed; the minimum is 1".into());
         }
         if self.drift_ppm > 100_000 {
-            let reason = format!("{} is not allowed; up to 100000, a tenth, is", self.drift_ppm);
+            let reason = format!("{} is not allowed; the maximum is 100000 (10 %)", self.drift_ppm);
             return invalid("drift_ppm", reason);
         }
         let min_lease = 3 * self.heartbeat + self.message_delay;
         if self.lease < min_lease {
             let reason = format!(
-                "{} is not allowed beside heartbeat_ms {} and message_ms {}; from {min_lease} is: two questions of \
-                 three may be lost",
+                "{} is not allowed with heartbeat_ms {} and message_ms {}; the minimum is {min_lease}, so that two of \
+                 three pings may be lost",
                 self.lease, self.heartbeat, self.message_delay
             );
             return invalid("lease_ms", reason);
         }
         if self.divergence_bound() > self.max_divergence {
             let reason = format!(
-                "{} is not allowed: lease_ms {} with drift_ppm {}, effect_ms {} and message_ms {} come to {}; from \
-                 that on it is, or a shorter lease_ms",
+                "{} is not allowed: lease_ms {}, drift_ppm {}, effect_ms {} and message_ms {} allow a divergence of \
+                 {}; raise within_ms to at least that, or shorten lease_ms",
                 self.max_divergence,
                 self.lease,
                 self.drift_ppm,
@@ -148,17 +148,17 @@
     use super::*;
 
     #[test]
-    fn the_usual_terms_keep_the_formula() {
+    fn default_timing_is_valid() {
         let timing = LeaseTiming::default();
         assert_eq!(timing.check(), Ok(()));
         assert_eq!(timing.divergence_bound(), 1000 + 10 + 2 * 4 + 200);
         assert_eq!(LeaseTiming { on_lapse: OnLeaseExpiry::Refuse, ..timing }.certain_expiry(), 1030);
-        assert_eq!(timing.certain_expiry(), Millis::MAX, "without end");
+        assert_eq!(timing.certain_expiry(), Millis::MAX, "strict without a time limit");
     }
 
     #[test]
-    fn what_breaks_the_formula_is_told_by_its_key() {
-        let key = |timing: LeaseTiming| timing.check().expect_err("broken").key;
+    fn check_names_the_key_that_is_out_of_range() {
+        let key = |timing: LeaseTiming| timing.check().expect_err("out of range").key;
         assert_eq!(key(LeaseTiming { lease: 1900, ..LeaseTiming::default() }), "within_ms");
         assert_eq!(key(LeaseTiming { lease: 700, ..LeaseTiming::default() }), "lease_ms");
         assert_eq!(key(LeaseTiming { heartbeat: 0, ..LeaseTiming::default() }), "heartbeat_ms");
