--- a/crates/fleet/tests/agreement.rs
+++ b/crates/fleet/tests/agreement.rs
@@ -1,6 +1,7 @@
-//! Fleets in virtual time, from printed seeds: links that lose, delay, repeat and are cut one way, clocks that drift,
-//! limiters that stand still, die and start anew, and changes meanwhile. A checker of its own notes by which rules each
-//! limiter acts, and gives the longest time for which any two contradicted each other.
+//! Fleets in virtual time, reproducible by seed. Links lose, delay and duplicate messages and are cut in one or both
+//! directions; clocks drift; limiters are paused, crash and restart; and the rules change meanwhile. A checker
+//! records the rules that each limiter applies, and reports the longest time for which any two contradicted each
+//! other.
 
 use oatbank_fleet::decider::{Proposal, ProposalOutcome};
 use oatbank_fleet::document::{Id, Revision};
@@ -15,9 +16,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How often each limiter decides something, ms.
+/// Interval between two actions of a limiter, ms.
 const STEP: Millis = 10;
-/// The changes and faults of a schedule, and the calm after it, ms.
+/// Duration of the phase with changes and faults, ms.
 const TROUBLE: Millis = 20_000;
 
 struct Dice(Pcg64Mcg);
@@ -32,30 +33,30 @@
     }
 }
 
-/// A process: its clock, and whether it runs.
+/// A limiter's process and its clock.
 struct Process {
     node: Option<Node>,
     offset: u64,
-    /// Parts in a million by which its clock is fast.
+    /// Clock drift in parts per million; positive if the clock is fast.
     drift: i64,
     frozen_until: Millis,
     starts_at: Millis,
-    /// Messages that wait while it stands still.
+    /// Messages received while it is paused.
     waiting: Vec<(Peer, Message)>,
-    /// Answers of the tree that wait.
+    /// Responses of the coordinator received while it is paused.
     told: Vec<(Register, u64, RegisterResponse)>,
-    /// Counts its starts: what an earlier one asked is nothing to it.
+    /// Number of the start. Responses to requests of an earlier process are dropped.
     process_id: u64,
-    /// It does not reach the tree.
+    /// Whether it is cut off from the coordinator.
     treeless: bool,
 }
 
-/// The coordinator's tree, and what it was a while ago.
+/// The coordinator's registers and their history.
 #[derive(Clone, Default)]
 struct Tree {
     registers: BTreeMap<Register, (i32, Vec<u8>)>,
     down: bool,
-    /// As it was at each whole second.
+    /// Copy of the registers at each whole second.
     past: Vec<BTreeMap<Register, (i32, Vec<u8>)>>,
 }
 
@@ -78,7 +79,7 @@
     }
 }
 
-/// On its way to the tree or from there.
+/// A request on its way to the coordinator, or a response on its way back.
 enum Way {
     To(usize, u64, Register, u64, RegisterRequest),
     From(usize, u64, Register, u64, RegisterResponse),
@@ -91,24 +92,24 @@
     }
 }
 
-/// Who acted by what.
+/// Records which limiter applied which revision.
 #[derive(Default)]
 struct Checker {
-    /// When each revision was first acted by.
+    /// Time at which each revision was first applied.
     first: BTreeMap<Id, Millis>,
-    /// Since when and until when it was acted by without a break.
+    /// Latest period in which each revision was applied without interruption: start and last time.
     incarnations: BTreeMap<Id, (Millis, Millis)>,
     longest: Millis,
     worst: String,
 }
 
-/// A revision that nobody has acted by for this long is not acted by any more, ms.
+/// A revision that no limiter applied for this long is no longer in use, ms.
 const BREAK: Millis = 200;
 
 impl Checker {
-    /// A limiter acts now by the stricter of these; by one, where it is one. It contradicts whoever acts by one that is
-    /// none of them, and has done so for as long as that has been acted by beside these: a limiter that did nothing
-    /// meanwhile and then something by the old counts from the beginning.
+    /// Records that a limiter applies the stricter of these revisions, or the only one. It contradicts every revision
+    /// in use that is not among them, for as long as that revision has been in use together with these. A limiter
+    /// that was idle meanwhile and then applies an old revision counts from the beginning.
     fn acts(&mut self, now: Millis, who: usize, by: &[Id]) {
         let Some(id) = by.first() else { return };
         if by.len() == 1 {
@@ -131,22 +132,24 @@
     }
 }
 
-/// What is played.
+/// Parameters of one simulated fleet.
 #[derive(Clone)]
 struct Plan {
     peers: u16,
     timing: LeaseTiming,
-    /// The decider goes by these: the same, but where a fence is to be taken out.
+    /// Timing of the decider; differs from `timing` only where a test disables its wait.
     decider_timing: LeaseTiming,
-    /// A limiter's lease counts; without, it goes on by what it holds.
+    /// Whether limiters obey their leases; otherwise they always apply what they hold.
     leases: bool,
     seed: u64,
     faults: bool,
-    /// A coordinator's tree elects the decider.
+    /// Whether the decider is elected through the coordinator.
     elected: bool,
-    /// What the tree says is so; without, whoever does not reach it is told that all that it wrote is done.
+    /// Whether writes require the coordinator; otherwise a limiter that cannot reach it is told that its writes
+    /// succeeded.
     fenced: bool,
-    /// From 6 s to the end of the trouble the decider and another one are apart from the others and from the tree.
+    /// Whether the decider and another limiter are cut off from the others and from the coordinator, from 6 s until
+    /// the faults end.
     split: bool,
 }
 
@@ -157,9 +160,9 @@
     decided: usize,
     vetoes: usize,
     messages: usize,
-    /// From a decision's proposal to its first act and to the last limiter's, ms.
+    /// For each change, the time from its proposal to its first and to its last first use by a limiter, ms.
     effect: Vec<(Millis, Millis)>,
-    /// How long after the faults all acted by one revision, ms.
+    /// Time from the end of the faults until all limiters applied the same revision, ms.
     agreed_after: Option<Millis>,
 }
 
@@ -168,7 +171,7 @@
     dice: Dice,
     processes: Vec<Process>,
     now: Millis,
-    /// Messages on their way, by when they come.
+    /// Undelivered messages, by time of delivery.
     ways: BTreeMap<(Millis, u64), (Peer, Peer, Message)>,
     serial: u64,
     truncate_utf8: BTreeSet<(u16, u16)>,
@@ -278,7 +281,7 @@
             .insert((self.now + late, self.serial), Way::To(who, process_id, register, serial, ask));
     }
 
-    /// What comes to the tree, and from there. Without an answer the asker hears so half a second later.
+    /// Delivers messages to and from the coordinator. Without a response, the limiter gives up after half a second.
     fn tree_turn(&mut self) {
         if self.now % 1000 == 0 {
             self.tree.past.push(self.tree.registers.clone());
@@ -316,14 +319,15 @@
         }
     }
 
-    /// Faults of the tree: one that does not reach it, nobody does, and it comes back empty or as it was.
+    /// Injects a fault of the coordinator: one limiter loses contact, it is down for all, or it returns with empty or
+    /// old data.
     fn tree_trouble(&mut self) {
         let one = self.dice.below(u64::from(self.plan.peers)) as usize;
         match self.dice.below(7) {
             0 => self.processes[one].treeless = true,
             1 => self.processes.iter_mut().for_each(|p| p.treeless = false),
             2 => self.tree.down = true,
-            // Back after some while only: a tree is not set back under those who write to it.
+            // Data is lost or restored only after an outage, not while limiters are writing.
             3 | 4 if self.tree.down => self.tree.down = false,
             5 if self.tree.down && self.now > self.tree_down_since + 4000 => {
                 self.tree.registers.clear();
@@ -358,14 +362,14 @@
         }
     }
 
-    /// Changes the links and the processes by chance.
+    /// Injects a random fault of a link or a process.
     fn trouble(&mut self) {
         let peers = u64::from(self.plan.peers);
         let one = self.dice.below(peers) as u16;
         match self.dice.below(10) {
             0 => _ = self.truncate_utf8.insert((one, self.dice.below(peers) as u16)),
             1 => {
-                // Cut off in one direction, or in both.
+                // Cut one limiter off in one direction, or in both.
                 let both = self.dice.chance(0.5);
                 for other in 0..self.plan.peers {
                     self.truncate_utf8.insert((one, other));
@@ -413,7 +417,7 @@
     fn propose(&mut self, number: u64) {
         let text = match self.dice.below(8) {
             0 if self.plan.faults => format!("bad for {}", self.dice.below(u64::from(self.plan.peers))),
-            // Over many parts.
+            // Long enough for many chunks.
             1 => format!("rules {number} {}", "x".repeat(30_000)),
             _ => format!("rules {number}"),
         };
@@ -429,7 +433,7 @@
         };
         let deciders: Vec<usize> = (0..self.processes.len()).filter(|n| self.decides(*n)).collect();
         if self.plan.split {
-            // Each side its own.
+            // Each side of the partition gets its own proposal.
             let asks =
                 |who: usize| Proposal { text: format!("rules {number} of {who}").into(), ..ask.clone() };
             return deciders.into_iter().for_each(|who| self.feed(who, Event::Propose(asks(who))));
@@ -459,7 +463,7 @@
                 continue;
             }
             let clock = process.clock(self.now);
-            // What a process that wakes up does first is not for its timers to say.
+            // A process that resumes may act before its timers run.
             if self.now % STEP == 0 {
                 self.act(who, clock, checker);
             }
@@ -494,13 +498,14 @@
                 }
             }
             ActiveRules::Strict(held, Some(other)) => checker.acts(self.now, who, &[held, other]),
-            // Not a life of its own: that nobody else acts by it any more is what is to be found.
+            // Recorded as a pair, which starts no period of use: the test has to find out whether others still apply
+            // the revision.
             ActiveRules::Strict(held, None) => checker.acts(self.now, who, &[held, held]),
             ActiveRules::Reject => {}
         }
     }
 
-    /// All act by what the decider has; one that was away while it was decided and cannot take it says so and refuses.
+    /// Returns the revision that all limiters apply. A limiter that cannot apply it may reject requests instead.
     fn agreed(&self) -> Option<Id> {
         let by = |p: &Process| p.node.as_ref().map(|n| n.active_rules(p.clock(self.now)));
         let current = |p: &Process| {
@@ -590,8 +595,8 @@
 const LAPSES: [OnLeaseExpiry; 3] =
     [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(3000), OnLeaseExpiry::Strict(Millis::MAX)];
 
-/// Plays schedules, and gives the longest contradiction with its seed, the longest time to agree, and how many changes
-/// were decided.
+/// Runs one schedule per seed. Returns the longest contradiction, its description with the seed, the longest time to
+/// agree, and the number of decided changes.
 fn schedules(seeds: std::ops::Range<u64>, change: impl Fn(&mut Plan)) -> (Millis, String, Millis, usize) {
     let mut out = (0, String::new(), 0, 0);
     for seed in seeds {
@@ -603,7 +608,8 @@
         if played.longest > out.0 {
             (out.0, out.1) = (played.longest, format!("seed {seed}, {peers} limiters: {}", played.worst));
         }
-        // A limiter that holds something else, and cannot take what is decided, is waited for until it surely refuses.
+        // A limiter that holds another revision and cannot apply the decided one delays the decision until its strict
+        // period is over.
         let waits = match LAPSES[seed as usize % 3] {
             OnLeaseExpiry::Strict(span) if span < Millis::MAX => span,
             _ => 0,
@@ -618,7 +624,7 @@
     out
 }
 
-/// Schedules in the tests; more with `SCHEDULES`.
+/// Number of schedules in the tests; override with the environment variable `SCHEDULES`.
 fn how_many() -> u64 {
     std::env::var("SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(2000)
 }
@@ -654,12 +660,12 @@
     let timing = LeaseTiming::default();
     println!("longest contradiction {longest} ms ({worst}); agreed after {agreed} ms at the latest; {decided} decided");
     assert!(longest <= timing.divergence_bound() + STEP, "{longest} ms: {worst}");
-    // One that cannot take what is in force may win a term first, and gives it up.
+    // A limiter that cannot apply the revision in force may win a term first, and then resigns.
     assert!(agreed <= 3 * timing.max_divergence, "agreed after {agreed} ms");
     assert!(decided as u64 >= how_many(), "only {decided} changes were decided");
 }
 
-/// The decider and another one of five, or of four, apart from the others and from the tree: what came of it.
+/// Runs a fleet whose decider and one more limiter are cut off from the others and from the coordinator.
 fn split(peers: u16, fenced: bool, on_lapse: OnLeaseExpiry) -> Played {
     let plan = Plan { elected: true, faults: false, fenced, split: true, ..plan(peers, 1, on_lapse) };
     Fleet::new(plan).play()
@@ -676,10 +682,11 @@
             "{peers}: {:?}",
             played.agreed_after
         );
-        // Five or six a side and ten seconds with the tree, and the decider's own before that.
+        // Each side gets five or six proposals; the side with the coordinator has ten more seconds, and the decider
+        // decided some before.
         assert!(played.decided >= 7, "{peers}: {} decided", played.decided);
     }
-    // Where those that are cut off go on strictly without an end, nothing is decided without them.
+    // If the limiters that are cut off apply strict rules without a time limit, nothing is decided without them.
     let played = split(5, true, OnLeaseExpiry::Strict(Millis::MAX));
     assert!(played.longest <= STEP, "{}", played.worst);
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,8 +1,9 @@
-//! The agreement as a model: each message between three limiters may be lost or late, each limiter may crash at any moment,
-//! start anew or stand still, and the rules may be changed at any moment. The limiters are the crate's own [`Node`]s.
+//! Model check of the agreement protocol. Each message between three limiters may be lost or delayed, each limiter
+//! may crash and restart or be paused at any moment, and the rules may be changed at any moment. The limiters are the
+//! crate's own [`Node`]s.
 //!
-//! From a fleet that has agreed on its first rules. Time is a count of ticks; what is bounded (ticks, faults, a message's
-//! longest way) is in [`Bounds`], and printed with how many states there were.
+//! The exploration starts from a fleet that has agreed on its first rules. Time is a count of ticks. The limits on
+//! ticks, faults and delays are in [`Bounds`], and are printed with the number of states explored.
 
 use oatbank_fleet::decider::Proposal;
 use oatbank_fleet::document::Id;
@@ -17,28 +18,28 @@
 
 const LIMITERS: usize = 3;
 
-/// What the exploration is bounded by.
+/// Limits of the exploration.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
-    /// Ticks after the first agreement.
+    /// Number of ticks after the first agreement.
     ticks: Millis,
-    /// Messages that may be lost, and that may come so many ticks late, behind later ones.
+    /// Number of messages that may be lost, number that may be delayed behind later ones, and the delay in ticks.
     losses: u8,
     delays: u8,
     delay: Millis,
-    /// Limiters that may crash, and start anew with the next tick.
+    /// Number of limiters that may crash; they restart with the next tick.
     crashes: u8,
-    /// Limiters that may stand still, and for how many ticks.
+    /// Number of pauses of a limiter, and their length in ticks.
     stops: u8,
     stop: Millis,
-    /// Asks of the tree that may be lost, before they are carried out or after.
+    /// Number of requests to the coordinator that may be lost, before or after they are carried out.
     deaf: u8,
 }
 
 #[derive(Clone)]
 struct Fleet {
     timing: LeaseTiming,
-    /// The decider goes by these: the same, but where a fence is to be taken out.
+    /// Timing of the decider; differs from `timing` only where a test disables its wait.
     decider_timing: LeaseTiming,
     elected: bool,
     bounds: Bounds,
@@ -48,20 +49,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     nodes: Vec<Option<Node>>,
-    /// A limiter that stands still goes on at this tick.
+    /// Tick at which each paused limiter continues.
     still_until: Vec<Millis>,
     now: Millis,
     end: Millis,
-    /// Messages on their way, each with when it comes.
+    /// Undelivered messages: time of delivery, sender, receiver and content.
     ways: Vec<(Millis, Peer, Peer, Message)>,
-    /// What the tree is asked, and by which start of whom.
+    /// Requests to the coordinator: the limiter, its incarnation, the register, the serial number and the content.
     asks: Vec<(usize, u64, Register, u64, RegisterRequest)>,
     tree: BTreeMap<Register, (i32, Vec<u8>)>,
     incarnations: Vec<u64>,
     elected: bool,
-    /// When each revision was first acted by.
+    /// Time at which each revision was first applied.
     first: BTreeMap<Id, Millis>,
-    /// The longest time for which two contradicted.
+    /// Longest time for which two limiters contradicted each other, ticks.
     longest: Millis,
     changes: u8,
     losses: u8,
@@ -80,11 +81,11 @@
     Delay(usize),
     Crash(usize),
     Stop(usize),
-    /// The tree answers the first that it is asked.
+    /// The coordinator answers the first request.
     ProposalOutcome,
-    /// It is not asked after all.
+    /// The first request is lost before it is carried out.
     Deaf,
-    /// It does what it is asked, and the answer is lost.
+    /// The first request is carried out, and its response is lost.
     Mute,
     Change,
 }
@@ -126,7 +127,8 @@
         self.nodes[who].is_some() && self.now >= self.still_until[who]
     }
 
-    /// Notes by what each acts. That one contradicts another counts from when the later was first acted by.
+    /// Records the rules that each limiter applies. A contradiction between two limiters counts from when the later
+    /// of their revisions was first applied.
     fn look(&mut self) {
         let active_rules = |s: &State, who: usize| match s.nodes[who].as_ref().map(|n| n.active_rules(s.now))
         {
@@ -151,7 +153,8 @@
         }
     }
 
-    /// The tree does the first thing that it is asked.
+    /// Makes the coordinator process the first request; it is carried out only if `done`, and its response arrives
+    /// only if `told`.
     fn carry_out(&mut self, done: bool, told: bool) {
         let (who, process_id, register, serial, ask) = self.asks.remove(0);
         let version = self.tree.get(&register).map(|v| v.0);
@@ -178,12 +181,12 @@
         (0..LIMITERS).filter(|who| self.runs(*who)).find(decides)
     }
 
-    /// The next message that comes to a limiter that runs.
+    /// Returns the index of the next deliverable message to a running limiter.
     fn next(&self) -> Option<usize> {
         self.ways.iter().position(|(at, _, to, _)| *at <= self.now && self.runs(usize::from(to.0)))
     }
 
-    /// A tick in which nothing is lost.
+    /// Simulates a tick in which nothing is lost.
     fn calm(&mut self) {
         (0..LIMITERS).for_each(|who| self.feed(who, Event::Tick));
         loop {
@@ -205,7 +208,7 @@
 }
 
 impl Fleet {
-    /// A fleet that has agreed on its first rules.
+    /// Creates a fleet that has agreed on its first rules.
     fn new(on_lapse: OnLeaseExpiry, elected: bool, bounds: Bounds) -> Fleet {
         let timing = LeaseTiming {
             lease: 4,
@@ -300,7 +303,7 @@
             FetchProgress::Tick => {
                 next.now += 1;
                 let now = next.now;
-                // Acting before anything else is done: a lease that has run out is found so.
+                // Observed before the limiters run, so that acting on an expired lease is noticed.
                 next.look();
                 for who in 0..LIMITERS {
                     if next.nodes[who].is_none() {
@@ -442,7 +445,7 @@
 fn without_the_decider_s_wait_the_model_finds_a_contradiction() {
     let bounds = Bounds { losses: 3, ..NONE };
     let mut fleet = Fleet::new(OnLeaseExpiry::Strict(Millis::MAX), false, bounds);
-    // A decider that takes all others for free at once.
+    // This decider considers every other limiter's lease expired at once.
     let timing = LeaseTiming { lease: 0, on_lapse: OnLeaseExpiry::Refuse, ..fleet.timing };
     fleet.decider_timing = timing;
     fleet.start.nodes[0] = Some(node(timing, 0, false, 1, 0));
@@ -455,7 +458,7 @@
     );
 }
 
-/// The same fleet from its start, with the decider's own terms from the beginning.
+/// Restarts the fleet with the decider's own timing from the beginning.
 fn rebuilt(mut fleet: Fleet, bounds: Bounds) -> Fleet {
     let mut start = fleet.start.clone();
     start.now = 0;
