--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -50,20 +50,20 @@
 struct State {
     nodes: Vec<Option<Node>>,
     /// Tick at which each paused limiter continues.
-    still_until: Vec<Millis>,
+    paused_until: Vec<Millis>,
     now: Millis,
     end: Millis,
     /// Undelivered messages: time of delivery, sender, receiver and content.
-    ways: Vec<(Millis, Peer, Peer, Message)>,
+    messages: Vec<(Millis, Peer, Peer, Message)>,
     /// Requests to the coordinator: the limiter, its incarnation, the register, the serial number and the content.
-    asks: Vec<(usize, u64, Register, u64, RegisterRequest)>,
-    tree: BTreeMap<Register, (i32, Vec<u8>)>,
+    requests: Vec<(usize, u64, Register, u64, RegisterRequest)>,
+    registers: BTreeMap<Register, (i32, Vec<u8>)>,
     incarnations: Vec<u64>,
     elected: bool,
     /// Time at which each revision was first applied.
-    first: BTreeMap<Id, Millis>,
+    first_applied: BTreeMap<Id, Millis>,
     /// Longest time for which two limiters contradicted each other, ticks.
-    longest: Millis,
+    longest_divergence: Millis,
     changes: u8,
     losses: u8,
     delays: u8,
@@ -74,19 +74,19 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum FetchProgress {
+enum Step {
     Tick,
     Deliver(usize),
     Lose(usize),
     Delay(usize),
     Crash(usize),
-    Stop(usize),
+    Pause(usize),
     /// The coordinator answers the first request.
-    ProposalOutcome,
+    Respond,
     /// The first request is lost before it is carried out.
-    Deaf,
+    LoseRequest,
     /// The first request is carried out, and its response is lost.
-    Mute,
+    LoseResponse,
     Change,
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl State {
-    fn feed(&mut self, who: usize, event: Event) {
+    fn handle_event(&mut self, who: usize, event: Event) {
         let now = self.now;
         let Some(node) = &mut self.nodes[who] else { return };
         let mut events = vec![event];
@@ -112,10 +112,10 @@
             node.handle(now, event);
             while let Some(output) = node.output() {
                 match output {
-                    Output::Send(to, message) => self.ways.push((now, Peer(who as u16), to, message)),
+                    Output::Send(to, message) => self.messages.push((now, Peer(who as u16), to, message)),
                     Output::Check(revision) => events.push(Event::Checked(revision.id(), Verdict::Confirmed)),
-                    Output::Register(register, serial, ask) => {
-                        self.asks.push((who, self.incarnations[who], register, serial, ask));
+                    Output::Register(register, serial, request) => {
+                        self.requests.push((who, self.incarnations[who], register, serial, request));
                     }
                     Output::Activate(_) | Output::Deactivate | Output::ProposalFinished(..) => {}
                 }
@@ -123,76 +123,80 @@
         }
     }
 
-    fn runs(&self, who: usize) -> bool {
-        self.nodes[who].is_some() && self.now >= self.still_until[who]
+    fn is_running(&self, who: usize) -> bool {
+        self.nodes[who].is_some() && self.now >= self.paused_until[who]
     }
 
     /// Records the rules that each limiter applies. A contradiction between two limiters counts from when the later
     /// of their revisions was first applied.
-    fn look(&mut self) {
+    fn record_divergence(&mut self) {
         let active_rules = |s: &State, who: usize| match s.nodes[who].as_ref().map(|n| n.active_rules(s.now))
         {
-            Some(ActiveRules::Current(id)) if s.runs(who) => vec![id],
-            Some(ActiveRules::Strict(id, other)) if s.runs(who) => {
+            Some(ActiveRules::Current(id)) if s.is_running(who) => vec![id],
+            Some(ActiveRules::Strict(id, other)) if s.is_running(who) => {
                 [Some(id), other].into_iter().flatten().collect()
             }
             _ => Vec::new(),
         };
         let all: Vec<Vec<Id>> = (0..LIMITERS).map(|who| active_rules(self, who)).collect();
-        for by in all.iter().filter(|by| by.len() == 1) {
-            self.first.entry(by[0]).or_insert(self.now);
+        for applied in all.iter().filter(|applied| applied.len() == 1) {
+            self.first_applied.entry(applied[0]).or_insert(self.now);
         }
         for (one, other) in (0..LIMITERS).flat_map(|a| (0..LIMITERS).map(move |b| (a, b))) {
-            let apart = !all[one].is_empty()
+            let diverged = !all[one].is_empty()
                 && !all[other].is_empty()
                 && all[one].iter().all(|id| !all[other].contains(id));
-            let since = all[one].iter().chain(&all[other]).filter_map(|id| self.first.get(id)).max();
-            if let (true, Some(since)) = (apart, since) {
-                self.longest = self.longest.max(self.now - since);
+            let since = all[one].iter().chain(&all[other]).filter_map(|id| self.first_applied.get(id)).max();
+            if let (true, Some(since)) = (diverged, since) {
+                self.longest_divergence = self.longest_divergence.max(self.now - since);
             }
         }
     }
 
     /// Makes the coordinator process the first request; it is carried out only if `done`, and its response arrives
     /// only if `told`.
-    fn carry_out(&mut self, done: bool, told: bool) {
-        let (who, process_id, register, serial, ask) = self.asks.remove(0);
-        let version = self.tree.get(&register).map(|v| v.0);
-        let outcome = match ask {
-            _ if !done => RegisterResponse::Unknown,
-            RegisterRequest::Read => RegisterResponse::Value(self.tree.get(&register).cloned()),
+    fn carry_out(&mut self, carried_out: bool, answered: bool) {
+        let (who, incarnation, register, serial, request) = self.requests.remove(0);
+        let version = self.registers.get(&register).map(|v| v.0);
+        let response = match request {
+            _ if !carried_out => RegisterResponse::Unknown,
+            RegisterRequest::Read => RegisterResponse::Value(self.registers.get(&register).cloned()),
             RegisterRequest::CompareAndSwap(over, _) if over != version => RegisterResponse::VersionMismatch,
             RegisterRequest::CompareAndSwap(_, bytes) => {
                 let version = version.map_or(0, |v| v + 1);
-                self.tree.insert(register, (version, bytes));
+                self.registers.insert(register, (version, bytes));
                 RegisterResponse::Swapped(version)
             }
         };
-        if self.incarnations[who] == process_id {
-            self.feed(
+        if self.incarnations[who] == incarnation {
+            self.handle_event(
                 who,
-                Event::Register(register, serial, if told { outcome } else { RegisterResponse::Unknown }),
+                Event::Register(
+                    register,
+                    serial,
+                    if answered { response } else { RegisterResponse::Unknown },
+                ),
             );
         }
     }
 
     fn decider(&self) -> Option<usize> {
         let decides = |who: &usize| self.nodes[*who].as_ref().is_some_and(|n| n.as_decider().is_some());
-        (0..LIMITERS).filter(|who| self.runs(*who)).find(decides)
+        (0..LIMITERS).filter(|who| self.is_running(*who)).find(decides)
     }
 
     /// Returns the index of the next deliverable message to a running limiter.
-    fn next(&self) -> Option<usize> {
-        self.ways.iter().position(|(at, _, to, _)| *at <= self.now && self.runs(usize::from(to.0)))
+    fn next_message(&self) -> Option<usize> {
+        self.messages.iter().position(|(at, _, to, _)| *at <= self.now && self.is_running(usize::from(to.0)))
     }
 
     /// Simulates a tick in which nothing is lost.
-    fn calm(&mut self) {
-        (0..LIMITERS).for_each(|who| self.feed(who, Event::Tick));
+    fn run_fault_free_tick(&mut self) {
+        (0..LIMITERS).for_each(|who| self.handle_event(who, Event::Tick));
         loop {
-            if let Some((_, from, to, message)) = self.ways.pop() {
-                self.feed(usize::from(to.0), Event::Message(from, message));
-            } else if !self.asks.is_empty() {
+            if let Some((_, from, to, message)) = self.messages.pop() {
+                self.handle_event(usize::from(to.0), Event::Message(from, message));
+            } else if !self.requests.is_empty() {
                 self.carry_out(true, true);
             } else {
                 break;
@@ -201,8 +205,8 @@
         self.now += 1;
     }
 
-    fn looked(mut self) -> Self {
-        self.look();
+    fn with_divergence_recorded(mut self) -> Self {
+        self.record_divergence();
         self
     }
 }
@@ -222,16 +226,16 @@
         let nodes = (0..LIMITERS).map(|who| Some(node(timing, who, elected, 1, 0))).collect();
         let mut start = State {
             nodes,
-            still_until: vec![0; LIMITERS],
+            paused_until: vec![0; LIMITERS],
             now: 0,
             end: 0,
-            ways: Vec::new(),
-            asks: Vec::new(),
-            tree: BTreeMap::new(),
+            messages: Vec::new(),
+            requests: Vec::new(),
+            registers: BTreeMap::new(),
             incarnations: vec![1; LIMITERS],
             elected,
-            first: BTreeMap::new(),
-            longest: 0,
+            first_applied: BTreeMap::new(),
+            longest_divergence: 0,
             changes: 1,
             losses: bounds.losses,
             delays: bounds.delays,
@@ -244,11 +248,11 @@
             s.nodes.iter().flatten().all(|n| matches!(n.active_rules(s.now), ActiveRules::Current(_)))
         };
         while !agreed(&start) {
-            assert!(start.now < 100, "no agreement without faults");
-            start.calm();
+            assert!(start.now < 100, "no agreement in 100 ticks without faults");
+            start.run_fault_free_tick();
         }
         start.end = start.now + bounds.ticks;
-        Fleet { timing, decider_timing: timing, elected, bounds, start: start.looked() }
+        Fleet { timing, decider_timing: timing, elected, bounds, start: start.with_divergence_recorded() }
     }
 
     fn timing_of(&self, who: usize) -> LeaseTiming {
@@ -262,49 +266,49 @@
 
 impl Model for Fleet {
     type State = State;
-    type Action = FetchProgress;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         vec![self.start.clone()]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<FetchProgress>) {
-        match state.next() {
+    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
+        match state.next_message() {
             Some(i) => {
-                actions.push(FetchProgress::Deliver(i));
-                actions.extend((state.losses > 0).then_some(FetchProgress::Lose(i)));
-                actions.extend((state.delays > 0).then_some(FetchProgress::Delay(i)));
+                actions.push(Step::Deliver(i));
+                actions.extend((state.losses > 0).then_some(Step::Lose(i)));
+                actions.extend((state.delays > 0).then_some(Step::Delay(i)));
             }
-            None if !state.asks.is_empty() => {
-                actions.push(FetchProgress::ProposalOutcome);
+            None if !state.requests.is_empty() => {
+                actions.push(Step::Respond);
                 if state.deaf > 0 {
-                    actions.extend([FetchProgress::Deaf, FetchProgress::Mute]);
+                    actions.extend([Step::LoseRequest, Step::LoseResponse]);
                 }
             }
-            None if state.now < state.end => actions.push(FetchProgress::Tick),
+            None if state.now < state.end => actions.push(Step::Tick),
             None => {}
         }
         for who in 0..LIMITERS {
             if state.crashes > 0 && state.nodes[who].is_some() {
-                actions.push(FetchProgress::Crash(who));
+                actions.push(Step::Crash(who));
             }
-            if state.stops > 0 && state.runs(who) {
-                actions.push(FetchProgress::Stop(who));
+            if state.stops > 0 && state.is_running(who) {
+                actions.push(Step::Pause(who));
             }
         }
         if state.changes > 0 && state.decider().is_some() {
-            actions.push(FetchProgress::Change);
+            actions.push(Step::Change);
         }
     }
 
-    fn next_state(&self, state: &State, step: FetchProgress) -> Option<State> {
+    fn next_state(&self, state: &State, step: Step) -> Option<State> {
         let mut next = state.clone();
         match step {
-            FetchProgress::Tick => {
+            Step::Tick => {
                 next.now += 1;
                 let now = next.now;
                 // Observed before the limiters run, so that acting on an expired lease is noticed.
-                next.look();
+                next.record_divergence();
                 for who in 0..LIMITERS {
                     if next.nodes[who].is_none() {
                         next.starts += 1;
@@ -312,67 +316,71 @@
                         next.nodes[who] =
                             Some(node(self.timing_of(who), who, self.elected, next.starts, now));
                     }
-                    if next.runs(who) {
-                        next.feed(who, Event::Tick);
+                    if next.is_running(who) {
+                        next.handle_event(who, Event::Tick);
                     }
                 }
             }
-            FetchProgress::Deliver(i) => {
-                let (_, from, to, message) = next.ways.remove(i);
-                next.feed(usize::from(to.0), Event::Message(from, message));
+            Step::Deliver(i) => {
+                let (_, from, to, message) = next.messages.remove(i);
+                next.handle_event(usize::from(to.0), Event::Message(from, message));
             }
-            FetchProgress::Lose(i) => {
-                next.ways.remove(i);
+            Step::Lose(i) => {
+                next.messages.remove(i);
                 next.losses -= 1;
             }
-            FetchProgress::Delay(i) => {
-                next.ways[i].0 = next.now + self.bounds.delay;
+            Step::Delay(i) => {
+                next.messages[i].0 = next.now + self.bounds.delay;
                 next.delays -= 1;
             }
-            FetchProgress::Crash(who) => {
+            Step::Crash(who) => {
                 next.nodes[who] = None;
                 next.crashes -= 1;
             }
-            FetchProgress::Stop(who) => {
-                next.still_until[who] = next.now + self.bounds.stop;
+            Step::Pause(who) => {
+                next.paused_until[who] = next.now + self.bounds.stop;
                 next.stops -= 1;
             }
-            FetchProgress::ProposalOutcome => next.carry_out(true, true),
-            FetchProgress::Deaf => {
+            Step::Respond => next.carry_out(true, true),
+            Step::LoseRequest => {
                 next.carry_out(false, true);
                 next.deaf -= 1;
             }
-            FetchProgress::Mute => {
+            Step::LoseResponse => {
                 next.carry_out(true, false);
                 next.deaf -= 1;
             }
-            FetchProgress::Change => {
+            Step::Change => {
                 next.changes -= 1;
                 let text = "two".into();
                 let timeout = 100;
                 if let Some(decider) = next.decider() {
-                    next.feed(decider, Event::Propose(Proposal { text, timeout, ..Proposal::default() }));
+                    next.handle_event(
+                        decider,
+                        Event::Propose(Proposal { text, timeout, ..Proposal::default() }),
+                    );
                 }
             }
         }
-        Some(next.looked())
+        Some(next.with_divergence_recorded())
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no two contradict for longer than stated", |model: &Fleet, state: &State| {
-                state.longest <= model.timing.divergence_bound()
+            Property::always("no divergence exceeds the bound", |model: &Fleet, state: &State| {
+                state.longest_divergence <= model.timing.divergence_bound()
             }),
-            Property::sometimes("a lost decider is succeeded", |model: &Fleet, state: &State| {
+            Property::sometimes("a failed decider is replaced", |model: &Fleet, state: &State| {
                 let lost = model.bounds.crashes + model.bounds.stops > 0;
                 let first = model.start.nodes.iter().flatten().map(|n| n.decider().1).max();
                 let succeeds =
                     |n: &Node| n.as_decider().is_some_and(|d| !d.recovering()) && Some(n.decider().1) > first;
                 !model.elected || !lost || state.nodes.iter().flatten().any(succeeds)
             }),
-            Property::sometimes("a change comes into force at all", |_, state: &State| {
-                let by = |n: &Option<Node>| n.as_ref().and_then(|n| n.held().map(|r| r.text.to_string()));
-                state.nodes.iter().all(|n| by(n).as_deref() == Some("two"))
+            Property::sometimes("a change takes effect", |_, state: &State| {
+                let applied =
+                    |n: &Option<Node>| n.as_ref().and_then(|n| n.held().map(|r| r.text.to_string()));
+                state.nodes.iter().all(|n| applied(n).as_deref() == Some("two"))
             }),
         ]
     }
@@ -382,9 +390,9 @@
     let (bounds, on_lapse, elected) = (fleet.bounds, fleet.timing.on_lapse, fleet.elected);
     let begun = std::time::Instant::now();
     let checker = fleet.checker().threads(2).spawn_bfs().join();
-    let how = if elected { "elected" } else { "named" };
+    let kind = if elected { "elected" } else { "named" };
     println!(
-        "{how}, {on_lapse:?}, {bounds:?}: {} states, {:.1?}",
+        "{kind}, {on_lapse:?}, {bounds:?}: {} states, {:.1?}",
         checker.unique_state_count(),
         begun.elapsed()
     );
@@ -395,13 +403,13 @@
     Bounds { ticks: 14, losses: 0, delays: 0, delay: 0, crashes: 0, stops: 0, stop: 0, deaf: 0 };
 
 #[test]
-fn messages_lost_and_late() {
+fn lost_and_late_messages_keep_the_divergence_bound() {
     let bounds = Bounds { losses: 2, delays: 1, delay: 3, ..NONE };
     explore(Fleet::new(OnLeaseExpiry::Refuse, false, bounds)).assert_properties();
 }
 
 #[test]
-fn a_limiter_that_stands_still() {
+fn a_paused_limiter_keeps_the_divergence_bound() {
     for on_lapse in [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(Millis::MAX)] {
         let bounds = Bounds { losses: 1, stops: 1, stop: 6, ..NONE };
         explore(Fleet::new(on_lapse, false, bounds)).assert_properties();
@@ -409,7 +417,7 @@
 }
 
 #[test]
-fn a_crash_of_any_one_at_any_time() {
+fn a_crash_of_any_limiter_keeps_the_divergence_bound() {
     for on_lapse in [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(Millis::MAX)] {
         let bounds = Bounds { ticks: 12, losses: 1, crashes: 1, ..NONE };
         explore(Fleet::new(on_lapse, false, bounds)).assert_properties();
@@ -417,7 +425,7 @@
 }
 
 #[test]
-fn an_elected_decider_that_crashes_or_stands_still() {
+fn an_elected_decider_that_crashes_or_is_paused_is_replaced() {
     for on_lapse in [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(Millis::MAX)] {
         let crash = Bounds { ticks: 14, crashes: 1, ..NONE };
         let stop = Bounds { ticks: 14, stops: 1, stop: 7, ..NONE };
@@ -430,7 +438,7 @@
 
 #[test]
 #[ignore = "a minute: cargo test --profile tested -p oatbank-fleet --test model -- --ignored --nocapture"]
-fn an_elected_decider_with_more_faults() {
+fn an_elected_decider_with_combined_faults_is_replaced() {
     for on_lapse in [OnLeaseExpiry::Refuse, OnLeaseExpiry::Strict(Millis::MAX)] {
         let crash = Bounds { ticks: 16, crashes: 1, deaf: 1, ..NONE };
         let stop = Bounds { ticks: 16, stops: 1, stop: 7, losses: 1, ..NONE };
@@ -450,28 +458,28 @@
     fleet.decider_timing = timing;
     fleet.start.nodes[0] = Some(node(timing, 0, false, 1, 0));
     let bounds = fleet.bounds;
-    let rebuilt = rebuilt(fleet, bounds);
-    let checker = explore(rebuilt);
+    let restarted = restarted(fleet, bounds);
+    let checker = explore(restarted);
     assert!(
-        checker.discovery("no two contradict for longer than stated").is_some(),
-        "the fence is not needed?"
+        checker.discovery("no divergence exceeds the bound").is_some(),
+        "no contradiction found without the decider's wait"
     );
 }
 
 /// Restarts the fleet with the decider's own timing from the beginning.
-fn rebuilt(mut fleet: Fleet, bounds: Bounds) -> Fleet {
+fn restarted(mut fleet: Fleet, bounds: Bounds) -> Fleet {
     let mut start = fleet.start.clone();
     start.now = 0;
-    start.ways.clear();
-    start.first.clear();
-    start.longest = 0;
+    start.messages.clear();
+    start.first_applied.clear();
+    start.longest_divergence = 0;
     for who in 0..LIMITERS {
         start.nodes[who] = Some(node(fleet.timing_of(who), who, fleet.elected, 1, 0));
     }
     for _ in 0..12 {
-        start.calm();
+        start.run_fault_free_tick();
     }
     start.end = start.now + bounds.ticks;
-    fleet.start = start.looked();
+    fleet.start = start.with_divergence_recorded();
     fleet
 }
