--- a/crates/fleet/tests/agreement.rs
+++ b/crates/fleet/tests/agreement.rs
@@ -160,7 +160,7 @@
     decided: usize,
     vetoes: usize,
     messages: usize,
-    /// For each change, the time from its proposal to its first and to its last first use by a limiter, ms.
+    /// For each change, the times from its proposal until the first and until the last limiter applied it, ms.
     effect: Vec<(Millis, Millis)>,
     /// Time from the end of the faults until all limiters applied the same revision, ms.
     agreed_after: Option<Millis>,
@@ -682,8 +682,8 @@
             "{peers}: {:?}",
             played.agreed_after
         );
-        // Each side gets five or six proposals; the side with the coordinator has ten more seconds, and the decider
-        // decided some before.
+        // Five or six proposals reach the coordinator's side in its ten seconds with a decider, and the former decider
+        // decided some before the partition.
         assert!(played.decided >= 7, "{peers}: {} decided", played.decided);
     }
     // If the limiters that are cut off apply strict rules without a time limit, nothing is decided without them.
