--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -450,7 +450,7 @@
 }
 
 #[test]
-fn without_the_decider_s_wait_the_model_finds_a_contradiction() {
+fn skipping_the_decider_wait_exceeds_the_divergence_bound() {
     let bounds = Bounds { losses: 3, ..NONE };
     let mut fleet = Fleet::new(OnLeaseExpiry::Strict(Millis::MAX), false, bounds);
     // This decider considers every other limiter's lease expired at once.
