--- a/crates/fleet/src/decider.rs
+++ b/crates/fleet/src/decider.rs
@@ -96,7 +96,7 @@
     }
 
     /// Turns it into the decider of a term that it has just won, after having been a member.
-    pub(crate) fn elected(
+    pub(crate) fn begin_term(
         mut self,
         number: u64,
         observed_since: Millis,
--- a/crates/fleet/src/decider/decision.rs
+++ b/crates/fleet/src/decider/decision.rs
@@ -72,7 +72,7 @@
     }
 
     /// Handles the result of this limiter's own check of the pending revision.
-    pub fn checked(&mut self, now: Millis, id: Id, verdict: Verdict, out: &mut VecDeque<Output>) {
+    pub fn record_verdict(&mut self, now: Millis, id: Id, verdict: Verdict, out: &mut VecDeque<Output>) {
         let Some(pending) = self.pending.as_mut().filter(|r| r.revision.id() == id) else { return };
         match verdict {
             // A revision that is decided again passed the check before: keep waiting for the limiters that may apply
--- a/crates/fleet/src/decider/leases.rs
+++ b/crates/fleet/src/decider/leases.rs
@@ -9,7 +9,7 @@
 
 impl Decider {
     /// Records a limiter's ping and answers it.
-    pub fn ping(&mut self, now: Millis, from: Peer, ping: Ping, out: &mut VecDeque<Output>) {
+    pub fn on_ping(&mut self, now: Millis, from: Peer, ping: Ping, out: &mut VecDeque<Output>) {
         let Some(record) = self.members.get_mut(&from) else { return };
         // Duplicate and delayed pings of one process yield the same token, and only that process learns it.
         let token = match ping.token == record.token && record.token != 0 {
@@ -45,10 +45,10 @@
         self.advance_epoch(holds);
         self.tick(now, out);
         self.handle_veto(from, out);
-        self.answer(now, from, ping.seq, out);
+        self.send_pong(now, from, ping.seq, out);
     }
 
-    pub(super) fn answer(&mut self, now: Millis, to: Peer, seq: u64, out: &mut VecDeque<Output>) {
+    pub(super) fn send_pong(&mut self, now: Millis, to: Peer, seq: u64, out: &mut VecDeque<Output>) {
         let has_authority = now < self.authority();
         let elected = self.term.is_some();
         let Some(record) = self.members.get_mut(&to) else { return };
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -194,7 +194,7 @@
 
     /// Handles the decider's answer. Answers to pings older than the last answered one, or to pings never sent, are
     /// ignored.
-    pub fn pong(&mut self, now: Millis, pong: Pong, out: &mut VecDeque<Output>) {
+    pub fn on_pong(&mut self, now: Millis, pong: Pong, out: &mut VecDeque<Output>) {
         let Some(position) = self.unanswered.iter().position(|(seq, _)| *seq == pong.seq) else { return };
         let (_, asked_at) = self.unanswered[position];
         self.unanswered.drain(..=position);
@@ -308,7 +308,7 @@
     }
 
     /// Records the result of the check of the staged revision.
-    pub fn checked(&mut self, now: Millis, id: Id, verdict: Verdict) {
+    pub fn record_verdict(&mut self, now: Millis, id: Id, verdict: Verdict) {
         if let Some(staged) = self.staged.as_mut().filter(|s| s.revision.id() == id) {
             staged.verdict = Some(match verdict {
                 Verdict::Vetoed(reason) => {
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -101,10 +101,12 @@
             (Role::Member(member), Event::Tick) => member.tick(now, out),
             (Role::Decider(decider), Event::Tick) => decider.tick(now, out),
             (Role::Member(member), Event::Checked(id, verdict)) => {
-                member.checked(now, id, verdict);
+                member.record_verdict(now, id, verdict);
                 member.tick(now, out);
             }
-            (Role::Decider(decider), Event::Checked(id, verdict)) => decider.checked(now, id, verdict, out),
+            (Role::Decider(decider), Event::Checked(id, verdict)) => {
+                decider.record_verdict(now, id, verdict, out)
+            }
             (Role::Member(_), Event::Propose(proposal)) => {
                 out.push_back(Output::ProposalFinished(
                     proposal.ticket,
@@ -167,7 +169,8 @@
         let seed = self.options.seed ^ term;
         let decider = new_decider(&self.options, term, seed, now);
         let observed_since = self.election.as_ref().map_or(now, |e| e.observed_since());
-        let mut decider = decider.elected(term, observed_since, (**member).clone(), now, &mut self.outputs);
+        let mut decider =
+            decider.begin_term(term, observed_since, (**member).clone(), now, &mut self.outputs);
         decider.extend_term(self.election.as_ref().map_or(0, |e| e.authority_until()));
         decider.tick(now, &mut self.outputs);
         (self.role, self.decider) = (Role::Decider(Box::new(decider)), Some(self.options.me));
@@ -221,7 +224,7 @@
         }
         let out = &mut self.outputs;
         match (&mut self.role, message) {
-            (Role::Decider(decider), Message::Ping(ping)) => decider.ping(now, from, ping, out),
+            (Role::Decider(decider), Message::Ping(ping)) => decider.on_ping(now, from, ping, out),
             (Role::Decider(decider), Message::HeadResponse(head)) => decider.on_head(now, from, head, out),
             (Role::Decider(decider), chunk @ Message::Chunk { .. }) => {
                 decider.on_chunk(now, from, &chunk, out);
@@ -241,7 +244,7 @@
             // Members accept messages from the decider only.
             (Role::Member(_), _) if Some(from) != self.decider => {}
             (Role::Member(member), Message::Pong(pong)) => {
-                member.pong(now, pong, out);
+                member.on_pong(now, pong, out);
                 member.tick(now, out);
             }
             (Role::Member(member), chunk @ Message::Chunk { .. }) => member.on_chunk(now, &chunk, out),
