--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -105,7 +105,7 @@
                 member.tick(now, out);
             }
             (Role::Decider(decider), Event::Checked(id, verdict)) => {
-                decider.record_verdict(now, id, verdict, out)
+                decider.record_verdict(now, id, verdict, out);
             }
             (Role::Member(_), Event::Propose(proposal)) => {
                 out.push_back(Output::ProposalFinished(
--- a/crates/fleet/tests/agreement.rs
+++ b/crates/fleet/tests/agreement.rs
@@ -269,7 +269,7 @@
                 }
                 Output::ProposalFinished(_, ProposalOutcome::Vetoed(..)) => self.result.vetoes += 1,
                 Output::Register(register, serial, request) => {
-                    self.send_register_request(who, register, serial, request)
+                    self.send_register_request(who, register, serial, request);
                 }
                 Output::ProposalFinished(..) | Output::Activate(_) | Output::Deactivate => {}
             }
