--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Makes the coordinator process the first request; it is carried out only if `done`, and its response arrives
-    /// only if `told`.
+    /// Makes the coordinator process the first request. It takes effect only if `carried_out`, and its response arrives
+    /// only if `answered`.
     fn carry_out(&mut self, carried_out: bool, answered: bool) {
         let (who, incarnation, register, serial, request) = self.requests.remove(0);
         let version = self.registers.get(&register).map(|v| v.0);
