--- a/crates/config-store/src/acceptor.rs
+++ b/crates/config-store/src/acceptor.rs
@@ -1,7 +1,7 @@
-//! The acceptor of Paxos: what a voter has promised and accepted. No I/O; each response says what must be durable before
-//! it is sent.
+//! The Paxos acceptor: a voter's promised proposal and accepted record. No I/O; each method returns which parts must be
+//! durable before the response is sent.
 //!
-//! Every core machine runs one, whether it has a vote or not: a proposer counts only the responses of the voters in
+//! Every core machine runs one, whether it is a voter or not: a proposer counts only the responses of the voters in
 //! the [`VoterConfiguration`] in force.
 
 use crate::messages::{
@@ -9,18 +9,18 @@
     ResponseStatus, VoterConfiguration, VoterResponse,
 };
 
-/// What must be durable before the response is sent.
+/// The parts of an acceptor that must be durable before the response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequiredWrite {
-    /// Nothing has changed.
+    /// Nothing has changed, so nothing needs to be written.
     Nothing,
-    /// [`Acceptor::state`].
+    /// Only [`Acceptor::state`].
     State,
     /// [`Acceptor::state`] and [`Acceptor::record`].
     StateAndRecord,
 }
 
-/// One acceptor.
+/// The promised proposal and the accepted record of one machine.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     /// Invariant: `state.accepted <= state.promised`.
@@ -30,30 +30,31 @@
 }
 
 impl Acceptor {
-    /// A founder on its first disk.
+    /// Creates the acceptor of a founder with its first disk, whose id is 0.
     pub fn founded(founders: Vec<String>) -> Acceptor {
         Acceptor { state: PersistentState { founders, ..PersistentState::default() }, record: None }
     }
 
-    /// An acceptor on an empty disk. `disk_id` is a random number that no earlier disk of this machine had.
+    /// Creates an acceptor for an empty disk. `disk_id` is a random number that no earlier disk of this machine had.
     pub fn fresh(disk_id: u64) -> Acceptor {
         let state = PersistentState { disk_id: disk_id.max(1), ..PersistentState::default() };
         Acceptor { state, record: None }
     }
 
-    /// An acceptor from what was durable; `None` if the two parts contradict each other.
+    /// Restores an acceptor from its durable parts. Returns `None` if the two contradict each other, or if the state
+    /// has neither a disk id nor founders.
     pub fn restored(state: PersistentState, record: Option<Record>) -> Option<Acceptor> {
         let has_accepted = state.accepted != ProposalNumber::default();
         let is_identified = state.disk_id != 0 || !state.founders.is_empty();
         (record.is_some() == has_accepted && is_identified).then_some(Acceptor { state, record })
     }
 
-    /// All that must be durable besides the record.
+    /// Returns the durable state without the record.
     pub fn state(&self) -> &PersistentState {
         &self.state
     }
 
-    /// The accepted record.
+    /// Returns the accepted record.
     pub fn record(&self) -> Option<&Record> {
         self.record.as_ref()
     }
@@ -62,17 +63,17 @@
         self.record.as_ref().and_then(|record| record.configuration.as_ref())
     }
 
-    /// [`VoterConfiguration::proposed_in`] of the accepted record.
+    /// Returns [`VoterConfiguration::proposed_in`] of the accepted record; zero if it names no voters.
     pub fn configuration_proposed_in(&self) -> ProposalNumber {
         self.configuration().map_or_else(ProposalNumber::default, |configuration| configuration.proposed_in)
     }
 
-    /// Whether the accepted record is a joint configuration.
+    /// Returns whether the accepted record has a joint configuration.
     pub fn is_changing(&self) -> bool {
         self.configuration().is_some_and(VoterConfiguration::is_changing)
     }
 
-    /// A response with the current state and no record.
+    /// Returns a response with the current state and no record.
     pub fn respond(&self, status: ResponseStatus) -> VoterResponse {
         VoterResponse {
             status: status as i32,
@@ -90,7 +91,8 @@
         self.record.clone().filter(|_| self.state.accepted > known)
     }
 
-    /// Promises not to take part in any lower proposal. The same number is promised only once.
+    /// Promises to reject all lower proposals. Rejects a proposal that is not higher than the promised one, so the same
+    /// number is promised only once.
     pub fn prepare(&mut self, request: &Prepare) -> (VoterResponse, RequiredWrite) {
         if request.proposal <= self.state.promised {
             return (self.respond(ResponseStatus::Rejected), RequiredWrite::Nothing);
@@ -100,7 +102,7 @@
         (VoterResponse { record, ..self.respond(ResponseStatus::Granted) }, RequiredWrite::State)
     }
 
-    /// Accepts the record, unless a higher proposal was promised.
+    /// Accepts the record, unless a higher proposal was promised. A repeated request is granted without a write.
     pub fn accept(&mut self, request: &Accept) -> (VoterResponse, RequiredWrite) {
         if request.proposal < self.state.promised {
             return (self.respond(ResponseStatus::Rejected), RequiredWrite::Nothing);
@@ -115,8 +117,8 @@
         (self.respond(ResponseStatus::Granted), RequiredWrite::StateAndRecord)
     }
 
-    /// Stores a record learned from another process, if it is newer. This is no vote: later prepare responses carry the
-    /// record, but this acceptor is not counted among those that accepted it.
+    /// Stores a record learned from another process, if it is newer. This is not a vote: later prepare responses
+    /// carry the record, but this acceptor does not count towards the majority that accepted it.
     pub fn adopt(&mut self, proposal: ProposalNumber, record: &Record) -> RequiredWrite {
         if proposal <= self.state.accepted {
             return RequiredWrite::Nothing;
@@ -128,18 +130,19 @@
         RequiredWrite::StateAndRecord
     }
 
-    /// The accepted proposal and its edition, without the record.
+    /// Returns the accepted proposal and its edition, without the record.
     pub fn peek(&self) -> VoterResponse {
         self.respond(ResponseStatus::Granted)
     }
 
-    /// The record, if it is newer than what the caller knows.
+    /// Returns the record, if it is newer than the one the caller knows.
     pub fn fetch(&self, request: &Fetch) -> VoterResponse {
         let record = self.record_newer_than(request.known);
         VoterResponse { record, ..self.respond(ResponseStatus::Granted) }
     }
 
-    /// Who the voters are, as far as this acceptor knows.
+    /// Returns the founders, and the record if it is newer than the one the caller knows: together they name the
+    /// voters.
     pub fn local_state(&self, request: &LocalStateRequest, seeds: Vec<String>) -> LocalState {
         LocalState {
             founders: self.state.founders.clone(),
--- a/crates/config-store/src/client.rs
+++ b/crates/config-store/src/client.rs
@@ -1,4 +1,4 @@
-//! The register as other programs use it: rounds over the network to the voters, on one thread, in a `LocalSet`.
+//! The client of the register: runs Paxos rounds with the voters over the network, on one thread, in a `LocalSet`.
 
 use crate::known_record::KnownRecord;
 use crate::messages::{
@@ -22,23 +22,23 @@
 use tokio::sync::{mpsc, Mutex};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How long a phase of a round waits for voters that are slow.
+/// How long a phase of a round waits for responses.
 pub const PHASE_TIMEOUT: Duration = Duration::from_millis(350);
-/// The shortest upper bound of the random back-off between two rounds, in ms; it doubles with each round.
+/// The initial upper bound of the random back-off between two rounds, in ms; it doubles with each round.
 const FIRST_BACK_OFF_MS: u64 = 20;
-/// The longest upper bound of that back-off, in ms.
+/// The largest upper bound of the random back-off between two rounds, in ms.
 const LONGEST_BACK_OFF_MS: u64 = 240;
-/// After so many quorum reads that found other voters in force, a read runs a round.
+/// The number of quorum reads a read attempts, each after a fetched record named other voters, before it runs a round.
 const QUORUM_READS: usize = 3;
 
-/// Why a change has no result.
+/// The reason why a change has no result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeError<R> {
-    /// The function rejected the newest chosen value. The change is not made and never will be.
+    /// The function rejected the newest chosen value. The change was not made and never will be.
     Rejected(R),
-    /// No majority could be reached in time. The change is not made and never will be.
+    /// No majority could be reached in time. The change was not made and never will be.
     Unreachable,
-    /// The change may have been made, or may be made yet.
+    /// The change may have been made, or may still be made.
     Unknown,
 }
 
@@ -47,7 +47,7 @@
         match self {
             ChangeError::Rejected(rejection) => write!(f, "rejected: {rejection:?}"),
             ChangeError::Unreachable => f.write_str("not made: no majority could be reached"),
-            ChangeError::Unknown => f.write_str("it may or may not have been made"),
+            ChangeError::Unknown => f.write_str("the change may or may not have been made"),
         }
     }
 }
@@ -63,22 +63,22 @@
     pub value: Option<Bytes>,
 }
 
-/// What a quorum read found.
+/// The result of a quorum read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeekResult {
-    /// The proposal that a majority has accepted, otherwise the highest accepted by any.
+    /// The proposal that a majority has accepted, otherwise the highest that any voter has accepted.
     pub proposal: ProposalNumber,
-    /// Its edition; 0 before the first change.
+    /// The edition of the record accepted in `proposal`; 0 before the first change.
     pub edition: u64,
-    /// Whether a majority has accepted it: then it is chosen, and nothing newer was chosen before the call began.
+    /// Whether a majority has accepted it: then it is chosen, and no newer record was chosen before the call began.
     pub agreed: bool,
-    /// Whether the client holds the value of this very proposal.
+    /// Whether the client has the value of this same proposal.
     pub is_known: bool,
 }
 
-/// An operation ran out of time.
+/// Error of an operation that ran out of time.
 struct TimedOut {
-    /// Whether its change may have been chosen or may be chosen yet.
+    /// Whether its change may have been chosen or may still be chosen.
     may_be_chosen: bool,
 }
 
@@ -90,17 +90,17 @@
 /// One program's access to the register.
 pub struct RegisterClient {
     proposer_id: u64,
-    /// The voters where no record names any.
+    /// The voters if no record names any.
     founders: RefCell<VoterConfiguration>,
     links: RefCell<BTreeMap<SocketAddr, Rc<RpcClient>>>,
     /// The highest round seen. Invariant: no round of this proposer is ever used twice.
     highest_round: Cell<u64>,
     /// The newest record seen, chosen or not.
     known: RefCell<KnownRecord>,
-    /// The newest record that is certainly chosen.
+    /// The newest record that is known to be chosen.
     confirmed: RefCell<KnownRecord>,
     random: RefCell<Pcg64Mcg>,
-    /// A proposer runs one operation at a time.
+    /// Held during an operation: a proposer runs one operation at a time.
     operating: Mutex<()>,
 }
 
@@ -111,7 +111,8 @@
 }
 
 impl RegisterClient {
-    /// A client that knows of no voters yet; `salt` helps to tell the clients of one machine apart.
+    /// Creates a client that knows of no voters yet. `salt` is added to the random proposer id, to tell the clients
+    /// of one machine apart.
     pub fn new(salt: u64) -> RegisterClient {
         let proposer_id = random_u64().wrapping_add(salt);
         RegisterClient {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Takes in what a process of the store knows of the voters.
+    /// Stores the founders and the record of a store process's local state, if they are new.
     pub fn learn(&self, state: &LocalState) {
         if self.founders.borrow().voters.is_empty() {
             *self.founders.borrow_mut() = VoterConfiguration::founders(&state.founders);
@@ -134,28 +135,28 @@
         self.known.borrow_mut().learn_from(state);
     }
 
-    /// The voters, as far as known; empty before any are.
+    /// Returns the known voters; empty before any are known.
     pub fn configuration(&self) -> VoterConfiguration {
         self.known.borrow().configuration(&self.founders.borrow()).clone()
     }
 
-    /// The newest record seen, chosen or not.
+    /// Returns the newest record seen, chosen or not.
     pub fn known(&self) -> KnownRecord {
         self.known.borrow().clone()
     }
 
-    /// How many voters are known.
+    /// Returns the number of known voters.
     pub fn voters_count(&self) -> usize {
         self.known.borrow().configuration(&self.founders.borrow()).voters.len()
     }
 
-    /// The addresses of the voters, as far as known.
+    /// Returns the addresses of the known voters.
     pub fn voters(&self) -> Vec<SocketAddr> {
         self.configuration().addresses().iter().filter_map(|address| address.parse().ok()).collect()
     }
 
-    /// Asks the processes at `seeds`, those they name, and the known voters who the voters are. Returns the state of each
-    /// one that answered in time.
+    /// Asks the store processes at `seeds`, the seeds that they return while no voters are known, and the known
+    /// voters for their local state. Returns the state of each process that answered in time.
     pub async fn discover_voters(
         &self,
         seeds: &[SocketAddr],
@@ -193,8 +194,8 @@
         }
     }
 
-    /// Changes the voters. Returns whether the change is known to be chosen, now or already before; `false` if it may
-    /// not have come that far in time.
+    /// Changes the voters. Returns whether the operation completed within the time: the change is then chosen, was made
+    /// before, or no longer applies. On `false` it may or may not be chosen.
     pub async fn change_voters(&self, change: VoterChange, within: Duration) -> bool {
         let until = Instant::now() + within;
         let Ok(_operating) = timeout_at(until, self.operating.lock()).await else { return false };
@@ -205,17 +206,18 @@
         self.links.borrow_mut().entry(to).or_insert_with(|| RpcClient::new(to)).clone()
     }
 
-    /// The newest value that this client knows to be chosen.
+    /// Returns the newest value that this client knows to be chosen.
     pub fn confirmed(&self) -> ChosenValue {
         let confirmed = self.confirmed.borrow();
         ChosenValue { edition: confirmed.edition(), value: confirmed.value().cloned() }
     }
 
-    /// Changes the value. `change` is handed the newest value (`None` before the first) and its edition, and returns the
-    /// next value or rejects; it may be called several times. Returns what it made.
+    /// Changes the value. `change` takes the newest value (`None` before the first change) and its edition, and
+    /// returns the next value or a rejection; it may be called several times. Returns the edition and value that it
+    /// made.
     ///
     /// # Errors
-    /// [`ChangeError::Unknown`] if the change may have been made; with the others it certainly was not.
+    /// [`ChangeError::Unknown`] if the change may have been made; with the other errors it was not made.
     pub async fn change<F, R>(&self, change: F, within: Duration) -> Result<ChosenValue, ChangeError<R>>
     where
         F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
@@ -232,9 +234,9 @@
         }
     }
 
-    /// The newest value at some moment during the call (a linearizable read); `None` if no majority answered in time.
-    /// Without a change since the last read, and with a majority that agrees, this is one request to each voter and
-    /// nothing is written.
+    /// Returns the newest value at some moment during the call (a linearizable read); `None` if no majority answered
+    /// in time. If the value has not changed since the last read and a majority agrees on it, this takes one request
+    /// to each voter and no write.
     pub async fn read(&self, within: Duration) -> Option<ChosenValue> {
         let until = Instant::now() + within;
         for _ in 0..QUORUM_READS {
@@ -242,7 +244,7 @@
             let is_known = peeked.is_known || timeout_at(until, self.fetch(peeked.proposal)).await.ok()?;
             match (peeked.agreed, is_known) {
                 (true, true) => return Some(self.confirm()),
-                // The fetched record may name other voters: they are asked.
+                // The fetched record may name other voters, so the next attempt asks those.
                 (false, true) if !peeked.is_known => {}
                 _ => break,
             }
@@ -254,7 +256,8 @@
         }
     }
 
-    /// Asks each known voter what it holds. Returns the voters in force and the responses that came in time, by address.
+    /// Asks each known voter which proposal it has accepted. Returns the known configuration and the responses that
+    /// arrived in time, by address.
     pub async fn poll_voters(&self) -> (VoterConfiguration, BTreeMap<String, VoterResponse>) {
         let configuration = self.configuration();
         let mut responses = BTreeMap::new();
@@ -266,8 +269,8 @@
         (configuration, responses)
     }
 
-    /// Asks what a majority holds (a quorum read). Ends as soon as a majority agrees, otherwise after [`PHASE_TIMEOUT`]
-    /// at the latest; `None` below a majority.
+    /// Asks the voters which proposal a majority has accepted (a quorum read). Returns as soon as a majority agrees,
+    /// otherwise after [`PHASE_TIMEOUT`] at the latest; `None` if no majority responded.
     pub async fn peek(&self) -> Option<PeekResult> {
         let configuration = self.configuration();
         let mut responses: BTreeMap<String, VoterResponse> = BTreeMap::new();
@@ -292,7 +295,7 @@
         Some(PeekResult { proposal, edition, agreed: summary.agreed, is_known })
     }
 
-    /// The newest record seen is chosen.
+    /// Records that the newest record seen is chosen, and returns its value.
     fn confirm(&self) -> ChosenValue {
         let known = self.known.borrow();
         let mut confirmed = self.confirmed.borrow_mut();
@@ -306,7 +309,8 @@
         self.highest_round.set(self.highest_round.get().max(seen));
     }
 
-    /// Fetches the record of this proposal from any voter that has it; whether it is the newest known afterwards.
+    /// Fetches the record of this proposal from any voter that has it. Returns whether it is the newest known record
+    /// afterwards.
     async fn fetch(&self, proposal: ProposalNumber) -> bool {
         let fetch = Fetch { known: self.known.borrow().proposal };
         let mut incoming =
@@ -325,7 +329,7 @@
         false
     }
 
-    /// Sends one request to these voters.
+    /// Sends a request to these voters and returns the receiver of their responses.
     fn request(&self, recipients: &[String], kind: u8, body: Vec<u8>) -> Responses {
         let (sender, receiver) = mpsc::unbounded_channel();
         for voter in recipients {
@@ -334,7 +338,7 @@
                 (self.link(address), voter.clone(), sender.clone(), body.clone());
             tokio::task::spawn_local(async move {
                 let call = link.call(kind, body, PHASE_TIMEOUT);
-                // The caller may have enough responses already: what is being sent is sent, but nobody waits for it.
+                // If the caller has enough responses already, the request is still sent but its response is dropped.
                 let response = tokio::select! {
                     biased;
                     response = call => response,
@@ -348,6 +352,7 @@
         receiver
     }
 
+    /// Runs an operation until `until`, and stores the newest record and the highest round that it has seen.
     async fn operate<F, R>(&self, task: Task<F>, until: Instant) -> Result<Outcome<R>, TimedOut>
     where
         F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
@@ -367,7 +372,7 @@
         Ok(outcome)
     }
 
-    /// Runs rounds until one succeeds; `None` when the operation's time is over.
+    /// Runs rounds until one succeeds; `None` if the operation runs out of time.
     async fn run_rounds<F, R>(&self, operation: &mut Operation<F, R>, until: Instant) -> Option<Outcome<R>>
     where
         F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
@@ -377,8 +382,8 @@
             if let Action::Done(outcome) = self.run_round(operation, until).await? {
                 return Some(outcome);
             }
-            // The first round mostly fails only because its number was too low. The right one is known now, so there is
-            // nothing to wait for.
+            // The first round usually fails because its number was too low. The responses contain the highest number,
+            // so the second round needs no back-off.
             if round > 0 || operation.highest_round() <= highest_before + 1 {
                 let bound = LONGEST_BACK_OFF_MS.min(FIRST_BACK_OFF_MS << round.min(8));
                 let wait = self.random.borrow_mut().next_u64() % bound;
@@ -391,7 +396,7 @@
         None
     }
 
-    /// Runs one round; the action that ended it, or `None` when the operation's time is over.
+    /// Runs one round. Returns the action that ended it, or `None` if the operation runs out of time.
     async fn run_round<F, R>(&self, operation: &mut Operation<F, R>, until: Instant) -> Option<Action<R>>
     where
         F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
@@ -410,7 +415,8 @@
         }
     }
 
-    /// Waits for the responses of one phase; `None` when the operation's time is over.
+    /// Passes the responses of one phase to the operation until it requests an action; `None` if the operation runs
+    /// out of time.
     async fn run_phase<F, R>(
         operation: &mut Operation<F, R>,
         phase_id: PhaseId,
@@ -436,7 +442,7 @@
     }
 }
 
-/// Asks one process of the store who the voters are; `None` if it does not answer in time.
+/// Asks one store process for its local state, which names the voters; `None` if it does not answer in time.
 pub async fn request_local_state(
     link: &RpcClient,
     known: ProposalNumber,
--- a/crates/config-store/src/guard.rs
+++ b/crates/config-store/src/guard.rs
@@ -1,13 +1,13 @@
-//! Safety rules of a change of the voters that the tests can disable, to see that their checker notices.
+//! Safety rules of voter changes that tests can disable, to verify that the consistency checker detects the violation.
 
-/// A safety rule.
+/// A safety rule of voter changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Guard {
-    /// During a change, the outgoing and the next voters decide together.
+    /// During a change, a majority of the outgoing and of the next voters is needed.
     JointQuorum,
-    /// A change begins only once the one before it is chosen.
+    /// A change begins only once the previous configuration is chosen.
     ChosenBeforeNext,
-    /// A machine with another disk is another voter.
+    /// A machine with a new disk is a different voter.
     SameDisk,
 }
 
@@ -16,13 +16,13 @@
     pub(crate) static DISABLED_GUARD: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
 }
 
-/// Whether a test has disabled this rule on this thread.
+/// Returns whether a test has disabled this rule on this thread.
 #[cfg(test)]
 pub(crate) fn is_disabled(guard: Guard) -> bool {
     DISABLED_GUARD.with(|disabled| disabled.get() == Some(guard))
 }
 
-/// Outside tests no rule is ever disabled.
+/// Returns `false`: outside tests no rule is ever disabled.
 #[cfg(not(test))]
 pub(crate) fn is_disabled(_: Guard) -> bool {
     false
--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `oatbank-config-store`: runs on every core machine and votes on the configuration.
+//! The program `oatbank-config-store`: runs on every core machine and is a voter of the configuration store.
 
 use oatbank_config_store::voter::{Voter, VoterOptions};
 use oatbank_node_runtime::log;
@@ -17,13 +17,13 @@
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
-/// Wait before the disk is tried again at the start.
+/// Wait before another attempt to open the file at startup.
 const DISK_RETRY: Duration = Duration::from_millis(250);
-/// How long leaving the voters may delay a planned shutdown.
+/// The longest delay of a planned shutdown for leaving the voters.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 fn main() -> ExitCode {
-    let about = "the store of configuration: keeps what a majority of the core machines agrees on";
+    let about = "configuration store: keeps the value that a majority of the core machines agrees on";
     process::main(&Program { name: "oatbank-config-store", about }, serve)
 }
 
@@ -43,7 +43,7 @@
     })
 }
 
-/// Opens the disk, again and again if it refuses.
+/// Opens the voter's file, with retries for as long as the disk fails.
 async fn start(options: VoterOptions) -> Rc<Voter> {
     let mut is_logged = false;
     loop {
@@ -60,7 +60,7 @@
     }
 }
 
-/// A voter that has started.
+/// A started voter and the handle of its maintenance task.
 struct Started {
     voter: Rc<Voter>,
     maintenance: AbortHandle,
@@ -73,25 +73,25 @@
     log::info!("store: {} listens at {}", settings.node_name, options.address);
     let started: Rc<RefCell<Option<Started>>> = Rc::default();
     tokio::task::spawn_local(run_voter(options, listener, started.clone()));
-    // Only the seeds may change while it runs.
+    // Of all settings, only changes of the seeds take effect while the program runs.
     while signals.next().await != SignalEvent::Shutdown {
         if reloadable.reload() {
             if let Some(Started { voter, .. }) = &*started.borrow() {
                 voter.set_seeds(seeds(&reloadable.settings()));
             }
-            log::info!("settings: taken again");
+            log::info!("settings: reloaded");
         }
     }
     if let Some(Started { voter, maintenance }) = started.take() {
         maintenance.abort();
         let _ = tokio::time::timeout(LEAVE_TIMEOUT, voter.leave()).await;
     }
-    // Each write is complete before the thread does anything else, so none is open here.
-    log::info!("store: {} has ended in order", settings.node_name);
+    // Writes are synchronous on this thread, so none is in progress here.
+    log::info!("store: {} has shut down", settings.node_name);
     std::process::exit(0)
 }
 
-/// Starts the voter and answers calls, without end.
+/// Starts the voter and answers requests; never returns.
 async fn run_voter(options: VoterOptions, listener: TcpListener, started: Rc<RefCell<Option<Started>>>) {
     let voter = start(options).await;
     tokio::task::spawn_local(voter.clone().run());
--- a/crates/config-store/src/membership.rs
+++ b/crates/config-store/src/membership.rs
@@ -1,33 +1,34 @@
-//! Which voters to add and to remove. No I/O; the time is handed in.
+//! Decides which voters to add and to remove. No I/O; the caller passes the time.
 //!
-//! A voter is removed only where that raises the number of the remaining ones that may still be lost:
+//! A voter is removed only if that raises the number of further losses that the remaining voters tolerate:
 //!
 //! - One unreachable voter of an even number is removed after [`REMOVE_SPARE_AFTER`]. An odd number has a quorum
-//!   whenever the even number could have one, so this costs nothing even if the unreachable voter is healthy.
-//! - Two unreachable voters of an odd number are removed that soon if the remaining ones tolerate as many losses as
-//!   the platform may cause, otherwise only after [`REMOVE_AFTER`], which no freeze, partition or restart lasts.
+//!   whenever the even number could have one, so availability does not suffer even if the unreachable voter is healthy.
+//! - Two unreachable voters of an odd number are removed after [`REMOVE_SPARE_AFTER`] if the remaining ones tolerate as
+//!   many losses as the platform may cause, otherwise only after [`REMOVE_AFTER`], which is longer than any freeze,
+//!   partition or restart.
 
 use crate::messages::{VoterConfiguration, VoterId, MAX_VOTERS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A voter that has been unreachable for this long is gone for good.
+/// A voter that has been unreachable for this long is considered permanently lost.
 pub const REMOVE_AFTER: Duration = Duration::from_secs(20);
-/// A voter that has been unreachable for this long is removed where the others tolerate as many losses without it.
+/// A voter that has been unreachable for this long is removed if the others tolerate as many losses without it.
 pub const REMOVE_SPARE_AFTER: Duration = Duration::from_secs(2);
-/// So many observations in a row must have missed a voter before [`REMOVE_SPARE_AFTER`] applies.
+/// The number of consecutive observations that must have missed a voter before [`REMOVE_SPARE_AFTER`] applies.
 const MIN_MISSES: u32 = 2;
-/// After a longer gap between two observations this process was paused, and earlier observations say nothing.
+/// A longer gap between two observations means that this process was paused; earlier observations are then discarded.
 const MAX_OBSERVATION_GAP: Duration = Duration::from_secs(6);
 /// The number of voters is never reduced below this.
 const MIN_VOTERS: usize = 3;
 
-/// How many more voters may be lost, whichever they are, with a quorum left; `None` if there is no quorum now.
+/// Returns how many more voters, whichever they are, may be lost with a quorum left; `None` if there is no quorum now.
 pub fn tolerated_losses(
     configuration: &VoterConfiguration,
     is_lost: impl Fn(&VoterId) -> bool,
 ) -> Option<usize> {
-    // A lost machine is one voter less in each set, and the losses may all fall into one of the sets.
+    // A lost machine may be missing from both sets, and all losses may fall into one of the sets.
     let spare = |voters: &[VoterId]| {
         let remaining = voters.iter().filter(|voter| !is_lost(voter)).count();
         remaining.checked_sub(voters.len() / 2 + 1)
@@ -39,8 +40,8 @@
     }
 }
 
-/// Which of the unreachable voters to remove so that the others tolerate more losses: one of an even number, or two of
-/// an odd number if the remaining ones would tolerate `min_tolerated` losses with all of them reachable.
+/// Returns which of the unreachable voters to remove so that the others tolerate more losses: one of an even number, or
+/// two of an odd number if the remaining ones would tolerate `min_tolerated` losses with all of them reachable.
 pub fn removable_voters(
     configuration: &VoterConfiguration,
     unreachable: &[VoterId],
@@ -58,8 +59,8 @@
     unreachable[..removed].to_vec()
 }
 
-/// Which voters to remove when `this_voter` shuts down: itself, with an unreachable one where it takes two. Empty if the
-/// others tolerate no more losses without it than with its place kept.
+/// Returns which voters to remove when `this_voter` shuts down: itself, and an unreachable one if two must be removed
+/// at once. Empty if removing it would not let the others tolerate more losses than leaving it absent.
 pub fn removable_on_shutdown(
     configuration: &VoterConfiguration,
     this_voter: &VoterId,
@@ -74,8 +75,8 @@
     removable_voters(configuration, &candidates, min_tolerated)
 }
 
-/// Whether this machine should ask to become a voter: it is none, and there is room, or an unreachable voter will be
-/// removed to make room.
+/// Returns whether this machine should ask to become a voter: it is not one yet, and it replaces its own earlier disk,
+/// the number of voters is below [`MAX_VOTERS`], or an unreachable voter will be removed to make room.
 pub fn may_join(
     configuration: &VoterConfiguration,
     this_voter: &VoterId,
@@ -87,45 +88,45 @@
     !voters.contains(this_voter) && (replaces_own_disk || voters.len() < room)
 }
 
-/// What an observation of the voters leads to.
+/// The decision after an observation of the voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RemovalDecision {
     /// All voters stay.
     KeepAll,
-    /// All stay for now, but removing some that are unreachable would help: observe again soon.
+    /// All stay for now, but removing unreachable ones would raise the tolerated losses: observe again soon.
     CheckSoon,
     /// Remove these now.
     Remove(Vec<VoterId>),
 }
 
-/// What the observations so far say of one voter.
+/// The result of the observations of one voter so far.
 #[derive(Clone, Copy, Debug)]
 struct Liveness {
     /// When it was last reachable, or first observed.
     last_seen: Duration,
-    /// How many observations in a row have missed it.
+    /// The number of consecutive observations that have missed it.
     misses: u32,
 }
 
-/// One voter's record of which others are reachable.
+/// Tracks, on one voter, which other voters are reachable.
 #[derive(Debug, Default)]
 pub struct LivenessTracker {
-    /// How many machines the platform may take away at once.
+    /// The number of machines that the platform may stop at once.
     tolerated_failures: usize,
     last_observation: Option<Duration>,
     voters: BTreeMap<VoterId, Liveness>,
-    /// Addresses of voters that were removed and have not been reachable since. One that votes again all the same is
-    /// reachable for others, and not removed as soon again.
+    /// Addresses of voters that were removed and have not been reachable since. If one is a voter again nevertheless,
+    /// other machines can reach it, so [`REMOVE_SPARE_AFTER`] does not apply to it.
     recently_removed: BTreeSet<String>,
 }
 
 impl LivenessTracker {
-    /// A tracker where so many machines may be lost at once.
+    /// Creates a tracker; `tolerated_failures` is the number of machines that may be lost at once.
     pub fn new(tolerated_failures: usize) -> LivenessTracker {
         LivenessTracker { tolerated_failures, ..LivenessTracker::default() }
     }
 
-    /// Takes in which voters `this_voter` has just reached, and decides which to remove.
+    /// Records which voters `this_voter` has just reached, and decides which to remove.
     pub fn observe(
         &mut self,
         now: Duration,
@@ -136,7 +137,7 @@
         let voters = &configuration.voters;
         let in_touch = configuration.quorum(&is_reachable) && voters.contains(this_voter);
         self.update(now, voters, in_touch, &is_reachable);
-        // Only the first reachable voter acts. Changes are agreed on, so two that acted would do no harm.
+        // Only the first reachable voter acts. If two act, consensus still makes the change only once.
         let is_first = voters.iter().find(|voter| is_reachable(voter)) == Some(this_voter);
         if !in_touch || configuration.is_changing() || !is_first {
             return RemovalDecision::KeepAll;
@@ -197,7 +198,7 @@
         }
     }
 
-    /// These voters were removed.
+    /// Records that these voters were removed.
     pub fn record_removed(&mut self, removed: &[VoterId]) {
         self.recently_removed.extend(removed.iter().map(|voter| voter.address.clone()));
     }
--- a/crates/config-store/src/messages.rs
+++ b/crates/config-store/src/messages.rs
@@ -1,13 +1,13 @@
-//! Messages between processes, and what a voter keeps on its disk. One [`VoterResponse`] serves all requests to a voter.
+//! Messages between processes, and the state that a voter keeps on disk. [`VoterResponse`] answers all Paxos requests.
 //!
-//! Field tags and message kinds are fixed: a roll runs two versions side by side, and a voter reads the file of the
-//! version before (`tests/compatibility.rs`).
+//! Field tags and message kinds are fixed: during a rolling upgrade two versions run side by side, and a voter reads
+//! the file written by the previous version (`tests/compatibility.rs`).
 
 use bytes::Bytes;
 use prost::{Enumeration, Message};
 use std::fmt;
 
-/// Kinds of requests, as they stand in a frame.
+/// Kinds of requests, as encoded in a frame.
 pub mod kind {
     /// [`super::Prepare`], answered with [`super::VoterResponse`].
     pub const PREPARE: u8 = 1;
@@ -21,14 +21,14 @@
     pub const LOCAL_STATE: u8 = 6;
 }
 
-/// The number of a proposal (Paxos' ballot). Unique: no two rounds of any proposers have the same one. The default, zero,
-/// comes before all others.
+/// The number of a proposal (a ballot number in Paxos). No two rounds of any proposers have the same one. The default,
+/// zero, sorts before all others.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Message)]
 pub struct ProposalNumber {
-    /// The round; it only rises.
+    /// The round; it only increases.
     #[prost(uint64, tag = "1")]
     pub round: u64,
-    /// The proposer; it differs between a program's incarnations.
+    /// The id of the proposer; it differs between incarnations of a program.
     #[prost(uint64, tag = "2")]
     pub proposer_id: u64,
 }
@@ -39,36 +39,36 @@
     }
 }
 
-/// A voter: a machine together with one of its disks. A machine that has lost its disk is another voter.
+/// A voter: a machine together with one of its disks. A machine that has lost its disk becomes a different voter.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Message)]
 pub struct VoterId {
     /// The machine's address, with the port of the store.
     #[prost(string, tag = "1")]
     pub address: String,
-    /// Drawn at random when the disk's file was made; 0 for a founder's first disk.
+    /// Chosen at random when the voter's file is created; 0 for a founder's first disk.
     #[prost(uint64, tag = "2")]
     pub disk_id: u64,
 }
 
-/// The voters, as part of what is agreed on (`ConfState` elsewhere).
+/// The set of voters, which is part of the agreed record (comparable to `ConfState` in Raft implementations).
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct VoterConfiguration {
     /// The voters.
     #[prost(message, repeated, tag = "1")]
     pub voters: Vec<VoterId>,
-    /// During a change the voters before it: a majority of both sets is needed (joint consensus). Empty otherwise.
+    /// During a change, the voters before it: a majority of each set is needed (joint consensus). Empty otherwise.
     #[prost(message, repeated, tag = "2")]
     pub outgoing: Vec<VoterId>,
-    /// The proposal in which it was proposed, which identifies it; zero for the founders.
+    /// The proposal that introduced this configuration and identifies it; zero for the founders.
     #[prost(message, required, tag = "3")]
     pub proposed_in: ProposalNumber,
 }
 
-/// The most voters there are: each further one makes a change more expensive.
+/// The largest number of voters; each further voter makes a change more expensive.
 pub const MAX_VOTERS: usize = 9;
 
 impl VoterConfiguration {
-    /// The founders: the voters before any change.
+    /// Returns the configuration of the founders, which are the voters before any change.
     pub fn founders(addresses: &[String]) -> VoterConfiguration {
         let founder = |address: &String| VoterId { address: address.clone(), disk_id: 0 };
         VoterConfiguration {
@@ -77,18 +77,18 @@
         }
     }
 
-    /// Whether the voters for which `holds` is true are a majority, during a change of both sets.
+    /// Returns whether the voters for which `holds` is true are a majority; during a change, a majority of each set.
     pub fn quorum(&self, holds: impl Fn(&VoterId) -> bool) -> bool {
         let majority = |of: &[VoterId]| 2 * of.iter().filter(|voter| holds(voter)).count() > of.len();
         majority(&self.voters) && (self.outgoing.is_empty() || majority(&self.outgoing))
     }
 
-    /// Whether this is a joint configuration.
+    /// Returns whether this is a joint configuration.
     pub fn is_changing(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// The addresses of all voters of both sets, each once.
+    /// Returns the addresses of all voters of both sets, each once.
     pub fn addresses(&self) -> Vec<String> {
         let mut addresses: Vec<String> = Vec::new();
         for voter in self.voters.iter().chain(&self.outgoing) {
@@ -100,17 +100,17 @@
     }
 }
 
-/// The most proposals that [`Record::lineage`] names.
+/// The largest number of proposals in [`Record::lineage`].
 pub const MAX_LINEAGE: usize = 16;
 
-/// What is agreed on: a value, with its history, and the voters.
+/// The agreed record: a value, the proposals that made it, and the voters.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Record {
     /// Counts the changes of the value, from 1; 0 while only the voters have changed.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
-    /// The proposals that made this edition and those before it, newest first, at most [`MAX_LINEAGE`]. By it a proposer
-    /// whose round was cut short finds out whether its change was made.
+    /// The proposals that made this edition and those before it, newest first, at most [`MAX_LINEAGE`]. From it a
+    /// proposer whose round was interrupted finds out whether its change was made.
     #[prost(message, repeated, tag = "2")]
     pub lineage: Vec<ProposalNumber>,
     /// The value.
@@ -155,7 +155,7 @@
     pub known: ProposalNumber,
 }
 
-/// What came of a request.
+/// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum ResponseStatus {
@@ -165,14 +165,14 @@
     Granted = 1,
     /// A higher proposal was promised.
     Rejected = 2,
-    /// The disk did not take the write.
+    /// The write to disk failed.
     StorageUnavailable = 3,
 }
 
 /// A voter's response.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct VoterResponse {
-    /// What came of the request.
+    /// The result, a [`ResponseStatus`].
     #[prost(enumeration = "ResponseStatus", tag = "1")]
     pub status: i32,
     /// The voter's own [`VoterId::disk_id`].
@@ -181,24 +181,24 @@
     /// The highest proposal promised.
     #[prost(message, required, tag = "4")]
     pub promised: ProposalNumber,
-    /// The proposal in which the record it holds was accepted; zero if it holds none.
+    /// The proposal in which the stored record was accepted; zero if there is none.
     #[prost(message, required, tag = "5")]
     pub accepted: ProposalNumber,
-    /// It learned the record from another process and has not voted for it.
+    /// Whether the record was learned from another process, without a vote for it.
     #[prost(bool, tag = "6")]
     pub adopted: bool,
-    /// The edition of the record it holds.
+    /// The edition of the stored record; 0 if there is none.
     #[prost(uint64, tag = "7")]
     pub edition: u64,
-    /// The record, where it is newer than what the caller knows.
+    /// The record, if it is newer than the one the caller knows.
     #[prost(message, optional, tag = "8")]
     pub record: Option<Record>,
-    /// [`VoterConfiguration::proposed_in`] of the record it holds.
+    /// [`VoterConfiguration::proposed_in`] of the stored record.
     #[prost(message, required, tag = "10")]
     pub configuration_proposed_in: ProposalNumber,
 }
 
-/// Asks a process of the store who the voters are.
+/// Asks a store process for the voters it knows of.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct LocalStateRequest {
     /// A record accepted in this proposal or before it need not be sent.
@@ -206,10 +206,10 @@
     pub known: ProposalNumber,
 }
 
-/// Who the voters are, as far as one process of the store knows.
+/// The voters that one store process knows of: the founders, and the record that names later ones.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LocalState {
-    /// Addresses of the founders, which vote where no record names the voters; empty if unknown.
+    /// Addresses of the founders, which are the voters if no record names any; empty if unknown.
     #[prost(string, repeated, tag = "1")]
     pub founders: Vec<String>,
     /// Addresses of further processes to ask.
@@ -218,22 +218,22 @@
     /// The process's own [`VoterId::disk_id`].
     #[prost(uint64, tag = "5")]
     pub disk_id: u64,
-    /// The proposal in which the record it holds was accepted.
+    /// The proposal in which the stored record was accepted.
     #[prost(message, required, tag = "6")]
     pub accepted: ProposalNumber,
-    /// The record, where it is newer than what the caller knows.
+    /// The record, if it is newer than the one the caller knows.
     #[prost(message, optional, tag = "7")]
     pub record: Option<Record>,
-    /// Its disk takes no writes, so it grants nothing now.
+    /// Whether its last write to disk failed, so that it grants no requests.
     #[prost(bool, tag = "8")]
     pub unable: bool,
 }
 
-/// What a voter keeps on its disk besides the record. The layout before this one had the voter's index, its incarnation
-/// and the others' incarnations in tags 2 to 4: such a voter is a founder, with the disk id 0.
+/// The state that a voter keeps on disk besides the record. The previous layout had the voter's index, its incarnation
+/// and the incarnations of the others in tags 2 to 4: such a voter is a founder, with the disk id 0.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PersistentState {
-    /// Addresses of the founders, if it is one of them.
+    /// Addresses of the founders, if this voter is one of them; empty otherwise.
     #[prost(string, repeated, tag = "1")]
     pub founders: Vec<String>,
     /// The highest proposal promised.
--- a/crates/config-store/src/peek.rs
+++ b/crates/config-store/src/peek.rs
@@ -1,11 +1,11 @@
-//! What the voters' responses to a [`Peek`](crate::messages::Peek) say together: whether a majority has accepted the same
-//! proposal, which is then chosen.
+//! Quorum reads: from the responses to a [`Peek`](crate::messages::Peek), determines whether a majority has accepted
+//! the same proposal, which is then chosen.
 
 use crate::guard::{is_disabled, Guard};
 use crate::messages::{ProposalNumber, ResponseStatus, VoterConfiguration, VoterId, VoterResponse};
 use std::collections::BTreeMap;
 
-/// The response granted by this very voter: not one of another disk of its machine.
+/// Returns the response if it was granted by this voter, and not with another disk of the same machine.
 pub(crate) fn granted_by<'a>(
     responses: &'a BTreeMap<String, VoterResponse>,
     voter: &VoterId,
@@ -16,20 +16,20 @@
     (same_disk(response) && response.status() == ResponseStatus::Granted).then_some(response)
 }
 
-/// What the responses to a peek say.
+/// Summary of the responses to a peek.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeekSummary {
-    /// The proposal that a majority has accepted, otherwise the highest accepted by any.
+    /// The proposal that a majority has accepted, otherwise the highest that any voter has accepted.
     pub proposal: ProposalNumber,
-    /// Its edition.
+    /// The edition of the record accepted in `proposal`.
     pub edition: u64,
-    /// Whether a majority has accepted it: its record is chosen, and nothing newer was before the first voter was asked.
+    /// Whether a majority has accepted it: its record is chosen, and no newer one was when the first voter was asked.
     pub agreed: bool,
-    /// The highest round promised to anyone.
+    /// The highest round promised to any proposer.
     pub highest_round: u64,
 }
 
-/// Summarizes responses of the voters in `configuration`; `None` below a majority of them.
+/// Summarizes the responses of the voters in `configuration`; `None` without a majority of them.
 pub fn summarize_peek(
     configuration: &VoterConfiguration,
     responses: &BTreeMap<String, VoterResponse>,
@@ -53,7 +53,8 @@
     })
 }
 
-/// Whether a majority has accepted this proposal. Only a record with this very configuration is theirs to choose.
+/// Returns whether a majority has accepted this proposal. Only acceptances of a record with this same configuration
+/// count: voters that have been replaced may all hold a record of a later configuration, which they cannot choose.
 fn is_chosen(
     proposal: ProposalNumber,
     configuration: &VoterConfiguration,
--- a/crates/config-store/src/proposer.rs
+++ b/crates/config-store/src/proposer.rs
@@ -1,9 +1,9 @@
-//! The proposer of Paxos: one operation on the register, over as many rounds as it takes. No I/O and no clock: events in,
-//! [`Action`]s out.
+//! The Paxos proposer: one operation on the register, over as many rounds as it needs. No I/O and no clock: it takes
+//! events and returns [`Action`]s.
 //!
-//! A round has two phases. In the first the voters are asked to promise (prepare), in the second to accept a record. The
-//! caller sends what an action names to [`Operation::recipients`] and hands each response in, with the
-//! [`PhaseId`] of the phase in which it was asked.
+//! A round has two phases: first the voters are asked for a promise (prepare), then to accept a record. The caller
+//! sends the request of an action to [`Operation::recipients`] and passes each response to
+//! [`Operation::on_response`], with the [`PhaseId`] of the phase in which the request was sent.
 
 use crate::guard::{is_disabled, Guard};
 pub use crate::known_record::KnownRecord;
@@ -16,39 +16,39 @@
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an operation is for.
+/// The purpose of an operation.
 #[derive(Debug)]
 pub enum Task<F> {
     /// Reads the newest value.
     Read,
-    /// Changes the value by this function, which may be called several times.
+    /// Changes the value with this function, which may be called several times.
     Change(F),
     /// Changes the voters.
     ChangeVoters(VoterChange),
 }
 
-/// What an operation came to.
+/// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome<R> {
-    /// Edition and value that a majority has accepted. For a change, those it made, even if later ones have followed;
-    /// for a read, the newest.
+    /// Edition and value that a majority has accepted. A change returns the ones it made, even if later changes have
+    /// followed; a read returns the newest.
     Chosen(u64, Option<Bytes>),
-    /// The function rejected the newest value; nothing of this operation is or will be chosen.
+    /// The function rejected the newest value; no change of this operation is or will be chosen.
     Rejected(R),
-    /// More editions have followed than [`Record::lineage`] names: the change may or may not be among them.
+    /// More editions have followed than [`Record::lineage`] lists: the change may or may not be among them.
     Unknown,
 }
 
-/// What the caller does next.
+/// The next step of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action<R> {
     /// Wait for more responses.
     Wait,
-    /// Send this to [`Operation::recipients`].
+    /// Send this prepare request to [`Operation::recipients`].
     Prepare(Prepare),
-    /// Send this to [`Operation::recipients`].
+    /// Send this accept request to [`Operation::recipients`].
     Accept(Accept),
-    /// This round has failed: wait for a random time, then call [`Operation::begin_round`].
+    /// The round has failed: wait for a random time, then call [`Operation::begin_round`].
     BackOff,
     /// The operation is complete.
     Done(Outcome<R>),
@@ -70,24 +70,25 @@
     value: Bytes,
 }
 
-/// What is reported once the proposed record is chosen.
+/// The outcome to report once the proposed record is chosen.
 enum Goal<R> {
+    /// Edition and value of this operation's change.
     Made(u64, Bytes),
     Read,
     Reject(R),
-    /// Nothing yet: one step of a change of the voters.
+    /// No outcome yet: the record is one step of a change of the voters.
     ConfigurationStep,
 }
 
-/// One operation, over as many rounds as it takes.
+/// One operation, over as many rounds as it needs.
 pub struct Operation<F, R> {
     task: Task<F>,
     proposer_id: u64,
     founders: VoterConfiguration,
-    /// The highest round seen anywhere; the next round of this proposer is higher.
+    /// The highest round seen from any proposer; the next round of this one is higher.
     highest_round: u64,
     known: KnownRecord,
-    /// The record of this proposal is certainly chosen.
+    /// The proposal of this operation whose record a majority has accepted.
     chosen_in: Option<ProposalNumber>,
     phase_id: PhaseId,
     recipients: Vec<String>,
@@ -104,8 +105,9 @@
 where
     F: Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, R>,
 {
-    /// An operation of the proposer `proposer_id`, which differs between incarnations and runs one operation at a time.
-    /// `founders` are the voters where no record names any; `highest_round` is the highest round the proposer has seen.
+    /// Creates an operation of the proposer `proposer_id`, which differs between incarnations and runs one operation
+    /// at a time. `founders` are the voters if no record names any; `highest_round` is the highest round the proposer
+    /// has seen.
     pub fn new(
         task: Task<F>,
         proposer_id: u64,
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Begins a round: the first one, or the next after a back-off.
+    /// Begins the first round, or the next one after a back-off.
     pub fn begin_round(&mut self) -> Action<R> {
         self.highest_round += 1;
         let mut recipients = self.known.configuration(&self.founders).addresses();
@@ -145,27 +147,28 @@
         Action::Prepare(Prepare { proposal, known: self.known.proposal })
     }
 
-    /// Addresses that the current phase's request goes to.
+    /// Returns the addresses to which the request of the current phase is sent.
     pub fn recipients(&self) -> &[String] {
         &self.recipients
     }
 
-    /// The phase whose responses are taken now.
+    /// Returns the current phase; responses of other phases are not counted.
     pub fn phase_id(&self) -> PhaseId {
         self.phase_id
     }
 
-    /// The newest record seen.
+    /// Returns the newest record seen.
     pub fn known(&self) -> &KnownRecord {
         &self.known
     }
 
-    /// The highest round seen.
+    /// Returns the highest round seen.
     pub fn highest_round(&self) -> u64 {
         self.highest_round
     }
 
-    /// Whether, if it were given up now, its change may have been chosen or may be chosen yet.
+    /// Returns whether this operation has proposed a change, which may then be chosen even if the operation is
+    /// abandoned.
     pub fn may_be_chosen(&self) -> bool {
         !self.attempts.is_empty()
     }
@@ -178,7 +181,7 @@
         self.is_waiting = true;
     }
 
-    /// A voter's response in the phase `phase_id`.
+    /// Handles a voter's response in the phase `phase_id`.
     pub fn on_response(&mut self, phase_id: PhaseId, voter: &str, response: VoterResponse) -> Action<R> {
         self.highest_round = self.highest_round.max(response.promised.round);
         self.known.learn(&response);
@@ -193,7 +196,7 @@
         self.evaluate()
     }
 
-    /// No response will come from this voter in the phase `phase_id`.
+    /// Records that no response will come from this voter in the phase `phase_id`.
     pub fn on_failure(&mut self, phase_id: PhaseId, voter: &str) -> Action<R> {
         if phase_id != self.phase_id || !self.is_waiting {
             return Action::Wait;
@@ -202,7 +205,7 @@
         self.evaluate()
     }
 
-    /// The time for the current phase is over.
+    /// Ends the current phase, whose time is up.
     pub fn on_timeout(&mut self) -> Action<R> {
         if !self.is_waiting {
             return Action::Wait;
@@ -211,8 +214,8 @@
         Action::BackOff
     }
 
-    /// The voters whose majority is needed: those of the newest record seen, and in the second phase those of the
-    /// proposed record itself.
+    /// Returns the voters whose majority is needed: those of the newest record seen, or in the second phase those of
+    /// the proposed record itself.
     fn configuration(&self) -> &VoterConfiguration {
         match &self.proposed {
             Some(record) if self.phase_id.accepting => {
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Decides whether the phase has its majority, can still get one, or has failed.
+    /// Decides whether the phase has its majority, may still get one, or has failed.
     fn evaluate(&mut self) -> Action<R> {
         let has_granted = |voter: &VoterId| granted_by(&self.granted, voter).is_some();
         if self.configuration().quorum(has_granted) {
@@ -235,13 +238,13 @@
         self.is_waiting = false;
         let was_asked = |voter: &VoterId| self.recipients.contains(&voter.address);
         if !self.phase_id.accepting && !self.configuration().quorum(was_asked) {
-            // Other voters are in force now, and have not been asked.
+            // A response brought a newer configuration, whose voters have not been asked yet.
             return self.begin_round();
         }
         Action::BackOff
     }
 
-    /// A majority has promised: propose a new record, or complete the newest one.
+    /// After a majority has promised: proposes a new record, or completes the newest one.
     fn on_promised(&mut self) -> Action<R> {
         let is_chosen = self.is_known_record_chosen();
         let goal = match self.find_own_attempt() {
@@ -256,14 +259,14 @@
                         Ok(value) => return self.propose_value(value.into()),
                     }
                 }
-                // Other voters are proposed only after a configuration that is chosen.
+                // A new configuration is proposed only once the current one is chosen.
                 Task::ChangeVoters(change) if is_chosen || is_disabled(Guard::ChosenBeforeNext) => {
                     match change.next(self.configuration()) {
                         None => Goal::Read,
                         Some(next) if self.has_quorum_of(change, &next) => {
                             return self.propose_configuration(next)
                         }
-                        // More may respond yet.
+                        // More voters may still respond.
                         Some(_) => return self.wait_for_more(),
                     }
                 }
@@ -273,14 +276,14 @@
         if is_chosen {
             return self.finish(goal);
         }
-        // A value may be reported only once it is chosen: the same record is proposed again in this round.
+        // A value may be reported only once it is chosen, so the same record is proposed again in this round.
         let Some(record) = self.known.record.clone() else { return Action::BackOff };
         self.goal = Some(goal);
         self.send_accept(record)
     }
 
-    /// Whether the newest record is chosen already: all of a majority accepted it in the same proposal. (A newer record
-    /// that is known from elsewhere was properly proposed in its round, so it may be built on as well.)
+    /// Returns whether the newest record is chosen already: a majority has accepted it in the same proposal. A newer
+    /// record learned outside this phase was proposed according to the protocol, so it is a valid base as well.
     fn is_known_record_chosen(&self) -> bool {
         let proposal = self.known.proposal;
         let has_accepted = |voter: &VoterId| {
@@ -290,9 +293,9 @@
         self.chosen_in == Some(proposal) || self.configuration().quorum(has_accepted)
     }
 
-    /// Whether a majority of the next voters has responded: without one, nothing more could be agreed after this step.
-    /// An added voter must be among them, with a promise that its disk has taken: otherwise it would be one voter more
-    /// and one vote less.
+    /// Returns whether a majority of the next voters has responded: without one, nothing more could be agreed on after
+    /// this step. An added voter must be among them, with a promise that is durable on its disk: otherwise the change
+    /// would raise the size of a majority without adding a working voter.
     fn has_quorum_of(&self, change: &VoterChange, next: &VoterConfiguration) -> bool {
         let has_responded = |voter: &VoterId| granted_by(&self.granted, voter).is_some();
         let added_has_responded = match change {
@@ -311,7 +314,7 @@
         }
     }
 
-    /// Whether this recipient has not responded yet.
+    /// Returns whether this recipient was asked and has neither responded nor failed.
     fn is_pending(&self, address: &String) -> bool {
         self.recipients.contains(address)
             && !self.granted.contains_key(address)
@@ -324,7 +327,10 @@
         self.send_accept(Record { configuration, ..self.known.record.clone().unwrap_or_default() })
     }
 
-    /// The edition that an earlier round of this operation made, if the newest record descends from it.
+    /// Returns the edition that an earlier round of this operation made, if the newest record descends from it.
+    ///
+    /// # Errors
+    /// [`LineageTooShort`] if the lineage does not reach back far enough to tell.
     fn find_own_attempt(&self) -> Result<Option<Goal<R>>, LineageTooShort> {
         let Some(record) = &self.known.record else { return Ok(None) };
         for attempt in &self.attempts {
@@ -359,7 +365,7 @@
         Action::Accept(Accept { proposal, record })
     }
 
-    /// A majority has accepted: the proposed record is chosen.
+    /// Records that a majority has accepted, so the proposed record is chosen, and goes on to the next step.
     fn on_accepted(&mut self) -> Action<R> {
         if self.phase_id.proposal > self.known.proposal {
             self.known = KnownRecord { proposal: self.phase_id.proposal, record: self.proposed.take() };
--- a/crates/config-store/src/storage.rs
+++ b/crates/config-store/src/storage.rs
@@ -1,7 +1,7 @@
 //! A voter's file: one durable commit for each batch of requests.
 //!
-//! A file under its name was complete once: a new one is written beside it and renamed. So a file that exists and cannot be
-//! read is damaged, and a voter that finds it so has lost its disk.
+//! A new file is written under a temporary name and renamed once it is complete. So a file that exists and cannot be
+//! read is damaged, and a voter with a damaged file counts as one that has lost its disk.
 
 use crate::messages::{PersistentState, Record};
 use prost::Message;
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-// Names of files, table and keys are fixed: a voter reads the file of the version before.
+// Names of files, table and keys are fixed: a voter reads the file written by the previous version.
 const FILE_NAME: &str = "promptbook.redb";
 const TEMPORARY_FILE: &str = "promptbook.redb.new";
 const DAMAGED_FILE: &str = "promptbook.redb.damaged";
@@ -23,26 +23,26 @@
 const RECORD_KEY: &str = "record";
 /// Size of the page cache, in bytes.
 const CACHE_BYTES: usize = 4 << 20;
-/// No write is tried for this long after one that failed.
+/// After a failed write, no further one is attempted for this long.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 quick_error! {
-    /// Why the disk did not do something.
+    /// An error of a voter's file.
     #[derive(Debug)]
     pub enum DiskError {
-        /// It refuses now, and may take it later.
+        /// The operation failed now and may succeed later.
         Refused(error: io::Error) {
             from()
             source(error)
-            display("the disk refuses: {}", error)
+            display("disk I/O failed: {}", error)
         }
         /// The file is damaged.
         Damaged(what: String) {
             display("the file is damaged: {}", what)
         }
-        /// It refused a moment ago, and was not asked again.
+        /// An earlier write failed a moment ago, so this one was not attempted.
         RecentlyFailed {
-            display("the disk refused a moment ago")
+            display("the last write to disk failed a moment ago")
         }
     }
 }
@@ -57,13 +57,13 @@
         redb::Error::DatabaseAlreadyOpen => {
             DiskError::Refused(io::Error::new(ErrorKind::WouldBlock, "another process has it open"))
         }
-        redb::Error::PreviousIo => DiskError::Refused(io::Error::other("it failed before")),
-        redb::Error::LockPoisoned(_) => DiskError::Refused(io::Error::other("it failed before")),
+        redb::Error::PreviousIo => DiskError::Refused(io::Error::other("an earlier operation failed")),
+        redb::Error::LockPoisoned(_) => DiskError::Refused(io::Error::other("an earlier operation failed")),
         error => DiskError::Damaged(error.to_string()),
     }
 }
 
-/// A file whose new length is durable before anything is written that relies on it.
+/// A file whose new length is made durable before any data is written beyond the old length.
 #[derive(Debug)]
 struct Backend(File);
 
@@ -100,21 +100,21 @@
     build(Backend(file))
 }
 
-/// The result of `work`; `None` if it panics.
+/// Returns the result of `work`; `None` if it panics.
 fn catch_panic<T>(work: impl FnOnce() -> T) -> Option<T> {
     catch_unwind(AssertUnwindSafe(work)).ok()
 }
 
 fn build(backend: impl StorageBackend) -> Result<Database, DiskError> {
-    // The library checks the file's format by assertions in places. Of its two formats only the third version was
-    // readable after each of some thousand losses of power in the tests; commits of the second panic after some.
+    // The library checks the file format partly with assertions, so a damaged file may cause a panic. Only version 3 of
+    // the format stayed readable in some thousand simulated power losses; with version 2, commits panicked after some.
     let opened = catch_panic(|| {
         let mut builder = Builder::new();
         builder.set_cache_size(CACHE_BYTES).create_with_file_format_v3(true);
         builder.create_with_backend(backend)
     });
     opened.map_or_else(
-        || Err(DiskError::Damaged("its form is broken".into())),
+        || Err(DiskError::Damaged("its format is invalid".into())),
         |opened| opened.map_err(refused),
     )
 }
@@ -131,7 +131,7 @@
     transaction.commit().map_err(refused)
 }
 
-/// What a file holds.
+/// The content of a voter's file.
 struct Loaded {
     state: PersistentState,
     record: Option<Record>,
@@ -145,16 +145,16 @@
     };
     let damaged = |error: prost::DecodeError| DiskError::Damaged(error.to_string());
     let state =
-        get(STATE_KEY).map_err(refused)?.ok_or_else(|| DiskError::Damaged("it holds no state".into()))?;
+        get(STATE_KEY).map_err(refused)?.ok_or_else(|| DiskError::Damaged("it contains no state".into()))?;
     let state = PersistentState::decode(&state[..]).map_err(damaged)?;
     let record = get(RECORD_KEY).map_err(refused)?;
     let record = record.map(|record| Record::decode(&record[..])).transpose().map_err(damaged)?;
     Ok(Loaded { state, record })
 }
 
-/// A voter's file that was opened, and what it holds.
+/// An opened voter's file and its content.
 pub struct OpenedState {
-    /// Writes to it.
+    /// Writer of the file.
     pub writer: Box<dyn StateWriter>,
     /// The acceptor's state.
     pub state: PersistentState,
@@ -162,51 +162,51 @@
     pub record: Option<Record>,
 }
 
-/// Where a voter's file lies: a folder, or what stands for one in a simulation.
+/// The location of a voter's file: a folder, or its replacement in a simulation.
 pub trait StorageLocation {
-    /// Opens the file; `None` if there is none.
+    /// Opens the file. Returns `None` if there is none.
     ///
     /// # Errors
-    /// [`DiskError::Damaged`] if it cannot be read, [`DiskError::Refused`] if the disk refuses now.
+    /// [`DiskError::Damaged`] if its content is invalid, [`DiskError::Refused`] if the disk fails now.
     fn open(&self) -> Result<Option<OpenedState>, DiskError>;
-    /// Creates the file with this content. Once this returns it is durable.
+    /// Creates the file with this content, which is durable on return.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// When the disk fails.
     fn create(
         &self,
         state: &PersistentState,
         record: Option<&Record>,
     ) -> Result<Box<dyn StateWriter>, DiskError>;
-    /// Whether a damaged file was set aside here: then this machine has been a voter before.
+    /// Returns whether a damaged file was set aside here, which shows that this machine has been a voter before.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// When the disk fails.
     fn was_set_aside(&self) -> Result<bool, DiskError>;
     /// Renames a damaged file, so that a new one can be created.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// When the disk fails.
     fn set_aside(&self) -> Result<(), DiskError>;
-    /// The content of a file that an operator has put beside the voter's.
+    /// Returns the content of a file that an operator has put beside the voter's file; `None` if there is none.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// When the disk fails.
     fn operator_file(&self, name: &str) -> Result<Option<String>, DiskError>;
-    /// Removes such a file durably; whether it existed.
+    /// Removes an operator's file durably. Returns whether it existed.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// When the disk fails.
     fn remove_operator_file(&self, name: &str) -> Result<bool, DiskError>;
 }
 
 /// Writes to a voter's file.
 pub trait StateWriter {
-    /// Makes the state durable, and the record if `record_changed`. After an error either may be durable or not; the next
-    /// write creates the file again from all of it.
+    /// Makes the state durable, and the record if `record_changed`. After an error each of them may be durable or
+    /// not; the next write creates the file again from both.
     ///
     /// # Errors
-    /// When the disk refuses, or has refused a moment ago.
+    /// When the disk fails, or failed less than [`WRITE_RETRY_DELAY`] ago.
     fn write(
         &mut self,
         state: &PersistentState,
@@ -251,21 +251,21 @@
     }
 }
 
-/// A voter's file.
+/// A voter's file in a folder.
 #[derive(Debug)]
 pub struct StateFile {
     folder: PathBuf,
-    /// `None` after a failed write: the next one creates the file again.
+    /// `None` after a failed write, so that the next one creates the file again.
     database: Option<Database>,
-    /// No write is tried before this.
+    /// The earliest time of the next write after a failed one.
     retry_at: Option<Instant>,
 }
 
 impl StateFile {
-    /// Opens the file in `folder`; `None` if there is none.
+    /// Opens the file in `folder`. Returns `None` if there is none.
     ///
     /// # Errors
-    /// [`DiskError::Damaged`] if it cannot be read, [`DiskError::Refused`] if the disk refuses now.
+    /// [`DiskError::Damaged`] if its content is invalid, [`DiskError::Refused`] if the disk fails now.
     pub fn open(folder: &Path) -> Result<Option<OpenedState>, DiskError> {
         let path = folder.join(FILE_NAME);
         if !path.try_exists()? {
@@ -273,15 +273,15 @@
         }
         let database = open(&path, false)?;
         let Loaded { state, record } = catch_panic(|| load(&database))
-            .unwrap_or_else(|| Err(DiskError::Damaged("what it holds is broken".into())))?;
+            .unwrap_or_else(|| Err(DiskError::Damaged("its content is invalid".into())))?;
         let file = StateFile { folder: folder.to_owned(), database: Some(database), retry_at: None };
         Ok(Some(OpenedState { writer: Box::new(file), state, record }))
     }
 
-    /// Creates the file in `folder`, with this content. Once this returns it is durable.
+    /// Creates the file in `folder` with this content, which is durable on return.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// When the disk fails.
     pub fn create(
         folder: &Path,
         state: &PersistentState,
@@ -309,11 +309,11 @@
         }
         let written = match &self.database {
             Some(database) => catch_panic(|| commit(database, state, record.filter(|_| record_changed)))
-                .unwrap_or_else(|| Err(DiskError::Damaged("it cannot be written any more".into()))),
+                .unwrap_or_else(|| Err(DiskError::Damaged("the database panicked during a write".into()))),
             None => StateFile::create(&self.folder, state, record).map(|file| *self = file),
         };
         if written.is_err() {
-            // Closing the database writes as well, and may panic.
+            // Closing the database also writes, and may panic.
             let broken = self.database.take();
             catch_panic(|| drop(broken));
             self.retry_at = Some(Instant::now() + WRITE_RETRY_DELAY);
--- a/crates/config-store/src/voter.rs
+++ b/crates/config-store/src/voter.rs
@@ -1,6 +1,6 @@
-//! The process of the store on one core machine: opens its file, answers calls, and writes before it answers.
+//! The store process of one core machine: opens its file, answers requests, and makes its state durable before it does.
 //!
-//! [`crate::voter_maintenance`] adds this machine to the voters and removes those that are gone.
+//! [`crate::voter_maintenance`] adds this machine to the voters and removes voters that are permanently lost.
 
 use crate::acceptor::{Acceptor, RequiredWrite};
 use crate::known_record::KnownRecord;
@@ -22,21 +22,21 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// Name of the file by which an operator has the founders in it found the register anew (`docs/operators/core.md`).
+/// Name of the file in which an operator lists the founders, to found the register again (`docs/operators/core.md`).
 pub(crate) const FOUND_AGAIN: &str = "found-again";
 
-/// What a process of the store has to be told.
+/// Configuration of a store process.
 #[derive(Clone, Debug)]
 pub struct VoterOptions {
-    /// Where it listens; voters are named by this address.
+    /// The address it listens at, which also identifies it as a voter.
     pub address: SocketAddr,
-    /// Known processes of the store, with the same port.
+    /// Addresses of known store processes, with the same port.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole system: the seeds are the founders.
+    /// Whether this is the first start of the whole system, so that the seeds are the founders.
     pub first_start: bool,
-    /// Folder of its file.
+    /// Folder of the voter's file.
     pub folder: PathBuf,
-    /// How many machines the platform may take away at once.
+    /// The number of machines that the platform may stop at once.
     pub tolerated_failures: usize,
 }
 
@@ -44,35 +44,40 @@
 pub(crate) enum QueuedRequest {
     Prepare(Prepare),
     Accept(Accept),
-    /// From this process itself: store a record learned from others, and write in any case.
+    /// From this process itself: stores a record learned from others, if it is newer. The state is written in any case,
+    /// which shows whether writes succeed.
     Adopt(KnownRecord),
 }
 
-/// What the process holds, in memory and on disk.
+/// The acceptor in memory and the writer of its file.
 pub(crate) struct VoterState {
     pub(crate) acceptor: Acceptor,
     writer: Box<dyn StateWriter>,
 }
 
-/// The process, without its sockets.
+/// A store process, without its sockets.
 pub struct Voter {
     pub(crate) address: SocketAddr,
     pub(crate) seeds: RefCell<Vec<SocketAddr>>,
     pub(crate) state: RefCell<VoterState>,
     pending: RefCell<Vec<(QueuedRequest, oneshot::Sender<VoterResponse>)>>,
     has_pending: Notify,
-    /// The last write failed, so nothing is granted.
+    /// Whether the last write failed, so that no request is granted.
     pub(crate) is_storage_failing: Cell<bool>,
-    /// The set of voters may have changed: check it at once.
+    /// Notified when the set of voters may have changed, so that it is checked at once.
     pub(crate) membership_changed: Notify,
     pub(crate) tolerated_failures: usize,
 }
 
+/// Formats each address as `ip:port`.
 pub(crate) fn names(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(ToString::to_string).collect()
 }
 
-/// The founders that the operator names for founding the register anew.
+/// Returns the founders that the operator lists in [`FOUND_AGAIN`]; `None` if there is no such file.
+///
+/// # Errors
+/// When the file cannot be read, does not list this machine's address, or lies beside a damaged voter file.
 fn operator_named_founders(
     location: &dyn StorageLocation,
     options: &VoterOptions,
@@ -87,29 +92,30 @@
     let refused = |what: String| DiskError::Refused(std::io::Error::new(ErrorKind::InvalidInput, what));
     match founders {
         _ if location.was_set_aside()? => Err(refused(format!(
-            "{path}: a damaged file is beside it, so this machine has voted; take one away"
+            "{path}: the damaged file beside it shows that this machine has voted; remove one of the two"
         ))),
         Ok(founders) if founders.contains(&options.address) => Ok(Some(founders)),
         _ => Err(refused(format!(
-            "{path}: {text:?}; allowed: the addresses of all founders, {own} among them, as 10.0.0.4,10.0.0.5"
+            "{path}: {text:?}; expected the IP addresses of all founders, {own} among them, such as 10.0.0.4,10.0.0.5"
         ))),
     }
 }
 
 impl Voter {
-    /// Opens the file, or founds the register if this is the first start. A damaged file is set aside.
+    /// Opens the file, or creates it: as a founder if this is the first start, otherwise empty. A damaged file is
+    /// renamed and replaced by an empty one.
     ///
     /// # Errors
-    /// When the disk refuses now; the caller may try again.
+    /// When the disk fails, or the operator's file with the founders is invalid; the caller may try again.
     pub fn start(options: VoterOptions) -> Result<Rc<Voter>, DiskError> {
         let folder = options.folder.clone();
         Voter::start_at(&folder, options)
     }
 
-    /// As [`Voter::start`], with the file at this location.
+    /// Like [`Voter::start`], with the file at this location.
     ///
     /// # Errors
-    /// When the disk refuses now; the caller may try again.
+    /// Those of [`Voter::start`].
     pub fn start_at(location: &dyn StorageLocation, options: VoterOptions) -> Result<Rc<Voter>, DiskError> {
         let state = Voter::open_or_create(location, &options)?;
         Ok(Rc::new(Voter {
@@ -129,7 +135,7 @@
         options: &VoterOptions,
     ) -> Result<VoterState, DiskError> {
         match location.open() {
-            // Nothing was ever agreed with this disk.
+            // This disk has never accepted a record, so the operator's order to found again applies.
             Ok(Some(OpenedState { writer, state, record: None }))
                 if state.founders.is_empty() && operator_named_founders(location, options)?.is_some() =>
             {
@@ -151,23 +157,23 @@
         let OpenedState { writer, state, record } = opened;
         let edition = record.as_ref().map_or(0, |record| record.edition);
         let Some(acceptor) = Acceptor::restored(state, record) else {
-            return Voter::replace_damaged(location, options, "what it holds does not fit together");
+            return Voter::replace_damaged(location, options, "its state and record contradict each other");
         };
-        info!("store: Has its file, at edition {edition}.");
+        info!("store: opened the file, at edition {edition}");
         if location.remove_operator_file(FOUND_AGAIN)? {
-            warn!("store: Does not follow {FOUND_AGAIN}: this machine holds its vote.");
+            warn!("store: ignored and removed {FOUND_AGAIN}: this machine still has its voter file");
         }
         Ok(VoterState { acceptor, writer })
     }
 
-    /// Creates the file: a founder's at the first start, otherwise that of a disk that has never voted.
+    /// Creates the file: a founder's at the first start or by the operator's order, otherwise one with a new disk id.
     fn create(location: &dyn StorageLocation, options: &VoterOptions) -> Result<VoterState, DiskError> {
         let seeds: BTreeSet<SocketAddr> = options.seeds.iter().copied().collect();
         let is_first_start = options.first_start && !location.was_set_aside()?;
-        // The operator's order to found anew holds for one disk, once.
+        // The operator's order to found again applies to one disk, once: its file is removed below.
         let ordered = operator_named_founders(location, options)?;
         if ordered.is_some() {
-            warn!("store: Founds the register anew, as {FOUND_AGAIN} says.");
+            warn!("store: founding the register again, as ordered by {FOUND_AGAIN}");
         }
         let is_founder = is_first_start && seeds.contains(&options.address);
         let acceptor = match ordered.or(is_founder.then_some(seeds)) {
@@ -177,23 +183,24 @@
         let writer = location.create(acceptor.state(), None)?;
         location.remove_operator_file(FOUND_AGAIN)?;
         match acceptor.state().founders.len() {
-            0 => info!("store: Begins with an empty disk."),
-            founders => info!("store: Founded with {founders} voters."),
+            0 => info!("store: started with an empty disk"),
+            founders => info!("store: founded with {founders} voters"),
         }
         Ok(VoterState { acceptor, writer })
     }
 
+    /// Sets the damaged file aside and creates an empty one.
     fn replace_damaged(
         location: &dyn StorageLocation,
         options: &VoterOptions,
         what: &str,
     ) -> Result<VoterState, DiskError> {
-        error!("store: The file is damaged and set aside: {what}.");
+        error!("store: the file is damaged and is set aside: {what}");
         location.set_aside()?;
         Voter::create(location, options)
     }
 
-    /// Answers calls, for [`oatbank_node_runtime::rpc::serve`].
+    /// Returns the request handler for [`oatbank_node_runtime::rpc::serve`].
     pub fn handler(self: &Rc<Voter>) -> Handler {
         let voter = self.clone();
         Rc::new(move |kind, body| voter.clone().handle(kind, body))
@@ -213,7 +220,7 @@
             kind::ACCEPT => Accept::decode(body).map(QueuedRequest::Accept),
             _ => return ready(Vec::new()),
         };
-        // What cannot be decoded is answered with an empty response: its status is `Unreadable`.
+        // The empty response to a request that cannot be decoded has the status `Unreadable`.
         let Ok(request) = request else { return ready(Vec::new()) };
         let response = self.enqueue(request);
         Box::pin(async move { response.await.unwrap_or_default().encode_to_vec() })
@@ -235,7 +242,7 @@
         receiver
     }
 
-    /// Answers queued requests, without end. All that are queued share one write.
+    /// Answers queued requests and never returns. All requests that are queued at once share one write.
     pub async fn run(self: Rc<Voter>) {
         loop {
             self.has_pending.notified().await;
@@ -266,7 +273,7 @@
                     self.membership_changed.notify_one();
                 }
                 if required != RequiredWrite::Nothing && self.is_storage_failing.replace(false) {
-                    info!("store: The disk takes writes again.");
+                    info!("store: writes to disk succeed again");
                 }
                 for (response, sender) in responses {
                     let _ = sender.send(response);
@@ -274,7 +281,7 @@
             }
             Err(error) => {
                 if !self.is_storage_failing.replace(true) {
-                    error!("store: Gives no votes: {error}.");
+                    error!("store: grants no requests while writes to disk fail: {error}");
                 }
                 *acceptor = before;
                 for (_, sender) in responses {
@@ -284,22 +291,24 @@
         }
     }
 
-    /// Replaces the core machines to ask for the voters.
+    /// Replaces the addresses that are asked for the voters.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.borrow_mut() = seeds;
         self.membership_changed.notify_one();
     }
 
-    /// Who the voters are, as far as this process knows.
+    /// Returns the voters that this process knows of.
     pub(crate) fn local_state(&self) -> LocalState {
         let request = LocalStateRequest { known: ProposalNumber::default() };
         self.state.borrow().acceptor.local_state(&request, Vec::new())
     }
 
+    /// Returns the proposal in which the stored record was accepted.
     pub(crate) fn accepted(&self) -> ProposalNumber {
         self.state.borrow().acceptor.state().accepted
     }
 
+    /// Returns the identity of this machine with its current disk.
     pub(crate) fn voter_id(&self) -> VoterId {
         let disk_id = self.state.borrow().acceptor.state().disk_id;
         VoterId { address: self.address.to_string(), disk_id }
--- a/crates/config-store/src/voter_change.rs
+++ b/crates/config-store/src/voter_change.rs
@@ -1,5 +1,5 @@
-//! Changes of the voters, by joint consensus: every change is first chosen by a majority of the outgoing and of the next
-//! voters, and only then do the next voters decide alone.
+//! Voter changes by joint consensus: a change is first chosen by a majority of the outgoing voters and one of the next
+//! voters; only then do the next voters decide alone.
 
 use crate::guard::{is_disabled, Guard};
 use crate::messages::{ProposalNumber, VoterConfiguration, VoterId, MAX_VOTERS};
@@ -7,15 +7,15 @@
 /// A change of the voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterChange {
-    /// Adds a voter, in place of any earlier disk of its machine.
+    /// Adds a voter, which replaces any earlier disk of the same machine.
     AddVoter(VoterId),
-    /// Removes these voters, if the configuration is still the one proposed with this number.
+    /// Removes these voters, if the current configuration is the one proposed with this number.
     RemoveVoters(Vec<VoterId>, ProposalNumber),
 }
 
 impl VoterChange {
-    /// The configuration to propose after `configuration`, which must be chosen; `None` if the change is complete or no
-    /// longer applies.
+    /// Returns the configuration to propose after `configuration`, which must be chosen; `None` if the change is
+    /// complete or no longer applies.
     pub fn next(&self, configuration: &VoterConfiguration) -> Option<VoterConfiguration> {
         if configuration.is_changing() {
             let voters = configuration.voters.clone();
--- a/crates/config-store/src/voter_maintenance.rs
+++ b/crates/config-store/src/voter_maintenance.rs
@@ -1,5 +1,5 @@
-//! Keeps the set of voters in shape from one core machine: asks to become a voter, removes voters that are gone, and
-//! leaves before a planned shutdown. The rules are those of [`crate::membership`].
+//! Maintains the set of voters from one core machine: asks to become a voter, removes voters that are permanently lost,
+//! and leaves before a planned shutdown. The rules are in [`crate::membership`].
 
 use crate::client::RegisterClient;
 use crate::known_record::KnownRecord;
@@ -16,24 +16,24 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// How long other processes may take to say who the voters are.
+/// How long other processes may take to answer with the voters they know of.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a change of the voters may take.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long each attempt to leave may take before a planned shutdown.
+/// How long each attempt to leave the voters before a planned shutdown may take.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(600);
-/// How many attempts to leave there are.
+/// The number of attempts to leave the voters.
 const LEAVE_ATTEMPTS: usize = 2;
 /// Mean wait between two attempts to become a voter.
 const JOIN_RETRY: Duration = Duration::from_millis(200);
 /// Wait between two checks of the voters.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// The same where removing an unreachable voter would help.
+/// Wait between two checks of the voters if removing an unreachable one would raise the tolerated losses.
 const CHECK_SOON_INTERVAL: Duration = Duration::from_millis(500);
-/// So many voters tolerate no loss more than one less.
+/// With this many voters or fewer a machine keeps its place at shutdown: fewer than three voters tolerate no loss.
 const SMALLEST_TOLERANT: usize = 3;
 
-/// What one machine remembers between two checks of the voters.
+/// The state that one machine keeps between two checks of the voters.
 struct Maintenance {
     voter: Rc<Voter>,
     this_voter: VoterId,
@@ -42,12 +42,12 @@
     liveness: LivenessTracker,
     changes: VoterChangeReporter,
     quorum_loss: QuorumLossReporter,
-    /// The proposal of the record held at the check before.
+    /// The proposal of the record stored at the previous check.
     accepted_before: ProposalNumber,
 }
 
 impl Voter {
-    /// Checks the voters again and again, without end: has this machine become one, and removes those that are gone.
+    /// Checks the voters periodically and never returns: makes this machine a voter, and removes lost ones.
     pub async fn maintain_voters(self: Rc<Voter>) {
         let mut maintenance = Maintenance {
             this_voter: self.voter_id(),
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Stops voting before a planned shutdown, if the others tolerate as many losses without this machine: what is
-    /// agreed is then on a majority of theirs. Otherwise its place is kept, as it may come back.
+    /// Removes this machine from the voters before a planned shutdown, if the others then tolerate as many losses as
+    /// with it: a majority of the others then has the agreed record. Otherwise it stays a voter, as it may come back.
     /// [`Voter::maintain_voters`] must have ended.
     pub async fn leave(&self) {
         let this_voter = self.voter_id();
@@ -91,7 +91,7 @@
             if removed.is_empty() && !configuration.is_changing() {
                 return;
             }
-            // A change that is under way is completed first.
+            // A change in progress is completed first.
             let change = VoterChange::RemoveVoters(removed.clone(), configuration.proposed_in);
             if client.change_voters(change, LEAVE_TIMEOUT).await && !removed.is_empty() {
                 info!(
@@ -105,9 +105,9 @@
 }
 
 impl Maintenance {
-    /// One check; how long to wait for the next, or `None` for none.
+    /// Checks the voters once. Returns how long to wait before the next check; `None` to check again at once.
     async fn check(&mut self) -> Option<Duration> {
-        // What this machine holds itself is a hint as good as any other's.
+        // This machine's own record is as good a hint at the voters as that of any other process.
         self.client.learn(&self.voter.local_state());
         let seeds = self.voter.seeds.borrow().clone();
         let states = self.client.discover_voters(&seeds, DISCOVERY_TIMEOUT).await;
@@ -123,7 +123,7 @@
         let mut wait = CHECK_INTERVAL;
         let wants_to_join = may_join(&configuration, &self.this_voter, &is_reachable);
         if configuration.voters.is_empty() || configuration.is_changing() || wants_to_join {
-            // Random, so that machines that join at the same moment do not collide each time.
+            // Random, so that machines that join at the same moment do not collide on every attempt.
             wait = JOIN_RETRY.mul_f64(0.5 + random_u64() as f64 / u64::MAX as f64);
             let can_join = !is_storage_failing && !configuration.voters.is_empty();
             let change = VoterChange::AddVoter(self.this_voter.clone());
@@ -140,13 +140,14 @@
         Some(wait)
     }
 
-    /// Whether the record on this machine's disk has this configuration.
+    /// Returns whether the record on this machine's disk has this configuration.
     fn holds(&self, configuration: &VoterConfiguration) -> bool {
         self.voter.state.borrow().acceptor.configuration_proposed_in() == configuration.proposed_in
     }
 
-    /// Stores the newest known record: before this machine asks to become a voter, and soon where others agreed without
-    /// it. While writes fail, one is tried with each check.
+    /// Stores the newest known record if this machine is not a voter yet, if the configuration has changed, or if its
+    /// own record is unchanged since the previous check while others have agreed on a newer one. While writes fail,
+    /// each check attempts one.
     async fn adopt_known_record(&mut self, configuration: &VoterConfiguration) {
         let is_voter = configuration.voters.contains(&self.this_voter);
         let holds_configuration = self.holds(configuration);
@@ -161,7 +162,7 @@
     }
 
     async fn remove(&mut self, removed: Vec<VoterId>, based_on: ProposalNumber) {
-        warn!("store: Silent for long, and votes no more: {}.", list_addresses(&removed));
+        warn!("store: removing unreachable voters: {}", list_addresses(&removed));
         let change = VoterChange::RemoveVoters(removed.clone(), based_on);
         if self.client.change_voters(change, CHANGE_TIMEOUT).await {
             self.liveness.record_removed(&removed);
@@ -174,7 +175,8 @@
     addresses.join(", ")
 }
 
-/// Whether a voter has just answered, with the disk that is named, and one that takes writes.
+/// Returns a function that tells whether a voter is reachable: it is this machine, or has just answered with the same
+/// disk id and without failing writes.
 fn reachable_in<'a>(
     states: &'a BTreeMap<SocketAddr, LocalState>,
     this_voter: &VoterId,
--- a/crates/config-store/src/voter_reporter.rs
+++ b/crates/config-store/src/voter_reporter.rs
@@ -1,4 +1,4 @@
-//! Log lines on the voters, each written once for each change.
+//! Log lines about the voters: one for each change, and repeated ones while no majority is reachable.
 
 use crate::messages::{ProposalNumber, VoterConfiguration, VoterId};
 use crate::voter::{names, FOUND_AGAIN};
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The voters have had no reachable majority for this long when it is first logged.
+/// The loss of the reachable majority is first logged after this time.
 const REPORT_LOSS_AFTER: Duration = Duration::from_secs(10);
-/// How often the loss is logged again.
+/// Interval at which the loss of the reachable majority is logged again.
 const REPORT_LOSS_EVERY: Duration = Duration::from_secs(60);
 
-/// Logs which voters are missing while no majority of them is reachable for long.
+/// Logs the unreachable voters while no majority has been reachable for [`REPORT_LOSS_AFTER`].
 #[derive(Default)]
 pub(crate) struct QuorumLossReporter {
     since: Option<Duration>,
@@ -38,7 +38,7 @@
         let seconds = lasts.as_secs();
         if configuration.voters.is_empty() {
             let seeds = names(seeds).join(", ");
-            warn!("store: For {seconds} s nobody says who votes, also none of {seeds}. If nothing was ever agreed, see {FOUND_AGAIN} in docs/operators/core.md.");
+            warn!("store: no voters known for {seconds} s, and none of the seeds {seeds} names any; if nothing was ever agreed on, see {FOUND_AGAIN} in docs/operators/core.md");
             return;
         }
         let outgoing = configuration.outgoing.iter().filter(|voter| !configuration.voters.contains(voter));
@@ -50,11 +50,11 @@
             .map(|voter| voter.address.as_str())
             .collect();
         let unreachable = unreachable.join(", ");
-        warn!("store: For {seconds} s no majority of the voters is there: {unreachable} are silent, or back without the disk that voted.");
+        warn!("store: no majority of the voters reachable for {seconds} s: {unreachable} do not answer, cannot write to disk, or have lost the disk they voted with");
     }
 }
 
-/// What was last logged of the voters.
+/// The configuration that was last logged.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Reported {
     proposed_in: ProposalNumber,
@@ -79,11 +79,11 @@
         let voters: Vec<&str> = configuration.voters.iter().map(|voter| voter.address.as_str()).collect();
         let voters = voters.join(", ");
         match (was_voter, is_voter) {
-            (None, true) => info!("store: Votes; the voters are {voters}."),
-            (Some(true), true) => info!("store: The voters are {voters} now."),
+            (None, true) => info!("store: is a voter; the voters are {voters}"),
+            (Some(true), true) => info!("store: the voters are now {voters}"),
             (Some(false), true) => info!("store: Is taken in and votes; the voters are {voters}."),
-            (Some(true), false) => warn!("store: Votes no more, and asks to be taken in again."),
-            (_, false) => info!("store: Does not vote yet; the voters are {voters}."),
+            (Some(true), false) => warn!("store: is no longer a voter, and asks to be added again"),
+            (_, false) => info!("store: is not a voter yet; the voters are {voters}"),
         }
     }
 }
