--- a/crates/config-store/src/storage.rs
+++ b/crates/config-store/src/storage.rs
@@ -37,8 +37,8 @@
             display("disk I/O failed: {}", error)
         }
         /// The file is damaged.
-        Damaged(what: String) {
-            display("the file is damaged: {}", what)
+        Damaged(reason: String) {
+            display("the file is damaged: {}", reason)
         }
         /// An earlier write failed a moment ago, so this one was not attempted.
         RecentlyFailed {
@@ -314,8 +314,8 @@
         };
         if written.is_err() {
             // Closing the database also writes, and may panic.
-            let broken = self.database.take();
-            catch_panic(|| drop(broken));
+            let failed_database = self.database.take();
+            catch_panic(|| drop(failed_database));
             self.retry_at = Some(Instant::now() + WRITE_RETRY_DELAY);
         }
         written
--- a/crates/config-store/src/voter.rs
+++ b/crates/config-store/src/voter.rs
@@ -23,7 +23,7 @@
 use tokio::sync::{oneshot, Notify};
 
 /// Name of the file in which an operator lists the founders, to found the register again (`docs/operators/core.md`).
-pub(crate) const FOUND_AGAIN: &str = "found-again";
+pub(crate) const FOUND_AGAIN_FILE: &str = "found-again";
 
 /// Configuration of a store process.
 #[derive(Clone, Debug)]
@@ -70,11 +70,11 @@
 }
 
 /// Formats each address as `ip:port`.
-pub(crate) fn names(addresses: &[SocketAddr]) -> Vec<String> {
+pub(crate) fn address_strings(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(ToString::to_string).collect()
 }
 
-/// Returns the founders that the operator lists in [`FOUND_AGAIN`]; `None` if there is no such file.
+/// Returns the founders that the operator lists in [`FOUND_AGAIN_FILE`]; `None` if there is no such file.
 ///
 /// # Errors
 /// When the file cannot be read, does not list this machine's address, or lies beside a damaged voter file.
@@ -82,14 +82,14 @@
     location: &dyn StorageLocation,
     options: &VoterOptions,
 ) -> Result<Option<BTreeSet<SocketAddr>>, DiskError> {
-    let Some(text) = location.operator_file(FOUND_AGAIN)? else { return Ok(None) };
-    let path = options.folder.join(FOUND_AGAIN);
+    let Some(text) = location.operator_file(FOUND_AGAIN_FILE)? else { return Ok(None) };
+    let path = options.folder.join(FOUND_AGAIN_FILE);
     let words = text.split([',', ' ', '\n']).filter(|word| !word.is_empty());
     let port = options.address.port();
     let founders: Result<BTreeSet<SocketAddr>, _> =
         words.map(|word| word.parse().map(|ip: IpAddr| SocketAddr::new(ip, port))).collect();
     let (path, own) = (path.display(), options.address.ip());
-    let refused = |what: String| DiskError::Refused(std::io::Error::new(ErrorKind::InvalidInput, what));
+    let refused = |reason: String| DiskError::Refused(std::io::Error::new(ErrorKind::InvalidInput, reason));
     match founders {
         _ if location.was_set_aside()? => Err(refused(format!(
             "{path}: the damaged file beside it shows that this machine has voted; remove one of the two"
@@ -144,7 +144,7 @@
             }
             Ok(Some(opened)) => Voter::restore(location, options, opened),
             Ok(None) => Voter::create(location, options),
-            Err(DiskError::Damaged(what)) => Voter::replace_damaged(location, options, &what),
+            Err(DiskError::Damaged(reason)) => Voter::replace_damaged(location, options, &reason),
             Err(error) => Err(error),
         }
     }
@@ -160,8 +160,8 @@
             return Voter::replace_damaged(location, options, "its state and record contradict each other");
         };
         info!("store: opened the file, at edition {edition}");
-        if location.remove_operator_file(FOUND_AGAIN)? {
-            warn!("store: ignored and removed {FOUND_AGAIN}: this machine still has its voter file");
+        if location.remove_operator_file(FOUND_AGAIN_FILE)? {
+            warn!("store: ignored and removed {FOUND_AGAIN_FILE}: this machine still has its voter file");
         }
         Ok(VoterState { acceptor, writer })
     }
@@ -171,17 +171,17 @@
         let seeds: BTreeSet<SocketAddr> = options.seeds.iter().copied().collect();
         let is_first_start = options.first_start && !location.was_set_aside()?;
         // The operator's order to found again applies to one disk, once: its file is removed below.
-        let ordered = operator_named_founders(location, options)?;
-        if ordered.is_some() {
-            warn!("store: founding the register again, as ordered by {FOUND_AGAIN}");
+        let named_founders = operator_named_founders(location, options)?;
+        if named_founders.is_some() {
+            warn!("store: founding the register again, as ordered by {FOUND_AGAIN_FILE}");
         }
         let is_founder = is_first_start && seeds.contains(&options.address);
-        let acceptor = match ordered.or(is_founder.then_some(seeds)) {
-            Some(founders) => Acceptor::founded(names(&founders.into_iter().collect::<Vec<_>>())),
+        let acceptor = match named_founders.or(is_founder.then_some(seeds)) {
+            Some(founders) => Acceptor::founded(address_strings(&founders.into_iter().collect::<Vec<_>>())),
             None => Acceptor::fresh(random_u64()),
         };
         let writer = location.create(acceptor.state(), None)?;
-        location.remove_operator_file(FOUND_AGAIN)?;
+        location.remove_operator_file(FOUND_AGAIN_FILE)?;
         match acceptor.state().founders.len() {
             0 => info!("store: started with an empty disk"),
             founders => info!("store: founded with {founders} voters"),
@@ -193,9 +193,9 @@
     fn replace_damaged(
         location: &dyn StorageLocation,
         options: &VoterOptions,
-        what: &str,
+        reason: &str,
     ) -> Result<VoterState, DiskError> {
-        error!("store: the file is damaged and is set aside: {what}");
+        error!("store: the file is damaged and is set aside: {reason}");
         location.set_aside()?;
         Voter::create(location, options)
     }
@@ -227,7 +227,7 @@
     }
 
     fn answer_local_state(&self, body: Bytes) -> Vec<u8> {
-        let seeds = names(&self.seeds.borrow());
+        let seeds = address_strings(&self.seeds.borrow());
         let state = LocalStateRequest::decode(body)
             .map(|request| self.state.borrow().acceptor.local_state(&request, seeds))
             .map(|state| LocalState { unable: self.is_storage_failing.get(), ..state });
--- a/crates/config-store/src/voter_maintenance.rs
+++ b/crates/config-store/src/voter_maintenance.rs
@@ -31,7 +31,7 @@
 /// Wait between two checks of the voters if removing an unreachable one would raise the tolerated losses.
 const CHECK_SOON_INTERVAL: Duration = Duration::from_millis(500);
 /// With this many voters or fewer a machine keeps its place at shutdown: fewer than three voters tolerate no loss.
-const SMALLEST_TOLERANT: usize = 3;
+const MIN_REMAINING_VOTERS: usize = 3;
 
 /// The state that one machine keeps between two checks of the voters.
 struct Maintenance {
@@ -78,7 +78,7 @@
         client.learn(&self.local_state());
         for _ in 0..LEAVE_ATTEMPTS {
             let known = client.configuration();
-            if known.voters.len() <= SMALLEST_TOLERANT && !known.is_changing() {
+            if known.voters.len() <= MIN_REMAINING_VOTERS && !known.is_changing() {
                 return;
             }
             let states = client.discover_voters(&[], DISCOVERY_TIMEOUT).await;
--- a/crates/config-store/src/voter_reporter.rs
+++ b/crates/config-store/src/voter_reporter.rs
@@ -1,7 +1,7 @@
 //! Log lines about the voters: one for each change, and repeated ones while no majority is reachable.
 
 use crate::messages::{ProposalNumber, VoterConfiguration, VoterId};
-use crate::voter::{names, FOUND_AGAIN};
+use crate::voter::{address_strings, FOUND_AGAIN_FILE};
 use oatbank_node_runtime::log::{info, warn};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,15 +30,16 @@
             *self = QuorumLossReporter::default();
             return;
         }
-        let lasts = now - *self.since.get_or_insert(now);
-        if lasts < REPORT_LOSS_AFTER || self.last_report.is_some_and(|last| now - last < REPORT_LOSS_EVERY) {
+        let lost_for = now - *self.since.get_or_insert(now);
+        if lost_for < REPORT_LOSS_AFTER || self.last_report.is_some_and(|last| now - last < REPORT_LOSS_EVERY)
+        {
             return;
         }
         self.last_report = Some(now);
-        let seconds = lasts.as_secs();
+        let seconds = lost_for.as_secs();
         if configuration.voters.is_empty() {
-            let seeds = names(seeds).join(", ");
-            warn!("store: no voters known for {seconds} s, and none of the seeds {seeds} names any; if nothing was ever agreed on, see {FOUND_AGAIN} in docs/operators/core.md");
+            let seeds = address_strings(seeds).join(", ");
+            warn!("store: no voters known for {seconds} s, and none of the seeds {seeds} names any; if nothing was ever agreed on, see {FOUND_AGAIN_FILE} in docs/operators/core.md");
             return;
         }
         let outgoing = configuration.outgoing.iter().filter(|voter| !configuration.voters.contains(voter));
