--- a/crates/config-store/src/voter_maintenance.rs
+++ b/crates/config-store/src/voter_maintenance.rs
@@ -94,10 +94,7 @@
             // A change in progress is completed first.
             let change = VoterChange::RemoveVoters(removed.clone(), configuration.proposed_in);
             if client.change_voters(change, LEAVE_TIMEOUT).await && !removed.is_empty() {
-                info!(
-                    "store: Is let go before its end, the others bear as much: {}.",
-                    list_addresses(&removed)
-                );
+                info!("store: removed from the voters before shutdown: {}", list_addresses(&removed));
                 return;
             }
         }
--- a/crates/config-store/src/voter_reporter.rs
+++ b/crates/config-store/src/voter_reporter.rs
@@ -82,7 +82,7 @@
         match (was_voter, is_voter) {
             (None, true) => info!("store: is a voter; the voters are {voters}"),
             (Some(true), true) => info!("store: the voters are now {voters}"),
-            (Some(false), true) => info!("store: Is taken in and votes; the voters are {voters}."),
+            (Some(false), true) => info!("store: became a voter; the voters are {voters}"),
             (Some(true), false) => warn!("store: is no longer a voter, and asks to be added again"),
             (_, false) => info!("store: is not a voter yet; the voters are {voters}"),
         }
--- a/crates/local-cluster/tests/store.rs
+++ b/crates/local-cluster/tests/store.rs
@@ -37,7 +37,7 @@
     system.operator.must_put(&configuration).unwrap();
     CORE.iter().for_each(|role| cluster.run(lost, *role).unwrap());
     // A machine that is back counts as lost for 4 s more; only then another may go.
-    let votes = || cluster.has_logged(lost, Role::Store, "Is taken in and votes");
+    let votes = || cluster.has_logged(lost, Role::Store, "became a voter");
     wait::holds(4000 * MS, "it votes again", votes).unwrap();
     // It is needed for a majority now, so it votes: by what it has learned.
     CORE.iter().for_each(|role| cluster.kill(0, *role));
--- a/crates/local-cluster/tests/voters.rs
+++ b/crates/local-cluster/tests/voters.rs
@@ -58,7 +58,7 @@
     assert!(acknowledged.elapsed() < Duration::from_secs(3), "it ended after {:?}", acknowledged.elapsed());
     cluster.kill_all(&CORE.map(|role| (1, role)));
     serves(&system, &["/after/", "/later/"]);
-    assert!(cluster.has_logged(0, Role::Store, "Is let go before its end"));
+    assert!(cluster.has_logged(0, Role::Store, "removed from the voters before shutdown"));
     // The one that died answers nobody for good; whoever is asked late on a busy machine answers the next time.
     let title = || voters(cluster, 2).is_some_and(|t| t.title == "3 voters: 0 more may be lost");
     wait::holds(wait::LONG, "three voters, one of them lost", title)
@@ -68,7 +68,10 @@
     until_vote(cluster, 2, 3, wait::LONG);
     cluster.signal("TERM", &[(2, Role::Store)]).unwrap();
     let status = cluster.ended(2, Role::Store, 500 * MS).unwrap();
-    assert!(status.success() && !cluster.has_logged(2, Role::Store, "Is let go before its end"), "{status}");
+    assert!(
+        status.success() && !cluster.has_logged(2, Role::Store, "removed from the voters before shutdown"),
+        "{status}"
+    );
 }
 
 #[test]
