--- a/crates/config-store/src/storage/tests.rs
+++ b/crates/config-store/src/storage/tests.rs
@@ -1,4 +1,4 @@
-//! Losses of power at any call to the disk.
+//! Tests of the voter's file: power loss at any call to the disk, and damaged files.
 
 use super::*;
 use crate::messages::ProposalNumber;
@@ -11,19 +11,19 @@
     Length(u64),
 }
 
-/// A file of which a loss of power leaves what was synced, and of later changes each whole, torn or not at all.
+/// An in-memory file with simulated power loss: synced data stays, and each later change is kept, torn or dropped.
 #[derive(Default)]
 struct Medium {
     synced: Vec<u8>,
     seen: Vec<u8>,
     unsynced: Vec<Change>,
-    /// Calls until the power is lost.
+    /// The number of calls until the power is lost.
     left: u32,
 }
 
 impl Medium {
     fn call(&mut self) -> io::Result<()> {
-        self.left = self.left.checked_sub(1).ok_or_else(|| io::Error::other("no power"))?;
+        self.left = self.left.checked_sub(1).ok_or_else(|| io::Error::other("power lost"))?;
         Ok(())
     }
 
@@ -74,7 +74,7 @@
         medium.seen.resize(len as usize, 0);
         medium.unsynced.push(Change::Length(len));
         drop(medium);
-        // As the real one does.
+        // Like `Backend::set_len`, which syncs the new length.
         self.sync_data(false)
     }
 
@@ -116,7 +116,7 @@
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let medium = Faulty::default();
         medium.0.lock().unwrap().left = u32::MAX;
-        // Its making is not at stake: it has its name only once it is whole.
+        // Creation is not tested: the file gets its name only once it is complete.
         let mut number = 1;
         {
             let database = build(medium.clone()).unwrap();
@@ -130,7 +130,7 @@
                 medium.lose_power(&mut chance);
                 medium.left = chance.next_u32() % 60;
             }
-            // The power may go while it is opened, too.
+            // The power may also be lost while the file is opened.
             let database = match build(medium.clone()) {
                 Ok(database) => database,
                 Err(error) => {
@@ -139,9 +139,15 @@
                 }
             };
             let Loaded { state, record } = load(&database).unwrap();
-            assert!((number..=number + 1).contains(&state.promised.round), "seed {seed}");
+            assert!(
+                (number..=number + 1).contains(&state.promised.round),
+                "seed {seed}: a committed state is lost"
+            );
             let record = record.unwrap();
-            assert!(record.value.iter().all(|byte| *byte == record.edition as u8), "seed {seed}");
+            assert!(
+                record.value.iter().all(|byte| *byte == record.edition as u8),
+                "seed {seed}: the value is from another commit"
+            );
             assert_eq!(record.edition, state.accepted.round);
             number = state.promised.round;
             loop {
@@ -160,7 +166,10 @@
         last.left = u32::MAX;
         drop(last);
         let Loaded { state, .. } = load(&build(medium.clone()).unwrap()).unwrap();
-        assert!((number..=number + 1).contains(&state.promised.round), "seed {seed}");
+        assert!(
+            (number..=number + 1).contains(&state.promised.round),
+            "seed {seed}: a committed state is lost"
+        );
     }
 }
 
@@ -175,7 +184,7 @@
     let (state, record) = numbered(3, 1000);
     let mut disk = StateFile::create(&folder, &state, None).unwrap();
     disk.write(&state, Some(&record), true).unwrap();
-    // A write that failed leaves nothing open; the next one makes the file anew, with the record.
+    // After a failed write no database is open; the next write creates the file again, with the record.
     disk.database = None;
     let (later, _) = numbered(4, 0);
     disk.write(&later, Some(&record), false).unwrap();
--- a/crates/config-store/src/tests/cases.rs
+++ b/crates/config-store/src/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Cases that chance seldom finds.
+//! Cases that random schedules seldom reach.
 
 use super::*;
 
@@ -46,7 +46,7 @@
     let accept = one.on_response(phase_id, "1", cluster.prepare(1, &prepare));
     let phase_id = one.phase_id();
     assert_eq!(one.on_response(phase_id, "0", cluster.accept(0, &accept)), Action::Wait);
-    // 0 loses its disk before 1 accepts; what it accepted with the old one, and what it says now, are two things.
+    // Voter 0 loses its disk before voter 1 accepts: its acceptance with the old disk no longer counts.
     cluster.voters[0] = Acceptor::fresh(9);
     let mut two = operation(2, 1, Task::Read);
     let asked = two.begin_round();
@@ -54,7 +54,7 @@
     assert_eq!(two.on_response(reported, "0", cluster.prepare(0, &asked)), Action::Wait);
     assert_eq!(two.on_response(reported, "2", cluster.prepare(2, &asked)), Action::Wait);
     assert_eq!(two.on_failure(reported, "1"), Action::BackOff);
-    // It is taken in: first together with the voters before, then alone.
+    // The new disk is added as a voter: first in a joint configuration, then in the final one.
     let this_voter = VoterId { address: "0".into(), disk_id: 9 };
     let mut joins = operation(3, 2, Task::ChangeVoters(VoterChange::AddVoter(this_voter.clone())));
     let mut action = joins.begin_round();
@@ -84,12 +84,12 @@
     assert_eq!(accepted, [(3, 3), (3, 0)]);
     assert_eq!(action, Action::Done(Outcome::Chosen(0, None)));
     assert!(joins.known().configuration(&VoterConfiguration::default()).voters.contains(&this_voter));
-    // The acceptance from before it comes in late: 1 has promised more since.
+    // The first accept request reaches voter 1 late: it has promised a higher proposal since.
     assert_eq!(cluster.accept(1, &accept).status(), ResponseStatus::Rejected);
 }
 
-/// Five voters; two are let go, and only one of those who stay accepts that before its proposer is gone. What the next
-/// proposer goes on with: how many voters there are, and how many before them.
+/// Removes two of five voters; only one of the remaining ones accepts the change before its proposer stops. Returns the
+/// numbers of voters and of outgoing voters in the configuration that the next proposer proposes.
 fn after_a_change_that_one_accepted(guard: Option<Guard>) -> (usize, usize) {
     DISABLED_GUARD.with(|without| without.set(guard));
     let mut voters: Vec<Acceptor> = (0..5).map(|_| Acceptor::founded(addresses(5))).collect();
@@ -122,16 +122,16 @@
 
 #[test]
 fn a_change_of_the_voters_is_finished_only_once_it_is_chosen() {
-    // The others hold nothing of it, and could choose without those who stay.
+    // The other voters have not accepted the change and could choose a record without the remaining three.
     assert_eq!(after_a_change_that_one_accepted(None), (3, 5));
-    // Chance finds what comes of this once in some ten thousand schedules.
+    // Without the rule, random schedules reach a violation only about once in ten thousand.
     assert_eq!(after_a_change_that_one_accepted(Some(Guard::ChosenBeforeNext)), (3, 0));
     DISABLED_GUARD.with(|without| without.set(None));
 }
 
 #[test]
 fn a_file_of_the_layout_before_is_a_founders() {
-    // Voters, own place, incarnation, known incarnations, promise, acceptance.
+    // Fields of the previous layout: voters, own index, incarnation, known incarnations, promised, accepted.
     let bytes = [
         &b"\x0a\x01a\x0a\x01b\x0a\x01c\x10\x01\x18\x07\x22\x03\x07\x07\x07"[..],
         &b"\x2a\x04\x08\x05\x10\x02\x32\x04\x08\x04\x10\x02"[..],
@@ -156,7 +156,7 @@
     let phase_id = one.phase_id();
     one.on_response(phase_id, "0", cluster.prepare(0, &prepare));
     let accept = one.on_response(phase_id, "1", cluster.prepare(1, &prepare));
-    // Both accept and neither answer arrives; another one builds on it.
+    // Both accept but neither response arrives; another proposer builds on the record.
     cluster.accept(0, &accept);
     cluster.accept(1, &accept);
     assert_eq!(one.on_timeout(), Action::BackOff);
@@ -167,7 +167,7 @@
     let accept = two.on_response(reported, "2", cluster.prepare(2, &asked));
     cluster.accept(1, &accept);
     let mut action = one.begin_round();
-    // The other round is in the way, and known then.
+    // The second proposer's round is higher; the rejections tell the first proposer its number.
     for voter in 1..3 {
         let response = cluster.prepare(voter, &action);
         let next = one.on_response(one.phase_id(), &voter.to_string(), response);
--- a/crates/config-store/src/tests/clients.rs
+++ b/crates/config-store/src/tests/clients.rs
@@ -1,9 +1,9 @@
-//! What clients do: read, change the value, change the voters.
+//! Actions of clients: reading, changing the value, changing the voters.
 
 use super::*;
 
 impl World {
-    /// Hears from a site what it holds: a hint, chosen or not.
+    /// Passes the durable record of a site to a client, as a hint that may not be chosen.
     pub(super) fn learn_from_site(&mut self, client: usize, site: usize) {
         if let (Some(acceptor), true) = (&self.sites[site].up, self.sites[site].unsynced.is_empty()) {
             let local_state =
@@ -12,6 +12,7 @@
         }
     }
 
+    /// Begins a random operation of a client: a quorum read, a read round or a change.
     pub(super) fn begin(&mut self, client: usize) -> Result<(), String> {
         if self.one_in(2) {
             let site = self.below(SITES);
@@ -48,7 +49,7 @@
         self.operate(client, change.map_or(Task::Read, Task::Change), id)
     }
 
-    /// A site asks to be taken in, lets go of one or two, or of itself before it ends in order.
+    /// Begins a voter change of a site: it joins, removes one or two voters, or leaves before a planned shutdown.
     pub(super) fn begin_voter_change(&mut self, client: usize) -> Result<(), String> {
         let at = client - CLIENTS;
         if self.sites[at].up.is_none() {
@@ -59,7 +60,7 @@
         let change_rarity = self.change_rarity;
         let known = self.clients[client].known.clone();
         if let (Some(acceptor), Some(record)) = (&mut self.sites[at].up, &known.record) {
-            // It keeps what it has heard of; that is durable with the next write, and no vote.
+            // It stores the record that it has learned; this becomes durable with the next write and is not a vote.
             acceptor.adopt(known.proposal, record);
         }
         let configuration = known.configuration(&self.founders).clone();
@@ -101,7 +102,7 @@
         self.begin_round(client)
     }
 
-    /// A round after the back-off.
+    /// Begins the first round or the next one after the back-off.
     pub(super) fn begin_round(&mut self, client: usize) -> Result<(), String> {
         let ClientState::Operating { operation, backing_off, .. } = &mut self.clients[client].state else {
             return Ok(());
@@ -143,6 +144,7 @@
         }
     }
 
+    /// Executes the action that a client's operation requests.
     pub(super) fn act(&mut self, client: usize, action: Action<(u64, Vec<u32>)>) -> Result<(), String> {
         let ClientState::Operating { operation, backing_off, change_id } = &mut self.clients[client].state
         else {
@@ -159,7 +161,7 @@
                 let reads = change_id.is_none() && client < CLIENTS;
                 let before = self.proposals.insert(accept.proposal, accept.record.clone());
                 if before.is_some_and(|before| before != accept.record) {
-                    return Err(format!("two records in ballot {}", accept.proposal));
+                    return Err(format!("two records in proposal {}", accept.proposal));
                 }
                 if self.fault == Fault::UnconfirmedReads && reads {
                     let reported = history(Some(&accept.record.value));
@@ -177,7 +179,8 @@
         }
     }
 
-    /// The operation leaves what it has learned.
+    /// Ends a client's operation and keeps the record and round that it has learned. Returns the id of its change, and
+    /// whether the change may be chosen.
     pub(super) fn end_operation(&mut self, client: usize) -> (Option<u32>, bool) {
         let this_client = &mut self.clients[client];
         (this_client.is_removing, this_client.is_shutting_down) = (false, false);
@@ -193,6 +196,7 @@
         }
     }
 
+    /// Ends a client's operation with an outcome, and passes the result to the checker.
     pub(super) fn ended(&mut self, client: usize, outcome: Outcome<(u64, Vec<u32>)>) -> Result<(), String> {
         let floor = self.clients[client].floor;
         let is_shutting_down = self.clients[client].is_shutting_down;
@@ -222,11 +226,12 @@
                 self.checker.reported(edition, &reported, floor)?;
                 self.checker.not_made(id)
             }
-            (Outcome::Rejected(_), None) => Err("a reading was refused".into()),
+            (Outcome::Rejected(_), None) => Err("a read was rejected".into()),
             (Outcome::Unknown, _) => Ok(()),
         }
     }
 
+    /// Abandons a client's operation; its change counts as not made if it was never proposed.
     pub(super) fn give_up(&mut self, client: usize) -> Result<(), String> {
         match self.end_operation(client) {
             (Some(id), false) => self.checker.not_made(id),
@@ -234,7 +239,7 @@
         }
     }
 
-    /// The caller's process ends; the next one knows nothing.
+    /// Replaces a client's process by a new one without state.
     pub(super) fn replace_client(&mut self, client: usize) {
         self.incarnations += 1;
         self.clients[client] = Client::new(self.incarnations);
--- a/crates/config-store/src/tests/events.rs
+++ b/crates/config-store/src/tests/events.rs
@@ -1,9 +1,9 @@
-//! What chance does, and the recovery at the end of a schedule.
+//! Random events, and the recovery at the end of a schedule.
 
 use super::*;
 
 impl World {
-    /// One random event.
+    /// Executes one random event.
     pub(super) fn step(&mut self) -> Result<(), String> {
         match self.below(100) {
             0..=54 if !self.in_flight.is_empty() => self.deliver_any(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Delivers a message, duplicates it, loses it or delays it.
+    /// Delivers, duplicates, drops or delays a random message.
     fn deliver_any(&mut self) -> Result<(), String> {
         let at = self.below(self.in_flight.len());
         let envelope = match self.below(40) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Refuses a write, crashes a site or loses its disk.
+    /// Refuses a write of a random site, crashes it or loses its disk.
     fn harm_any(&mut self) {
         let crash_rarity = self.crash_rarity;
         if self.one_in(crash_rarity) {
@@ -73,7 +73,7 @@
 
     fn start_any(&mut self) {
         if let Some(site) = self.any(SITES, |world, site| world.sites[site].up.is_none()) {
-            // A spare machine joins seldom.
+            // Spare machines are started rarely.
             if self.sites[site].durable.is_some() || self.has_lost_disk(site) || self.one_in(4) {
                 self.start(site);
             }
@@ -120,8 +120,9 @@
     fn has_lost_disk(&self, site: usize) -> bool {
         self.lost_disks.iter().any(|voter| voter.address == site.to_string())
     }
-    /// All are there and nothing is lost any more: every site comes to vote, and a new caller that knows one of them
-    /// reads, within so many rounds.
+
+    /// Ends all faults, and checks that every site becomes a voter and that a new client that knows one site can read,
+    /// each within the step limit of `until_done`.
     pub(super) fn recover_and_check(&mut self) -> Result<(), String> {
         for client in 0..self.clients.len() {
             self.give_up(client)?;
@@ -142,7 +143,7 @@
             self.operate(client, Task::ChangeVoters(VoterChange::AddVoter(this_voter.clone())), None)?;
             self.until_done(client)?;
             if !self.clients[client].known.configuration(&self.founders).voters.contains(&this_voter) {
-                return Err(format!("{this_voter:?} was not taken in"));
+                return Err(format!("{this_voter:?} was not added to the voters"));
             }
         }
         self.replace_client(0);
@@ -153,6 +154,10 @@
         self.checker.check_complete()
     }
 
+    /// Delivers all messages until the client's operation is complete.
+    ///
+    /// # Errors
+    /// When it is not complete after 40 steps.
     pub(super) fn until_done(&mut self, client: usize) -> Result<(), String> {
         for _ in 0..40 {
             for envelope in std::mem::take(&mut self.in_flight) {
@@ -167,7 +172,7 @@
         }
         let configuration = self.clients[client].known.configuration(&self.founders);
         Err(format!(
-            "caller {client} came to no end though all were there: {configuration:?}, gone {:?}",
+            "the operation of client {client} did not end although all sites run: {configuration:?}, lost disks {:?}",
             self.lost_disks
         ))
     }
--- a/crates/config-store/src/tests/mod.rs
+++ b/crates/config-store/src/tests/mod.rs
@@ -1,7 +1,8 @@
-//! Seeded random schedules over acceptors, proposers and changes of the voters, judged from outside by a checker that sees
-//! only what clients are told. `SCHEDULES` asks for more of them, `SEED` for one.
+//! Seeded random schedules of acceptors, proposers and voter changes, checked by a checker that sees only the results of
+//! clients. The environment variable `SCHEDULES` sets their number, `SEED` runs a single one.
 //!
-//! [`World`] holds everything; `voters` is what the sites do, `clients` what proposers do, `events` what chance does.
+//! [`World`] holds the simulated system; `voters` has the actions of sites, `clients` those of proposers, and `events` the
+//! random events.
 
 mod cases;
 mod checker;
@@ -28,23 +29,23 @@
 
 use checker::Checker;
 
-/// What is broken on purpose.
+/// A fault that is injected to test the checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     Nothing,
-    /// Acceptors answer before their state is durable.
+    /// Acceptors respond before their state is durable.
     Forgetful,
-    /// One voter's answer counts for another as well.
+    /// A voter's response also counts for another voter.
     CountedTwice,
-    /// A voter without its disk votes from nothing, as the one that it was.
+    /// A voter that has lost its disk votes with its old identity and an empty state.
     VotesAtOnce,
-    /// A change of the voters lacks this.
+    /// Voter changes run without this safety rule.
     Without(Guard),
-    /// What was read in a round is told without being chosen.
+    /// A read reports its value before the value is chosen.
     UnconfirmedReads,
 }
 
-/// The history a value stands for: the changes that made it, in their order.
+/// Decodes a value into the ids of the changes that made it, in order.
 fn history(value: Option<&[u8]>) -> Vec<u32> {
     value.unwrap_or_default().chunks(4).map(|id| u32::from_be_bytes(id.try_into().unwrap())).collect()
 }
@@ -64,17 +65,18 @@
     },
 }
 
-/// Someone who asks: the first three change and read the value, then comes one for each site, who changes the voters.
+/// A proposer: the first [`CLIENTS`] change and read the value, then one for each site changes the voters.
 struct Client {
     proposer_id: u64,
     highest_round: u64,
     known: KnownRecord,
-    /// Tells one question for a sight from the next.
+    /// Incremented with each operation, so that responses to earlier ones are ignored.
     serial: u64,
+    /// The number of changes known to be made when the operation began.
     floor: usize,
-    /// It is about to let go of some.
+    /// Whether its operation removes voters.
     is_removing: bool,
-    /// Its machine ends once this is done.
+    /// Whether its site shuts down once the operation is complete.
     is_shutting_down: bool,
     state: ClientState,
 }
@@ -127,12 +129,12 @@
 
 #[derive(Default)]
 struct Site {
-    /// `None` while it is down, and before it first starts.
+    /// `None` while the site is down, and before its first start.
     up: Option<Acceptor>,
     durable: Option<(PersistentState, Option<Record>)>,
-    /// Answers that wait for the disk.
+    /// Responses that wait for the write to disk.
     unsynced: Vec<Envelope>,
-    /// The id that it had last.
+    /// The disk id at its last start.
     disk_id: u64,
 }
 
@@ -143,16 +145,17 @@
     sites: Vec<Site>,
     clients: Vec<Client>,
     in_flight: Vec<Envelope>,
-    /// Those held up for long.
+    /// Messages that are delayed for long.
     delayed: Vec<Envelope>,
-    /// The more, the fewer crashes.
+    /// A crash, lost disk or refused write happens at one in this many attempts.
     crash_rarity: usize,
-    /// The more, the fewer changes of the voters.
+    /// Voter changes become rarer as this grows.
     change_rarity: usize,
+    /// The record of each proposal sent in an accept request.
     proposals: BTreeMap<ProposalNumber, Record>,
-    /// The highest ballot known to be chosen.
+    /// The highest proposal known to be chosen.
     chosen: ProposalNumber,
-    /// Voters whose disks are lost.
+    /// Voters whose disks were lost.
     lost_disks: BTreeSet<VoterId>,
     checker: Checker,
     changes: u32,
@@ -196,15 +199,17 @@
         }
     }
 
+    /// Returns a random number below `limit`.
     pub(super) fn below(&mut self, limit: usize) -> usize {
         self.random.next_u32() as usize % limit
     }
 
+    /// Returns `true` with the probability `1 / odds`.
     pub(super) fn one_in(&mut self, odds: usize) -> bool {
         self.below(odds) == 0
     }
 
-    /// Someone that this applies to.
+    /// Returns a random index below `of` to which `applies`; `None` if there is none.
     pub(super) fn any(&mut self, of: usize, applies: impl Fn(&World, usize) -> bool) -> Option<usize> {
         let some: Vec<usize> = (0..of).filter(|one| applies(self, *one)).collect();
         (!some.is_empty()).then(|| some[self.below(some.len())])
--- a/crates/config-store/src/tests/schedules.rs
+++ b/crates/config-store/src/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Many schedules, and the faults that the checker must notice.
+//! Runs many random schedules, without faults and with injected ones that the checker must detect.
 
 use super::*;
 
@@ -46,14 +46,16 @@
         }
         played += 1;
     }
-    // They are about something.
+    // The schedules must cover enough changes, lost disks and voter changes.
     assert!(coverage.acknowledged > 2 * played, "{} changes in {played} schedules", coverage.acknowledged);
     let Coverage { acknowledged, not_made_ids, wiped, configurations } = coverage;
-    println!("{played} schedules: {acknowledged} changes, {wiped} lost disks, {configurations} changes of the voters");
+    println!(
+        "{played} schedules: {acknowledged} changes, {wiped} lost disks, {configurations} voter changes"
+    );
     assert!(not_made_ids > 0 && wiped as usize > played / 2 && configurations as usize > played);
 }
 
-/// The first schedule in which the checker sees the fault.
+/// Returns the seed and the error of the first schedule in which the checker detects the fault.
 fn caught(fault: Fault) -> Option<(u64, String)> {
     schedules().find_map(|seed| Some((seed, play(seed, fault, &mut Coverage::default()).err()?)))
 }
@@ -69,7 +71,7 @@
         Fault::Without(Guard::SameDisk),
     ] {
         let caught = caught(fault);
-        assert!(caught.is_some(), "{fault:?}");
+        assert!(caught.is_some(), "{fault:?} was not detected");
         println!("{fault:?}: {caught:?}");
     }
 }
--- a/crates/config-store/src/tests/voters.rs
+++ b/crates/config-store/src/tests/voters.rs
@@ -1,8 +1,9 @@
-//! What sites do: answer, write, crash, start and lose their disks.
+//! Actions of sites: responding, writing, crashing, starting and losing disks.
 
 use super::*;
 
 impl World {
+    /// Delivers a message to its site or client.
     pub(super) fn deliver(&mut self, envelope: Envelope) -> Result<(), String> {
         match envelope {
             Envelope::Request { client, proposer_id, serial, phase_id, site: at, request } => {
@@ -11,7 +12,7 @@
                 let response = match request {
                     Request::Prepare(prepare) => acceptor.prepare(&prepare).0,
                     Request::Accept(accept) => acceptor.accept(&accept).0,
-                    // Only what is durable is shown: the program writes before it hears the next call.
+                    // Only durable state is visible: the program completes a write before it takes the next request.
                     Request::Peek if !site.unsynced.is_empty() => return Ok(()),
                     Request::Peek => acceptor.peek(),
                 };
@@ -43,6 +44,7 @@
         }
     }
 
+    /// Makes a site's state durable and sends the responses that waited for it.
     pub(super) fn sync(&mut self, site: usize) {
         let site = &mut self.sites[site];
         if let Some(acceptor) = &site.up {
@@ -51,6 +53,7 @@
         self.in_flight.append(&mut site.unsynced);
     }
 
+    /// Fails a site's write: its state goes back to the durable one, and the responses report the failure.
     pub(super) fn refuse_write(&mut self, site: usize) {
         let site = &mut self.sites[site];
         let (Some(acceptor), Some((state, record))) = (&mut site.up, &site.durable) else { return };
@@ -63,11 +66,12 @@
         }
     }
 
+    /// Crashes a site, before or after its pending write.
     pub(super) fn crash(&mut self, at: usize) {
         let written = self.one_in(2) && self.fault != Fault::Forgetful;
         let site = &mut self.sites[at];
         if let (Some(acceptor), true) = (&site.up, written) {
-            // The write was made, the answers were not sent.
+            // The write was completed, but the responses were not sent.
             site.durable = Some((acceptor.state().clone(), acceptor.record().cloned()));
         }
         site.unsynced.clear();
@@ -75,6 +79,7 @@
         self.replace_client(CLIENTS + at);
     }
 
+    /// Starts a site with its durable state, or with an empty disk.
     pub(super) fn start(&mut self, at: usize) {
         let id = self.random.next_u64() | 1;
         let founders: Vec<String> = self.founders.addresses();
@@ -90,10 +95,10 @@
         site.up = Some(acceptor);
     }
 
-    /// As many disks are lost as may be in each cast that is, or may yet come to be, in force.
+    /// Loses the disk of a site, if each configuration that is or may come into force keeps a quorum without lost disks.
     pub(super) fn wipe(&mut self, at: usize) {
         let voter = VoterId { address: at.to_string(), disk_id: self.sites[at].disk_id };
-        // The program lets go of those only who are lost already, so none of those who stay is one too many.
+        // The program removes only voters that are lost already, so no disk is lost while a removal is in progress.
         if self.sites[at].durable.is_none() || self.clients.iter().any(|client| client.is_removing) {
             return;
         }
