--- a/crates/config-store/tests/asleep.rs
+++ b/crates/config-store/tests/asleep.rs
@@ -1,4 +1,4 @@
-//! A proposer that was asleep: for more editions than the lineage names, and while all voters were replaced.
+//! A proposer that was paused: for more editions than the lineage lists, and while all voters were replaced.
 
 use oatbank_config_store::acceptor::Acceptor;
 use oatbank_config_store::messages::{VoterConfiguration, VoterId, VoterResponse, MAX_LINEAGE};
@@ -25,14 +25,15 @@
     (work, action)
 }
 
-/// Adds a letter to what there is.
+/// Returns a task that appends a letter to the value.
 fn add(letter: u8) -> Task<Change> {
     Task::Change(Box::new(move |before: Option<&[u8]>, _| {
         Ok(before.unwrap_or_default().iter().copied().chain([letter]).collect())
     }))
 }
 
-/// Carries one question to those whom `reach` names and their answers back; what to do next.
+/// Sends the request of `action` to the recipients in `reach` (all if empty) and passes their responses to the operation.
+/// Returns the next action.
 fn carry(work: &mut Work, action: Action<String>, voters: &mut Voters, reach: &[&str]) -> Action<String> {
     let phase_id = work.phase_id();
     for name in work.recipients().to_vec() {
@@ -50,7 +51,7 @@
     work.on_timeout()
 }
 
-/// Goes on until it is over.
+/// Runs rounds until the operation is complete.
 fn run(work: &mut Work, mut action: Action<String>, voters: &mut Voters) -> Outcome<String> {
     for _ in 0..20 {
         action = match action {
@@ -59,16 +60,17 @@
             action => carry(work, action, voters, &[]),
         };
     }
-    panic!("it does not end");
+    panic!("the operation does not complete within 20 steps");
 }
 
-/// A whole operation of another proposer, which learns all.
+/// Runs a complete operation of another proposer that reaches all voters. Returns its outcome and the newest record.
 fn done(task: Task<Change>, proposer_id: u64, voters: &mut Voters) -> (Outcome<String>, KnownRecord) {
     let (mut work, action) = begin(task, proposer_id, &KnownRecord::default());
     let outcome = run(&mut work, action, voters);
     (outcome, work.known().clone())
 }
 
+/// Reads the edition and the value with another proposer.
 fn value(voters: &mut Voters) -> (u64, Vec<u8>) {
     match done(Task::Read, 900, voters).0 {
         Outcome::Chosen(edition, value) => (edition, value.unwrap_or_default().to_vec()),
@@ -78,8 +80,8 @@
 
 #[test]
 fn who_was_asleep_for_longer_than_the_lineage_says_that_it_does_not_know_whether_it_made_it_or_not() {
-    // So many accept what it proposed, before it falls asleep; with two of them it is chosen.
-    // What only the last one holds is never found by the others, and comes to nothing.
+    // The voters that accept the proposed change before the proposer pauses; with two of them it is chosen. A record that
+    // only the last voter has is never found by the other proposers, so it is not chosen.
     for accepted in [&["v2"][..], &["v0"], &["v0", "v1"], &["v0", "v1", "v2"]] {
         for asleep in [0, 1, MAX_LINEAGE - 2, MAX_LINEAGE - 1, MAX_LINEAGE, MAX_LINEAGE + 1, MAX_LINEAGE + 50]
         {
@@ -87,7 +89,7 @@
             assert_eq!(done(add(b'a'), 1, &mut voters).0, Outcome::Chosen(1, Some(b"a"[..].into())));
             let (mut work, action) = begin(add(b'X'), 2, &KnownRecord::default());
             let action = carry(&mut work, action, &mut voters, &[]);
-            // A proposer that comes later has a higher round: the first question of this one is out of date.
+            // The first prepare request is rejected if an earlier operation has used a higher number.
             let action = match action {
                 Action::BackOff => {
                     let again = work.begin_round();
@@ -96,7 +98,7 @@
                 action => action,
             };
             assert!(matches!(action, Action::Accept(_)), "{action:?}");
-            // Its answers are lost.
+            // The voters accept, but their responses are lost.
             let phase_id = work.phase_id();
             let Action::Accept(accept) = &action else { return };
             for name in accepted {
@@ -104,7 +106,7 @@
             }
             assert_eq!(work.phase_id(), phase_id);
             for n in 0..asleep {
-                // The last of them is alone at work: whoever has it is asked first.
+                // Other proposers make further changes meanwhile.
                 assert!(matches!(done(add(b'b'), 10 + n as u64, &mut voters).0, Outcome::Chosen(..)));
             }
             let (_, before) = value(&mut voters);
@@ -115,18 +117,28 @@
             let (edition, after) = value(&mut voters);
             let times = after.iter().filter(|letter| **letter == b'X').count();
             let was_made = before.contains(&b'X');
-            // The edition it would have made is the second; the newest one names those of LINEAGE - 1 before it.
+            // The change would have made edition 2; the lineage of the newest record lists MAX_LINEAGE - 1 editions before it.
             let followed = before.len() - 2.min(before.len());
             match outcome {
                 Outcome::Chosen(made, made_value) => {
-                    assert_eq!(times, 1, "once: {accepted:?} {asleep}");
+                    assert_eq!(times, 1, "the change is in the value once: {accepted:?} {asleep}");
                     assert_eq!(made_value.expect("a value"), after[..made as usize]);
                     assert!(edition >= made);
-                    assert!(asleep == 0 || followed < MAX_LINEAGE, "{accepted:?} {asleep}");
+                    assert!(
+                        asleep == 0 || followed < MAX_LINEAGE,
+                        "the lineage is too short: {accepted:?} {asleep}"
+                    );
                 }
                 Outcome::Unknown => {
-                    assert!(followed >= MAX_LINEAGE, "{accepted:?} {asleep}: it could have known");
-                    assert_eq!(times, usize::from(was_made), "it does nothing more: {accepted:?} {asleep}");
+                    assert!(
+                        followed >= MAX_LINEAGE,
+                        "{accepted:?} {asleep}: the lineage was long enough to tell"
+                    );
+                    assert_eq!(
+                        times,
+                        usize::from(was_made),
+                        "the change is not made again: {accepted:?} {asleep}"
+                    );
                 }
                 Outcome::Rejected(why) => panic!("{why}"),
             }
@@ -147,7 +159,8 @@
     assert_eq!((edition, value.len(), value.last()), (1002, 1002, Some(&b'X')));
 }
 
-/// All three founders give way to others, one after the other, and go on answering.
+/// Replaces all three founders one after the other; the removed ones still respond. Returns all machines and the record
+/// known before the first replacement.
 fn replaced() -> (Voters, KnownRecord) {
     let mut voters = voters();
     let (_, old) = done(add(b'a'), 1, &mut voters);
@@ -155,7 +168,7 @@
         let voter = VoterId { address: format!("w{n}"), disk_id: 50 + n as u64 };
         voters.insert(voter.address.clone(), Acceptor::fresh(voter.disk_id));
         let (_, known) = done(Task::ChangeVoters(VoterChange::AddVoter(voter)), 20 + n as u64, &mut voters);
-        let configuration = known.record.and_then(|record| record.configuration).expect("a cast");
+        let configuration = known.record.and_then(|record| record.configuration).expect("a configuration");
         let gone = VoterChange::RemoveVoters(
             vec![VoterId { address: founder, disk_id: 0 }],
             configuration.proposed_in,
@@ -185,7 +198,7 @@
             .iter()
             .all(|voter| voter.address.starts_with('w')));
     }
-    // Where none of today's voters can be reached, nothing is decided.
+    // While none of the current voters is reachable, nothing is proposed.
     let (mut work, mut action) = begin(add(b'Y'), 61, &old);
     for _ in 0..6 {
         action = match action {
@@ -193,7 +206,7 @@
             Action::Done(outcome) => panic!("{outcome:?}"),
             action => carry(&mut work, action, &mut voters, &["v0", "v1", "v2"]),
         };
-        assert!(!matches!(action, Action::Accept(_)), "nothing is proposed");
+        assert!(!matches!(action, Action::Accept(_)), "a record was proposed without the current voters");
     }
     assert!(!work.may_be_chosen());
 }
@@ -209,10 +222,10 @@
             asked.iter().map(|name| (name.clone(), voters[name].peek())).collect();
         let seen = summarize_peek(&configuration, &responses);
         assert!(seen.is_none_or(|seen| !seen.agreed || seen.proposal > old.proposal), "{seen:?}");
-        // Whatever it sees, it is not what is known to a proposer of then: it asks on.
+        // The result differs from the record the proposer knows, so it continues with the current voters.
         assert!(seen.is_none_or(|seen| seen.proposal != old.proposal), "{seen:?}");
     }
-    // One of them has lost its disk since, and does not count.
+    // A founder that has lost its disk since does not count.
     voters.insert("v0".into(), Acceptor::fresh(99));
     let responses = ["v0", "v1"].map(|name| (name.to_owned(), voters[name].peek()));
     assert_eq!(summarize_peek(&configuration, &responses.into()), None);
--- a/crates/config-store/tests/founding.rs
+++ b/crates/config-store/tests/founding.rs
@@ -1,4 +1,4 @@
-//! A founding that was cut short, and the operator's order to found anew.
+//! An interrupted first start of a founder, and the operator's order to found the register again.
 
 use oatbank_config_store::messages::{
     kind, Accept, LocalState, LocalStateRequest, Prepare, ProposalNumber, Record,
@@ -36,7 +36,7 @@
     folder.join("found-again").exists()
 }
 
-/// Starts, says what it holds, and is gone; `proposer_id` is asked of it before.
+/// Starts a voter, sends it the requests in `proposer_id`, and returns its local state.
 async fn start(options: VoterOptions, proposer_id: &[(u8, Vec<u8>)]) -> Result<LocalState, String> {
     let voter = Voter::start(options).map_err(|e| e.to_string())?;
     let handler = voter.handler();
@@ -53,21 +53,22 @@
 }
 
 async fn scenario() {
-    // The power went before its file was durable: it is told that this is no first start, and does not make things up.
+    // The power was lost before the file was durable: at the next start, which is not the first one, the machine does not
+    // found the register by itself.
     let data = folder("founding");
     let local_state = start(options(&data, false), &[]).await.unwrap();
     assert!(local_state.founders.is_empty() && local_state.disk_id != 0);
     let promise =
         Prepare { proposal: ProposalNumber { round: 3, proposer_id: 1 }, known: ProposalNumber::default() };
     start(options(&data, false), &[(kind::PREPARE, promise.encode_to_vec())]).await.unwrap();
-    // An order that cannot be read is told, and nothing changes.
+    // An invalid order is reported, and its file stays.
     for wrong in ["", "10.0.0.5,10.0.0.6", "10.0.0.4,here"] {
         order(&data, wrong);
         let error = start(options(&data, false), &[]).await.unwrap_err();
         assert!(error.contains("found-again") && error.contains("10.0.0.4 among them"), "{error}");
         assert!(is_ordered(&data));
     }
-    // It is followed once.
+    // A valid order is executed once.
     order(&data, FOUNDERS);
     let local_state = start(options(&data, false), &[]).await.unwrap();
     assert_eq!(
@@ -75,7 +76,7 @@
         (3, 0, ProposalNumber::default())
     );
     assert!(!is_ordered(&data));
-    // As it stands it is a founder's file: a second order changes nothing, and nor does one to a machine with a record.
+    // A second order has no effect on a founder, with or without an accepted record.
     let proposal = ProposalNumber { round: 4, proposer_id: 1 };
     let accept = Accept { proposal, record: Record { edition: 1, value: "x".into(), ..Record::default() } };
     for asked in [vec![], vec![(kind::ACCEPT, accept.encode_to_vec())]] {
@@ -86,7 +87,7 @@
     order(&data, "10.0.0.4");
     let local_state = start(options(&data, false), &[]).await.unwrap();
     assert_eq!((local_state.founders.len(), local_state.accepted), (3, proposal));
-    // Nor where a damaged file tells that it has voted.
+    // An order is refused beside a damaged file, which shows that this machine has voted.
     std::fs::write(data.join("promptbook.redb"), "torn").unwrap();
     order(&data, FOUNDERS);
     let error = start(options(&data, false), &[]).await.unwrap_err();
--- a/crates/config-store/tests/growth.rs
+++ b/crates/config-store/tests/growth.rs
@@ -1,4 +1,4 @@
-//! The file does not grow with the number of changes.
+//! The size of the voter's file does not grow with the number of changes.
 
 use oatbank_config_store::messages::{PersistentState, ProposalNumber, Record};
 use oatbank_config_store::storage::{StateFile, StateWriter};
@@ -33,5 +33,5 @@
     let held = StateFile::open(&folder).unwrap().unwrap().record;
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(held, Some(numbered(399).1));
-    assert!(length < 12 * LENGTH, "{length} bytes");
+    assert!(length < 12 * LENGTH, "the file has {length} bytes");
 }
--- a/crates/config-store/tests/program.rs
+++ b/crates/config-store/tests/program.rs
@@ -1,4 +1,4 @@
-//! Programs and callers: founding, changes, a machine less, lost disks, all killed at once, machines that join.
+//! Runs real processes with clients: founding, changes, one machine down, lost disks, all killed at once, joining.
 
 use oatbank_config_store::client::{ChangeError, RegisterClient};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -8,7 +8,7 @@
 use tokio::task::LocalSet;
 
 const LONG: Duration = Duration::from_secs(10);
-/// Voters may take so long to change where the disk is slow and shared.
+/// Time limit for a voter change; long enough for a slow, shared disk.
 const CHANGED: Duration = Duration::from_secs(30);
 
 struct Machine {
@@ -80,7 +80,7 @@
     Some((chosen.edition, String::from_utf8(chosen.value.unwrap_or_default().to_vec()).unwrap()))
 }
 
-/// Waits until the voters are these and no others, whatever disks they have.
+/// Waits until the voters are exactly `wanted`, and returns their disk ids.
 async fn until_vote(client: &RegisterClient, among: &[SocketAddr], wanted: &[SocketAddr]) -> Vec<u64> {
     let voting = async {
         loop {
@@ -115,7 +115,7 @@
     let refused = one.change(|_, edition| Err::<Vec<u8>, u64>(edition), LONG).await;
     assert_eq!(refused, Err(ChangeError::Rejected(2)));
 
-    // A machine less: it goes on. It comes back with its disk lost, and is taken in as another voter.
+    // With one machine down changes succeed. It comes back without its disk and is added as a different voter.
     machines[0].kill();
     assert_eq!(append(&one, "c").await, Ok(3));
     machines[0].wipe();
@@ -129,7 +129,7 @@
     assert_eq!(value(&one).await, Some((4, "abcd".into())));
     machines[2].start(founders, false);
 
-    // Two more ask to be taken in. Two of the five lose their disks at once and the others lose power.
+    // Two more machines join. All five are killed, and two of them lose their disks.
     for machine in &mut machines[3..5] {
         machine.start(founders, true);
     }
@@ -150,7 +150,7 @@
     machines[4].kill();
     assert_eq!(value(&two).await, Some((5, "abcde".into())));
 
-    // Below a majority nothing is promised; what may have been made is found out by the next majority.
+    // Without a majority a change fails as unreachable; with the next majority the earlier value is still there.
     machines[0].kill();
     let short = Duration::from_millis(100);
     assert_eq!(
@@ -166,7 +166,7 @@
     assert_eq!(value(&two).await, Some((5, "abcde".into())));
     assert_eq!(append(&one, "f").await, Ok(6));
 
-    // A caller that knew only the founders finds the voters, and a spare's seeds name none of them.
+    // A machine whose only seed is not a founder joins, and a client with an outdated configuration finds the voters.
     machines[5].start(&addresses[4..5], false);
     until_vote(&one, &[], &addresses).await;
     assert_eq!(two.read(LONG).await.map(|chosen| chosen.edition), Some(6));
--- a/crates/config-store/tests/stale_configuration.rs
+++ b/crates/config-store/tests/stale_configuration.rs
@@ -1,6 +1,6 @@
-//! A peek by a caller that slept while all voters were exchanged: the old ones run on, let go, and answer it. They must
-//! not agree, whichever records they hold: a majority of them accepted the first step away from their cast, and what a
-//! disk accepted only rises.
+//! A quorum read by a client that was paused while all voters were replaced: the removed voters still run and respond.
+//! They must not appear to agree, whichever records they have: a majority of them accepted the first step away from
+//! their configuration, and the proposal that a disk has accepted only increases.
 
 use oatbank_config_store::acceptor::Acceptor;
 use oatbank_config_store::messages::{ResponseStatus, VoterConfiguration, VoterId, VoterResponse};
@@ -10,7 +10,7 @@
 
 type PlainChange = fn(Option<&[u8]>, u64) -> Result<Vec<u8>, ()>;
 
-/// Voters by name, with no network between them but who is reached.
+/// Voters by name, without a network: each operation names the voters that it does not reach.
 struct Voters {
     voters: BTreeMap<String, Acceptor>,
     founders: VoterConfiguration,
@@ -44,7 +44,7 @@
         self.known.configuration(&self.founders).clone()
     }
 
-    /// Runs one operation; those in `deaf` hear nothing of it. Whether it was done.
+    /// Runs one operation that does not reach the voters in `deaf`. Returns whether it succeeded.
     fn operate(&mut self, task: Task<PlainChange>, deaf: &BTreeSet<&str>) -> bool {
         let mut operation: Operation<PlainChange, ()> =
             Operation::new(task, 5, self.founders.clone(), self.highest_round, self.known.clone());
@@ -84,7 +84,7 @@
         false
     }
 
-    /// What a caller sees that knows this cast.
+    /// Returns whether a quorum read with this configuration agrees, and its edition.
     fn peek(&self, configuration: &VoterConfiguration) -> Option<(bool, u64)> {
         let responses = configuration.addresses().into_iter().map(|name| {
             let response = self.voters[&name].peek();
@@ -95,7 +95,8 @@
     }
 }
 
-/// Exchanges 1, 2, 3 for 4, 5, 6, one by one; in each step one of those that vote then hears nothing.
+/// Replaces the voters 1, 2 and 3 by 4, 5 and 6 one by one; each step does not reach the voter named in `deaf`. Returns
+/// `None` if a step fails.
 fn exchange(deaf: [&'static str; 6]) -> Option<Voters> {
     let mut all = Voters::founded(&["1", "2", "3"], &["4", "5", "6"]);
     let put: PlainChange = |_, _| Ok(b"old".to_vec());
@@ -117,12 +118,15 @@
     }
     let put: PlainChange = |_, _| Ok(b"new".to_vec());
     assert!(all.operate(Task::Change(put), &nobody));
-    assert_eq!(all.peek(&all.configuration()), Some((true, 2)), "{deaf:?}: the voters of now agree");
+    assert_eq!(all.peek(&all.configuration()), Some((true, 2)), "{deaf:?}: the current voters agree");
     for (nth, configuration) in
         configurations.iter().enumerate().filter(|(_, configuration)| **configuration != all.configuration())
     {
         let seen = all.peek(configuration);
-        assert!(!matches!(seen, Some((true, _))), "{deaf:?}: the cast after {nth} changes agrees: {seen:?}");
+        assert!(
+            !matches!(seen, Some((true, _))),
+            "{deaf:?}: the configuration after {nth} changes agrees: {seen:?}"
+        );
     }
     Some(all)
 }
@@ -131,21 +135,22 @@
 fn voters_that_were_all_exchanged_agree_on_nothing_any_more() {
     let addresses = ["1", "2", "3", "4", "5", "6"];
     let mut done = 0;
-    // Who is deaf in which step: some thousand of the ways, each step with each of the six.
+    // A sample of one in seven of all combinations of unreached voters, with each of the six in each step.
     for code in (0..6usize.pow(6)).step_by(7) {
         let deaf: Vec<&'static str> = (0..6).map(|nth| addresses[code / 6usize.pow(nth) % 6]).collect();
         let exchanged = exchange([deaf[0], deaf[1], deaf[2], deaf[3], deaf[4], deaf[5]]).is_some();
-        // Who does not hear it is not taken in; all else goes through.
+        // A step fails only if it does not reach the machine that joins.
         let hear = ["4", "5", "6"].iter().enumerate().all(|(nth, comes)| deaf[2 * nth] != *comes);
         assert_eq!(exchanged, hear, "{deaf:?}");
         done += usize::from(exchanged);
     }
-    assert!(done > 2400, "{done}");
+    assert!(done > 2400, "only {done} complete replacements");
 }
 
 #[test]
 fn the_old_voters_may_hold_one_record_and_are_told_apart_by_its_cast() {
-    // All three heard the first step, and no other: they hold one ballot, a majority of the cast that the caller knows.
+    // All three accepted the first step and no later one: a majority of the configuration that the client knows has
+    // accepted the same proposal.
     let mut all = Voters::founded(&["1", "2", "3"], &["4", "5", "6"]);
     let put: PlainChange = |_, _| Ok(b"old".to_vec());
     let nobody = BTreeSet::new();
@@ -155,6 +160,6 @@
     let turn = VoterChange::AddVoter(all.voter("4"));
     assert!(all.operate(Task::ChangeVoters(turn), &nobody));
     let held: BTreeSet<_> = ["1", "2", "3"].map(|name| all.voters[name].state().accepted).into();
-    assert_eq!(held.len(), 1, "one ballot at all three");
+    assert_eq!(held.len(), 1, "all three have accepted the same proposal");
     assert!(!matches!(all.peek(&before), Some((true, _))));
 }
--- a/crates/config-store/tests/voters.rs
+++ b/crates/config-store/tests/voters.rs
@@ -1,7 +1,8 @@
-//! Second losses: machines that join, are replaced, leave and die between the steps of these changes, on a fake clock.
-//! A machine counts as lost as the platform counts: while it is down or cut off, for four seconds after its return or
-//! start, and one that is removed until its successor has had that time. As long as no more are lost than may be, orders
-//! are taken at each moment, and none that was is gone. `SCHEDULES` asks for more schedules, `SEED` for one.
+//! Further losses during voter changes: machines join, are replaced, leave and crash between the steps of a change, on a
+//! simulated clock. A machine counts as lost as the platform defines it: while it is down or partitioned, for four
+//! seconds after its return or start, and, if it is removed, until its successor has been up for that time. As long as no
+//! more machines are lost than tolerated, changes succeed at any time and no acknowledged change is lost. `SCHEDULES` sets
+//! the number of random schedules, `SEED` runs a single one.
 
 use oatbank_config_store::acceptor::Acceptor;
 use oatbank_config_store::membership::{may_join, removable_on_shutdown, LivenessTracker, RemovalDecision};
@@ -14,27 +15,28 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long a machine counts as lost after its return, ms.
+/// How long a machine counts as lost after its return, in ms.
 const CATCH_UP: u64 = 4000;
-/// One that is silent is waited for so long by a look, ms.
+/// How long a check of the voters waits for unreachable machines, in ms.
 const WAITS: u64 = 400;
 
 type Change = Box<dyn Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, ()>>;
 
 struct Machine {
-    /// What is on its disk; `None` if that is lost. All is durable at once: the model in `src` has the other kind.
+    /// The acceptor on its disk; `None` if the disk is lost. All state is durable at once; the schedules in `src/tests`
+    /// cover state that is not durable yet.
     disk: Option<Acceptor>,
     up: bool,
     cut: bool,
     refuses: bool,
-    /// It has been told to end.
+    /// Whether it is shutting down.
     ends: bool,
     watch: LivenessTracker,
     known: KnownRecord,
     highest_round: u64,
     next_look: u64,
     held: ProposalNumber,
-    /// It counts as lost before this.
+    /// It counts as lost until this time, in ms.
     lost_until: u64,
 }
 
@@ -46,7 +48,7 @@
     ids: u64,
     incarnations: u64,
     acknowledged: Vec<u8>,
-    /// Messages that the proposer of the moment may yet send before it dies.
+    /// The number of messages that the current proposer can send before it crashes; `None` for no limit.
     in_flight: Option<usize>,
 }
 
@@ -82,7 +84,7 @@
         self.machines[to].up && !cut
     }
 
-    /// A machine with an empty disk, here or at a new address.
+    /// Starts a machine with its disk, or with an empty one if it has none, at an existing or the next new address.
     fn start(&mut self, at: usize) {
         self.ids += 1;
         if at == self.machines.len() {
@@ -107,15 +109,15 @@
         self.machines[at].disk = None;
     }
 
-    /// Whether the platform counts it as lost.
+    /// Returns whether the platform counts the machine as lost.
     fn is_lost(&self, at: usize) -> bool {
         let machine = &self.machines[at];
         !machine.up || machine.cut || self.now < machine.lost_until
     }
 
-    // One operation, at one moment.
+    // Operations, which take no simulated time.
 
-    /// The question to one machine, and its answer if that arrives.
+    /// Sends a request to one machine. Returns its response, or `None` if one of the two does not arrive.
     fn ask<R>(&mut self, from: usize, to: usize, action: &Action<R>) -> Option<VoterResponse> {
         let reaches = self.reaches(from, to);
         if let Some(left) = &mut self.in_flight {
@@ -159,7 +161,7 @@
                     };
                     if !matches!(step, Action::Wait) {
                         next = step;
-                        // Who asked has enough; the others hear the question all the same.
+                        // The proposer has enough responses, but the other recipients still get the request.
                     }
                 }
                 match next {
@@ -184,7 +186,7 @@
         self.operate(at, Task::ChangeVoters(turn)).is_some()
     }
 
-    /// An order through this machine; whether it was acknowledged.
+    /// Appends a change through this machine. Returns whether it was acknowledged.
     fn order(&mut self, at: usize) -> bool {
         let id = self.acknowledged.len() as u8;
         let change: Change = Box::new(move |before, _| Ok([before.unwrap_or_default(), &[id]].concat()));
@@ -204,7 +206,7 @@
         }
     }
 
-    // What a program does by itself; the order of `Voter::look`.
+    // Periodic maintenance, with the steps of `Maintenance::check` in the same order.
 
     fn discover(&mut self, at: usize) -> BTreeSet<VoterId> {
         let mut responses = BTreeSet::new();
@@ -263,7 +265,7 @@
         self.machines[at].next_look = self.now + took + wait;
     }
 
-    /// Told to end: as `Voter::removable_on_shutdown`.
+    /// Shuts a machine down, with the steps of `Voter::leave`.
     fn shut_down(&mut self, at: usize) {
         self.machines[at].ends = true;
         let this_voter = self.voter_id(at);
@@ -305,18 +307,18 @@
         addresses
     }
 
-    /// Every order that was acknowledged is read by this machine, and another is taken.
+    /// Checks that this machine reads every acknowledged change and that a further change through it succeeds.
     fn serves(&mut self, at: usize, what: &str) {
         self.discover(at);
         let acknowledged = self.acknowledged.clone();
         let read = self.read(at);
         assert!(
             read.is_some(),
-            "{what}: no majority, by {at}: {:?}",
+            "{what}: machine {at} reaches no majority: {:?}",
             self.machines[at].known.configuration(&self.founders)
         );
-        assert!(read.unwrap().starts_with(&acknowledged), "{what}: an order is gone");
-        assert!(self.order(at), "{what}: no order is taken by {at}");
+        assert!(read.unwrap().starts_with(&acknowledged), "{what}: an acknowledged change is lost");
+        assert!(self.order(at), "{what}: a change through machine {at} fails");
     }
 }
 
@@ -338,7 +340,7 @@
     }
 }
 
-/// Each pair or single that may be lost of these.
+/// Returns each single machine of `of`, or each pair if two may be lost.
 fn losses(of: &[usize], tolerated_failures: usize) -> Vec<Vec<usize>> {
     match tolerated_failures {
         1 => of.iter().map(|one| vec![*one]).collect(),
@@ -346,16 +348,16 @@
     }
 }
 
-/// Core machines, and how many may be lost at once.
+/// Numbers of core machines, each with the number that may be lost at once.
 const SIZES: [(usize, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
 
-/// Steady, with some orders taken, the last while one was away.
+/// Returns a stable cluster with some changes made, the last one while a machine was down.
 fn steady(voters: usize, tolerated_failures: usize) -> World {
     let mut world = World::new(voters, tolerated_failures);
     world.run(3000);
-    world.serves(0, "steady");
+    world.serves(0, "stable");
     world.kill(voters - 1);
-    world.serves(0, "with one away");
+    world.serves(0, "with one machine down");
     world.start(voters - 1);
     world.run(CATCH_UP);
     world
@@ -369,7 +371,7 @@
                 let what = format!("{voters} voters, planned {planned}, then {lost:?}");
                 let mut world = steady(voters, tolerated_failures);
                 if planned {
-                    // The new one first; it is told to end once its successor has had its time.
+                    // The successor starts first; the old machine shuts down once the successor no longer counts as lost.
                     world.start(voters);
                     world.run(CATCH_UP);
                     world.shut_down(0);
@@ -382,7 +384,7 @@
                 lost.iter().for_each(|one| world.kill(*one));
                 let proposer_id = (1..=voters).find(|one| !lost.contains(one)).unwrap();
                 world.serves(proposer_id, &what);
-                // And with their disks.
+                // Now they also lose their disks.
                 lost.iter().for_each(|one| world.wipe(*one));
                 lost.iter().for_each(|one| world.start(*one));
                 world.run(CATCH_UP);
@@ -400,7 +402,7 @@
         world.shut_down(0);
         world.kill(1);
         if voters == 3 {
-            // Two of three: nothing is taken, nothing is made up, and nothing is lost.
+            // With two of three voters lost neither reads nor changes succeed, and no change is lost.
             assert!(world.read(2).is_none() && !world.order(2));
             world.start(1);
             world.run(1000);
@@ -409,13 +411,13 @@
     }
 }
 
-/// The proposer of a change dies after each of its messages, with its disk or without.
+/// A joining machine crashes after each of its messages, with and without the loss of its disk.
 #[test]
 fn a_joiner_that_dies_between_any_two_messages_costs_no_more_than_itself() {
     for (voters, tolerated_failures) in SIZES {
         for wiped in [false, true] {
             for in_flight in 0..60 {
-                let what = format!("{voters} voters, dead after {in_flight} messages, wiped {wiped}");
+                let what = format!("{voters} voters, crash after {in_flight} messages, disk lost: {wiped}");
                 let mut world = steady(voters, tolerated_failures);
                 world.start(voters);
                 world.in_flight = Some(in_flight);
@@ -427,7 +429,7 @@
                     world.kill(voters);
                 }
                 world.serves(0, &what);
-                // All that may be lost besides, once it has been silent for as long as a return takes.
+                // Further machines are lost once it has been unreachable for as long as a return takes.
                 world.run(CATCH_UP);
                 (0..tolerated_failures).for_each(|one| world.kill(one));
                 world.serves(voters - 1, &what);
@@ -445,7 +447,7 @@
 fn a_leaver_that_dies_between_any_two_messages_costs_no_more_than_itself() {
     for (voters, tolerated_failures) in SIZES {
         for in_flight in 0..60 {
-            let what = format!("{voters} voters, dead after {in_flight} messages");
+            let what = format!("{voters} voters, crash after {in_flight} messages");
             let mut world = steady(voters, tolerated_failures);
             world.start(voters);
             world.run(CATCH_UP);
@@ -464,7 +466,7 @@
 fn a_disk_lost_again_right_after_it_was_taken_in_costs_nothing_more() {
     for (voters, tolerated_failures) in SIZES {
         for in_flight in 0..40 {
-            let what = format!("{voters} voters, {in_flight} messages");
+            let what = format!("{voters} voters, second loss after {in_flight} messages");
             let mut world = steady(voters, tolerated_failures);
             (0..tolerated_failures).for_each(|one| world.wipe(one));
             (0..tolerated_failures).for_each(|one| world.start(one));
@@ -476,7 +478,7 @@
             world.start(0);
             world.run(CATCH_UP);
             assert_eq!(world.voters(0), addresses(voters), "{what}");
-            // Others now, with their disks; those that were empty are needed.
+            // Other machines lose their disks, so the replaced disks are needed for the majority.
             (tolerated_failures..2 * tolerated_failures).for_each(|one| world.wipe(one));
             world.serves(0, &what);
         }
@@ -488,17 +490,17 @@
     let mut world = steady(3, 1);
     world.start(3);
     let agreed = world.acknowledged.clone();
-    // It is gone at its first message: nobody has heard of it, and it holds what is agreed.
+    // It crashes before its first message: no machine knows of it, but its disk has the agreed record.
     world.in_flight = Some(0);
     world.look(3);
     let record = world.machines[3].disk.as_ref().unwrap().record().cloned().unwrap();
     assert_eq!(&record.value[..], &agreed[..]);
     assert_eq!(world.voters(0), addresses(3));
-    // A voter that was away while others agreed holds it soon, without another change.
+    // A voter that was down while the others agreed soon has the record, without another change.
     let held = |world: &World| world.machines[2].disk.as_ref().unwrap().record().unwrap().value.to_vec();
     world.in_flight = None;
     world.kill(2);
-    world.serves(0, "one away");
+    world.serves(0, "one machine down");
     world.start(2);
     assert_ne!(held(&world), world.acknowledged);
     world.run(300);
@@ -512,22 +514,22 @@
     world.machines[3].refuses = true;
     let this_voter = world.voter_id(3);
     world.discover(3);
-    // Also if it asks, which its program does not.
+    // Not even if it asks, which the program does not do while writes fail.
     assert!(!world.change_voters(3, VoterChange::AddVoter(this_voter)));
     world.run(CATCH_UP);
     assert_eq!(world.voters(0), addresses(3));
     world.kill(0);
-    world.serves(1, "one of three");
+    world.serves(1, "one of three lost");
     world.start(0);
     world.machines[3].refuses = false;
     world.run(1000);
     assert_eq!(world.voters(0), addresses(4));
-    // A voter whose disk takes nothing any more counts as silent.
+    // A voter whose writes fail counts as unreachable.
     world.machines[3].refuses = true;
     world.run(CATCH_UP);
     assert_eq!(world.voters(0), addresses(3));
     world.kill(0);
-    world.serves(1, "one of three again");
+    world.serves(1, "one of three lost again");
 }
 
 #[test]
@@ -540,7 +542,7 @@
                 world.start(5);
                 world.start(6);
                 world.run(CATCH_UP);
-                // One has ended when the other does.
+                // The first machine has shut down before the second one does.
                 world.shut_down(0);
                 world.shut_down(1);
             } else {
@@ -562,8 +564,8 @@
     let mut world = steady(3, 1);
     let old = world.machines[0].disk.clone();
     world.wipe(0);
-    world.serves(1, "one wiped");
-    // All ask at one moment; the wiped one is out until it is taken in.
+    world.serves(1, "one disk lost");
+    // All join at the same moment; the machine that lost its disk is not a voter until it is added again.
     world.start(3);
     world.start(4);
     world.start(0);
@@ -572,15 +574,15 @@
     let new = world.voter_id(0);
     world.kill(1);
     world.wipe(2);
-    world.serves(0, "two of five");
+    world.serves(0, "two of five lost");
     world.start(1);
     world.start(2);
     world.run(CATCH_UP);
-    // The old disk is back in its machine: it promised and accepted what it did, and is another voter.
+    // The old disk returns to its machine: it has its earlier promises and records, and is a different voter.
     let replaced = std::mem::replace(&mut world.machines[0].disk, old);
     world.start(0);
     assert_ne!(world.voter_id(0), new);
-    world.serves(1, "the old disk is out");
+    world.serves(1, "the old disk is not a voter");
     world.run(CATCH_UP);
     let configuration = world.machines[1].known.configuration(&world.founders).clone();
     assert!(
@@ -590,30 +592,30 @@
     );
     world.wipe(1);
     world.wipe(3);
-    world.serves(0, "two of five, with the old disk");
+    world.serves(0, "two of five lost, with the old disk");
     world.start(1);
     world.start(3);
     world.run(CATCH_UP);
-    // And the new one again.
+    // The new disk returns.
     world.machines[0].disk = replaced;
     world.start(0);
     world.run(CATCH_UP);
     world.kill(2);
     world.kill(4);
-    world.serves(0, "two of five, with the new disk again");
+    world.serves(0, "two of five lost, with the new disk again");
     assert!(world.machines[0].known.configuration(&world.founders).voters.contains(&new));
 }
 
-// By chance.
+// Random schedules.
 
 struct Days {
     world: World,
     chance: Pcg64Mcg,
-    /// Machines to come back or to be started, and when.
+    /// Machines to be started, each with the time in ms.
     comes: Vec<(u64, usize)>,
-    /// Removed machines, and their successor.
+    /// Removed machines, each with its successor.
     removed: Vec<(usize, usize)>,
-    /// Cut off until then.
+    /// Partitioned machines, each with the time in ms at which its partition ends.
     cut: Vec<(u64, usize)>,
     happened: [u32; 6],
     votes: String,
@@ -623,7 +625,11 @@
 impl Drop for Days {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("{} may be lost; {}", self.world.tolerated_failures, self.story.join("; "));
+            eprintln!(
+                "tolerated losses: {}; events: {}",
+                self.world.tolerated_failures,
+                self.story.join("; ")
+            );
         }
     }
 }
@@ -649,7 +655,8 @@
         u64::from(self.chance.next_u32()) % limit
     }
 
-    /// How many count as lost: a removed one by its successor, for as long as that is not there or new.
+    /// Returns how many machines count as lost. A removed machine counts through its successor, until that is up and no
+    /// longer counts as lost.
     fn lost(&self) -> usize {
         let machines = self.world.machines.len();
         let due = self.removed.iter().filter(|(_, successor)| *successor >= machines).count();
@@ -699,7 +706,7 @@
                 self.comes.push((comes, new));
             }
             5 if !full => {
-                // The new one first; where another is due, that one.
+                // The successor starts first. Skipped if another machine is due at the new address.
                 let successor = self.world.machines.len();
                 if successor != new {
                     return;
@@ -715,7 +722,9 @@
             _ => return,
         }
         self.happened[what] += 1;
-        let what = ["killed", "wiped", "restarted", "cut off", "gone for good", "replaced as planned"][what];
+        let what =
+            ["killed", "disk lost", "restarted", "partitioned", "removed for good", "replaced as planned"]
+                [what];
         self.story.push(format!("{now} {at} {what}"));
     }
 
@@ -726,7 +735,7 @@
         if let Some(proposer_id) = proposer_id {
             let votes = self.world.voters(proposer_id).join(" ");
             if self.votes != votes {
-                self.story.push(format!("{now} {votes} vote"));
+                self.story.push(format!("{now} voters are {votes}"));
                 self.votes = votes;
             }
         }
@@ -735,7 +744,7 @@
             let (_, machine) = self.comes.remove(at);
             if machine <= self.world.machines.len() {
                 self.world.start(machine);
-                self.story.push(format!("{now} {machine} comes"));
+                self.story.push(format!("{now} {machine} started"));
             } else {
                 self.comes.push((now + 100, machine));
                 break;
@@ -762,7 +771,7 @@
                 }
             }
         }
-        // All lose power, and as many as may be their disks as well.
+        // All machines lose power, and as many as tolerated lose their disks as well.
         let running: Vec<usize> =
             (0..self.world.machines.len()).filter(|at| self.world.machines[*at].up).collect();
         let spare = self.world.tolerated_failures.saturating_sub(self.lost());
@@ -792,6 +801,6 @@
         days.happened.iter().zip(&mut happened).for_each(|(one, all)| *all += one);
     }
     let [killed, wiped, restarted, cut, gone, planned] = happened;
-    println!("seeds {played:?}: {killed} kills, {wiped} lost disks, {restarted} restarts in order, {cut} cuts, {gone} gone for good, {planned} planned replacements");
+    println!("seeds {played:?}: {killed} kills, {wiped} lost disks, {restarted} planned restarts, {cut} partitions, {gone} removed for good, {planned} planned replacements");
     assert!(played.end - played.start < 100 || happened.iter().all(|count| *count > 100));
 }
