--- a/crates/config-store/src/tests/mod.rs
+++ b/crates/config-store/src/tests/mod.rs
@@ -1,8 +1,8 @@
-//! Seeded random schedules of acceptors, proposers and voter changes, checked by a checker that sees only the results of
-//! clients. The environment variable `SCHEDULES` sets their number, `SEED` runs a single one.
+//! Seeded random schedules of acceptors, proposers and voter changes, checked by a checker that sees only the results
+//! of clients. The environment variable `SCHEDULES` sets their number, `SEED` runs a single one.
 //!
-//! [`World`] holds the simulated system; `voters` has the actions of sites, `clients` those of proposers, and `events` the
-//! random events.
+//! [`World`] holds the simulated system; `voters` has the actions of sites, `clients` those of proposers, and
+//! `events` the random events.
 
 mod cases;
 mod checker;
--- a/crates/config-store/src/tests/voters.rs
+++ b/crates/config-store/src/tests/voters.rs
@@ -99,7 +99,8 @@
         site.up = Some(acceptor);
     }
 
-    /// Loses the disk of a site, if each configuration that is or may come into force keeps a quorum without lost disks.
+    /// Loses the disk of a site, if each configuration that is or may come into force keeps a quorum without lost
+    /// disks.
     pub(super) fn lose_disk(&mut self, at: usize) {
         let voter = VoterId { address: at.to_string(), disk_id: self.sites[at].disk_id };
         // The program removes only voters that are lost already, so no disk is lost while a removal is in progress.
--- a/crates/config-store/tests/founding.rs
+++ b/crates/config-store/tests/founding.rs
@@ -28,33 +28,33 @@
     }
 }
 
-fn order(folder: &Path, text: &str) {
+fn write_order(folder: &Path, text: &str) {
     std::fs::write(folder.join("found-again"), text).unwrap();
 }
 
-fn is_ordered(folder: &Path) -> bool {
+fn has_order(folder: &Path) -> bool {
     folder.join("found-again").exists()
 }
 
-/// Starts a voter, sends it the requests in `proposer_id`, and returns its local state.
-async fn start(options: VoterOptions, proposer_id: &[(u8, Vec<u8>)]) -> Result<LocalState, String> {
+/// Starts a voter, sends it `requests`, and returns its local state.
+async fn start(options: VoterOptions, requests: &[(u8, Vec<u8>)]) -> Result<LocalState, String> {
     let voter = Voter::start(options).map_err(|e| e.to_string())?;
     let handler = voter.handler();
-    for (kind, body) in proposer_id {
+    for (kind, body) in requests {
         let response = handler(*kind, body.clone().into());
-        let votes = voter.clone().run();
+        let run = voter.clone().run();
         tokio::select! {
             response = response => assert!(!response.is_empty()),
-            () = votes => {}
+            () = run => {}
         }
     }
-    let who = LocalStateRequest { known: ProposalNumber::default() }.encode_to_vec();
-    Ok(LocalState::decode(&handler(kind::LOCAL_STATE, who.into()).await[..]).unwrap())
+    let local_state_request = LocalStateRequest { known: ProposalNumber::default() }.encode_to_vec();
+    Ok(LocalState::decode(&handler(kind::LOCAL_STATE, local_state_request.into()).await[..]).unwrap())
 }
 
 async fn scenario() {
-    // The power was lost before the file was durable: at the next start, which is not the first one, the machine does not
-    // found the register by itself.
+    // The power was lost before the file was durable: at the next start, which is not the first one, the machine does
+    // not found the register by itself.
     let data = folder("founding");
     let local_state = start(options(&data, false), &[]).await.unwrap();
     assert!(local_state.founders.is_empty() && local_state.disk_id != 0);
@@ -63,33 +63,33 @@
     start(options(&data, false), &[(kind::PREPARE, promise.encode_to_vec())]).await.unwrap();
     // An invalid order is reported, and its file stays.
     for wrong in ["", "10.0.0.5,10.0.0.6", "10.0.0.4,here"] {
-        order(&data, wrong);
+        write_order(&data, wrong);
         let error = start(options(&data, false), &[]).await.unwrap_err();
         assert!(error.contains("found-again") && error.contains("10.0.0.4 among them"), "{error}");
-        assert!(is_ordered(&data));
+        assert!(has_order(&data));
     }
     // A valid order is executed once.
-    order(&data, FOUNDERS);
+    write_order(&data, FOUNDERS);
     let local_state = start(options(&data, false), &[]).await.unwrap();
     assert_eq!(
         (local_state.founders.len(), local_state.disk_id, local_state.accepted),
         (3, 0, ProposalNumber::default())
     );
-    assert!(!is_ordered(&data));
+    assert!(!has_order(&data));
     // A second order has no effect on a founder, with or without an accepted record.
     let proposal = ProposalNumber { round: 4, proposer_id: 1 };
     let accept = Accept { proposal, record: Record { edition: 1, value: "x".into(), ..Record::default() } };
-    for asked in [vec![], vec![(kind::ACCEPT, accept.encode_to_vec())]] {
-        order(&data, "10.0.0.4");
-        let local_state = start(options(&data, false), &asked).await.unwrap();
-        assert_eq!((local_state.founders.len(), is_ordered(&data)), (3, false));
+    for requests in [vec![], vec![(kind::ACCEPT, accept.encode_to_vec())]] {
+        write_order(&data, "10.0.0.4");
+        let local_state = start(options(&data, false), &requests).await.unwrap();
+        assert_eq!((local_state.founders.len(), has_order(&data)), (3, false));
     }
-    order(&data, "10.0.0.4");
+    write_order(&data, "10.0.0.4");
     let local_state = start(options(&data, false), &[]).await.unwrap();
     assert_eq!((local_state.founders.len(), local_state.accepted), (3, proposal));
     // An order is refused beside a damaged file, which shows that this machine has voted.
     std::fs::write(data.join("promptbook.redb"), "torn").unwrap();
-    order(&data, FOUNDERS);
+    write_order(&data, FOUNDERS);
     let error = start(options(&data, false), &[]).await.unwrap_err();
     assert!(error.contains("this machine has voted"), "{error}");
     std::fs::remove_file(data.join("found-again")).unwrap();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_founding_cut_short_is_made_up_by_the_operators_order_and_by_nothing_else() {
+fn an_interrupted_founding_is_repeated_only_by_the_operators_order() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, scenario());
 }
--- a/crates/config-store/tests/growth.rs
+++ b/crates/config-store/tests/growth.rs
@@ -5,10 +5,10 @@
 use std::path::PathBuf;
 
 #[test]
-fn hundreds_of_changes_leave_a_file_of_a_few_times_the_record() {
+fn hundreds_of_changes_keep_the_file_below_twelve_times_the_record() {
     const LENGTH: usize = 100_000;
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("growth-{}", std::process::id()));
-    let numbered = |number: u64| {
+    let state_and_record = |number: u64| {
         let proposal = ProposalNumber { round: number, proposer_id: 1 };
         let value = vec![number as u8; LENGTH - number as usize % 100].into();
         let state = PersistentState {
@@ -19,10 +19,10 @@
         };
         (state, Record { edition: number, lineage: vec![proposal], value, configuration: None })
     };
-    let (state, record) = numbered(1);
+    let (state, record) = state_and_record(1);
     let mut disk = StateFile::create(&folder, &state, Some(&record)).unwrap();
     for number in 2..400 {
-        let (state, record) = numbered(number);
+        let (state, record) = state_and_record(number);
         disk.write(&state, Some(&record), true).unwrap();
         let promised =
             PersistentState { promised: ProposalNumber { round: number, proposer_id: 2 }, ..state };
@@ -32,6 +32,6 @@
     drop(disk);
     let held = StateFile::open(&folder).unwrap().unwrap().record;
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!(held, Some(numbered(399).1));
+    assert_eq!(held, Some(state_and_record(399).1));
     assert!(length < 12 * LENGTH, "the file has {length} bytes");
 }
--- a/crates/config-store/tests/stale_configuration.rs
+++ b/crates/config-store/tests/stale_configuration.rs
@@ -44,8 +44,8 @@
         self.known.configuration(&self.founders).clone()
     }
 
-    /// Runs one operation that does not reach the voters in `deaf`. Returns whether it succeeded.
-    fn operate(&mut self, task: Task<PlainChange>, deaf: &BTreeSet<&str>) -> bool {
+    /// Runs one operation that does not reach the voters in `unreachable`. Returns whether it succeeded.
+    fn operate(&mut self, task: Task<PlainChange>, unreachable: &BTreeSet<&str>) -> bool {
         let mut operation: Operation<PlainChange, ()> =
             Operation::new(task, 5, self.founders.clone(), self.highest_round, self.known.clone());
         let mut action = operation.begin_round();
@@ -55,7 +55,7 @@
             let responses: Vec<(String, Option<VoterResponse>)> = asked
                 .into_iter()
                 .map(|name| {
-                    let voter = self.voters.get_mut(&name).filter(|_| !deaf.contains(&name[..]));
+                    let voter = self.voters.get_mut(&name).filter(|_| !unreachable.contains(&name[..]));
                     let response = voter.and_then(|voter| match &action {
                         Action::Prepare(prepare) => Some(voter.prepare(prepare).0),
                         Action::Accept(accept) => Some(voter.accept(accept).0),
@@ -95,71 +95,88 @@
     }
 }
 
-/// Replaces the voters 1, 2 and 3 by 4, 5 and 6 one by one; each step does not reach the voter named in `deaf`. Returns
-/// `None` if a step fails.
-fn exchange(deaf: [&'static str; 6]) -> Option<Voters> {
-    let mut all = Voters::founded(&["1", "2", "3"], &["4", "5", "6"]);
-    let put: PlainChange = |_, _| Ok(b"old".to_vec());
+/// Replaces the voters 1, 2 and 3 by 4, 5 and 6 one by one; each step does not reach the voter named in
+/// `unreachable`. Returns `None` if a step fails.
+fn replace_all_voters(unreachable: [&'static str; 6]) -> Option<Voters> {
+    let mut cluster = Voters::founded(&["1", "2", "3"], &["4", "5", "6"]);
+    let write: PlainChange = |_, _| Ok(b"old".to_vec());
     let nobody = BTreeSet::new();
-    assert!(all.operate(Task::Change(put), &nobody));
-    let mut configurations = vec![all.configuration()];
+    assert!(cluster.operate(Task::Change(write), &nobody));
+    let mut configurations = vec![cluster.configuration()];
     let steps = [("4", "1"), ("5", "2"), ("6", "3")];
-    for (nth, (comes, goes)) in steps.into_iter().enumerate() {
-        let turn = VoterChange::AddVoter(all.voter(comes));
-        if !all.operate(Task::ChangeVoters(turn), &BTreeSet::from([deaf[2 * nth]])) {
+    for (nth, (joining, leaving)) in steps.into_iter().enumerate() {
+        let change = VoterChange::AddVoter(cluster.voter(joining));
+        if !cluster.operate(Task::ChangeVoters(change), &BTreeSet::from([unreachable[2 * nth]])) {
             return None;
         }
-        configurations.push(all.configuration());
-        let turn = VoterChange::RemoveVoters(vec![all.voter(goes)], all.configuration().proposed_in);
-        if !all.operate(Task::ChangeVoters(turn), &BTreeSet::from([deaf[2 * nth + 1]])) {
+        configurations.push(cluster.configuration());
+        let change =
+            VoterChange::RemoveVoters(vec![cluster.voter(leaving)], cluster.configuration().proposed_in);
+        if !cluster.operate(Task::ChangeVoters(change), &BTreeSet::from([unreachable[2 * nth + 1]])) {
             return None;
         }
-        configurations.push(all.configuration());
+        configurations.push(cluster.configuration());
     }
-    let put: PlainChange = |_, _| Ok(b"new".to_vec());
-    assert!(all.operate(Task::Change(put), &nobody));
-    assert_eq!(all.peek(&all.configuration()), Some((true, 2)), "{deaf:?}: the current voters agree");
-    for (nth, configuration) in
-        configurations.iter().enumerate().filter(|(_, configuration)| **configuration != all.configuration())
+    let write: PlainChange = |_, _| Ok(b"new".to_vec());
+    assert!(cluster.operate(Task::Change(write), &nobody));
+    assert_eq!(
+        cluster.peek(&cluster.configuration()),
+        Some((true, 2)),
+        "{unreachable:?}: the current voters agree"
+    );
+    for (nth, configuration) in configurations
+        .iter()
+        .enumerate()
+        .filter(|(_, configuration)| **configuration != cluster.configuration())
     {
-        let seen = all.peek(configuration);
+        let result = cluster.peek(configuration);
         assert!(
-            !matches!(seen, Some((true, _))),
-            "{deaf:?}: the configuration after {nth} changes agrees: {seen:?}"
+            !matches!(result, Some((true, _))),
+            "{unreachable:?}: the configuration after {nth} changes agrees: {result:?}"
         );
     }
-    Some(all)
+    Some(cluster)
 }
 
 #[test]
-fn voters_that_were_all_exchanged_agree_on_nothing_any_more() {
+fn removed_voters_never_agree_in_a_quorum_read() {
     let addresses = ["1", "2", "3", "4", "5", "6"];
-    let mut done = 0;
+    let mut replacements = 0;
     // A sample of one in seven of all combinations of unreached voters, with each of the six in each step.
-    for code in (0..6usize.pow(6)).step_by(7) {
-        let deaf: Vec<&'static str> = (0..6).map(|nth| addresses[code / 6usize.pow(nth) % 6]).collect();
-        let exchanged = exchange([deaf[0], deaf[1], deaf[2], deaf[3], deaf[4], deaf[5]]).is_some();
+    for combination in (0..6usize.pow(6)).step_by(7) {
+        let unreachable: Vec<&'static str> =
+            (0..6).map(|nth| addresses[combination / 6usize.pow(nth) % 6]).collect();
+        let is_replaced = replace_all_voters([
+            unreachable[0],
+            unreachable[1],
+            unreachable[2],
+            unreachable[3],
+            unreachable[4],
+            unreachable[5],
+        ])
+        .is_some();
         // A step fails only if it does not reach the machine that joins.
-        let hear = ["4", "5", "6"].iter().enumerate().all(|(nth, comes)| deaf[2 * nth] != *comes);
-        assert_eq!(exchanged, hear, "{deaf:?}");
-        done += usize::from(exchanged);
+        let joiners_are_reached =
+            ["4", "5", "6"].iter().enumerate().all(|(nth, joining)| unreachable[2 * nth] != *joining);
+        assert_eq!(is_replaced, joiners_are_reached, "{unreachable:?}");
+        replacements += usize::from(is_replaced);
     }
-    assert!(done > 2400, "only {done} complete replacements");
+    assert!(replacements > 2400, "only {replacements} complete replacements");
 }
 
 #[test]
-fn the_old_voters_may_hold_one_record_and_are_told_apart_by_its_cast() {
+fn removed_voters_with_the_same_record_are_detected_by_its_configuration() {
     // All three accepted the first step and no later one: a majority of the configuration that the client knows has
     // accepted the same proposal.
-    let mut all = Voters::founded(&["1", "2", "3"], &["4", "5", "6"]);
-    let put: PlainChange = |_, _| Ok(b"old".to_vec());
+    let mut cluster = Voters::founded(&["1", "2", "3"], &["4", "5", "6"]);
+    let write: PlainChange = |_, _| Ok(b"old".to_vec());
     let nobody = BTreeSet::new();
-    assert!(all.operate(Task::Change(put), &nobody));
-    let before = all.configuration();
-    assert_eq!(all.peek(&before), Some((true, 1)));
-    let turn = VoterChange::AddVoter(all.voter("4"));
-    assert!(all.operate(Task::ChangeVoters(turn), &nobody));
-    let held: BTreeSet<_> = ["1", "2", "3"].map(|name| all.voters[name].state().accepted).into();
+    assert!(cluster.operate(Task::Change(write), &nobody));
+    let before = cluster.configuration();
+    assert_eq!(cluster.peek(&before), Some((true, 1)));
+    let change = VoterChange::AddVoter(cluster.voter("4"));
+    assert!(cluster.operate(Task::ChangeVoters(change), &nobody));
+    let held: BTreeSet<_> = ["1", "2", "3"].map(|name| cluster.voters[name].state().accepted).into();
     assert_eq!(held.len(), 1, "all three have accepted the same proposal");
-    assert!(!matches!(all.peek(&before), Some((true, _))));
+    assert!(!matches!(cluster.peek(&before), Some((true, _))));
 }
--- a/crates/config-store/tests/voters.rs
+++ b/crates/config-store/tests/voters.rs
@@ -1,8 +1,8 @@
-//! Further losses during voter changes: machines join, are replaced, leave and crash between the steps of a change, on a
-//! simulated clock. A machine counts as lost as the platform defines it: while it is down or partitioned, for four
-//! seconds after its return or start, and, if it is removed, until its successor has been up for that time. As long as no
-//! more machines are lost than tolerated, changes succeed at any time and no acknowledged change is lost. `SCHEDULES` sets
-//! the number of random schedules, `SEED` runs a single one.
+//! Further losses during voter changes: machines join, are replaced, leave and crash between the steps of a change,
+//! on a simulated clock. A machine counts as lost as the platform defines it: while it is down or partitioned, for
+//! four seconds after its return or start, and, if it is removed, until its successor has been up for that time. As
+//! long as no more machines are lost than tolerated, changes succeed at any time and no acknowledged change is lost.
+//! `SCHEDULES` sets the number of random schedules, `SEED` runs a single one.
 
 use oatbank_config_store::acceptor::Acceptor;
 use oatbank_config_store::membership::{may_join, removable_on_shutdown, LivenessTracker, RemovalDecision};
@@ -16,9 +16,9 @@
 use std::time::Duration;
 
 /// How long a machine counts as lost after its return, in ms.
-const CATCH_UP: u64 = 4000;
+const CATCH_UP_MS: u64 = 4000;
 /// How long a check of the voters waits for unreachable machines, in ms.
-const WAITS: u64 = 400;
+const DISCOVERY_WAIT_MS: u64 = 400;
 
 type Change = Box<dyn Fn(Option<&[u8]>, u64) -> Result<Vec<u8>, ()>>;
 
@@ -26,16 +26,16 @@
     /// The acceptor on its disk; `None` if the disk is lost. All state is durable at once; the schedules in `src/tests`
     /// cover state that is not durable yet.
     disk: Option<Acceptor>,
-    up: bool,
-    cut: bool,
-    refuses: bool,
+    is_up: bool,
+    is_partitioned: bool,
+    refuses_writes: bool,
     /// Whether it is shutting down.
-    ends: bool,
-    watch: LivenessTracker,
+    is_shutting_down: bool,
+    liveness: LivenessTracker,
     known: KnownRecord,
     highest_round: u64,
-    next_look: u64,
-    held: ProposalNumber,
+    next_check: u64,
+    accepted_before: ProposalNumber,
     /// It counts as lost until this time, in ms.
     lost_until: u64,
 }
@@ -45,11 +45,11 @@
     tolerated_failures: usize,
     founders: VoterConfiguration,
     machines: Vec<Machine>,
-    ids: u64,
+    last_disk_id: u64,
     incarnations: u64,
     acknowledged: Vec<u8>,
     /// The number of messages that the current proposer can send before it crashes; `None` for no limit.
-    in_flight: Option<usize>,
+    messages_left: Option<usize>,
 }
 
 fn addresses(voters: usize) -> Vec<String> {
@@ -63,10 +63,10 @@
             tolerated_failures,
             founders: VoterConfiguration::founders(&addresses(voters)),
             machines: Vec::new(),
-            ids: 1,
+            last_disk_id: 1,
             incarnations: 0,
             acknowledged: Vec::new(),
-            in_flight: None,
+            messages_left: None,
         };
         for _ in 0..voters {
             world.machines.push(Machine::new(Some(Acceptor::founded(addresses(voters))), tolerated_failures));
@@ -80,28 +80,29 @@
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let cut = from != to && (self.machines[from].cut || self.machines[to].cut);
-        self.machines[to].up && !cut
+        let is_partitioned =
+            from != to && (self.machines[from].is_partitioned || self.machines[to].is_partitioned);
+        self.machines[to].is_up && !is_partitioned
     }
 
     /// Starts a machine with its disk, or with an empty one if it has none, at an existing or the next new address.
     fn start(&mut self, at: usize) {
-        self.ids += 1;
+        self.last_disk_id += 1;
         if at == self.machines.len() {
             self.machines.push(Machine::new(None, self.tolerated_failures));
         }
-        let (now, tolerated_failures, id) = (self.now, self.tolerated_failures, self.ids);
+        let (now, tolerated_failures, id) = (self.now, self.tolerated_failures, self.last_disk_id);
         let machine = &mut self.machines[at];
         let disk = machine.disk.take().unwrap_or_else(|| Acceptor::fresh(id));
         *machine = Machine {
-            lost_until: now + CATCH_UP,
-            next_look: now,
+            lost_until: now + CATCH_UP_MS,
+            next_check: now,
             ..Machine::new(Some(disk), tolerated_failures)
         };
     }
 
     fn kill(&mut self, at: usize) {
-        self.machines[at].up = false;
+        self.machines[at].is_up = false;
     }
 
     fn wipe(&mut self, at: usize) {
@@ -112,20 +113,20 @@
     /// Returns whether the platform counts the machine as lost.
     fn is_lost(&self, at: usize) -> bool {
         let machine = &self.machines[at];
-        !machine.up || machine.cut || self.now < machine.lost_until
+        !machine.is_up || machine.is_partitioned || self.now < machine.lost_until
     }
 
     // Operations, which take no simulated time.
 
     /// Sends a request to one machine. Returns its response, or `None` if one of the two does not arrive.
-    fn ask<R>(&mut self, from: usize, to: usize, action: &Action<R>) -> Option<VoterResponse> {
+    fn send<R>(&mut self, from: usize, to: usize, action: &Action<R>) -> Option<VoterResponse> {
         let reaches = self.reaches(from, to);
-        if let Some(left) = &mut self.in_flight {
+        if let Some(left) = &mut self.messages_left {
             *left = left.checked_sub(1)?;
         }
         let machine = &mut self.machines[to];
         let acceptor = machine.disk.as_mut().filter(|_| reaches)?;
-        if machine.refuses {
+        if machine.refuses_writes {
             return Some(acceptor.respond(ResponseStatus::StorageUnavailable));
         }
         match action {
@@ -134,7 +135,7 @@
                 let before = acceptor.configuration_proposed_in();
                 let response = acceptor.accept(accept).0;
                 if acceptor.configuration_proposed_in() != before && !acceptor.is_changing() {
-                    machine.next_look = machine.next_look.min(self.now);
+                    machine.next_check = machine.next_check.min(self.now);
                 }
                 Some(response)
             }
@@ -154,7 +155,7 @@
                 let (phase_id, recipients) = (operation.phase_id(), operation.recipients().to_vec());
                 let mut next = Action::Wait;
                 for name in recipients {
-                    let response = self.ask(at, name.parse().unwrap(), &action);
+                    let response = self.send(at, name.parse().unwrap(), &action);
                     let step = match response {
                         Some(response) => operation.on_response(phase_id, &name, response),
                         None => operation.on_failure(phase_id, &name),
@@ -182,12 +183,12 @@
         outcome
     }
 
-    fn change_voters(&mut self, at: usize, turn: VoterChange) -> bool {
-        self.operate(at, Task::ChangeVoters(turn)).is_some()
+    fn change_voters(&mut self, at: usize, change: VoterChange) -> bool {
+        self.operate(at, Task::ChangeVoters(change)).is_some()
     }
 
     /// Appends a change through this machine. Returns whether it was acknowledged.
-    fn order(&mut self, at: usize) -> bool {
+    fn append_change(&mut self, at: usize) -> bool {
         let id = self.acknowledged.len() as u8;
         let change: Change = Box::new(move |before, _| Ok([before.unwrap_or_default(), &[id]].concat()));
         match self.operate(at, Task::Change(change)) {
@@ -220,7 +221,7 @@
                 .map(|d| d.local_state(&LocalStateRequest { known: ProposalNumber::default() }, vec![]));
             if let Some(local_state) = local_state {
                 self.machines[at].known.learn_from(&local_state);
-                if !self.machines[other].refuses {
+                if !self.machines[other].refuses_writes {
                     responses.insert(self.voter_id(other));
                 }
             }
@@ -228,58 +229,63 @@
         responses
     }
 
-    fn look(&mut self, at: usize) {
+    fn check_voters(&mut self, at: usize) {
         let this_voter = self.voter_id(at);
         let responses = self.discover(at);
         let configuration = self.machines[at].known.configuration(&self.founders).clone();
         let is_reachable = |voter: &VoterId| responses.contains(voter);
-        let votes = configuration.voters.contains(&this_voter);
+        let is_voter = configuration.voters.contains(&this_voter);
         let machine = &mut self.machines[at];
         let disk = machine.disk.as_mut().unwrap();
-        let holds_cast = disk.configuration_proposed_in() == configuration.proposed_in;
-        let before = std::mem::replace(&mut machine.held, disk.state().accepted);
-        let behind = machine.known.proposal > machine.held;
-        if behind && (!votes || !holds_cast || before == machine.held) && !machine.refuses {
+        let holds_configuration = disk.configuration_proposed_in() == configuration.proposed_in;
+        let before = std::mem::replace(&mut machine.accepted_before, disk.state().accepted);
+        let behind = machine.known.proposal > machine.accepted_before;
+        if behind
+            && (!is_voter || !holds_configuration || before == machine.accepted_before)
+            && !machine.refuses_writes
+        {
             disk.adopt(machine.known.proposal, machine.known.record.as_ref().unwrap());
         }
-        let took = if configuration.voters.iter().all(is_reachable) { 0 } else { WAITS };
+        let took = if configuration.voters.iter().all(is_reachable) { 0 } else { DISCOVERY_WAIT_MS };
         let mut wait = 2000;
         if configuration.is_changing() || may_join(&configuration, &this_voter, is_reachable) {
             wait = 300;
-            if !machine.refuses && self.change_voters(at, VoterChange::AddVoter(this_voter.clone())) {
-                self.machines[at].next_look = self.now + took;
+            if !machine.refuses_writes && self.change_voters(at, VoterChange::AddVoter(this_voter.clone())) {
+                self.machines[at].next_check = self.now + took;
                 return;
             }
         }
         let now = Duration::from_millis(self.now);
-        match self.machines[at].watch.observe(now, &configuration, &this_voter, is_reachable) {
+        match self.machines[at].liveness.observe(now, &configuration, &this_voter, is_reachable) {
             RemovalDecision::KeepAll => {}
             RemovalDecision::CheckSoon => wait = wait.min(500),
-            RemovalDecision::Remove(gone) => {
-                if self.change_voters(at, VoterChange::RemoveVoters(gone.clone(), configuration.proposed_in))
+            RemovalDecision::Remove(removed) => {
+                if self
+                    .change_voters(at, VoterChange::RemoveVoters(removed.clone(), configuration.proposed_in))
                 {
-                    self.machines[at].watch.record_removed(&gone);
+                    self.machines[at].liveness.record_removed(&removed);
                 }
             }
         }
-        self.machines[at].next_look = self.now + took + wait;
+        self.machines[at].next_check = self.now + took + wait;
     }
 
     /// Shuts a machine down, with the steps of `Voter::leave`.
     fn shut_down(&mut self, at: usize) {
-        self.machines[at].ends = true;
+        self.machines[at].is_shutting_down = true;
         let this_voter = self.voter_id(at);
         for _ in 0..2 {
             let responses = self.discover(at);
             let configuration = self.machines[at].known.configuration(&self.founders).clone();
             let absent: Vec<VoterId> =
                 configuration.voters.iter().filter(|m| !responses.contains(m)).cloned().collect();
-            let goes = removable_on_shutdown(&configuration, &this_voter, &absent, self.tolerated_failures);
-            if goes.is_empty() && !configuration.is_changing() {
+            let removed =
+                removable_on_shutdown(&configuration, &this_voter, &absent, self.tolerated_failures);
+            if removed.is_empty() && !configuration.is_changing() {
                 break;
             }
-            if self.change_voters(at, VoterChange::RemoveVoters(goes.clone(), configuration.proposed_in))
-                && !goes.is_empty()
+            if self.change_voters(at, VoterChange::RemoveVoters(removed.clone(), configuration.proposed_in))
+                && !removed.is_empty()
             {
                 break;
             }
@@ -293,8 +299,8 @@
             self.now += 100;
             for at in 0..self.machines.len() {
                 let machine = &self.machines[at];
-                if machine.up && !machine.ends && machine.next_look <= self.now {
-                    self.look(at);
+                if machine.is_up && !machine.is_shutting_down && machine.next_check <= self.now {
+                    self.check_voters(at);
                 }
             }
         }
@@ -308,7 +314,7 @@
     }
 
     /// Checks that this machine reads every acknowledged change and that a further change through it succeeds.
-    fn serves(&mut self, at: usize, what: &str) {
+    fn assert_serves(&mut self, at: usize, what: &str) {
         self.discover(at);
         let acknowledged = self.acknowledged.clone();
         let read = self.read(at);
@@ -318,7 +324,7 @@
             self.machines[at].known.configuration(&self.founders)
         );
         assert!(read.unwrap().starts_with(&acknowledged), "{what}: an acknowledged change is lost");
-        assert!(self.order(at), "{what}: a change through machine {at} fails");
+        assert!(self.append_change(at), "{what}: a change through machine {at} fails");
     }
 }
 
@@ -326,22 +332,22 @@
     fn new(disk: Option<Acceptor>, tolerated_failures: usize) -> Machine {
         Machine {
             disk,
-            up: true,
-            cut: false,
-            refuses: false,
-            ends: false,
-            watch: LivenessTracker::new(tolerated_failures),
+            is_up: true,
+            is_partitioned: false,
+            refuses_writes: false,
+            is_shutting_down: false,
+            liveness: LivenessTracker::new(tolerated_failures),
             known: KnownRecord::default(),
             highest_round: 0,
-            next_look: 0,
-            held: ProposalNumber::default(),
+            next_check: 0,
+            accepted_before: ProposalNumber::default(),
             lost_until: 0,
         }
     }
 }
 
 /// Returns each single machine of `of`, or each pair if two may be lost.
-fn losses(of: &[usize], tolerated_failures: usize) -> Vec<Vec<usize>> {
+fn loss_sets(of: &[usize], tolerated_failures: usize) -> Vec<Vec<usize>> {
     match tolerated_failures {
         1 => of.iter().map(|one| vec![*one]).collect(),
         _ => of.iter().flat_map(|a| of.iter().filter(move |b| a < b).map(move |b| vec![*a, *b])).collect(),
@@ -352,155 +358,157 @@
 const SIZES: [(usize, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
 
 /// Returns a stable cluster with some changes made, the last one while a machine was down.
-fn steady(voters: usize, tolerated_failures: usize) -> World {
+fn stable_cluster(voters: usize, tolerated_failures: usize) -> World {
     let mut world = World::new(voters, tolerated_failures);
     world.run(3000);
-    world.serves(0, "stable");
+    world.assert_serves(0, "stable");
     world.kill(voters - 1);
-    world.serves(0, "with one machine down");
+    world.assert_serves(0, "with one machine down");
     world.start(voters - 1);
-    world.run(CATCH_UP);
+    world.run(CATCH_UP_MS);
     world
 }
 
 #[test]
-fn a_successor_comes_and_the_removed_one_is_followed_by_a_loss_at_once() {
+fn a_replacement_followed_at_once_by_further_losses_keeps_a_majority() {
     for (voters, tolerated_failures) in SIZES {
         for planned in [true, false] {
-            for lost in losses(&(1..=voters).collect::<Vec<_>>(), tolerated_failures) {
+            for lost in loss_sets(&(1..=voters).collect::<Vec<_>>(), tolerated_failures) {
                 let what = format!("{voters} voters, planned {planned}, then {lost:?}");
-                let mut world = steady(voters, tolerated_failures);
+                let mut world = stable_cluster(voters, tolerated_failures);
                 if planned {
-                    // The successor starts first; the old machine shuts down once the successor no longer counts as lost.
+                    // The successor starts first; the old machine shuts down once the successor no longer counts as
+                    // lost.
                     world.start(voters);
-                    world.run(CATCH_UP);
+                    world.run(CATCH_UP_MS);
                     world.shut_down(0);
                 } else {
                     world.kill(0);
                     world.run(1000);
                     world.start(voters);
-                    world.run(CATCH_UP);
+                    world.run(CATCH_UP_MS);
                 }
                 lost.iter().for_each(|one| world.kill(*one));
-                let proposer_id = (1..=voters).find(|one| !lost.contains(one)).unwrap();
-                world.serves(proposer_id, &what);
+                let healthy_machine = (1..=voters).find(|one| !lost.contains(one)).unwrap();
+                world.assert_serves(healthy_machine, &what);
                 // Now they also lose their disks.
                 lost.iter().for_each(|one| world.wipe(*one));
                 lost.iter().for_each(|one| world.start(*one));
-                world.run(CATCH_UP);
-                world.kill(proposer_id);
-                world.serves((1..=voters).find(|one| *one != proposer_id).unwrap(), &what);
+                world.run(CATCH_UP_MS);
+                world.kill(healthy_machine);
+                world.assert_serves((1..=voters).find(|one| *one != healthy_machine).unwrap(), &what);
             }
         }
     }
 }
 
 #[test]
-fn a_remove_without_a_successor_and_a_crash_are_two_losses_and_borne_as_such() {
+fn a_removal_without_a_successor_counts_as_a_loss_besides_a_crash() {
     for (voters, tolerated_failures) in SIZES {
-        let mut world = steady(voters, tolerated_failures);
+        let mut world = stable_cluster(voters, tolerated_failures);
         world.shut_down(0);
         world.kill(1);
         if voters == 3 {
             // With two of three voters lost neither reads nor changes succeed, and no change is lost.
-            assert!(world.read(2).is_none() && !world.order(2));
+            assert!(world.read(2).is_none() && !world.append_change(2));
             world.start(1);
             world.run(1000);
         }
-        world.serves(2, &format!("{voters} voters"));
+        world.assert_serves(2, &format!("{voters} voters"));
     }
 }
 
 /// A joining machine crashes after each of its messages, with and without the loss of its disk.
 #[test]
-fn a_joiner_that_dies_between_any_two_messages_costs_no_more_than_itself() {
+fn a_joining_machine_may_crash_after_any_message() {
     for (voters, tolerated_failures) in SIZES {
         for wiped in [false, true] {
-            for in_flight in 0..60 {
-                let what = format!("{voters} voters, crash after {in_flight} messages, disk lost: {wiped}");
-                let mut world = steady(voters, tolerated_failures);
+            for messages_left in 0..60 {
+                let what =
+                    format!("{voters} voters, crash after {messages_left} messages, disk lost: {wiped}");
+                let mut world = stable_cluster(voters, tolerated_failures);
                 world.start(voters);
-                world.in_flight = Some(in_flight);
-                world.look(voters);
-                world.in_flight = None;
+                world.messages_left = Some(messages_left);
+                world.check_voters(voters);
+                world.messages_left = None;
                 if wiped {
                     world.wipe(voters);
                 } else {
                     world.kill(voters);
                 }
-                world.serves(0, &what);
+                world.assert_serves(0, &what);
                 // Further machines are lost once it has been unreachable for as long as a return takes.
-                world.run(CATCH_UP);
+                world.run(CATCH_UP_MS);
                 (0..tolerated_failures).for_each(|one| world.kill(one));
-                world.serves(voters - 1, &what);
+                world.assert_serves(voters - 1, &what);
                 world.start(voters);
                 (0..tolerated_failures).for_each(|one| world.start(one));
-                world.run(CATCH_UP);
+                world.run(CATCH_UP_MS);
                 (1..=tolerated_failures).for_each(|one| world.wipe(one));
-                world.serves(voters, &what);
+                world.assert_serves(voters, &what);
             }
         }
     }
 }
 
 #[test]
-fn a_leaver_that_dies_between_any_two_messages_costs_no_more_than_itself() {
+fn a_leaving_machine_may_crash_after_any_message() {
     for (voters, tolerated_failures) in SIZES {
-        for in_flight in 0..60 {
-            let what = format!("{voters} voters, crash after {in_flight} messages");
-            let mut world = steady(voters, tolerated_failures);
+        for messages_left in 0..60 {
+            let what = format!("{voters} voters, crash after {messages_left} messages");
+            let mut world = stable_cluster(voters, tolerated_failures);
             world.start(voters);
-            world.run(CATCH_UP);
-            world.in_flight = Some(in_flight);
+            world.run(CATCH_UP_MS);
+            world.messages_left = Some(messages_left);
             world.shut_down(0);
-            world.in_flight = None;
-            world.serves(voters, &what);
-            world.run(CATCH_UP);
+            world.messages_left = None;
+            world.assert_serves(voters, &what);
+            world.run(CATCH_UP_MS);
             (1..=tolerated_failures).for_each(|one| world.wipe(one));
-            world.serves(voters, &what);
+            world.assert_serves(voters, &what);
         }
     }
 }
 
 #[test]
-fn a_disk_lost_again_right_after_it_was_taken_in_costs_nothing_more() {
+fn a_new_disk_may_be_lost_again_right_after_joining() {
     for (voters, tolerated_failures) in SIZES {
-        for in_flight in 0..40 {
-            let what = format!("{voters} voters, second loss after {in_flight} messages");
-            let mut world = steady(voters, tolerated_failures);
+        for messages_left in 0..40 {
+            let what = format!("{voters} voters, second loss after {messages_left} messages");
+            let mut world = stable_cluster(voters, tolerated_failures);
             (0..tolerated_failures).for_each(|one| world.wipe(one));
             (0..tolerated_failures).for_each(|one| world.start(one));
-            world.in_flight = Some(in_flight);
-            world.look(0);
-            world.in_flight = None;
+            world.messages_left = Some(messages_left);
+            world.check_voters(0);
+            world.messages_left = None;
             world.wipe(0);
-            world.serves(voters - 1, &what);
+            world.assert_serves(voters - 1, &what);
             world.start(0);
-            world.run(CATCH_UP);
+            world.run(CATCH_UP_MS);
             assert_eq!(world.voters(0), addresses(voters), "{what}");
             // Other machines lose their disks, so the replaced disks are needed for the majority.
             (tolerated_failures..2 * tolerated_failures).for_each(|one| world.wipe(one));
-            world.serves(0, &what);
+            world.assert_serves(0, &what);
         }
     }
 }
 
 #[test]
-fn what_is_agreed_is_on_a_joiners_disk_before_it_counts() {
-    let mut world = steady(3, 1);
+fn a_joining_machine_has_the_agreed_record_before_it_is_added() {
+    let mut world = stable_cluster(3, 1);
     world.start(3);
     let agreed = world.acknowledged.clone();
     // It crashes before its first message: no machine knows of it, but its disk has the agreed record.
-    world.in_flight = Some(0);
-    world.look(3);
+    world.messages_left = Some(0);
+    world.check_voters(3);
     let record = world.machines[3].disk.as_ref().unwrap().record().cloned().unwrap();
     assert_eq!(&record.value[..], &agreed[..]);
     assert_eq!(world.voters(0), addresses(3));
     // A voter that was down while the others agreed soon has the record, without another change.
     let held = |world: &World| world.machines[2].disk.as_ref().unwrap().record().unwrap().value.to_vec();
-    world.in_flight = None;
+    world.messages_left = None;
     world.kill(2);
-    world.serves(0, "one machine down");
+    world.assert_serves(0, "one machine down");
     world.start(2);
     assert_ne!(held(&world), world.acknowledged);
     world.run(300);
@@ -508,40 +516,40 @@
 }
 
 #[test]
-fn a_joiner_whose_disk_takes_nothing_is_not_taken_in() {
-    let mut world = steady(3, 1);
+fn a_machine_whose_writes_fail_is_not_added() {
+    let mut world = stable_cluster(3, 1);
     world.start(3);
-    world.machines[3].refuses = true;
+    world.machines[3].refuses_writes = true;
     let this_voter = world.voter_id(3);
     world.discover(3);
     // Not even if it asks, which the program does not do while writes fail.
     assert!(!world.change_voters(3, VoterChange::AddVoter(this_voter)));
-    world.run(CATCH_UP);
+    world.run(CATCH_UP_MS);
     assert_eq!(world.voters(0), addresses(3));
     world.kill(0);
-    world.serves(1, "one of three lost");
+    world.assert_serves(1, "one of three lost");
     world.start(0);
-    world.machines[3].refuses = false;
+    world.machines[3].refuses_writes = false;
     world.run(1000);
     assert_eq!(world.voters(0), addresses(4));
     // A voter whose writes fail counts as unreachable.
-    world.machines[3].refuses = true;
-    world.run(CATCH_UP);
+    world.machines[3].refuses_writes = true;
+    world.run(CATCH_UP_MS);
     assert_eq!(world.voters(0), addresses(3));
     world.kill(0);
-    world.serves(1, "one of three lost again");
+    world.assert_serves(1, "one of three lost again");
 }
 
 #[test]
-fn two_replacements_at_once() {
+fn two_replacements_at_once_keep_a_majority() {
     for planned in [true, false] {
-        for lost in losses(&[2, 3, 4, 5, 6], 2) {
+        for lost in loss_sets(&[2, 3, 4, 5, 6], 2) {
             let what = format!("planned {planned}, then {lost:?}");
-            let mut world = steady(5, 2);
+            let mut world = stable_cluster(5, 2);
             if planned {
                 world.start(5);
                 world.start(6);
-                world.run(CATCH_UP);
+                world.run(CATCH_UP_MS);
                 // The first machine has shut down before the second one does.
                 world.shut_down(0);
                 world.shut_down(1);
@@ -551,39 +559,39 @@
                 world.run(1000);
                 world.start(5);
                 world.start(6);
-                world.run(CATCH_UP);
+                world.run(CATCH_UP_MS);
             }
             lost.iter().for_each(|one| world.kill(*one));
-            world.serves((2..=6).find(|one| !lost.contains(one)).unwrap(), &what);
+            world.assert_serves((2..=6).find(|one| !lost.contains(one)).unwrap(), &what);
         }
     }
 }
 
 #[test]
-fn spares_that_join_while_a_voter_is_wiped_and_the_old_disk_that_comes_back() {
-    let mut world = steady(3, 1);
+fn spares_join_while_a_disk_is_lost_and_the_old_disk_returns() {
+    let mut world = stable_cluster(3, 1);
     let old = world.machines[0].disk.clone();
     world.wipe(0);
-    world.serves(1, "one disk lost");
+    world.assert_serves(1, "one disk lost");
     // All join at the same moment; the machine that lost its disk is not a voter until it is added again.
     world.start(3);
     world.start(4);
     world.start(0);
-    world.run(CATCH_UP);
+    world.run(CATCH_UP_MS);
     assert_eq!(world.voters(0), addresses(5));
     let new = world.voter_id(0);
     world.kill(1);
     world.wipe(2);
-    world.serves(0, "two of five lost");
+    world.assert_serves(0, "two of five lost");
     world.start(1);
     world.start(2);
-    world.run(CATCH_UP);
+    world.run(CATCH_UP_MS);
     // The old disk returns to its machine: it has its earlier promises and records, and is a different voter.
     let replaced = std::mem::replace(&mut world.machines[0].disk, old);
     world.start(0);
     assert_ne!(world.voter_id(0), new);
-    world.serves(1, "the old disk is not a voter");
-    world.run(CATCH_UP);
+    world.assert_serves(1, "the old disk is not a voter");
+    world.run(CATCH_UP_MS);
     let configuration = world.machines[1].known.configuration(&world.founders).clone();
     assert!(
         configuration.voters.contains(&world.voter_id(0))
@@ -592,67 +600,67 @@
     );
     world.wipe(1);
     world.wipe(3);
-    world.serves(0, "two of five lost, with the old disk");
+    world.assert_serves(0, "two of five lost, with the old disk");
     world.start(1);
     world.start(3);
-    world.run(CATCH_UP);
+    world.run(CATCH_UP_MS);
     // The new disk returns.
     world.machines[0].disk = replaced;
     world.start(0);
-    world.run(CATCH_UP);
+    world.run(CATCH_UP_MS);
     world.kill(2);
     world.kill(4);
-    world.serves(0, "two of five lost, with the new disk again");
+    world.assert_serves(0, "two of five lost, with the new disk again");
     assert!(world.machines[0].known.configuration(&world.founders).voters.contains(&new));
 }
 
 // Random schedules.
 
-struct Days {
+struct RandomSchedule {
     world: World,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
     /// Machines to be started, each with the time in ms.
-    comes: Vec<(u64, usize)>,
+    pending_starts: Vec<(u64, usize)>,
     /// Removed machines, each with its successor.
     removed: Vec<(usize, usize)>,
     /// Partitioned machines, each with the time in ms at which its partition ends.
-    cut: Vec<(u64, usize)>,
-    happened: [u32; 6],
-    votes: String,
-    story: Vec<String>,
+    partitions: Vec<(u64, usize)>,
+    event_counts: [u32; 6],
+    last_voters: String,
+    event_log: Vec<String>,
 }
 
-impl Drop for Days {
+impl Drop for RandomSchedule {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!(
                 "tolerated losses: {}; events: {}",
                 self.world.tolerated_failures,
-                self.story.join("; ")
+                self.event_log.join("; ")
             );
         }
     }
 }
 
-impl Days {
-    fn new(seed: u64) -> Days {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let (voters, tolerated_failures) = SIZES[chance.next_u32() as usize % SIZES.len()];
+impl RandomSchedule {
+    fn new(seed: u64) -> RandomSchedule {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        let (voters, tolerated_failures) = SIZES[random.next_u32() as usize % SIZES.len()];
         let world = World::new(voters, tolerated_failures);
-        Days {
+        RandomSchedule {
             world,
-            chance,
-            comes: Vec::new(),
+            random,
+            pending_starts: Vec::new(),
             removed: Vec::new(),
-            cut: Vec::new(),
-            happened: [0; 6],
-            votes: String::new(),
-            story: Vec::new(),
+            partitions: Vec::new(),
+            event_counts: [0; 6],
+            last_voters: String::new(),
+            event_log: Vec::new(),
         }
     }
 
     fn below(&mut self, limit: u64) -> u64 {
-        u64::from(self.chance.next_u32()) % limit
+        u64::from(self.random.next_u32()) % limit
     }
 
     /// Returns how many machines count as lost. A removed machine counts through its successor, until that is up and no
@@ -664,46 +672,46 @@
         due + (0..machines).filter(|at| !removed(*at) && self.world.is_lost(*at)).count()
     }
 
-    fn well(&mut self) -> Option<usize> {
+    fn random_healthy(&mut self) -> Option<usize> {
         let all: Vec<usize> = (0..self.world.machines.len()).filter(|at| !self.world.is_lost(*at)).collect();
         (!all.is_empty()).then(|| all[self.below(all.len() as u64) as usize])
     }
 
-    fn event(&mut self) {
-        let Some(at) = self.well() else { return };
+    fn trigger_event(&mut self) {
+        let Some(at) = self.random_healthy() else { return };
         if self.lost() >= self.world.tolerated_failures {
             return;
         }
         let (now, what) = (self.world.now, self.below(6) as usize);
         let new = self.world.machines.len()
-            + self.comes.iter().filter(|(_, at)| *at >= self.world.machines.len()).count();
+            + self.pending_starts.iter().filter(|(_, at)| *at >= self.world.machines.len()).count();
         let full = new > 14;
         match what {
             0 => {
                 self.world.kill(at);
                 let back = now + 300 + self.below(25_000);
-                self.comes.push((back, at));
+                self.pending_starts.push((back, at));
             }
             1 => {
                 self.world.wipe(at);
                 let back = now + 300 + self.below(3000);
-                self.comes.push((back, at));
+                self.pending_starts.push((back, at));
             }
             2 => {
                 self.world.shut_down(at);
                 let back = now + 300 + self.below(3000);
-                self.comes.push((back, at));
+                self.pending_starts.push((back, at));
             }
             3 => {
-                self.world.machines[at].cut = true;
+                self.world.machines[at].is_partitioned = true;
                 let until = now + 500 + self.below(22_000);
-                self.cut.push((until, at));
+                self.partitions.push((until, at));
             }
             4 if !full => {
                 self.world.kill(at);
                 self.removed.push((at, new));
                 let comes = now + self.below(3000);
-                self.comes.push((comes, new));
+                self.pending_starts.push((comes, new));
             }
             5 if !full => {
                 // The successor starts first. Skipped if another machine is due at the new address.
@@ -715,92 +723,94 @@
                 let runs = self.below(3000);
                 self.world.run(runs);
                 self.removed.push((at, successor));
-                if self.world.machines[at].up {
+                if self.world.machines[at].is_up {
                     self.world.shut_down(at);
                 }
             }
             _ => return,
         }
-        self.happened[what] += 1;
+        self.event_counts[what] += 1;
         let what =
             ["killed", "disk lost", "restarted", "partitioned", "removed for good", "replaced as planned"]
                 [what];
-        self.story.push(format!("{now} {at} {what}"));
+        self.event_log.push(format!("{now} {at} {what}"));
     }
 
     fn tick(&mut self) {
         self.world.run(100);
         let now = self.world.now;
-        let proposer_id = self.world.machines.iter().position(|machine| machine.up && !machine.cut);
-        if let Some(proposer_id) = proposer_id {
-            let votes = self.world.voters(proposer_id).join(" ");
-            if self.votes != votes {
-                self.story.push(format!("{now} voters are {votes}"));
-                self.votes = votes;
+        let healthy_machine =
+            self.world.machines.iter().position(|machine| machine.is_up && !machine.is_partitioned);
+        if let Some(healthy_machine) = healthy_machine {
+            let voters = self.world.voters(healthy_machine).join(" ");
+            if self.last_voters != voters {
+                self.event_log.push(format!("{now} voters are {voters}"));
+                self.last_voters = voters;
             }
         }
-        self.comes.sort_unstable();
-        while let Some(at) = self.comes.iter().position(|(when, _)| *when <= now) {
-            let (_, machine) = self.comes.remove(at);
+        self.pending_starts.sort_unstable();
+        while let Some(at) = self.pending_starts.iter().position(|(when, _)| *when <= now) {
+            let (_, machine) = self.pending_starts.remove(at);
             if machine <= self.world.machines.len() {
                 self.world.start(machine);
-                self.story.push(format!("{now} {machine} started"));
+                self.event_log.push(format!("{now} {machine} started"));
             } else {
-                self.comes.push((now + 100, machine));
+                self.pending_starts.push((now + 100, machine));
                 break;
             }
         }
-        for nth in (0..self.cut.len()).rev() {
-            if self.cut[nth].0 <= now {
-                let (_, machine) = self.cut.remove(nth);
-                self.world.machines[machine].cut = false;
-                self.world.machines[machine].lost_until = now + CATCH_UP;
+        for nth in (0..self.partitions.len()).rev() {
+            if self.partitions[nth].0 <= now {
+                let (_, machine) = self.partitions.remove(nth);
+                self.world.machines[machine].is_partitioned = false;
+                self.world.machines[machine].lost_until = now + CATCH_UP_MS;
             }
         }
     }
 
-    fn play(&mut self, seed: u64) {
+    fn run_and_check(&mut self, seed: u64) {
         for _ in 0..600 {
             self.tick();
             if self.below(20) == 0 {
-                self.event();
+                self.trigger_event();
             }
             if self.below(4) == 0 && self.lost() <= self.world.tolerated_failures {
-                if let Some(proposer_id) = self.well() {
-                    self.world.serves(proposer_id, &format!("SEED={seed}, at {} ms", self.world.now));
+                if let Some(healthy_machine) = self.random_healthy() {
+                    self.world
+                        .assert_serves(healthy_machine, &format!("SEED={seed}, at {} ms", self.world.now));
                 }
             }
         }
         // All machines lose power, and as many as tolerated lose their disks as well.
         let running: Vec<usize> =
-            (0..self.world.machines.len()).filter(|at| self.world.machines[*at].up).collect();
+            (0..self.world.machines.len()).filter(|at| self.world.machines[*at].is_up).collect();
         let spare = self.world.tolerated_failures.saturating_sub(self.lost());
         let wiped: Vec<usize> =
             running.iter().copied().filter(|at| !self.world.is_lost(*at)).take(spare).collect();
         running.iter().for_each(|at| self.world.kill(*at));
         wiped.iter().for_each(|at| self.world.wipe(*at));
         running.iter().for_each(|at| self.world.start(*at));
-        self.world.run(2 * CATCH_UP);
-        if let Some(proposer_id) = self.well() {
-            self.world.serves(proposer_id, &format!("SEED={seed}, after all lost power"));
+        self.world.run(2 * CATCH_UP_MS);
+        if let Some(healthy_machine) = self.random_healthy() {
+            self.world.assert_serves(healthy_machine, &format!("SEED={seed}, after all lost power"));
         }
     }
 }
 
 #[test]
-fn no_schedule_of_second_losses_leaves_no_majority() {
+fn random_schedules_of_tolerated_losses_keep_a_majority() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let seeds = match number("SEED") {
         Some(seed) => seed..seed + 1,
         None => 0..number("SCHEDULES").unwrap_or(300),
     };
-    let (mut happened, played) = ([0; 6], seeds.clone());
+    let (mut event_counts, played) = ([0; 6], seeds.clone());
     for seed in seeds {
-        let mut days = Days::new(seed);
-        days.play(seed);
-        days.happened.iter().zip(&mut happened).for_each(|(one, all)| *all += one);
+        let mut schedule = RandomSchedule::new(seed);
+        schedule.run_and_check(seed);
+        schedule.event_counts.iter().zip(&mut event_counts).for_each(|(one, all)| *all += one);
     }
-    let [killed, wiped, restarted, cut, gone, planned] = happened;
+    let [killed, wiped, restarted, cut, gone, planned] = event_counts;
     println!("seeds {played:?}: {killed} kills, {wiped} lost disks, {restarted} planned restarts, {cut} partitions, {gone} removed for good, {planned} planned replacements");
-    assert!(played.end - played.start < 100 || happened.iter().all(|count| *count > 100));
+    assert!(played.end - played.start < 100 || event_counts.iter().all(|count| *count > 100));
 }
