--- a/crates/config-store/src/storage.rs
+++ b/crates/config-store/src/storage.rs
@@ -47,6 +47,8 @@
     }
 }
 
+/// Converts a database error: a failed I/O operation and a file in use are temporary; invalid data and all other errors
+/// mean damage.
 fn refused(error: impl Into<redb::Error>) -> DiskError {
     match error.into() {
         redb::Error::Io(error)
--- a/crates/config-store/src/voter.rs
+++ b/crates/config-store/src/voter.rs
@@ -250,6 +250,8 @@
         }
     }
 
+    /// Applies all queued requests, makes the result durable with one write, and then responds. If the write fails, the
+    /// acceptor returns to its earlier state and every request gets [`ResponseStatus::StorageUnavailable`].
     fn process_batch(&self) {
         let requests = self.pending.take();
         let mut state = self.state.borrow_mut();
--- a/crates/config-store/src/voter_maintenance.rs
+++ b/crates/config-store/src/voter_maintenance.rs
@@ -158,6 +158,7 @@
         }
     }
 
+    /// Proposes the removal of these voters, unless the configuration has changed since `based_on`.
     async fn remove(&mut self, removed: Vec<VoterId>, based_on: ProposalNumber) {
         warn!("store: removing unreachable voters: {}", list_addresses(&removed));
         let change = VoterChange::RemoveVoters(removed.clone(), based_on);
--- a/crates/config-store/src/voter_reporter.rs
+++ b/crates/config-store/src/voter_reporter.rs
@@ -19,6 +19,7 @@
 }
 
 impl QuorumLossReporter {
+    /// Takes the result of one check of the voters, and logs the loss of the majority if a report is due.
     pub(crate) fn report(
         &mut self,
         now: Duration,
@@ -69,6 +70,7 @@
 }
 
 impl VoterChangeReporter {
+    /// Logs the configuration if it is not a joint one and differs from the last one logged.
     pub(crate) fn report(&mut self, configuration: &VoterConfiguration, this_voter: &VoterId) {
         let is_voter = configuration.voters.contains(this_voter);
         let reported = Reported { proposed_in: configuration.proposed_in, is_voter };
