--- a/crates/config-store/tests/voters.rs
+++ b/crates/config-store/tests/voters.rs
@@ -668,7 +668,7 @@
     fn lost(&self) -> usize {
         let machines = self.world.machines.len();
         let due = self.removed.iter().filter(|(_, successor)| *successor >= machines).count();
-        let removed = |at: usize| self.removed.iter().any(|(gone, _)| *gone == at);
+        let removed = |at: usize| self.removed.iter().any(|(machine, _)| *machine == at);
         due + (0..machines).filter(|at| !removed(*at) && self.world.is_lost(*at)).count()
     }
 
@@ -689,18 +689,18 @@
         match what {
             0 => {
                 self.world.kill(at);
-                let back = now + 300 + self.below(25_000);
-                self.pending_starts.push((back, at));
+                let restart_at = now + 300 + self.below(25_000);
+                self.pending_starts.push((restart_at, at));
             }
             1 => {
                 self.world.wipe(at);
-                let back = now + 300 + self.below(3000);
-                self.pending_starts.push((back, at));
+                let restart_at = now + 300 + self.below(3000);
+                self.pending_starts.push((restart_at, at));
             }
             2 => {
                 self.world.shut_down(at);
-                let back = now + 300 + self.below(3000);
-                self.pending_starts.push((back, at));
+                let restart_at = now + 300 + self.below(3000);
+                self.pending_starts.push((restart_at, at));
             }
             3 => {
                 self.world.machines[at].is_partitioned = true;
@@ -710,8 +710,8 @@
             4 if !full => {
                 self.world.kill(at);
                 self.removed.push((at, new));
-                let comes = now + self.below(3000);
-                self.pending_starts.push((comes, new));
+                let start_at = now + self.below(3000);
+                self.pending_starts.push((start_at, new));
             }
             5 if !full => {
                 // The successor starts first. Skipped if another machine is due at the new address.
@@ -720,8 +720,8 @@
                     return;
                 }
                 self.world.start(successor);
-                let runs = self.below(3000);
-                self.world.run(runs);
+                let run_ms = self.below(3000);
+                self.world.run(run_ms);
                 self.removed.push((at, successor));
                 if self.world.machines[at].is_up {
                     self.world.shut_down(at);
@@ -804,13 +804,13 @@
         Some(seed) => seed..seed + 1,
         None => 0..number("SCHEDULES").unwrap_or(300),
     };
-    let (mut event_counts, played) = ([0; 6], seeds.clone());
+    let (mut event_counts, seed_range) = ([0; 6], seeds.clone());
     for seed in seeds {
         let mut schedule = RandomSchedule::new(seed);
         schedule.run_and_check(seed);
         schedule.event_counts.iter().zip(&mut event_counts).for_each(|(one, all)| *all += one);
     }
-    let [killed, wiped, restarted, cut, gone, planned] = event_counts;
-    println!("seeds {played:?}: {killed} kills, {wiped} lost disks, {restarted} planned restarts, {cut} partitions, {gone} removed for good, {planned} planned replacements");
-    assert!(played.end - played.start < 100 || event_counts.iter().all(|count| *count > 100));
+    let [killed, wiped, restarted, partitioned, removed, planned] = event_counts;
+    println!("seeds {seed_range:?}: {killed} kills, {wiped} lost disks, {restarted} planned restarts, {partitioned} partitions, {removed} removed for good, {planned} planned replacements");
+    assert!(seed_range.end - seed_range.start < 100 || event_counts.iter().all(|count| *count > 100));
 }
