--- a/crates/config-store/src/tests/clients.rs
+++ b/crates/config-store/src/tests/clients.rs
@@ -1,9 +1,9 @@
-//! What clients do: read, change the value, change the voters.
+//! Actions of clients: reading, changing the value, changing the voters.
 
 use super::*;
 
 impl World {
-    /// Hears from a site what it holds: a hint, chosen or not.
+    /// Passes the durable record of a site to a client, as a hint that may not be chosen.
     pub(super) fn learn_from_site(&mut self, client: usize, site: usize) {
         if let (Some(acceptor), true) = (&self.sites[site].up, self.sites[site].unsynced.is_empty()) {
             let local_state =
@@ -12,6 +12,7 @@
         }
     }
 
+    /// Begins a random operation of a client: a quorum read, a read round or a change.
     pub(super) fn begin(&mut self, client: usize) -> Result<(), String> {
         if self.one_in(2) {
             let site = self.below(SITES);
@@ -20,11 +21,11 @@
         if client >= CLIENTS {
             return self.begin_voter_change(client);
         }
-        let floor = self.checker.chain.len();
+        let min_changes = self.checker.longest_history.len();
         let what = self.below(4);
-        let expects = self.one_in(2);
+        let is_conditional = self.one_in(2);
         let this_client = &mut self.clients[client];
-        this_client.floor = floor;
+        this_client.min_changes = min_changes;
         this_client.serial += 1;
         if what == 0 {
             let configuration = this_client.known.configuration(&self.founders).clone();
@@ -39,7 +40,7 @@
         });
         let change = id.map(|id| -> Change {
             Box::new(move |before, edition| {
-                if expects && edition != floor as u64 {
+                if is_conditional && edition != min_changes as u64 {
                     return Err((edition, history(before)));
                 }
                 Ok([before.unwrap_or_default(), &id.to_be_bytes()].concat())
@@ -48,7 +49,7 @@
         self.operate(client, change.map_or(Task::Read, Task::Change), id)
     }
 
-    /// A site asks to be taken in, lets go of one or two, or of itself before it ends in order.
+    /// Begins a voter change of a site: it joins, removes one or two voters, or leaves before a planned shutdown.
     pub(super) fn begin_voter_change(&mut self, client: usize) -> Result<(), String> {
         let at = client - CLIENTS;
         if self.sites[at].up.is_none() {
@@ -59,14 +60,14 @@
         let change_rarity = self.change_rarity;
         let known = self.clients[client].known.clone();
         if let (Some(acceptor), Some(record)) = (&mut self.sites[at].up, &known.record) {
-            // It keeps what it has heard of; that is durable with the next write, and no vote.
+            // It stores the record that it has learned; this becomes durable with the next write and is not a vote.
             acceptor.adopt(known.proposal, record);
         }
         let configuration = known.configuration(&self.founders).clone();
-        let leaves = removable_on_shutdown(&configuration, &this_voter, &[], 1);
-        let turn = if !leaves.is_empty() && self.one_in(2) {
+        let removed_on_shutdown = removable_on_shutdown(&configuration, &this_voter, &[], 1);
+        let voter_change = if !removed_on_shutdown.is_empty() && self.one_in(2) {
             self.clients[client].is_shutting_down = true;
-            VoterChange::RemoveVoters(leaves, configuration.proposed_in)
+            VoterChange::RemoveVoters(removed_on_shutdown, configuration.proposed_in)
         } else if !configuration.voters.contains(&this_voter) || configuration.is_changing() {
             VoterChange::AddVoter(this_voter)
         } else if configuration.voters.len() > 3 && self.one_in(change_rarity) {
@@ -77,7 +78,7 @@
         } else {
             return Ok(());
         };
-        self.operate(client, Task::ChangeVoters(turn), None)
+        self.operate(client, Task::ChangeVoters(voter_change), None)
     }
 
     pub(super) fn operate(
@@ -101,14 +102,14 @@
         self.begin_round(client)
     }
 
-    /// A round after the back-off.
+    /// Begins the first round or the next one after the back-off.
     pub(super) fn begin_round(&mut self, client: usize) -> Result<(), String> {
         let ClientState::Operating { operation, backing_off, .. } = &mut self.clients[client].state else {
             return Ok(());
         };
         *backing_off = false;
         let action = operation.begin_round();
-        self.act(client, action)
+        self.execute(client, action)
     }
 
     pub(super) fn on_response(
@@ -127,23 +128,24 @@
             ClientState::Idle => Ok(()),
             ClientState::Operating { operation, .. } => {
                 let action = operation.on_response(phase_id, &site.to_string(), response);
-                self.act(client, action)
+                self.execute(client, action)
             }
             ClientState::Peeking { configuration, responses } => {
                 responses.insert(site.to_string(), response);
                 let Some(seen) = summarize_peek(configuration, responses).filter(|seen| seen.agreed) else {
                     return Ok(());
                 };
-                let floor = this_client.floor;
+                let min_changes = this_client.min_changes;
                 this_client.state = ClientState::Idle;
                 let record = self.proposals.get(&seen.proposal);
                 let reported = history(record.map(|record| &record.value[..]));
-                self.checker.reported(seen.edition, &reported, floor)
+                self.checker.check_history(seen.edition, &reported, min_changes)
             }
         }
     }
 
-    pub(super) fn act(&mut self, client: usize, action: Action<(u64, Vec<u32>)>) -> Result<(), String> {
+    /// Executes the action that a client's operation requests.
+    pub(super) fn execute(&mut self, client: usize, action: Action<(u64, Vec<u32>)>) -> Result<(), String> {
         let ClientState::Operating { operation, backing_off, change_id } = &mut self.clients[client].state
         else {
             return Ok(());
@@ -159,12 +161,14 @@
                 let reads = change_id.is_none() && client < CLIENTS;
                 let before = self.proposals.insert(accept.proposal, accept.record.clone());
                 if before.is_some_and(|before| before != accept.record) {
-                    return Err(format!("two records in ballot {}", accept.proposal));
+                    return Err(format!("two records in proposal {}", accept.proposal));
                 }
                 if self.fault == Fault::UnconfirmedReads && reads {
                     let reported = history(Some(&accept.record.value));
-                    return self
-                        .ended(client, Outcome::Chosen(reported.len() as u64, Some(accept.record.value)));
+                    return self.complete_operation(
+                        client,
+                        Outcome::Chosen(reported.len() as u64, Some(accept.record.value)),
+                    );
                 }
                 self.send(client, &recipients, Request::Accept(accept));
                 Ok(())
@@ -173,11 +177,12 @@
                 *backing_off = true;
                 Ok(())
             }
-            Action::Done(outcome) => self.ended(client, outcome),
+            Action::Done(outcome) => self.complete_operation(client, outcome),
         }
     }
 
-    /// The operation leaves what it has learned.
+    /// Ends a client's operation and keeps the record and round that it has learned. Returns the id of its change, and
+    /// whether the change may be chosen.
     pub(super) fn end_operation(&mut self, client: usize) -> (Option<u32>, bool) {
         let this_client = &mut self.clients[client];
         (this_client.is_removing, this_client.is_shutting_down) = (false, false);
@@ -193,8 +198,13 @@
         }
     }
 
-    pub(super) fn ended(&mut self, client: usize, outcome: Outcome<(u64, Vec<u32>)>) -> Result<(), String> {
-        let floor = self.clients[client].floor;
+    /// Ends a client's operation with an outcome, and passes the result to the checker.
+    pub(super) fn complete_operation(
+        &mut self,
+        client: usize,
+        outcome: Outcome<(u64, Vec<u32>)>,
+    ) -> Result<(), String> {
+        let min_changes = self.clients[client].min_changes;
         let is_shutting_down = self.clients[client].is_shutting_down;
         let (id, _) = self.end_operation(client);
         if !matches!(outcome, Outcome::Unknown) && self.fault != Fault::UnconfirmedReads {
@@ -204,37 +214,38 @@
             (Outcome::Chosen(edition, value), id) => {
                 let reported = history(value.as_deref());
                 if let Some(id) = id {
-                    if reported.last() != Some(&id) || reported.len() <= floor {
+                    if reported.last() != Some(&id) || reported.len() <= min_changes {
                         return Err(format!(
-                            "change {id} acknowledged with {reported:?}, after {floor} changes"
+                            "change {id} acknowledged with {reported:?}, after {min_changes} changes"
                         ));
                     }
                     self.checker.acknowledged.insert(id);
                 }
-                self.configurations += u32::from(client >= CLIENTS);
-                let floor = if id.is_some() || client >= CLIENTS { 0 } else { floor };
+                self.voter_changes += u32::from(client >= CLIENTS);
+                let min_changes = if id.is_some() || client >= CLIENTS { 0 } else { min_changes };
                 if is_shutting_down {
                     self.crash(client - CLIENTS);
                 }
-                self.checker.reported(edition, &reported, floor)
+                self.checker.check_history(edition, &reported, min_changes)
             }
             (Outcome::Rejected((edition, reported)), Some(id)) => {
-                self.checker.reported(edition, &reported, floor)?;
-                self.checker.not_made(id)
+                self.checker.check_history(edition, &reported, min_changes)?;
+                self.checker.record_not_made(id)
             }
-            (Outcome::Rejected(_), None) => Err("a reading was refused".into()),
+            (Outcome::Rejected(_), None) => Err("a read was rejected".into()),
             (Outcome::Unknown, _) => Ok(()),
         }
     }
 
+    /// Abandons a client's operation; its change counts as not made if it was never proposed.
     pub(super) fn give_up(&mut self, client: usize) -> Result<(), String> {
         match self.end_operation(client) {
-            (Some(id), false) => self.checker.not_made(id),
+            (Some(id), false) => self.checker.record_not_made(id),
             _ => Ok(()),
         }
     }
 
-    /// The caller's process ends; the next one knows nothing.
+    /// Replaces a client's process by a new one without state.
     pub(super) fn replace_client(&mut self, client: usize) {
         self.incarnations += 1;
         self.clients[client] = Client::new(self.incarnations);
--- a/crates/config-store/src/tests/events.rs
+++ b/crates/config-store/src/tests/events.rs
@@ -1,9 +1,9 @@
-//! What chance does, and the recovery at the end of a schedule.
+//! Random events, and the recovery at the end of a schedule.
 
 use super::*;
 
 impl World {
-    /// One random event.
+    /// Executes one random event.
     pub(super) fn step(&mut self) -> Result<(), String> {
         match self.below(100) {
             0..=54 if !self.in_flight.is_empty() => self.deliver_any(),
@@ -13,7 +13,7 @@
                 Ok(())
             }
             75..=78 => {
-                self.harm_any();
+                self.fail_any_site();
                 Ok(())
             }
             79..=82 => {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Delivers a message, duplicates it, loses it or delays it.
+    /// Delivers, duplicates, drops or delays a random message.
     fn deliver_any(&mut self) -> Result<(), String> {
         let at = self.below(self.in_flight.len());
         let envelope = match self.below(40) {
@@ -53,27 +53,27 @@
     }
 
     fn sync_any(&mut self) {
-        if let Some(site) = self.any(SITES, |world, site| !world.sites[site].unsynced.is_empty()) {
+        if let Some(site) = self.random_index(SITES, |world, site| !world.sites[site].unsynced.is_empty()) {
             self.sync(site);
         }
     }
 
-    /// Refuses a write, crashes a site or loses its disk.
-    fn harm_any(&mut self) {
+    /// Refuses a write of a random site, crashes it or loses its disk.
+    fn fail_any_site(&mut self) {
         let crash_rarity = self.crash_rarity;
         if self.one_in(crash_rarity) {
             let site = self.below(SITES);
             match self.below(4) {
                 0 => self.refuse_write(site),
                 1..=2 => self.crash(site),
-                _ => self.wipe(site),
+                _ => self.lose_disk(site),
             }
         }
     }
 
     fn start_any(&mut self) {
-        if let Some(site) = self.any(SITES, |world, site| world.sites[site].up.is_none()) {
-            // A spare machine joins seldom.
+        if let Some(site) = self.random_index(SITES, |world, site| world.sites[site].up.is_none()) {
+            // Spare machines are started rarely.
             if self.sites[site].durable.is_some() || self.has_lost_disk(site) || self.one_in(4) {
                 self.start(site);
             }
@@ -89,7 +89,7 @@
                 ClientState::Idle | ClientState::Operating { backing_off: true, .. }
             )
         };
-        match self.any(among, is_idle) {
+        match self.random_index(among, is_idle) {
             Some(client) if matches!(self.clients[client].state, ClientState::Idle) => self.begin(client),
             Some(client) => self.begin_round(client),
             None => Ok(()),
@@ -101,7 +101,7 @@
         match &mut self.clients[client].state {
             ClientState::Operating { operation, .. } => {
                 let action = operation.on_timeout();
-                self.act(client, action)
+                self.execute(client, action)
             }
             _ => self.give_up(client),
         }
@@ -120,8 +120,9 @@
     fn has_lost_disk(&self, site: usize) -> bool {
         self.lost_disks.iter().any(|voter| voter.address == site.to_string())
     }
-    /// All are there and nothing is lost any more: every site comes to vote, and a new caller that knows one of them
-    /// reads, within so many rounds.
+
+    /// Ends all faults, and checks that every site becomes a voter and that a new client that knows one site can read,
+    /// each within the step limit of `run_until_idle`.
     pub(super) fn recover_and_check(&mut self) -> Result<(), String> {
         for client in 0..self.clients.len() {
             self.give_up(client)?;
@@ -140,20 +141,24 @@
                 self.learn_from_site(client, other);
             }
             self.operate(client, Task::ChangeVoters(VoterChange::AddVoter(this_voter.clone())), None)?;
-            self.until_done(client)?;
+            self.run_until_idle(client)?;
             if !self.clients[client].known.configuration(&self.founders).voters.contains(&this_voter) {
-                return Err(format!("{this_voter:?} was not taken in"));
+                return Err(format!("{this_voter:?} was not added to the voters"));
             }
         }
         self.replace_client(0);
         self.learn_from_site(0, SITES - 1);
-        self.clients[0].floor = self.checker.chain.len();
+        self.clients[0].min_changes = self.checker.longest_history.len();
         self.operate(0, Task::Read, None)?;
-        self.until_done(0)?;
+        self.run_until_idle(0)?;
         self.checker.check_complete()
     }
 
-    pub(super) fn until_done(&mut self, client: usize) -> Result<(), String> {
+    /// Delivers all messages until the client's operation is complete.
+    ///
+    /// # Errors
+    /// When it is not complete after 40 steps.
+    pub(super) fn run_until_idle(&mut self, client: usize) -> Result<(), String> {
         for _ in 0..40 {
             for envelope in std::mem::take(&mut self.in_flight) {
                 self.deliver(envelope)?;
@@ -167,7 +172,7 @@
         }
         let configuration = self.clients[client].known.configuration(&self.founders);
         Err(format!(
-            "caller {client} came to no end though all were there: {configuration:?}, gone {:?}",
+            "the operation of client {client} did not end although all sites run: {configuration:?}, lost disks {:?}",
             self.lost_disks
         ))
     }
--- a/crates/config-store/src/voter_reporter.rs
+++ b/crates/config-store/src/voter_reporter.rs
@@ -1,17 +1,17 @@
-//! Log lines on the voters, each written once for each change.
+//! Log lines about the voters: one for each change, and repeated ones while no majority is reachable.
 
 use crate::messages::{ProposalNumber, VoterConfiguration, VoterId};
-use crate::voter::{names, FOUND_AGAIN};
+use crate::voter::{address_strings, FOUND_AGAIN_FILE};
 use oatbank_node_runtime::log::{info, warn};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The voters have had no reachable majority for this long when it is first logged.
+/// The loss of the reachable majority is first logged after this time.
 const REPORT_LOSS_AFTER: Duration = Duration::from_secs(10);
-/// How often the loss is logged again.
+/// Interval at which the loss of the reachable majority is logged again.
 const REPORT_LOSS_EVERY: Duration = Duration::from_secs(60);
 
-/// Logs which voters are missing while no majority of them is reachable for long.
+/// Logs the unreachable voters while no majority has been reachable for [`REPORT_LOSS_AFTER`].
 #[derive(Default)]
 pub(crate) struct QuorumLossReporter {
     since: Option<Duration>,
@@ -19,6 +19,7 @@
 }
 
 impl QuorumLossReporter {
+    /// Takes the result of one check of the voters, and logs the loss of the majority if a report is due.
     pub(crate) fn report(
         &mut self,
         now: Duration,
@@ -30,15 +31,16 @@
             *self = QuorumLossReporter::default();
             return;
         }
-        let lasts = now - *self.since.get_or_insert(now);
-        if lasts < REPORT_LOSS_AFTER || self.last_report.is_some_and(|last| now - last < REPORT_LOSS_EVERY) {
+        let lost_for = now - *self.since.get_or_insert(now);
+        if lost_for < REPORT_LOSS_AFTER || self.last_report.is_some_and(|last| now - last < REPORT_LOSS_EVERY)
+        {
             return;
         }
         self.last_report = Some(now);
-        let seconds = lasts.as_secs();
+        let seconds = lost_for.as_secs();
         if configuration.voters.is_empty() {
-            let seeds = names(seeds).join(", ");
-            warn!("store: For {seconds} s nobody says who votes, also none of {seeds}. If nothing was ever agreed, see {FOUND_AGAIN} in docs/operators/core.md.");
+            let seeds = address_strings(seeds).join(", ");
+            warn!("store: no voters known for {seconds} s, and none of the seeds {seeds} names any; if nothing was ever agreed on, see {FOUND_AGAIN_FILE} in docs/operators/core.md");
             return;
         }
         let outgoing = configuration.outgoing.iter().filter(|voter| !configuration.voters.contains(voter));
@@ -50,11 +52,11 @@
             .map(|voter| voter.address.as_str())
             .collect();
         let unreachable = unreachable.join(", ");
-        warn!("store: For {seconds} s no majority of the voters is there: {unreachable} are silent, or back without the disk that voted.");
+        warn!("store: no majority of the voters reachable for {seconds} s: {unreachable} do not answer, cannot write to disk, or have lost the disk they voted with");
     }
 }
 
-/// What was last logged of the voters.
+/// The configuration that was last logged.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Reported {
     proposed_in: ProposalNumber,
@@ -68,6 +70,7 @@
 }
 
 impl VoterChangeReporter {
+    /// Logs the configuration if it is not a joint one and differs from the last one logged.
     pub(crate) fn report(&mut self, configuration: &VoterConfiguration, this_voter: &VoterId) {
         let is_voter = configuration.voters.contains(this_voter);
         let reported = Reported { proposed_in: configuration.proposed_in, is_voter };
@@ -79,11 +82,11 @@
         let voters: Vec<&str> = configuration.voters.iter().map(|voter| voter.address.as_str()).collect();
         let voters = voters.join(", ");
         match (was_voter, is_voter) {
-            (None, true) => info!("store: Votes; the voters are {voters}."),
-            (Some(true), true) => info!("store: The voters are {voters} now."),
-            (Some(false), true) => info!("store: Is taken in and votes; the voters are {voters}."),
-            (Some(true), false) => warn!("store: Votes no more, and asks to be taken in again."),
-            (_, false) => info!("store: Does not vote yet; the voters are {voters}."),
+            (None, true) => info!("store: is a voter; the voters are {voters}"),
+            (Some(true), true) => info!("store: the voters are now {voters}"),
+            (Some(false), true) => info!("store: became a voter; the voters are {voters}"),
+            (Some(true), false) => warn!("store: is no longer a voter, and asks to be added again"),
+            (_, false) => info!("store: is not a voter yet; the voters are {voters}"),
         }
     }
 }
