--- a/crates/service-catalog/src/catalog.rs
+++ b/crates/service-catalog/src/catalog.rs
@@ -283,9 +283,9 @@
         let id = &entries[from].row.id;
         let len = entries[from..].iter().take_while(|entry| entry.row.id == *id).count();
         if len > 1 {
-            let moves =
+            let addresses_differ =
                 entries[from..from + len].iter().any(|entry| entry.row.address != entries[from].row.address);
-            let why = if moves { Conflict::Id } else { Conflict::Service };
+            let why = if addresses_differ { Conflict::Id } else { Conflict::Service };
             contest(service_owners, entries, from..from + len, why);
         }
         from += len;
@@ -301,11 +301,11 @@
             by_address[from..].iter().take_while(|at| entries[**at as usize].row.address == *address).count();
         if len > 1 {
             // A name that may be several owners' is never the same as another: so is one that has none.
-            let whose = |nth: usize| match &entries[at(nth)].ownership {
+            let owner_or_name = |nth: usize| match &entries[at(nth)].ownership {
                 Ownership::Owned(own) => Ok(*own),
                 _ => Err(&entries[at(nth)].row.service),
             };
-            if (from + 1..from + len).any(|nth| whose(nth) != whose(from)) {
+            if (from + 1..from + len).any(|nth| owner_or_name(nth) != owner_or_name(from)) {
                 contest(service_owners, entries, (from..from + len).map(at), Conflict::Address);
             }
         }
--- a/crates/service-catalog/src/commands.rs
+++ b/crates/service-catalog/src/commands.rs
@@ -22,16 +22,18 @@
             read_catalog(&mut |catalog, routes| table = ask(catalog, routes));
             table
         };
-    let of = read_catalog.clone();
+    let reader = read_catalog.clone();
     commands.add("who-owns", "who-owns NAME", 1, move |words| match words.first() {
-        Some(name) => answer(&of, &|catalog, routes| to_message(reports::who_owns(catalog, routes, name))),
+        Some(name) => {
+            answer(&reader, &|catalog, routes| to_message(reports::who_owns(catalog, routes, name)))
+        }
         None => {
             error_table("who-owns: a name is missing; allowed: a service, host, server id or address".into())
         }
     });
-    let of = read_catalog.clone();
+    let reader = read_catalog.clone();
     commands.add("collisions", "collisions", 0, move |_| {
-        answer(&of, &|catalog, _| to_message(reports::conflicts(catalog)))
+        answer(&reader, &|catalog, _| to_message(reports::conflicts(catalog)))
     });
     commands.add("collision-rules", "collision-rules", 0, |_| to_message(reports::rules()));
     commands.add("explain", "explain HOST PATH [KEY]", 3, move |words| {
--- a/crates/service-catalog/src/reports.rs
+++ b/crates/service-catalog/src/reports.rs
@@ -130,7 +130,7 @@
     };
     let tenant =
         key.map(|key| routes.customer(key).and_then(|at| routes.configuration().customers.as_ref()?.get(at)));
-    let whose = match tenant {
+    let tenant_note = match tenant {
         Some(Some(tenant)) => format!(", for {}", tenant.name),
         Some(None) if routes.has_customers() && !route.keyless => ", the key is nobody's: 401".to_owned(),
         None if routes.has_customers() && !route.keyless => ", without a key: 401".to_owned(),
@@ -149,7 +149,7 @@
     });
     let kind = format!("{:?}", route.kind).to_lowercase();
     let title = format!(
-        "{host}{path}: route {} of r{}, {kind}, paths {}{whose}",
+        "{host}{path}: route {} of r{}, {kind}, paths {}{tenant_note}",
         route.name,
         catalog.service_owners().version(),
         route.prefix
@@ -161,8 +161,8 @@
 pub fn diff(before: &Catalog, after: &Catalog) -> Report {
     let same = |a: &Entry, b: &Entry| a.row.id == b.row.id && a.row.same_claim(&b.row);
     let mut rows = Vec::new();
-    let mut row = |entry: &Entry, what: &str, was: String, is: String| {
-        rows.push(vec![what.to_owned(), entry.row.id.clone(), entry.row.address.clone(), was, is]);
+    let mut row = |entry: &Entry, change: &str, was: String, is: String| {
+        rows.push(vec![change.to_owned(), entry.row.id.clone(), entry.row.address.clone(), was, is]);
     };
     let describe = |catalog: &Catalog, entry: &Entry| format!("{}, {}", owner(catalog, entry), state(entry));
     for entry in before.entries() {
