--- a/crates/service-catalog/src/catalog.rs
+++ b/crates/service-catalog/src/catalog.rs
@@ -1,7 +1,7 @@
-//! An immutable snapshot of who owns what.
+//! An immutable snapshot that assigns each server to the service that owns it.
 //!
-//! It is a function of a configuration and a set of rows: the order in which rows came, and who told them,
-//! has no part in it. Where a name has several owners that is a state of its own.
+//! The snapshot depends only on the configuration and the set of server rows, not on the order in which the rows
+//! arrived or on their source. A name with several possible owners is contested, which is a state of its own.
 
 use crate::conflict::Conflict;
 use oatbank_cluster_state::messages::ServerRow;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The owners that a configuration names: its services, each of one mesh.
+/// The services of one configuration, each a possible owner of servers.
 #[derive(Debug, Default)]
 pub struct ServiceOwners {
     edition: u64,
@@ -21,7 +21,7 @@
 }
 
 impl ServiceOwners {
-    /// Of the configuration of this edition.
+    /// Collects the services of `configuration`, which has this edition.
     pub fn new(edition: u64, configuration: &Configuration) -> Self {
         let owners = configuration.services.iter().map(|service| service.name.clone()).collect();
         ServiceOwners {
@@ -32,22 +32,22 @@
         }
     }
 
-    /// The edition; 0 before the first.
+    /// The edition of the configuration; 0 before the first one.
     pub fn edition(&self) -> u64 {
         self.edition
     }
 
-    /// The configuration's version.
+    /// The version number of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The owners' whole names, with their mesh before a slash if they have one.
+    /// The full names of the services, `mesh/name` if they belong to a mesh. Owner indices refer to this slice.
     pub fn owners(&self) -> &[String] {
         &self.owners
     }
 
-    /// The owner of this whole name.
+    /// The index of the service with exactly this full name.
     pub fn owner(&self, name: &str) -> Option<usize> {
         match self.service_names.resolve("", name) {
             NameMatch::One(at) if self.owners[at] == name => Some(at),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The owners that a service's name may stand for.
+    /// The indices of all services that a name, full or without its mesh, may refer to.
     pub fn owners_of(&self, name: &str) -> Vec<usize> {
         match self.service_names.resolve("", name) {
             NameMatch::One(at) => vec![at],
@@ -65,84 +65,84 @@
     }
 }
 
-/// Whose a server is.
+/// The owner of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ownership {
-    /// This owner's.
+    /// Owned by the service with this index.
     Owned(usize),
-    /// It may be one of several's, or none of theirs.
+    /// Claims conflict: the server may belong to any of several services, or to none of them.
     Contested {
-        /// Why.
+        /// The kind of conflict.
         why: Conflict,
-        /// The owner that its own word names, where it names one.
+        /// The owner that the server's own heartbeat names, if it names exactly one.
         own: Option<usize>,
-        /// All that may own it.
+        /// All possible owners.
         owners: Vec<usize>,
     },
-    /// The configuration has no service of the name that it says.
+    /// The configuration has no service with the name in the server's heartbeat.
     Unknown,
 }
 
-/// One server, or one of the claims under its id, that has not ended.
+/// One claim of a server that has neither left nor timed out. An id has several claims if they conflict.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// What it said last when the snapshot was made, or before that: its life, service, address, zone,
-    /// software and the number of that word.
+    /// The row of the server's heartbeat. A newer heartbeat that changes no ownership does not renew the snapshot,
+    /// so the row may be older than the latest one.
     pub row: Arc<ServerRow>,
-    /// Whose it is.
+    /// The owner that the snapshot assigns.
     pub ownership: Ownership,
 }
 
 impl Entry {
-    /// It takes requests.
+    /// Whether the server accepts requests.
     pub fn is_ready(&self) -> bool {
         self.row.state == server_state::READY
     }
 }
 
-/// What a server may get of an owner's requests.
+/// Which of a service's requests may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermittedUse {
-    /// All.
+    /// All requests.
     All,
-    /// Those that may be repeated.
+    /// Only requests that may be repeated.
     ReadsOnly,
-    /// None.
+    /// No requests.
     Denied,
 }
 
-/// An owner's servers that are ready, by what they may get.
+/// The number of a service's ready servers, by the requests that may be sent to them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// All of its requests.
+    /// Servers that get all requests.
     pub all: u32,
-    /// Those that may be repeated.
+    /// Contested servers that get only requests that may be repeated.
     pub reads: u32,
-    /// None, since they may be another's.
+    /// Contested servers that get no requests, as they may belong to another service.
     pub nothing: u32,
 }
 
 impl ServerCounts {
-    /// One of its servers, or one that may be its, is contested.
+    /// Whether any ready server that belongs or may belong to the service is contested.
     pub fn is_contested(&self) -> bool {
         self.reads + self.nothing > 0
     }
 }
 
-/// Who owns what.
+/// A snapshot of all servers with their owners.
 #[derive(Debug, Default)]
 pub struct Catalog {
     service_owners: Arc<ServiceOwners>,
-    /// In the order of id, service and address.
+    /// Sorted by id, service and address; no two are equal in all three.
     entries: Vec<Entry>,
-    /// Places in `entries` in the order of address.
+    /// Indices into `entries`, sorted by address.
     by_address: Vec<u32>,
-    /// By owner.
+    /// Counts of ready servers, indexed by owner.
     counts_by_owner: Vec<ServerCounts>,
 }
 
 impl Catalog {
-    /// Of these rows under the owners of a configuration.
+    /// Builds the snapshot from server rows; rows that have left or timed out are skipped.
     pub fn new<'a>(
         service_owners: Arc<ServiceOwners>,
         rows: impl Iterator<Item = &'a Arc<ServerRow>>,
@@ -180,24 +180,24 @@
         Catalog { service_owners, entries, by_address, counts_by_owner }
     }
 
-    /// The owners that it was made under.
+    /// The services that the snapshot was built with.
     pub fn service_owners(&self) -> &Arc<ServiceOwners> {
         &self.service_owners
     }
 
-    /// All servers that have not ended.
+    /// All claims, sorted by id, service and address.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// The claims under one id: none, one, or several that are contested.
+    /// The claims of one id: none, one, or several, which are then contested.
     pub fn of_id(&self, id: &str) -> &[Entry] {
         let from = self.entries.partition_point(|entry| entry.row.id.as_str() < id);
         let len = self.entries[from..].iter().take_while(|entry| entry.row.id == id).count();
         &self.entries[from..from + len]
     }
 
-    /// Who claims an address.
+    /// The claims of one address.
     pub fn at_address<'a>(&'a self, address: &'a str) -> impl Iterator<Item = &'a Entry> {
         let from =
             self.by_address.partition_point(|at| self.entries[*at as usize].row.address.as_str() < address);
@@ -205,7 +205,7 @@
         entries.take_while(move |entry| entry.row.address == address)
     }
 
-    /// What this server may get of this owner's requests.
+    /// Which of the requests of `owner` may be sent to this server; `Denied` if the snapshot lacks this claim.
     pub fn permitted_use(&self, row: &ServerRow, owner: usize) -> PermittedUse {
         let Some(entry) = self.of_id(&row.id).iter().find(|entry| entry.row.same_claim(row)) else {
             return PermittedUse::Denied;
@@ -219,17 +219,17 @@
         }
     }
 
-    /// An owner's servers.
+    /// The counts of ready servers of `owner`; all 0 for an unknown index.
     pub fn counts(&self, owner: usize) -> ServerCounts {
         self.counts_by_owner.get(owner).copied().unwrap_or_default()
     }
 
-    /// Servers whose owner is contested.
+    /// All contested claims.
     pub fn contested(&self) -> impl Iterator<Item = &Entry> {
         self.entries.iter().filter(|entry| matches!(entry.ownership, Ownership::Contested { .. }))
     }
 
-    /// Contested servers by kind of conflict, for a log line; empty if there are none.
+    /// The number of contested claims by kind of conflict, for a log line; empty if there are none.
     pub fn contested_summary(&self) -> String {
         let mut counts = BTreeMap::<Conflict, u32>::new();
         for entry in self.contested() {
@@ -243,6 +243,7 @@
     }
 }
 
+/// An entry whose owner follows from its service name alone.
 fn entry(service_owners: &ServiceOwners, row: &Arc<ServerRow>) -> Entry {
     let ownership = match service_owners.service_names.resolve("", &row.service) {
         NameMatch::One(at) => Ownership::Owned(at),
@@ -254,7 +255,8 @@
     Entry { row: row.clone(), ownership }
 }
 
-/// Contests some entries: each keeps the owner that its own word names, and all have the owners of all.
+/// Marks the entries at `places` as contested. Each keeps the owner that its own heartbeat names, and each gets the
+/// possible owners of all of them.
 fn contest(
     service_owners: &ServiceOwners,
     entries: &mut [Entry],
@@ -268,7 +270,7 @@
     for at in places {
         let own = match &entries[at].ownership {
             Ownership::Owned(own) => Some(*own),
-            // What is contested for a reason that proves less stays so.
+            // A stricter conflict found earlier, which denies reads too, is not replaced.
             Ownership::Contested { why: before, own, .. } if before.rule().reads => *own,
             Ownership::Contested { .. } => continue,
             Ownership::Unknown => None,
@@ -277,6 +279,7 @@
     }
 }
 
+/// Contests all claims of each id that has more than one.
 fn contest_ids(service_owners: &ServiceOwners, entries: &mut [Entry]) {
     let mut from = 0;
     while from < entries.len() {
@@ -292,6 +295,7 @@
     }
 }
 
+/// Contests all claims of each address that is claimed for different owners.
 fn contest_addresses(service_owners: &ServiceOwners, entries: &mut [Entry], by_address: &[u32]) {
     let mut from = 0;
     while from < by_address.len() {
@@ -300,7 +304,7 @@
         let len =
             by_address[from..].iter().take_while(|at| entries[**at as usize].row.address == *address).count();
         if len > 1 {
-            // A name that may be several owners' is never the same as another: so is one that has none.
+            // Entries with no single owner match only if they give the same service name, never an owned entry.
             let owner_or_name = |nth: usize| match &entries[at(nth)].ownership {
                 Ownership::Owned(own) => Ok(*own),
                 _ => Err(&entries[at(nth)].row.service),
--- a/crates/service-catalog/src/commands.rs
+++ b/crates/service-catalog/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of `oatbankctl` that show the catalog: the same at core machines and proxies.
+//! The `oatbankctl` commands that query the catalog. Core machines and proxies answer the same ones.
 
 use crate::reports::{self, Report};
 use crate::Catalog;
@@ -6,14 +6,14 @@
 use oatbank_cluster_state::messages;
 use std::rc::Rc;
 
-/// Calls back with the catalog of this moment, and the routes of its configuration if there is one.
+/// Calls a function with the current catalog and, if there is a configuration, its routes.
 pub type CatalogReader = Rc<dyn Fn(&mut dyn FnMut(&Catalog, Option<&oatbank_config_model::RouteTable>))>;
 
 fn to_message(report: Report) -> messages::Table {
     table(report.title, &report.columns, report.rows)
 }
 
-/// Adds the commands.
+/// Registers `who-owns`, `collisions`, `collision-rules` and `explain`; they read the catalog through `read_catalog`.
 pub fn add(commands: &mut Commands, read_catalog: CatalogReader) {
     let answer =
         |read_catalog: &CatalogReader,
--- a/crates/service-catalog/src/conflict.rs
+++ b/crates/service-catalog/src/conflict.rs
@@ -1,93 +1,94 @@
-//! The collisions that there are, and what holds in each.
+//! The kinds of conflicting claims, with the rule that applies to each.
 
-/// Two claims on one name.
+/// A kind of conflict between two claims on one name, id, address or host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Conflict {
-    /// One service name in two meshes, and a server that does not say which it means.
+    /// A service name exists in two meshes, and a server's heartbeat does not name the mesh.
     Mesh,
-    /// Two addresses that beat under one id.
+    /// Heartbeats under one id come from two addresses.
     Id,
-    /// One id at one address that beats for two services.
+    /// Heartbeats under one id, from one address, name two services.
     Service,
-    /// One address that servers of different owners claim.
+    /// Servers of different owners claim one address.
     Address,
-    /// One address that two lives of one owner claim.
+    /// Two incarnations of one owner's servers claim one address.
     Reuse,
-    /// One host with paths of several services.
+    /// The paths of one host belong to several services.
     Host,
-    /// A name that one configuration drops and a later one takes again.
+    /// One configuration drops a service name and a later one defines it again.
     Taken,
-    /// Two parts of the system that each learned another owner.
+    /// Two partitions of the system have learned different owners.
     Parted,
 }
 
-/// What holds in one kind of collision.
+/// How the system treats one kind of conflict.
 #[derive(Clone, Copy, Debug)]
 pub struct ConflictRule {
-    /// The kind.
+    /// The kind of conflict.
     pub conflict: Conflict,
-    /// Its word, in logs and tables.
+    /// The code of the kind in logs and tables.
     pub code: &'static str,
-    /// The name's owner is contested: it gets no confirmations.
+    /// Whether the owner counts as contested: the server then gets no confirmations (requests that run at most once).
     pub contested: bool,
-    /// Requests that may be repeated still go there: the answer is proven by the life that each try names.
+    /// Whether requests that may be repeated are still sent: each attempt names the incarnation that is meant, which
+    /// proves the origin of the answer.
     pub reads: bool,
-    /// What ends it.
+    /// The event that ends the conflict, as shown to operators.
     pub until: &'static str,
-    /// Why it is so.
+    /// The reason for the rule, as shown to operators.
     pub reason: &'static str,
 }
 
-/// Each kind with its rule.
+/// The rule of every kind, each kind once.
 pub const CONFLICT_RULES: &[ConflictRule] = &[
     ConflictRule {
         conflict: Conflict::Mesh,
         code: "mesh",
         contested: true,
         reads: false,
-        until: "the server's beats name its mesh, or the configuration has the name once",
-        reason: "the life meant is right, its service may still be the other one: nothing proves an answer",
+        until: "the server's heartbeats name its mesh, or only one mesh has the name",
+        reason: "even the right incarnation may belong to the other service: nothing proves an answer",
     },
     ConflictRule {
         conflict: Conflict::Id,
         code: "id",
         contested: true,
         reads: false,
-        until: "all but one of the claims have fallen silent, or the id has left",
+        until: "all but one of the claims have timed out, or the id has left",
         reason:
-            "both take the id for theirs, so the life meant proves nothing; a number orders one's own words",
+            "both servers use the id, so it proves nothing; call counts order only one server's heartbeats",
     },
     ConflictRule {
         conflict: Conflict::Service,
         code: "service",
         contested: true,
         reads: false,
-        until: "one of the claims has fallen silent, or the id has left",
-        reason: "a server keeps its service for its life, so one of the two words is not its own",
+        until: "one of the claims has timed out, or the id has left",
+        reason: "a server never changes its service, so one of the two heartbeats is not its own",
     },
     ConflictRule {
         conflict: Conflict::Address,
         code: "address",
         contested: true,
         reads: true,
-        until: "the earlier life has left or fallen silent",
-        reason: "who is there turns away what is meant for the other life; confirmations have other servers",
+        until: "the earlier incarnation has left or timed out",
+        reason: "the server rejects requests for the other incarnation; confirmations go to other servers",
     },
     ConflictRule {
         conflict: Conflict::Reuse,
         code: "reuse",
         contested: false,
         reads: true,
-        until: "the earlier life has left or fallen silent",
-        reason: "the owner is the same whichever life answers, and only the life that a try names runs it",
+        until: "the earlier incarnation has left or timed out",
+        reason: "both incarnations have one owner, and only the one that an attempt names runs it",
     },
     ConflictRule {
         conflict: Conflict::Host,
         code: "host",
         contested: false,
         reads: true,
-        until: "never: it is meant so",
-        reason: "the longest path decides; two routes of different meshes for one path are not taken",
+        until: "never: this is allowed",
+        reason: "the longest path decides; routes into different meshes for one path are rejected",
     },
     ConflictRule {
         conflict: Conflict::Taken,
@@ -95,22 +96,22 @@
         contested: false,
         reads: true,
         until: "at once",
-        reason: "the newest configuration alone says which services there are; others get nothing",
+        reason: "only the newest configuration defines services; a service that it lacks gets no requests",
     },
     ConflictRule {
         conflict: Conflict::Parted,
         code: "parted",
         contested: false,
         reads: true,
-        until: "both parts have heard each other: within the stated bound",
-        reason: "claims stand beside each other when rows merge, so both parts see one of the above",
+        until: "both partitions have exchanged their rows, within the stated bound",
+        reason: "merged rows keep all claims, so both partitions then see one of the other conflicts",
     },
 ];
 
 impl Conflict {
-    /// What holds in it.
+    /// The rule for this kind.
     pub fn rule(self) -> &'static ConflictRule {
-        // Every kind stands in the table: a test holds it to that.
+        // A test checks that the table has every kind, so the fallback is never used.
         CONFLICT_RULES.iter().find(|rule| rule.conflict == self).unwrap_or(&CONFLICT_RULES[0])
     }
 }
--- a/crates/service-catalog/src/current.rs
+++ b/crates/service-catalog/src/current.rs
@@ -1,29 +1,30 @@
-//! The catalog of the moment.
+//! The current catalog and the check for whether it is up to date.
 
 use crate::catalog::{Catalog, ServiceOwners};
 use oatbank_cluster_state::state::StateTable;
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What a catalog was made of.
+/// The versions of the inputs that a catalog was built from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Basis {
     edition: u64,
-    /// [`StateTable::change_sequence`].
+    /// Value of [`StateTable::change_sequence`].
     change_sequence: u64,
 }
 
-/// The catalog of the moment: made again when the configuration or the use of a server has changed, and replaced as a whole.
+/// The current catalog. It is rebuilt and replaced as a whole when the configuration or the use of a server changes.
 #[derive(Clone, Debug, Default)]
 pub struct CurrentCatalog {
-    /// The catalog.
+    /// The latest snapshot.
     pub catalog: Rc<Catalog>,
     basis: Basis,
 }
 
 impl CurrentCatalog {
-    /// Makes the catalog again if anything has changed. Returns what is contested now, for a log line, if that has changed.
-    /// `owners` is asked for the owners of a new edition; if it has none, those before stay.
+    /// Rebuilds the catalog if the edition or the table has changed. Returns a summary of contested servers for a log
+    /// line if that has changed, `none` if no server is contested any more. `owners` is called for a new edition; if it
+    /// returns `None`, the previous owners are kept.
     pub fn renew(
         &mut self,
         edition: u64,
--- a/crates/service-catalog/src/lib.rs
+++ b/crates/service-catalog/src/lib.rs
@@ -1,13 +1,13 @@
-//! Which server belongs to which service of which mesh: the same answer in every process that knows the same rows and the
-//! same configuration. No I/O and no clock.
+//! Assigns servers to the services that own them. Every process with the same server rows and the same configuration gets
+//! the same result. No I/O and no clock.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`conflict`] | the table of conflicts of names, with what holds in each and why |
-//! | [`catalog`] | an immutable snapshot of who owns what |
-//! | [`current`] | the catalog of the moment, replaced as a whole |
-//! | [`reports`] | answers about a catalog: who owns a name, conflicts, where a request goes, what has changed |
-//! | [`commands`] | the commands of `oatbankctl` that show them |
+//! | [`conflict`] | the kinds of conflicting claims, with the rule for each and its reason |
+//! | [`catalog`] | an immutable snapshot of servers and their owners |
+//! | [`current`] | the current catalog, replaced as a whole |
+//! | [`reports`] | tables for operators: owners of a name, conflicts, the route of a request, changes between snapshots |
+//! | [`commands`] | the `oatbankctl` commands that return these reports |
 
 pub mod catalog;
 pub mod commands;
--- a/crates/service-catalog/src/reports.rs
+++ b/crates/service-catalog/src/reports.rs
@@ -1,15 +1,15 @@
-//! Answers about a catalog, as plain data.
+//! Reports on a catalog as tables of text.
 
 use crate::catalog::{Catalog, Entry, Ownership};
 
-/// A table.
+/// A table with a title, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// What it says, in a sentence.
+    /// A one-line summary.
     pub title: String,
-    /// The columns' names.
+    /// The column titles.
     pub columns: Vec<&'static str>,
-    /// As many cells each as there are columns.
+    /// The rows, each with one cell per column.
     pub rows: Vec<Vec<String>>,
 }
 
@@ -42,7 +42,7 @@
         Ownership::Owned(_) if entry.is_ready() => "owned".to_owned(),
         Ownership::Owned(_) => "owned, draining".to_owned(),
         Ownership::Contested { why, .. } => format!("contested: {}", why.rule().code),
-        Ownership::Unknown => "its service is in no configuration".to_owned(),
+        Ownership::Unknown => "its service is not in the configuration".to_owned(),
     }
 }
 
@@ -50,7 +50,7 @@
     format!("beat {} of {}, which says {:?}", entry.row.call_count, entry.row.id, entry.row.service)
 }
 
-/// Who owns a name: a service's, a host's, a server's id, or an address.
+/// Reports the owners of a name, which may be a service, a host, a server id or an address.
 pub fn who_owns(catalog: &Catalog, routes: Option<&oatbank_config_model::RouteTable>, name: &str) -> Report {
     let (service_owners, mut rows) = (catalog.service_owners(), Vec::new());
     let (mut owners, mut contested) = (Vec::new(), false);
@@ -88,7 +88,7 @@
     owners.sort();
     owners.dedup();
     let title = match (owners.as_slice(), contested) {
-        ([], _) => format!("{name}: nobody of that name is known"),
+        ([], _) => format!("{name}: no service, host, server id or address of that name is known"),
         (_, true) => format!("{name}: its owner is contested"),
         ([one], _) => format!("{name}: {one}"),
         (several, _) => format!("{name}: {} owners", several.len()),
@@ -96,7 +96,7 @@
     Report::new(title, &["as", "owner", "state", "known by"], rows)
 }
 
-/// All that is contested, and what ends it.
+/// Reports all contested servers, each with the event that ends its conflict.
 pub fn conflicts(catalog: &Catalog) -> Report {
     let row = |entry: &Entry| {
         let Ownership::Contested { why, owners, .. } = &entry.ownership else { return Vec::new() };
@@ -116,7 +116,8 @@
     Report::new(title, &["collision", "id", "address", "says", "may be of", "gets", "until"], rows)
 }
 
-/// Where a request goes, and why. The key is that of a tenant.
+/// Reports the route that a request takes and its services' servers. `key` is a tenant's key; the title says if the
+/// request would be rejected for a missing or unknown one.
 pub fn explain(
     catalog: &Catalog,
     routes: &oatbank_config_model::RouteTable,
@@ -132,7 +133,9 @@
         key.map(|key| routes.customer(key).and_then(|at| routes.configuration().customers.as_ref()?.get(at)));
     let tenant_note = match tenant {
         Some(Some(tenant)) => format!(", for {}", tenant.name),
-        Some(None) if routes.has_customers() && !route.keyless => ", the key is nobody's: 401".to_owned(),
+        Some(None) if routes.has_customers() && !route.keyless => {
+            ", the key belongs to no tenant: 401".to_owned()
+        }
         None if routes.has_customers() && !route.keyless => ", without a key: 401".to_owned(),
         _ => String::new(),
     };
@@ -157,7 +160,7 @@
     Report::new(title, &columns, rows.collect())
 }
 
-/// What differs between two snapshots.
+/// Reports the servers that are new, gone or changed between two snapshots.
 pub fn diff(before: &Catalog, after: &Catalog) -> Report {
     let same = |a: &Entry, b: &Entry| a.row.id == b.row.id && a.row.same_claim(&b.row);
     let mut rows = Vec::new();
@@ -185,7 +188,7 @@
     Report::new(title, &["what", "id", "address", "was", "is"], rows)
 }
 
-/// The table of collisions itself.
+/// Reports all conflict rules.
 pub fn rules() -> Report {
     let rows = crate::conflict::CONFLICT_RULES.iter().map(|rule| {
         let gets = match (rule.contested, rule.reads) {
@@ -196,7 +199,7 @@
         [rule.code, gets, rule.until, rule.reason].map(str::to_owned).to_vec()
     });
     Report::new(
-        "Collisions and what holds in them".to_owned(),
+        "Kinds of collisions and how they are handled".to_owned(),
         &["collision", "gets", "until", "reason"],
         rows.collect(),
     )
