--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! `oatbankctl` without its command line: [`query`] asks a program, [`output`] writes its answer.
+//! The parts of `oatbankctl` below its command line: [`query`] sends a query, [`output`] formats the answer.
 
 pub mod output;
 pub mod query;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `oatbankctl`: asks the system's programs what they know.
+//! The program `oatbankctl`: sends queries to a process of the system and prints the answers as tables or JSON.
 
 use oatbank_node_runtime::rpc::RpcClient;
 use oatbankctl::output;
@@ -9,52 +9,54 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-const HELP: &str = "oatbankctl: asks the system's programs what they know
+const HELP: &str = "oatbankctl: queries the state of the system's processes
 
 Usage: oatbankctl --at ADDRESS [--json] [--near] [COMMAND ...]
 
-  --at ADDRESS  inner address of a core machine (its second inner port) or a proxy (its third)
-  --json        one JSON object a line
-  --near        by what that process knows alone: it asks no other
+  --at ADDRESS  address to query: a core machine at its second inner port, or a proxy at its third
+  --json        print each answer as one JSON object on one line
+  --near        answer from the queried process's own state, without asking other processes
   --help, --version
 
-Without a command each line of the input is one; the answers come in their order.
+Without a command, each line of standard input is run as one; the answers are printed in the same order.
 
-  outcome TRY-ID      what became of a try that may run once
-  servers [SERVICE]   id, service, address, zone, state, last word, how long still cold
-  limiters            name, zone, state, edition, last word
-  core                who is in touch, by which edition, as of when
-  voters              at a core machine: who votes in the store, what each holds, how many more may be lost
-  version             of the program that answers
-  guard               at a proxy: tries kept, and decisions not carried out
+  outcome TRY-ID      whether an attempt of an at-most-once request ran, and on which server
+  servers [SERVICE]   servers: id, service, address, zone, state, time since the last heartbeat, warm-up time left
+  limiters            limiters: name, zone, state, configuration edition, time since the last sign of life
+  core                core machines: whether they are in touch, configuration edition, age of their information
+  voters              on a core machine: voters of the configuration store, the data that each holds, and how many
+                      more of them may fail
+  version             name and version of the queried process
+  guard               on a proxy: size of the outcome log; for each service, at-most-once requests in flight and
+                      decisions that were blocked because a request could have run twice
 
-A program may answer more; what it answers is told with any word that it does not know.
-Ends with 0, with 1 if there is no answer, with 2 if the question is wrong.
+Some processes have more commands; an unknown command prints a list of those available.
+Exit codes: 0 for success, 1 if there is no answer, 2 if the command line or a command is invalid.
 ";
 
-/// Exit code: there is no answer.
+/// Exit code if a command gets no answer, or the program cannot start.
 const EXIT_NO_ANSWER: u8 = 1;
-/// Exit code: the command line or the command is wrong.
+/// Exit code if the command line or a command is invalid.
 const EXIT_WRONG_COMMAND: u8 = 2;
 
 quick_error! {
-    /// What is wrong with the command line.
+    /// An invalid command line.
     #[derive(Debug)]
     enum CommandLineError {
-        /// An argument has no value, or one that is no text.
+        /// An option has no value, or one that is not valid UTF-8.
         Argument(error: lexopt::Error) {
             from()
             display("{}", error)
         }
-        /// There is no such argument.
+        /// An unknown option.
         Unexpected(error: lexopt::Error) {
             display("{}; see oatbankctl --help", error)
         }
-        /// The address cannot be read.
+        /// The value of `--at` is not a socket address.
         Address(value: String) {
-            display("--at: {:?}; allowed: an address with a port, as 10.0.0.4:7001", value)
+            display("--at: {:?}; allowed: an address with a port, such as 10.0.0.4:7001", value)
         }
-        /// There is no address.
+        /// `--at` is missing.
         MissingAddress {
             display("--at is missing; allowed: an address with a port")
         }
@@ -68,7 +70,7 @@
     words: Vec<String>,
 }
 
-/// The command line; `None` if it asked only for help or the version, which has been printed.
+/// Parses the command line. Returns `None` after printing the help or the version.
 fn parse_command_line() -> Result<Option<CommandLine>, CommandLineError> {
     use lexopt::prelude::*;
     let (mut address, mut json, mut local_only, mut words) = (None, false, false, Vec::new());
@@ -97,7 +99,7 @@
     Ok(Some(CommandLine { address, json, local_only, words }))
 }
 
-/// Runs one command and prints its answer; the exit code.
+/// Runs one command and prints its answer, or the error on standard error. Returns the exit code.
 async fn run_command(client: &Rc<RpcClient>, line: &CommandLine, words: Vec<String>) -> u8 {
     match ask(client, words, line.local_only).await {
         Ok(table) => {
@@ -114,7 +116,7 @@
     }
 }
 
-/// Runs the command of the command line, or each line of the input; the highest exit code.
+/// Runs the command given on the command line, or else each line of standard input. Returns the highest exit code.
 async fn run(line: CommandLine) -> u8 {
     let client = RpcClient::new(line.address);
     if !line.words.is_empty() {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Writes a table, for people and for programs.
+//! Formats a table as aligned text or as JSON.
 
 use miniserde::{json, Serialize};
 use oatbank_cluster_state::messages::Table;
@@ -10,12 +10,12 @@
     rows: Vec<&'a [String]>,
 }
 
-/// Replaces control characters: a text cannot move the cursor or fake a line.
+/// Replaces control characters with `?`, so that a cell cannot move the terminal's cursor or forge a line.
 fn printable(text: &str) -> String {
     text.chars().map(|character| if character.is_control() { '?' } else { character }).collect()
 }
 
-/// The title, the names of the columns and a line for each row, in columns.
+/// Formats the title, the column titles and one line per row with aligned columns; only the title if there are no rows.
 pub fn text(table: &Table) -> String {
     let mut lines: Vec<Vec<String>> = vec![table.columns.iter().map(|c| printable(c)).collect()];
     lines.extend(table.rows.iter().map(|row| row.cells.iter().map(|c| printable(c)).collect()));
@@ -34,7 +34,7 @@
     text.lines().map(|line| format!("{}\n", line.trim_end())).collect()
 }
 
-/// One object on one line: title, columns and rows.
+/// Formats the title, the columns and the rows as one JSON object on one line.
 pub fn json(table: &Table) -> String {
     let rows = table.rows.iter().map(|row| row.cells.as_slice()).collect();
     json::to_string(&JsonTable { title: &table.title, columns: &table.columns, rows }) + "\n"
--- a/crates/cli/src/output/tests.rs
+++ b/crates/cli/src/output/tests.rs
@@ -4,7 +4,7 @@
 use oatbank_cluster_state::admin_query;
 
 #[test]
-fn a_table_stands_in_columns_and_its_texts_stay_on_their_lines() {
+fn columns_are_aligned_and_control_characters_are_replaced() {
     let row = |cells: [&str; 2]| cells.map(str::to_owned).to_vec();
     let table =
         admin_query::table("2 of them", &["id", "state"], vec![row(["i-1", "ready"]), row(["i\n2", ""])]);
--- a/crates/node-runtime/src/error_kind.rs
+++ b/crates/node-runtime/src/error_kind.rs
@@ -1,46 +1,46 @@
-//! The closed list of what can go wrong with a call, and the HTTP status of each kind.
+//! The complete list of reasons for which a call can fail, each with its code and HTTP status.
 
-/// Why a call was not carried out.
+/// The reason for which a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ErrorKind {
-    /// The call or its body cannot be read, or is not allowed.
+    /// The call or its body is malformed or not allowed.
     Invalid,
     /// The caller's key is not known.
     UnknownKey,
     /// There is no such call, route, server or zone.
     NotFound,
-    /// The method is not the one of the call.
+    /// The path exists, but not with this method.
     MethodNotAllowed,
-    /// A request that runs at most once has been taken under this id before.
+    /// An at-most-once request with this id has been accepted before.
     Duplicate,
-    /// Another version is in place.
+    /// The change is based on a version other than the current one.
     StaleVersion,
-    /// The body is too long.
+    /// The body exceeds the size limit.
     TooLong,
     /// The body arrives too slowly.
     TooSlow,
     /// The caller's quota is used up.
     QuotaExceeded,
-    /// There is no capacity for it now.
+    /// There is no capacity for the request at the moment.
     Overloaded,
-    /// This process does not know enough yet.
+    /// This process has not yet received the state that it needs.
     NotReady,
-    /// No majority could be asked: it may have been carried out or not.
+    /// No majority could be reached: the change may or may not have been made.
     OutcomeUnknown,
-    /// No server gave a response that can be forwarded.
+    /// No server returned a response that can be forwarded.
     UpstreamFailed,
     /// The deadline has passed.
     DeadlineExceeded,
 }
 
-/// How a kind appears outside.
+/// The code and HTTP status that callers see for a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Description {
-    /// The kind.
+    /// The described kind.
     pub kind: ErrorKind,
-    /// Its name in logs and bodies (`docs/api/control.yaml`).
+    /// The code in logs and response bodies (`docs/api/control.yaml`).
     pub code: &'static str,
-    /// The HTTP status of the answer.
+    /// The HTTP status of the response.
     pub status: u16,
 }
 
@@ -48,7 +48,7 @@
     Description { kind, code, status }
 }
 
-/// All kinds. Codes and statuses are part of the API.
+/// The descriptions of all kinds, each kind once. Codes and statuses are part of the API.
 pub const ERROR_KINDS: &[Description] = &[
     describe(ErrorKind::Invalid, "invalid", 400),
     describe(ErrorKind::UnknownKey, "no_key", 401),
@@ -61,7 +61,7 @@
     describe(ErrorKind::QuotaExceeded, "quota", 429),
     describe(ErrorKind::Overloaded, "busy", 503),
     describe(ErrorKind::NotReady, "starting", 503),
-    // Not 503 for clients: that would say that it was not carried out. Operators repeat after any 5xx.
+    // Not 503, which promises clients that nothing was done. Operators retry after any 5xx.
     describe(ErrorKind::OutcomeUnknown, "unsure", 504),
     describe(ErrorKind::UpstreamFailed, "failed", 502),
     describe(ErrorKind::DeadlineExceeded, "late", 504),
@@ -69,21 +69,21 @@
 
 impl ErrorKind {
     fn description(self) -> &'static Description {
-        // Every kind is in the table: a test makes sure of it.
+        // A test checks that the table has every kind, so the fallback is never used.
         ERROR_KINDS.iter().find(|description| description.kind == self).unwrap_or(&ERROR_KINDS[0])
     }
 
-    /// Its name in logs and bodies.
+    /// The code of the kind in logs and response bodies.
     pub fn code(self) -> &'static str {
         self.description().code
     }
 
-    /// The HTTP status of the answer.
+    /// The HTTP status of the response.
     pub fn status(self) -> u16 {
         self.description().status
     }
 
-    /// Whether the answer promises that nothing was done and nothing will be.
+    /// Whether the status promises the caller that the request was not executed and never will be.
     pub fn promises_nothing_done(self) -> bool {
         matches!(self.status(), 408 | 421 | 429 | 503)
     }
--- a/crates/node-runtime/src/lib.rs
+++ b/crates/node-runtime/src/lib.rs
@@ -1,17 +1,16 @@
-//! What every program of the system runs on, whatever it does: settings, logs, error kinds, calls between processes and
-//! the process's own life cycle.
+//! The runtime that all programs of the system share: settings, logs, error kinds, RPC and the process life cycle.
 //!
-//! [`settings`] and [`error_kind`] do no I/O; the other modules are the shells around them.
+//! [`settings`] and [`error_kind`] do no I/O.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`settings`] | the settings file: read, checked, every error with its line and key |
-//! | [`process`] | command line, signals and the thread that all else runs on |
-//! | [`rpc`] | calls between processes over TCP |
-//! | [`network`] | where connections come from: the machine, or a simulation |
-//! | [`error_kind`] | the closed list of error kinds, with the table from kind to HTTP status |
-//! | [`log`] | logging, and a limit on lines that may come often |
-//! | [`random`] | random numbers, or numbers from a seed |
+//! | [`settings`] | reading and checking the settings file; every error has its line and key |
+//! | [`process`] | command line, signals, reloading of settings, and the single-threaded runtime |
+//! | [`rpc`] | remote calls between processes over TCP |
+//! | [`network`] | the network that connections use: the machine's own, or a simulated one |
+//! | [`error_kind`] | the complete list of error kinds, each with its code and HTTP status |
+//! | [`log`] | logging, and a rate limit for frequent lines |
+//! | [`random`] | random numbers, reproducible from a seed in simulations |
 
 pub mod error_kind;
 pub mod log;
--- a/crates/node-runtime/src/log.rs
+++ b/crates/node-runtime/src/log.rs
@@ -1,6 +1,6 @@
-//! Logs: short lines on standard error, each with the prefix of the module that writes it.
+//! Logging of short lines to standard error, each prefixed with the name of its module.
 //!
-//! Writing costs processor time, so lines that may come often go through a [`RateLimitedLog`].
+//! Writing costs CPU time, so lines that may be frequent are limited by a [`RateLimitedLog`].
 
 use quick_error::quick_error;
 use spdlog::formatter::{pattern, PatternFormatter};
@@ -12,18 +12,18 @@
 
 pub use spdlog::{debug, error, info, warn};
 
-/// Lines that one [`RateLimitedLog`] lets through in a second.
+/// Lines per second that one [`RateLimitedLog`] allows.
 const MAX_LINES_PER_SECOND: u32 = 5;
 
 quick_error! {
-    /// Why logging did not start.
+    /// The reason for which logging could not start.
     #[derive(Debug)]
     pub enum LogError {
-        /// There is no such level.
+        /// An unknown log level.
         UnknownLevel(level: String) {
             display("log level {:?}: allowed are error, warn, info, debug, off", level)
         }
-        /// The log cannot be set up.
+        /// The logger cannot be created.
         Setup(error: spdlog::Error) {
             from()
             source(error)
@@ -32,10 +32,10 @@
     }
 }
 
-/// Begins to log from this level on: `error`, `warn`, `info`, `debug` or `off`.
+/// Starts logging at this level and above: `error`, `warn`, `info`, `debug` or `off`.
 ///
 /// # Errors
-/// When the level is none of these, or the log cannot be set up.
+/// [`LogError::UnknownLevel`] for any other level, [`LogError::Setup`] if the logger cannot be created.
 pub fn start(level: &str) -> Result<(), LogError> {
     use spdlog::Level;
     let filter = match level {
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// Lets a few lines a second through.
+/// Limits frequent log lines to a few per second and counts the suppressed ones.
 #[derive(Debug)]
 pub struct RateLimitedLog {
     second_began: Cell<Instant>,
@@ -73,7 +73,7 @@
 }
 
 impl RateLimitedLog {
-    /// Whether a line may be written now; `Some` is how many lines were suppressed since the last one.
+    /// Returns the number of lines suppressed since the last one if a line may be written now, or `None` if not.
     pub fn allow(&self) -> Option<u32> {
         if self.second_began.get().elapsed() >= Duration::from_secs(1) {
             self.second_began.set(Instant::now());
--- a/crates/node-runtime/src/network.rs
+++ b/crates/node-runtime/src/network.rs
@@ -1,4 +1,4 @@
-//! Where connections come from: the machine's own network, unless this thread works within a simulated one.
+//! Selects the network for outgoing connections: the machine's own, or a simulated one set for the current thread.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -17,7 +17,7 @@
 
 /// A network, as one machine sees it.
 pub trait Network {
-    /// Connects to this address.
+    /// Opens a connection to this address.
     fn connect(&self, to: SocketAddr) -> Connecting;
 }
 
@@ -25,7 +25,7 @@
     static CURRENT: RefCell<Option<Rc<dyn Network>>> = const { RefCell::new(None) };
 }
 
-/// Runs `work` within this network instead of the machine's own.
+/// Runs `work` with `network` as the current thread's network, and restores the previous one afterwards.
 pub fn within<T>(network: &Rc<dyn Network>, work: impl FnOnce() -> T) -> T {
     let before = CURRENT.replace(Some(network.clone()));
     let done = work();
@@ -33,7 +33,7 @@
     done
 }
 
-/// The network that this thread works within; `None` for the machine's own.
+/// The current thread's network; `None` for the machine's own.
 pub(crate) fn current() -> Option<Rc<dyn Network>> {
     CURRENT.with_borrow(Clone::clone)
 }
--- a/crates/node-runtime/src/process.rs
+++ b/crates/node-runtime/src/process.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a program: command line, settings file, signals, and the one thread that all else runs on.
+//! The life cycle of a program: command line, settings file, signals, and the single-threaded runtime.
 
 use crate::log::{self, LogError};
 use crate::settings::{Settings, SettingsError, SETTINGS_VARIABLE};
@@ -13,20 +13,20 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Connections that may wait to be accepted.
+/// Limit of connections that are waiting to be accepted.
 const BACKLOG: u32 = 1024;
-/// How often the settings file is read without a signal: it may change without one.
+/// Interval at which the settings file is read again, as it may change without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(2000);
 
 quick_error! {
-    /// Why a program does not start, or has ended.
+    /// The reason for which a program cannot start or has failed.
     #[derive(Debug)]
     pub enum ProcessError {
-        /// An argument is wrong.
+        /// An invalid command-line argument.
         Argument(what: String) {
             display("{}", what)
         }
-        /// No settings file is named.
+        /// Neither the command line nor the environment names a settings file.
         NoSettings {
             display("no settings: give --settings FILE or set {}", SETTINGS_VARIABLE)
         }
@@ -35,7 +35,7 @@
             source(error)
             display("{}: {}", path, error)
         }
-        /// Something in the settings file is wrong; all of it is listed.
+        /// The settings file is invalid. Lists all errors in it.
         Settings(path: String, errors: Vec<SettingsError>) {
             display("{}", list_errors(path, errors))
         }
@@ -43,7 +43,7 @@
         MissingSetting(key: &'static str, allowed: &'static str) {
             display("{}: is missing; allowed: {}", key, allowed)
         }
-        /// The address cannot be listened on.
+        /// The address cannot be bound.
         Listen(address: SocketAddr, error: io::Error) {
             source(error)
             display("{}: {}", address, error)
@@ -67,11 +67,11 @@
     errors.iter().map(|error| format!("{path}: {error}")).collect::<Vec<_>>().join("\n")
 }
 
-/// What a program is called and says of itself.
+/// The name and description of a program, for its help text.
 pub struct Program {
-    /// Its name.
+    /// The name of the executable.
     pub name: &'static str,
-    /// One line on what it does.
+    /// A one-line description.
     pub about: &'static str,
 }
 
@@ -85,9 +85,9 @@
     format!(
         "{name} {version}: {about}\n\n\
          Usage: {name} [--settings FILE] [--log-level LEVEL] [--check]\n\n\
-         \x20 --settings FILE    settings (TOML); without it the file that {SETTINGS_VARIABLE} names\n\
-         \x20 --log-level LEVEL  error, warn, info (as it is), debug, off\n\
-         \x20 --check            tells all that is wrong in the settings, and ends\n\
+         \x20 --settings FILE    settings file (TOML); default: the file named by {SETTINGS_VARIABLE}\n\
+         \x20 --log-level LEVEL  error, warn, info (default), debug or off\n\
+         \x20 --check            report all errors in the settings file and exit\n\
          \x20 --help, --version\n\n\
          Example: {SETTINGS_VARIABLE}=node.toml {name} --log-level warn\n",
         name = program.name,
@@ -96,7 +96,7 @@
     )
 }
 
-/// The command line; `None` if it asked only for help or the version, which has been printed.
+/// Parses the command line. Returns `None` after printing the help or the version.
 fn parse_command_line(program: &Program) -> Result<Option<CommandLine>, ProcessError> {
     use lexopt::prelude::*;
     let wrong = |error: lexopt::Error| ProcessError::Argument(error.to_string());
@@ -132,39 +132,40 @@
     Ok(Some(line))
 }
 
-/// Reads a settings file.
+/// Reads and checks the settings file at `path`.
 ///
 /// # Errors
-/// When it cannot be opened, or all that is wrong in it.
+/// [`ProcessError::Unreadable`] if the file cannot be read, [`ProcessError::Settings`] with all errors in it.
 pub fn load_settings(path: &str) -> Result<Settings, ProcessError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| ProcessError::Unreadable(path.to_owned(), error))?;
     Settings::parse(&text).map_err(|errors| ProcessError::Settings(path.to_owned(), errors))
 }
 
-/// The settings in force, and the file they come from.
+/// The current settings and the path of their file.
 pub struct ReloadableSettings {
     path: String,
     settings: RefCell<Settings>,
 }
 
 impl ReloadableSettings {
-    /// These settings, as read from the file at `path`.
+    /// Creates the holder of `settings`, which were read from the file at `path`.
     pub fn new(path: String, settings: Settings) -> Self {
         ReloadableSettings { path, settings: RefCell::new(settings) }
     }
 
-    /// Puts these settings in force.
+    /// Replaces the current settings.
     pub fn replace(&self, settings: Settings) {
         *self.settings.borrow_mut() = settings;
     }
 
-    /// The settings in force.
+    /// A copy of the current settings.
     pub fn settings(&self) -> Settings {
         self.settings.borrow().clone()
     }
 
-    /// Reads the file again; whether anything in it has changed. If it cannot be read, the old settings stay in force.
+    /// Reads the file again and returns whether the settings have changed. If the file cannot be read or is invalid, the
+    /// current settings are kept and a warning is logged.
     pub fn reload(&self) -> bool {
         match load_settings(&self.path) {
             Ok(settings) => {
@@ -173,14 +174,15 @@
                 has_changed
             }
             Err(error) => {
-                log::warn!("settings: not reloaded, the old ones stay in force: {}", error);
+                log::warn!("settings: reload failed, keeping the current settings: {}", error);
                 false
             }
         }
     }
 }
 
-/// Runs a program: reads the command line and the settings, and runs `serve` with both on one thread.
+/// Runs a program: parses the command line, loads the settings, starts the log, and runs `serve` in a `LocalSet` on one
+/// thread. An error is printed on standard error.
 pub fn main<F: Future<Output = Result<(), ProcessError>>>(
     program: &Program,
     serve: impl FnOnce(Rc<ReloadableSettings>, Signals) -> F,
@@ -211,10 +213,10 @@
     tokio::task::LocalSet::new().block_on(&runtime, async move { serve(settings, Signals::new()?).await })
 }
 
-/// Listens on an address, even if the process before has left connections behind.
+/// Listens on an address, even if connections of an earlier process remain in `TIME_WAIT`.
 ///
 /// # Errors
-/// When the address cannot be bound; the text names it.
+/// [`ProcessError::Listen`] with the address if it cannot be bound.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ProcessError> {
     let bind = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
@@ -225,7 +227,7 @@
     bind().map_err(|error: io::Error| ProcessError::Listen(address, error))
 }
 
-/// What the platform wants of a process.
+/// A request of the platform to the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalEvent {
     /// Shut down gracefully.
@@ -250,7 +252,8 @@
         })
     }
 
-    /// Waits for the next event. A reload comes every two seconds besides, as the settings may change without a signal.
+    /// Waits for the next event. Without a signal this is a reload after two seconds, as the settings file may change
+    /// without one.
     pub async fn next(&mut self) -> SignalEvent {
         tokio::select! {
             _ = self.term.recv() => SignalEvent::Shutdown,
--- a/crates/node-runtime/src/rpc/client.rs
+++ b/crates/node-runtime/src/rpc/client.rs
@@ -1,4 +1,4 @@
-//! The calling side.
+//! The client side of remote calls.
 
 use super::connection::{run, Shared};
 use super::{RpcError, MAX_PAYLOAD, RESPONSE_TIMEOUT};
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout_at, Instant};
 
-/// Calls one other process, over a connection made on demand and made again after a back-off.
+/// Sends calls to one other process. The connection is opened on demand and reopened after a back-off.
 pub struct RpcClient {
     shared: Rc<Shared>,
 }
@@ -21,7 +21,7 @@
     }
 }
 
-/// Removes a call from the waiting ones if its caller stops waiting.
+/// Removes a call from the pending calls when its caller stops waiting.
 struct CallGuard<'a> {
     shared: &'a Shared,
     id: u64,
@@ -34,21 +34,22 @@
 }
 
 impl RpcClient {
-    /// A client of the process at `address`; nothing is sent before the first call.
+    /// Creates a client for the process at `address`. It does not connect before the first call.
     pub fn new(address: SocketAddr) -> Rc<RpcClient> {
         Rc::new(RpcClient { shared: Rc::new(Shared::new(address)) })
     }
 
-    /// The address that it calls.
+    /// The address of the called process.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Sends a call and waits for its response, at most `within`. Without a connection it waits for one to be made. A call
-    /// with more than [`RESPONSE_TIMEOUT`] is a long poll: its waiting alone does not make the connection count as dead.
+    /// Sends a call and waits for its response for at most `within`, including the time to connect. A call with `within`
+    /// above [`RESPONSE_TIMEOUT`] is a long poll, which does not cause the connection to be considered dead.
     ///
     /// # Errors
-    /// [`RpcError::Unreachable`] if nothing of the call was sent, [`RpcError::Lost`] if it may have been received.
+    /// [`RpcError::Unreachable`] if no part of the call was sent, also if the body is longer than [`MAX_PAYLOAD`] or too
+    /// many calls are pending; [`RpcError::Lost`] if the call may have been received.
     pub async fn call(&self, kind: u8, body: Vec<u8>, within: Duration) -> Result<Bytes, RpcError> {
         let until = Instant::now() + within;
         let (sender, receiver) = oneshot::channel();
--- a/crates/node-runtime/src/rpc/connection.rs
+++ b/crates/node-runtime/src/rpc/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: connecting with a back-off, carrying frames, and noticing a dead peer.
+//! A client's connection: connects with a back-off, transfers frames, and detects a dead peer.
 
 use super::frame::read_frame;
 use super::pending::PendingCalls;
@@ -18,20 +18,20 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// A connection is made within this.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The first back-off between two attempts to connect, in ms; it doubles with each failure.
+/// The first back-off between two attempts to connect, ms; it doubles with each failure.
 const MIN_BACK_OFF_MS: u64 = 50;
-/// The longest back-off, in ms.
+/// The longest back-off, ms.
 const MAX_BACK_OFF_MS: u64 = 400;
 
-/// What the client and its connection share.
+/// State shared by the client and its connection task.
 pub(super) struct Shared {
     pub(super) address: SocketAddr,
     pub(super) state: RefCell<State>,
-    /// A call was queued, or the client was dropped.
+    /// Notified when a call is queued or the client is dropped.
     pub(super) wake: Notify,
-    /// The client was dropped.
+    /// Set when the client is dropped.
     pub(super) is_closed: Cell<bool>,
 }
 
@@ -50,9 +50,9 @@
 
 pub(super) struct State {
     pub(super) pending: PendingCalls,
-    /// Whether [`run`] runs.
+    /// Whether the connection task, [`run`], is running.
     pub(super) is_running: bool,
-    /// 0 while connections succeed.
+    /// The current back-off, ms; 0 while connections succeed.
     back_off_ms: u64,
     retry_at: Option<Instant>,
     random: Pcg32,
@@ -67,17 +67,17 @@
     }
 }
 
-/// How a connection ended.
+/// The way in which a connection ended.
 enum Ended {
-    /// It was never made.
+    /// Connecting failed.
     NotConnected,
-    /// Nothing was received on it.
+    /// Connected, but nothing was received.
     Unheard,
-    /// Something was received on it.
+    /// Connected, and data was received.
     Heard,
 }
 
-/// Connects and carries frames until nothing is queued and the connection has ended.
+/// Connects and transfers frames, reconnecting until the client is dropped or a connection ends with no calls queued.
 pub(super) async fn run(shared: Rc<Shared>) {
     loop {
         let retry_at = shared.state.borrow().retry_at;
@@ -128,7 +128,7 @@
     timeout(CONNECT_TIMEOUT, socket.connect(address)).await?
 }
 
-/// Carries frames until the connection ends; whether anything was received on it.
+/// Transfers frames until the connection ends. Returns whether anything was received.
 async fn carry(
     shared: &Shared,
     mut reader: impl AsyncRead + Unpin,
@@ -137,7 +137,7 @@
     let mut incoming = BytesMut::new();
     let mut outgoing = BytesMut::new();
     let mut received = false;
-    // Since when nothing has been received though a response is due; calls that were given up since then still count.
+    // The time since which a response has been due with nothing received. Not reset when the calls are abandoned.
     let mut quiet_since: Option<Instant> = None;
     loop {
         if shared.is_closed.get() {
@@ -162,7 +162,7 @@
             }
             written = writer.write_buf(&mut outgoing), if !outgoing.is_empty() => {
                 let Ok(length @ 1..) = written else { return received };
-                // Long bodies take their time to be sent: the response is due from then on.
+                // Sending a long body takes time; the response timeout starts after each part of it.
                 if quiet_since.is_some() && length + outgoing.len() > WRITE_BATCH {
                     quiet_since = Some(Instant::now());
                 }
@@ -174,7 +174,7 @@
     }
 }
 
-/// Hands all complete responses to their calls; whether the connection can go on.
+/// Passes all complete responses to their calls. Returns false if the connection must be closed.
 fn take_responses(incoming: &mut BytesMut, pending: &mut PendingCalls) -> bool {
     loop {
         match read_frame(incoming) {
--- a/crates/node-runtime/src/rpc/frame.rs
+++ b/crates/node-runtime/src/rpc/frame.rs
@@ -1,5 +1,5 @@
-//! A frame: a length (`u32`, big endian, of what follows), a kind (`u8`), the call's id (`u64`) and the payload. A response
-//! carries the kind and the id of its call.
+//! The wire format of a frame: the length of the rest (`u32`), the kind (`u8`), the call's id (`u64`) and the payload, all
+//! integers big-endian. A response has the kind and the id of its call.
 
 use super::MAX_PAYLOAD;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -15,10 +15,11 @@
     pub(super) body: Bytes,
 }
 
-/// The length of a frame is impossible.
+/// The length field of a frame is out of range.
 #[derive(Debug)]
 pub(super) struct InvalidLength;
 
+/// Appends one frame to `out`.
 pub(super) fn write_frame(out: &mut BytesMut, kind: u8, id: u64, body: &[u8]) {
     out.reserve(HEADER_BYTES + body.len());
     out.put_u32((KIND_AND_ID_BYTES + body.len()) as u32);
@@ -27,7 +28,7 @@
     out.put_slice(body);
 }
 
-/// Takes one frame off the front of `buffer`; `None` until it is complete.
+/// Removes one frame from the front of `buffer`. Returns `None` until the frame is complete.
 pub(super) fn read_frame(buffer: &mut BytesMut) -> Result<Option<Frame>, InvalidLength> {
     if buffer.len() < HEADER_BYTES {
         return Ok(None);
--- a/crates/node-runtime/src/rpc/mod.rs
+++ b/crates/node-runtime/src/rpc/mod.rs
@@ -1,13 +1,13 @@
-//! Remote calls between processes of the system: many calls at once on one connection, each answered when its response
-//! is ready. All of it runs in a `LocalSet` on one thread.
+//! Remote calls between processes of the system. Many calls share one connection, and responses may arrive in any order.
+//! Everything runs in a `LocalSet` on one thread.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `frame` | how a call and its response look on the wire |
-//! | `server` | answers calls on incoming connections |
+//! | `frame` | the wire format of calls and responses |
+//! | `server` | handles calls on incoming connections |
 //! | `client` | sends calls to one other process |
-//! | `pending` | the calls of a client that wait for their responses |
-//! | `connection` | keeps a client's connection, and carries its frames |
+//! | `pending` | the calls of a client that are waiting for their responses |
+//! | `connection` | maintains a client's connection and transfers its frames |
 
 mod client;
 mod connection;
@@ -24,23 +24,23 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The longest payload of a frame, in bytes.
+/// The longest payload of a frame, bytes.
 pub const MAX_PAYLOAD: usize = 8 << 20;
-/// How many calls of one client may wait for their responses.
+/// Limit of calls of one client that are waiting for their responses.
 pub const MAX_OUTSTANDING: usize = 256;
-/// A connection on which nothing arrives for this long while a response is due is given up. A call that may take longer is
-/// a long poll: its waiting alone makes no response due.
+/// A connection is closed if nothing arrives for this long while a response is due. A call with a longer timeout is a long
+/// poll, for which no response is ever due.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Bytes gathered for one write.
+/// Bytes collected for one write.
 const WRITE_BATCH: usize = 64 << 10;
 /// Interval of keep-alive probes.
 const KEEPALIVE: Duration = Duration::from_secs(1);
 
-/// Why a call has no response.
+/// The reason for which a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RpcError {
-    /// The call was certainly not sent.
+    /// The call was not sent.
     Unreachable,
     /// The call may or may not have been received.
     Lost,
@@ -50,14 +50,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             RpcError::Unreachable => "not sent: no connection",
-            RpcError::Lost => "no answer came",
+            RpcError::Lost => "no response was received",
         })
     }
 }
 
 impl std::error::Error for RpcError {}
 
-/// Sets the options that a dead peer is noticed by.
+/// Disables Nagle's algorithm and sets the timeouts by which TCP detects a dead peer.
 fn set_socket_options(socket: &SockRef<'_>) -> std::io::Result<()> {
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(RESPONSE_TIMEOUT))?;
--- a/crates/node-runtime/src/rpc/pending.rs
+++ b/crates/node-runtime/src/rpc/pending.rs
@@ -1,4 +1,4 @@
-//! The calls of one client that wait for their responses.
+//! The calls of one client that are waiting for their responses.
 
 use super::frame::{write_frame, Frame};
 use super::{RpcError, MAX_OUTSTANDING, WRITE_BATCH};
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use tokio::sync::oneshot;
 
-/// A call's id holds its number, and in so many low bits its index among the waiting calls.
+/// Number of low bits of a call's id that hold its slab index; the other bits hold its sequence number.
 const INDEX_BITS: u32 = 8;
 const _: () = assert!(MAX_OUTSTANDING <= 1 << INDEX_BITS);
 
@@ -27,17 +27,17 @@
     body: Vec<u8>,
 }
 
-/// The response belongs to a call of another kind, or to one that was not sent: the peer cannot be trusted.
+/// A response has the id of a call that is of another kind or was never sent, so the peer cannot be trusted.
 pub(super) struct MismatchedResponse;
 
-/// Waiting calls, and the frames that no connection has taken yet.
+/// Calls without a response, and the frames that have not been passed to a connection yet.
 #[derive(Default)]
 pub(super) struct PendingCalls {
     calls: Slab<PendingCall>,
-    /// The number of the last call. No two calls of a client share one, however late a response arrives.
+    /// Sequence number of the last call. Numbers are never reused, so a late response cannot match a newer call.
     last_number: u64,
     queue: VecDeque<QueuedFrame>,
-    /// Calls that were sent, have no response, and are not long polls: a response is due.
+    /// Number of sent calls without a response, long polls excluded.
     due: usize,
 }
 
@@ -54,7 +54,7 @@
         self.due > 0
     }
 
-    /// Queues a call; its id.
+    /// Queues a call and returns its id.
     pub(super) fn add(
         &mut self,
         kind: u8,
@@ -70,7 +70,7 @@
         id
     }
 
-    /// The index of a call that still waits.
+    /// The slab index of a call that is still waiting.
     fn index(&self, id: u64) -> Option<usize> {
         let index = (id & ((1 << INDEX_BITS) - 1)) as usize;
         self.calls.get(index).filter(|call| call.number == id >> INDEX_BITS).map(|_| index)
@@ -84,12 +84,12 @@
         call
     }
 
-    /// Whether a call was sent; one that waits no more was.
+    /// Whether a call was sent. True for a call that is no longer waiting.
     pub(super) fn was_sent(&self, id: u64) -> bool {
         self.index(id).is_none_or(|index| self.calls[index].was_sent)
     }
 
-    /// Nobody waits for this call any more.
+    /// Removes a call whose caller has stopped waiting; an unsent one leaves the queue too.
     pub(super) fn abandon(&mut self, id: u64) {
         let Some(index) = self.index(id) else { return };
         if !self.remove(index).was_sent {
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Moves queued frames of calls that still wait into `out`.
+    /// Moves queued frames into `out`, up to [`WRITE_BATCH`] bytes, and marks their calls as sent. Frames of calls that
+    /// are no longer waiting are dropped.
     pub(super) fn fill_batch(&mut self, out: &mut BytesMut) {
         while out.len() < WRITE_BATCH {
             let Some(frame) = self.queue.pop_front() else { break };
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Hands a response to its call. One of a call that was given up, or has its response, is nobody's.
+    /// Passes a response to its call. A response to an abandoned or already answered call is ignored.
     pub(super) fn complete(&mut self, frame: Frame) -> Result<(), MismatchedResponse> {
         let Some(index) = self.index(frame.id) else { return Ok(()) };
         let call = &self.calls[index];
@@ -121,7 +122,8 @@
         Ok(())
     }
 
-    /// Fails the calls that were sent, and with `unsent_too` the queued ones.
+    /// Fails the sent calls with [`RpcError::Lost`] and, with `unsent_too`, the queued ones with
+    /// [`RpcError::Unreachable`].
     pub(super) fn fail(&mut self, unsent_too: bool) {
         let failed: Vec<usize> = self
             .calls
--- a/crates/node-runtime/src/rpc/server.rs
+++ b/crates/node-runtime/src/rpc/server.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! The server side of remote calls.
 
 use super::frame::{read_frame, write_frame};
 use super::{set_socket_options, MAX_OUTSTANDING, MAX_PAYLOAD, WRITE_BATCH};
@@ -13,18 +13,18 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Calls of one connection that are worked on at once; long polls that the other side gave up count too.
+/// Limit of concurrent calls per connection, including long polls that the client has abandoned.
 const MAX_IN_PROGRESS: usize = 4 * MAX_OUTSTANDING;
-/// Wait after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// The response to a call, ready at once or later.
+/// A future of the response to a call.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Vec<u8>>>>;
-/// Answers calls, each given by its kind and payload.
+/// Handles a call, given its kind and payload.
 pub type Handler = Rc<dyn Fn(u8, Bytes) -> ResponseFuture>;
 
-/// Answers calls on every incoming connection, without end. A call whose connection ends is dropped where it waits. A
-/// response longer than [`MAX_PAYLOAD`] ends the connection.
+/// Accepts connections and handles their calls; never returns. When a connection ends, its unfinished calls are cancelled
+/// at their next await point. A response longer than [`MAX_PAYLOAD`] ends the connection.
 pub async fn serve(listener: TcpListener, handler: Handler) {
     loop {
         match listener.accept().await {
@@ -37,7 +37,7 @@
                     });
                 }
             }
-            // Mostly out of descriptors: some will be free again.
+            // Usually out of file descriptors, which is temporary.
             Err(_) => sleep(ACCEPT_RETRY).await,
         }
     }
@@ -50,7 +50,7 @@
     body: Vec<u8>,
 }
 
-/// Answers calls on one connection until it ends.
+/// Handles the calls of one connection until it ends.
 pub async fn serve_connection(
     mut reader: impl AsyncRead + Unpin,
     mut writer: impl AsyncWrite + Unpin,
@@ -77,7 +77,7 @@
             Some(done) = in_progress.join_next(), if !in_progress.is_empty() => {
                 let mut next = Some(done);
                 while let Some(done) = next {
-                    // A handler that panicked has no response: its caller learns of it by the connection's end.
+                    // A handler that panicked has no response. Its caller is informed by the end of the connection.
                     let Ok(response) = done else { return };
                     if response.body.len() > MAX_PAYLOAD { return }
                     write_frame(&mut outgoing, response.kind, response.id, &response.body);
@@ -95,7 +95,7 @@
     }
 }
 
-/// Whether more calls are taken: not while too many are worked on, or too much waits to be written.
+/// Whether more calls may be accepted: not while too many are in progress or too many bytes wait to be written.
 fn has_room(in_progress: &JoinSet<Response>, outgoing: &BytesMut) -> bool {
     in_progress.len() < MAX_IN_PROGRESS && outgoing.len() < MAX_PAYLOAD
 }
--- a/crates/node-runtime/src/settings.rs
+++ b/crates/node-runtime/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings file of a process. Unknown fields are ignored; all that is missing or wrong is reported at once, each with
-//! its line and key. The names of keys are the platform's.
+//! The settings file of a process. Unknown fields are ignored; all missing and invalid fields are reported together, each
+//! with its line and key. The platform defines the key names.
 
 mod reader;
 
@@ -10,17 +10,17 @@
 /// The environment variable that names the settings file.
 pub const SETTINGS_VARIABLE: &str = "OATBANK_SETTINGS";
 
-/// Offsets of the programs' RPC ports from the first of a machine's inner ports.
+/// Offsets of the programs' RPC ports from the first port in `innerPorts`.
 pub mod port_offset {
-    /// The configuration store.
+    /// Offset of the configuration store's port.
     pub const STORE: u16 = 0;
-    /// The registry.
+    /// Offset of the registry's port.
     pub const REGISTRY: u16 = 1;
-    /// The proxy.
+    /// Offset of the proxy's port.
     pub const PROXY: u16 = 2;
 }
 
-/// The range of ports that processes of the system use among each other.
+/// The range of ports for calls between processes of the system, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
     /// The first port.
@@ -29,7 +29,7 @@
     pub last: u16,
 }
 
-/// How many of each the platform may take away at once, with all rules still to be kept.
+/// The numbers of machines, zones and regions that may fail at once while all guarantees still hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tolerated {
     /// Machines.
@@ -43,87 +43,87 @@
 /// The settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// `nodeName`: the machine's name.
+    /// `nodeName`: the name of the machine.
     pub node_name: String,
-    /// `serves`: what is served to callers from outside.
+    /// `serves`: the interfaces that external callers may use.
     pub serves: Vec<String>,
     /// `ip`: the machine's address.
     pub ip: Ipv4Addr,
-    /// `zone`: its zone.
+    /// `zone`: the machine's zone.
     pub zone: String,
-    /// `region`: its region.
+    /// `region`: the machine's region.
     pub region: String,
     /// `innerPorts`: ports for calls between processes of the system.
     pub inner_ports: PortRange,
     /// `seeds`: `control` addresses of core machines.
     pub seeds: Vec<SocketAddrV4>,
-    /// `firstStart`: the whole system starts for the first time, on empty disks.
+    /// `firstStart`: whether the whole system starts for the first time, with empty disks.
     pub first_start: bool,
-    /// `counted`: whether `tolerate` counts this machine.
+    /// `counted`: whether this machine counts towards `tolerate`.
     pub counted: bool,
-    /// `dataFolder`: where data is kept, if anywhere.
+    /// `dataFolder`: the directory for persistent data, if there is one.
     pub data_folder: Option<String>,
-    /// `beatEveryMs`: how often servers send heartbeats, ms.
+    /// `beatEveryMs`: the interval at which servers send heartbeats, ms.
     pub heartbeat_interval: f64,
-    /// `zones`: zones, each with its region.
+    /// `zones`: pairs of a zone and its region.
     pub zones: Vec<(String, String)>,
-    /// `listenOn`: addresses to listen on, by what is served there.
+    /// `listenOn`: pairs of an interface's name and the address to listen on for it.
     pub listen_addresses: Vec<(String, SocketAddr)>,
-    /// `limits.memoryMb`: memory the process may take, MB.
+    /// `limits.memoryMb`: memory limit of the process, MB.
     pub memory_mb: u64,
-    /// `limits.openFiles`: descriptors it may hold.
+    /// `limits.openFiles`: limit of open file descriptors.
     pub open_files: u64,
-    /// `tolerate`: what may be lost at once.
+    /// `tolerate`: failures that the system must withstand at once.
     pub tolerated: Tolerated,
-    /// `bounds`: the figures of the rules.
+    /// `bounds`: the limits that the system must keep.
     pub bounds: Bounds,
 }
 
-/// The figures of the rules, by their keys under `bounds`.
+/// The limits that the system must keep, by their keys under `bounds`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// `applyMs`: a configuration is in force this long after its acknowledgement, ms.
+    /// `applyMs`: a configuration is in force at most this long after its acknowledgement, ms.
     pub apply_ms: f64,
-    /// `drainMs`: a draining server is sent nothing new after this, ms.
+    /// `drainMs`: time after which a draining server gets no new requests, ms.
     pub drain_ms: f64,
     /// `ackMs`: an operator command is acknowledged within this, ms.
     pub ack_ms: f64,
     /// `graceS`: time between SIGTERM and SIGKILL, s.
     pub grace_s: f64,
-    /// `revokedFail`: a revoked key is rejected everywhere, also where updates do not arrive.
+    /// `revokedFail`: whether a revoked key must be rejected everywhere, even where updates do not arrive.
     pub revoked_fail: bool,
-    /// `revokeMs`: the same, this long after the acknowledgement, ms.
+    /// `revokeMs`: a revoked key is rejected at most this long after the acknowledgement, ms.
     pub revoke_ms: f64,
-    /// `retryRatio`: retries allowed for each request within `retry_window_s`, besides `extra_tries`.
+    /// `retryRatio`: retries allowed per request within `retry_window_s`, in addition to `extra_tries`.
     pub retry_ratio: f64,
-    /// `retryWindowS`: see `retry_ratio`, s.
+    /// `retryWindowS`: length of the window for `retry_ratio`, s.
     pub retry_window_s: f64,
-    /// `extraTries`: see `retry_ratio`.
+    /// `extraTries`: retries allowed within `retry_window_s` in addition to `retry_ratio`.
     pub extra_tries: f64,
-    /// `quotaWindowS`: in each window of this length a quota may be exceeded by `quota_over` and `quota_slack`, s.
+    /// `quotaWindowS`: length of the window in which a quota may be exceeded by `quota_over` and `quota_slack`, s.
     pub quota_window_s: f64,
-    /// `quotaOver`: by this share of it.
+    /// `quotaOver`: fraction by which a quota may be exceeded in a window.
     pub quota_over: f64,
-    /// `quotaSlack`: by so many requests.
+    /// `quotaSlack`: requests by which a quota may be exceeded in a window, in addition to `quota_over`.
     pub quota_slack: f64,
-    /// `coldOver`: a server that is warming up takes its rate times this, and `cold_slack`, in a second.
+    /// `coldOver`: a server that is warming up gets at most its rate times this, plus `cold_slack`, in a second.
     pub cold_over: f64,
-    /// `coldSlack`: see `cold_over`, requests.
+    /// `coldSlack`: requests per second in addition to `cold_over`.
     pub cold_slack: f64,
-    /// `emptyZoneMs`: an evacuated zone is sent nothing after this, ms.
+    /// `emptyZoneMs`: time after which an evacuated zone gets no requests, ms.
     pub empty_ms: f64,
-    /// `ttl_max_s`: clients keep an answer of the directory for this long at most, s.
+    /// `ttl_max_s`: the longest time for which clients may cache an answer of the directory, s.
     pub ttl_max_s: f64,
 }
 
 /// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The line, from 1; 0 if the key is missing.
+    /// The line number, from 1; 0 if the key is missing.
     pub line: usize,
-    /// The key, with the table it is in.
+    /// The key, prefixed with its table.
     pub key: String,
-    /// What is wrong, and what is allowed.
+    /// The problem and the allowed values.
     pub problem: String,
 }
 
@@ -139,10 +139,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Reads the text of a settings file.
+    /// Parses and checks the text of a settings file.
     ///
     /// # Errors
-    /// All that is wrong in it.
+    /// All missing and invalid fields, or the one syntax error.
     pub fn parse(text: &str) -> Result<Settings, Vec<SettingsError>> {
         let root = parse_toml(text).map_err(|error| vec![error])?;
         let mut reader = Reader::new(text);
@@ -190,28 +190,28 @@
         }
     }
 
-    /// The address at which this machine's program with this [`port_offset`] answers other processes.
+    /// The RPC address of the program with this [`port_offset`] on this machine.
     pub fn rpc_address(&self, offset: u16) -> SocketAddr {
         self.rpc_address_of(self.ip, offset)
     }
 
-    /// The same for another machine: all use the same ports.
+    /// The RPC address of the program with this [`port_offset`] on the machine at `ip`. All machines use the same ports.
     pub fn rpc_address_of(&self, ip: Ipv4Addr, offset: u16) -> SocketAddr {
         SocketAddr::from((ip, self.inner_ports.first + offset))
     }
 
-    /// The address to listen on for these callers.
+    /// The address that `listenOn` gives for `callers`.
     pub fn listen_address(&self, callers: &str) -> Option<SocketAddr> {
         self.listen_addresses.iter().find(|(name, _)| name == callers).map(|(_, address)| *address)
     }
 
-    /// The region of a zone.
+    /// The region of a zone; `None` for an unknown zone.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.zones.iter().find(|(name, _)| name == zone).map(|(_, region)| region.as_str())
     }
 }
 
-/// The tables of a settings file; a missing one is empty.
+/// The tables of a settings file. A missing table is empty, and its absence is reported as an error.
 struct Tables {
     zones: Table,
     listen_on: Table,
--- a/crates/node-runtime/src/settings/reader.rs
+++ b/crates/node-runtime/src/settings/reader.rs
@@ -1,9 +1,9 @@
-//! Reads fields of a TOML file and collects what is wrong with them.
+//! Reads fields of a TOML file and collects the errors found.
 
 use super::SettingsError;
 use toml::{Table, Value};
 
-/// Reads fields and collects errors, each with its line.
+/// A reader of TOML fields that records each error with its line.
 pub(super) struct Reader<'a> {
     text: &'a str,
     pub(super) errors: Vec<SettingsError>,
@@ -14,7 +14,7 @@
         Reader { text, errors: Vec::new() }
     }
 
-    /// Notes that the field `key`, a path with dots, is wrong.
+    /// Records a problem with the field `key`, a dotted path.
     pub(super) fn reject(&mut self, key: &str, problem: impl Into<String>) {
         let last = key.rsplit('.').next().unwrap_or(key);
         let is_key = |line: &str| {
@@ -24,7 +24,7 @@
         self.errors.push(SettingsError { line, key: key.into(), problem: problem.into() });
     }
 
-    /// The field `key` of `table`, converted; notes an error if it is missing or cannot be converted.
+    /// Reads and converts the field `key` of `table`. Records an error and returns `None` if it is missing or invalid.
     pub(super) fn get<'v, T>(
         &mut self,
         table: &'v Table,
@@ -49,11 +49,12 @@
     }
 
     pub(super) fn number(&mut self, table: &Table, key: &str) -> f64 {
-        self.get(table, key, "a number from 0 on", number).unwrap_or(0.0)
+        self.get(table, key, "a number of at least 0", number).unwrap_or(0.0)
     }
 
     pub(super) fn text(&mut self, table: &Table, key: &str) -> String {
-        let text = self.get(table, key, "a text", |value| value.as_str().filter(|text| !text.is_empty()));
+        let text = self
+            .get(table, key, "a non-empty string", |value| value.as_str().filter(|text| !text.is_empty()));
         text.unwrap_or_default().to_owned()
     }
 
