--- a/crates/config-model/src/api_call.rs
+++ b/crates/config-model/src/api_call.rs
@@ -1,8 +1,8 @@
-//! The calls of servers, operators and clients, as `docs/api/control.yaml` has them.
+//! The calls of servers, operators and clients, as defined in `docs/api/control.yaml`.
 
 use percent_encoding::percent_decode_str;
 
-/// Every call: its method, and its path with names in braces.
+/// The method and path of every call, with parameters in braces.
 pub const CALLS: &[(&str, &str)] = &[
     ("POST", "/servers/{id}/beat"),
     ("POST", "/servers/{id}/leave"),
@@ -15,37 +15,37 @@
     ("GET", "/ready"),
 ];
 
-/// One call, its names decoded.
+/// A parsed call with its parameters decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApiCall {
-    /// The server of this id says how it is.
+    /// Heartbeat of the server with this id.
     Heartbeat(String),
-    /// The server of this id is gone.
+    /// The server with this id leaves.
     Leave(String),
-    /// A whole configuration.
+    /// Replaces the whole configuration.
     Replace,
-    /// Items of the configuration.
+    /// Changes items of the configuration.
     Change,
-    /// The configuration, please.
+    /// Reads the configuration.
     Read,
-    /// Nothing more to the servers of this zone.
+    /// Begins to evacuate this zone: its servers get no more requests.
     EmptyBegin(String),
-    /// The servers of this zone again.
+    /// Ends the evacuation of this zone: its servers get requests again.
     EmptyEnd(String),
-    /// Where should a client go?
+    /// Looks up the address that a client should connect to.
     Lookup {
-        /// The host it wants; empty if it does not say.
+        /// The wanted host; empty if not given.
         name: String,
-        /// Where it is; empty if it does not say.
+        /// The client's region; empty if not given.
         region: String,
-        /// Where it is in there; empty if it does not say.
+        /// The client's zone; empty if not given.
         zone: String,
     },
-    /// Is this limiter ready for clients?
+    /// Asks whether this limiter is ready for clients.
     Ready,
 }
 
-/// The call that a request makes, `None` if there is no such call.
+/// Parses the method and path of a request. Returns `None` if there is no such call.
 pub fn parse_call(method: &str, path_and_query: &str) -> Option<ApiCall> {
     let (path, query) = path_and_query.split_once('?').unwrap_or((path_and_query, ""));
     let parts: Vec<&str> = path.strip_prefix('/')?.split('/').collect();
@@ -63,7 +63,7 @@
     }
 }
 
-/// A name in a path. No name is empty.
+/// Decodes a name in a path; `None` if it is empty or not UTF-8.
 fn name(part: &str) -> Option<String> {
     decoded(part).filter(|name| !name.is_empty())
 }
@@ -72,7 +72,7 @@
     Some(percent_decode_str(part).decode_utf8().ok()?.into_owned())
 }
 
-/// In a query, unlike in a path, a plus is a space.
+/// Parses the query of a look-up. In a query, unlike in a path, a plus stands for a space.
 fn lookup(query: &str) -> Option<ApiCall> {
     let (mut name, mut region, mut zone) = (String::new(), String::new(), String::new());
     for pair in query.split('&') {
--- a/crates/config-model/src/columnar_rows.rs
+++ b/crates/config-model/src/columnar_rows.rs
@@ -1,26 +1,26 @@
-//! Lists as they travel, in `columns` and `rows`, and reading one row's fields.
+//! Lists in their JSON form of `columns` and `rows`, and access to the fields of a row.
 
 use crate::json::{self, Raw};
 use crate::validation_error::ValidationError;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A list of named items, in columns and rows.
+/// A list of named items as column names and rows of values.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct ColumnarRows {
     columns: Vec<String>,
-    /// As many values each as there are columns.
+    /// The rows, each with one value per column.
     rows: Vec<Vec<Raw>>,
-    /// What else the list came with.
+    /// Other fields of the list's object.
     rest: BTreeMap<String, Raw>,
 }
 
 impl ColumnarRows {
-    /// Does the value look like a list of items?
+    /// Whether the value is an object with `columns` and `rows`.
     pub(crate) fn fits(value: &Raw) -> bool {
         matches!(value, Raw::Object(fields) if fields.contains_key("columns") && fields.contains_key("rows"))
     }
 
-    /// Reads the list called `list`. Its items all have names, each a different one.
+    /// Reads the list called `list`. Every item must have a unique name.
     pub(crate) fn read(list: &str, value: Raw) -> Result<ColumnarRows, ValidationError> {
         let mut rest = match value {
             Raw::Object(fields) => fields,
@@ -87,13 +87,13 @@
         Ok(rows)
     }
 
-    /// The rows, for reading their fields.
+    /// The rows, for access to their fields. `list` is the list's name in errors.
     pub(crate) fn items<'a>(&'a self, list: &'a str) -> impl Iterator<Item = Item<'a>> {
         let columns = &self.columns;
         self.rows.iter().enumerate().map(move |(at, cells)| Item { list, at, columns, cells })
     }
 
-    /// Adds the rows of `put`, each in place of the one of its name if there is one.
+    /// Adds the rows of `put`; a row replaces an existing one of the same name as a whole. New columns are appended.
     pub(crate) fn put(&mut self, put: &ColumnarRows) {
         let mut places = Vec::with_capacity(put.columns.len());
         for column in &put.columns {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Takes the rows of these names out.
+    /// Removes the rows with these names.
     pub(crate) fn remove(&mut self, names: &[String]) {
         let Some(name) = self.name_column() else { return };
         let gone: HashSet<&str> = names.iter().map(String::as_str).collect();
@@ -160,7 +160,7 @@
         out.push('}');
     }
 
-    /// The list as a value.
+    /// Converts the list to a JSON value.
     pub(crate) fn into_raw(self) -> Raw {
         let mut fields = self.rest;
         fields.insert("columns".into(), Raw::List(self.columns.into_iter().map(Raw::Text).collect()));
@@ -169,7 +169,7 @@
     }
 }
 
-/// A value for an error's text.
+/// A value for an error message, `nothing` if it is missing.
 fn shown(value: Option<&Raw>) -> String {
     value.map_or_else(|| "nothing".into(), Raw::shown)
 }
@@ -184,7 +184,7 @@
 }
 
 impl<'a> Item<'a> {
-    /// What is wrong in one field of the row.
+    /// Creates an error for one field of the row.
     pub(crate) fn invalid(
         &self,
         field: &str,
@@ -199,7 +199,7 @@
         ValidationError::new(place, found.as_ref(), allowed.as_ref())
     }
 
-    /// The field's value, unless it is left out.
+    /// The value of a field; `None` if the column is missing or the value is null.
     pub(crate) fn get(&self, field: &str) -> Option<&'a Raw> {
         let at = self.columns.iter().position(|c| c == field)?;
         match &self.cells[at] {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The field if `read` takes it, `None` if it is left out.
+    /// Reads an optional field with `read`. Fails if the field has a value and `read` returns `None` for it.
     pub(crate) fn read<T>(
         &self,
         field: &str,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// As [`Item::read`], for a field that every row needs.
+    /// Reads a required field with `read`. Fails if it is missing or `read` returns `None`.
     pub(crate) fn need<T>(
         &self,
         field: &str,
@@ -234,19 +234,19 @@
         self.read(field, allowed, read)?.ok_or_else(|| self.invalid(field, "nothing", allowed))
     }
 
-    /// The item's name.
+    /// The name of the item, a non-empty string.
     pub(crate) fn name(&self) -> Result<&'a str, ValidationError> {
         self.need("name", "a string of one character at least", filled)
     }
 
-    /// A list of strings, none of them empty; an empty list if it is left out.
+    /// Reads an optional list of non-empty strings; empty if the field is missing.
     pub(crate) fn strings(&self, field: &str) -> Result<Vec<String>, ValidationError> {
         let found = self.read(field, "a list of strings, none of them empty", strings)?;
         Ok(found.unwrap_or_default())
     }
 }
 
-/// A string.
+/// The value as a string.
 pub(crate) fn text(value: &Raw) -> Option<&str> {
     match value {
         Raw::Text(text) => Some(text),
@@ -254,12 +254,12 @@
     }
 }
 
-/// A string that is not empty.
+/// The value as a non-empty string.
 pub(crate) fn filled(value: &Raw) -> Option<&str> {
     text(value).filter(|text| !text.is_empty())
 }
 
-/// A list of strings, none of them empty.
+/// The value as a list of non-empty strings.
 pub(crate) fn strings(value: &Raw) -> Option<Vec<String>> {
     match value {
         Raw::List(values) => values.iter().map(|value| filled(value).map(str::to_owned)).collect(),
@@ -267,7 +267,7 @@
     }
 }
 
-/// Whether.
+/// The value as a Boolean.
 pub(crate) fn flag(value: &Raw) -> Option<bool> {
     match value {
         Raw::Bool(flag) => Some(*flag),
@@ -275,7 +275,7 @@
     }
 }
 
-/// A number from 0 up.
+/// The value as a finite number of at least 0.
 pub(crate) fn amount(value: &Raw) -> Option<f64> {
     match value {
         Raw::Number(digits) => digits.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0),
@@ -283,14 +283,14 @@
     }
 }
 
-/// A whole number from 0 up, `3.0` too.
+/// The value as a whole number of at least 0; `3.0` counts as one.
 pub(crate) fn count(value: &Raw) -> Option<u64> {
-    // Up to here every whole number is a float of its own.
+    // Up to 2^53 every whole number has an exact representation as a float.
     const MOST: f64 = 9_007_199_254_740_992.0;
     amount(value).filter(|n| n.fract() == 0.0 && *n <= MOST).map(|n| n as u64)
 }
 
-/// A whole number from 0 up that is no larger than 32 bits hold.
+/// The value as a whole number that fits into a `u32`.
 pub(crate) fn small(value: &Raw) -> Option<u32> {
     count(value).and_then(|n| u32::try_from(n).ok())
 }
--- a/crates/config-model/src/configuration.rs
+++ b/crates/config-model/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration, its checks, reading and writing it.
+//! The configuration: parsing, validation and serialization.
 
 use crate::columnar_rows::{self, ColumnarRows};
 use crate::json::{self, Raw};
@@ -9,23 +9,23 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// One version of the configuration, checked whole.
+/// One version of the configuration, validated as a whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Its number: 12 for `r12`.
+    /// The version number: 12 for `r12`.
     pub version: u64,
-    /// Where requests go, in the order in which they were put.
+    /// The routes, in the order in which they were added.
     pub routes: Vec<Route>,
-    /// The kinds of servers, in the order in which they were put.
+    /// The services, in the order in which they were added.
     pub services: Vec<Service>,
-    /// What a client may send, and how long it may take.
+    /// Limits on the size and duration of clients' requests.
     pub limits: Limits,
-    /// The tenants; if there is such a list, even an empty one, requests need keys.
+    /// The tenants. If the list exists, even empty, requests need keys.
     pub customers: Option<Vec<Customer>>,
     source: Arc<SourceFields>,
 }
 
-/// What was put, value by value.
+/// The values of a configuration as they were sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct SourceFields {
     pub(crate) version: String,
@@ -37,10 +37,10 @@
 }
 
 impl Configuration {
-    /// Reads a configuration that [`Configuration::text`] wrote, or the body of a call that replaces one.
+    /// Parses a configuration written by [`Configuration::text`], or the body of a call that replaces the configuration.
     ///
     /// # Errors
-    /// The row and field that cannot be read or are not allowed, and what is allowed.
+    /// The first invalid row and field, with the allowed values.
     pub fn read(text: &str) -> Result<Configuration, ValidationError> {
         match Raw::read(text.as_bytes())? {
             Raw::Object(fields) => Configuration::from_fields(fields),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The whole configuration as JSON, laid out as it is put. The same for the same values.
+    /// Serializes the configuration as JSON in the form in which it is sent. Equal values give equal text.
     pub fn text(&self) -> String {
         let mut out = String::from("{");
         let SourceFields { version, routes, services, customers, limits, rest } = &*self.source;
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Reads the values and checks what they must keep to.
+    /// Reads and validates the values.
     pub(crate) fn from_source(source: SourceFields) -> Result<Configuration, ValidationError> {
         let services = read_services(&source.services)?;
         mesh::check_services(&source.services, &services)?;
@@ -140,16 +140,16 @@
     digits.bytes().all(|b| b.is_ascii_digit()).then(|| digits.parse().ok())?
 }
 
-/// The version that a call names, and its number.
+/// Reads the field `version` of a call: its text and its number.
 pub(crate) fn version(fields: &BTreeMap<String, Raw>) -> Result<(String, u64), ValidationError> {
-    const ALLOWED: &str = "r and a number above 0, as r12";
+    const ALLOWED: &str = "r and a number above 0, such as r12";
     let found = fields.get("version").unwrap_or(&Raw::Null);
     let read =
         columnar_rows::text(found).and_then(|text| Some((text.to_owned(), number(text).filter(|n| *n > 0)?)));
     read.ok_or_else(|| ValidationError::new("version", found.shown(), ALLOWED))
 }
 
-/// The number of the version that a call builds on, 0 for none.
+/// Reads the field `builtOn` of a call: the number of the version that the call is based on, 0 for none.
 pub(crate) fn built_on(fields: &BTreeMap<String, Raw>) -> Result<u64, ValidationError> {
     let found = fields.get("builtOn").unwrap_or(&Raw::Null);
     let read = match found {
@@ -158,5 +158,5 @@
         Raw::Text(text) => number(text),
         value => columnar_rows::count(value),
     };
-    read.ok_or_else(|| ValidationError::new("builtOn", found.shown(), "a version as r5, or 0 for none"))
+    read.ok_or_else(|| ValidationError::new("builtOn", found.shown(), "a version such as r5, or 0 for none"))
 }
--- a/crates/config-model/src/host.rs
+++ b/crates/config-model/src/host.rs
@@ -1,8 +1,8 @@
-//! Host names as routes are looked up by them.
+//! Normalization of host names for route look-up.
 
 use std::borrow::Cow;
 
-/// The host in lower case and without its port.
+/// The host in lower case and without its port. Recognizes IPv6 addresses in brackets.
 pub(crate) fn plain_host(host: &str) -> Cow<'_, str> {
     let end = match host.find(']') {
         Some(bracket) if host.starts_with('[') => bracket + 1,
--- a/crates/config-model/src/json.rs
+++ b/crates/config-model/src/json.rs
@@ -1,19 +1,19 @@
-//! JSON text to values and back, each number kept in the digits it came in.
+//! Parsing and writing JSON with the original digits of every number.
 //!
-//! What is read back must be what was put. The reader's own floats are off by the last bit for some numbers of 17
-//! digits, and its integers end at 64 bits, so every number other than a plain integer is handed to it as a marked
-//! string and kept as text. The mark is a NUL, which no string of a body may hold.
+//! A value must be returned exactly as it was sent. The JSON parser's floats are off by the last bit for some numbers
+//! of 17 digits, and its integers are limited to 64 bits. Every number other than a plain integer is therefore passed
+//! to it as a marked string and kept as text. The mark is a NUL, which no string in a body may contain.
 
 use crate::validation_error::ValidationError;
 use miniserde::json::{self, Number, Value};
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// How deep lists and objects may lie in each other. Bodies need six; values are walked recursively.
+/// Limit of nested lists and objects, as values are processed recursively. Valid bodies need six levels.
 const DEEPEST: usize = 64;
-/// Stands before a number that was handed on as a string.
+/// Prefix of a number that is passed to the parser as a string.
 const MARK: char = '\0';
-/// Integers of this many digits are read exactly.
+/// Integers of up to this many digits are parsed exactly.
 const PLAIN_DIGITS: usize = 18;
 
 /// A JSON value.
@@ -21,7 +21,7 @@
 pub(crate) enum Raw {
     Null,
     Bool(bool),
-    /// In the digits it came in.
+    /// A number in its original digits.
     Number(Box<str>),
     Text(String),
     List(Vec<Raw>),
@@ -29,13 +29,13 @@
 }
 
 impl Raw {
-    /// Reads a whole text.
+    /// Parses a complete JSON text.
     pub(crate) fn read(body: &[u8]) -> Result<Raw, ValidationError> {
         let broken = |found: &str| ValidationError::new("body", found, "one whole JSON value in UTF-8");
         let text = std::str::from_utf8(body).map_err(|_| broken("bytes that are not UTF-8"))?;
         let marked = mark(text)?;
         let value: Value = json::from_str(&marked).map_err(|_| {
-            broken(&format!("{} bytes that do not read as that, or not to their end", body.len()))
+            broken(&format!("{} bytes that are not valid JSON, or are incomplete", body.len()))
         })?;
         Raw::from_value(value)
     }
@@ -56,11 +56,7 @@
                 let mut object = BTreeMap::new();
                 for (key, value) in fields {
                     if key.starts_with(MARK) {
-                        return Err(ValidationError::new(
-                            "body",
-                            "a number as the name of a field",
-                            "a string",
-                        ));
+                        return Err(ValidationError::new("body", "a number as a field name", "a string"));
                     }
                     object.insert(key, Raw::from_value(value)?);
                 }
@@ -69,7 +65,7 @@
         })
     }
 
-    /// Appends the value as JSON, fields of objects in the order of their names.
+    /// Appends the value as JSON, with the fields of objects sorted by name.
     pub(crate) fn write(&self, out: &mut String) {
         match self {
             Raw::Null => out.push_str("null"),
@@ -91,7 +87,7 @@
         }
     }
 
-    /// The value for an error's text, cut if it is long.
+    /// The value as JSON for an error message, truncated if it is long.
     pub(crate) fn shown(&self) -> String {
         const LONGEST: usize = 80;
         let mut text = String::new();
@@ -104,7 +100,7 @@
     }
 }
 
-/// Appends a list, each of its values by `write`.
+/// Appends a JSON list whose values are written by `write`.
 pub(crate) fn list<T>(out: &mut String, values: &[T], write: impl Fn(&mut String, &T)) {
     out.push('[');
     for (at, value) in values.iter().enumerate() {
@@ -116,13 +112,13 @@
     out.push(']');
 }
 
-/// Appends the name of a field and its colon.
+/// Appends a field name and a colon.
 pub(crate) fn field(out: &mut String, name: &str) {
     out.push_str(&json::to_string(name));
     out.push(':');
 }
 
-/// The text with every number that is not a plain integer as a marked string. What is not JSON stays that.
+/// Replaces every number that is not a plain integer by a marked string. Text that is not JSON does not become JSON by it.
 fn mark(text: &str) -> Result<Cow<'_, str>, ValidationError> {
     let bytes = text.as_bytes();
     let (mut out, mut copied, mut at, mut depth) = (String::new(), 0, 0, 0usize);
@@ -132,10 +128,10 @@
             b'[' | b'{' => {
                 depth += 1;
                 if depth > DEEPEST {
-                    let allowed = format!("at most {DEEPEST}");
+                    let allowed = format!("at most {DEEPEST} levels");
                     return Err(ValidationError::new(
                         "body",
-                        "more lists and objects in each other",
+                        "a deeper nesting of lists and objects",
                         allowed,
                     ));
                 }
@@ -170,14 +166,18 @@
     Ok(Cow::Owned(out))
 }
 
-/// Where the string that opens at `open` is over.
+/// The position after the string that begins at `open`. Fails if the string contains an escaped NUL.
 fn past_string(bytes: &[u8], open: usize) -> Result<usize, ValidationError> {
     let mut at = open + 1;
     while at < bytes.len() {
         match bytes[at] {
             b'"' => return Ok(at + 1),
             b'\\' if bytes[at..].starts_with(b"\\u0000") => {
-                return Err(ValidationError::new("body", "a string with a NUL in it", "any other character"));
+                return Err(ValidationError::new(
+                    "body",
+                    "a string that contains a NUL",
+                    "any other character",
+                ));
             }
             b'\\' => at += 2,
             _ => at += 1,
@@ -186,7 +186,7 @@
     Ok(bytes.len())
 }
 
-/// Is it an integer that the reader gives back as it is?
+/// Whether the token is an integer that the JSON parser returns unchanged.
 fn is_plain(token: &str) -> bool {
     let digits = token.strip_prefix('-').unwrap_or(token);
     digits.len() <= PLAIN_DIGITS && digits.bytes().all(|b| b.is_ascii_digit()) && token != "-0"
--- a/crates/config-model/src/lib.rs
+++ b/crates/config-model/src/lib.rs
@@ -1,20 +1,20 @@
 //! The operators' configuration: routes, services, limits and tenants. No I/O and no clock.
 //!
-//! The body of a call is read into a [`Proposal`], which [`Proposal::onto`] applies to the configuration in force: that gives
-//! the next [`Configuration`], or a [`ProposalError`]. A [`Configuration`] is written with [`Configuration::text`] just as it was
-//! sent, fields that this crate does not know included. Requests are looked up in a [`RouteTable`].
+//! The body of a call is parsed into a [`Proposal`]. [`Proposal::onto`] applies it to the current configuration and returns the
+//! next [`Configuration`] or a [`ProposalError`]. [`Configuration::text`] serializes a configuration with all values as they were
+//! sent, unknown fields included. A [`RouteTable`] looks up the routes of requests.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `json` | JSON text to values and back, each number kept in the digits it came in |
-//! | `columnar_rows` | lists as they travel, in `columns` and `rows`, and reading one row's fields |
+//! | `json` | parsing and writing JSON with the original digits of every number |
+//! | `columnar_rows` | lists in their JSON form of `columns` and `rows`, and access to the fields of a row |
 //! | `model` | routes, services, limits and tenants |
-//! | `reading` | reading these from rows |
-//! | `configuration` | the configuration, its checks, reading and writing it |
-//! | [`mesh`] | services of the same name in several meshes |
-//! | `proposal` | what an operator asks for, and applying it to the configuration in force |
+//! | `reading` | reading the types of `model` from rows |
+//! | `configuration` | the configuration: parsing, validation and serialization |
+//! | [`mesh`] | full service names, with equal names in several meshes |
+//! | `proposal` | an operator's change, and applying it to the current configuration |
 //! | `route_table` | look-up of routes by host and path, and of tenants by key |
-//! | `api_call` | the calls of servers, operators and clients, as `docs/api/control.yaml` has them |
+//! | `api_call` | the calls of servers, operators and clients, as defined in `docs/api/control.yaml` |
 
 mod api_call;
 mod columnar_rows;
--- a/crates/config-model/src/mesh.rs
+++ b/crates/config-model/src/mesh.rs
@@ -1,7 +1,7 @@
-//! Meshes: a service's name may say its mesh before a slash (`north/bookings`), so that one name can stand
-//! for a service in each of several. A configuration that names no mesh has one, which has no name.
+//! Meshes: a service's name may be prefixed with its mesh and a slash (`north/bookings`), so that several meshes can have
+//! a service of the same name. A configuration without mesh names has a single, unnamed mesh.
 //!
-//! The mesh stands in the name since items are told apart, put and removed by name, and that stays so.
+//! The mesh is part of the name because items are identified, put and removed by their names.
 
 use crate::columnar_rows::{ColumnarRows, Item};
 use crate::host::plain_host;
@@ -11,27 +11,27 @@
 use std::borrow::Cow;
 use std::collections::{BTreeSet, HashMap};
 
-/// Services by what they may be called, as their places in the list that this was made from.
+/// Index of services by full name and by name without mesh. The values are positions in the list of services.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceNames {
     whole: HashMap<String, usize>,
-    /// By the name within the mesh.
+    /// Positions by the name without the mesh.
     within: HashMap<String, Vec<usize>>,
 }
 
-/// What a name stands for.
+/// The result of resolving a service name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameMatch<'a> {
-    /// This service.
+    /// The service at this position.
     One(usize),
-    /// One of these, of different meshes; nothing says which.
+    /// Ambiguous: services of this name in different meshes, by their positions.
     Several(&'a [usize]),
-    /// No service.
+    /// No service has this name.
     Nobody,
 }
 
 impl ServiceNames {
-    /// Of these services.
+    /// Builds the index of `services`.
     pub fn new(services: &[Service]) -> Self {
         let mut service_names = ServiceNames::default();
         for (at, service) in services.iter().enumerate() {
@@ -41,7 +41,7 @@
         service_names
     }
 
-    /// What `name` stands for in this mesh, or in any if that is empty and the name says none.
+    /// Resolves `name` within `mesh`, or within all meshes if `mesh` is empty and the name contains none.
     pub fn resolve(&self, mesh: &str, name: &str) -> NameMatch<'_> {
         let known = if mesh.is_empty() { self.whole.get(name) } else { self.whole.get(&whole(mesh, name)) };
         if let Some(at) = known {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A name that stands alone cannot also stand in a mesh: nobody could say which of the two is meant by it.
+/// Rejects a service name that exists both without a mesh and within one, as a reference to it would be ambiguous.
 pub(crate) fn check_services(rows: &ColumnarRows, services: &[Service]) -> Result<(), ValidationError> {
     let alone: HashMap<&str, usize> = services
         .iter()
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// Each route's shares by the whole names of their services.
+/// Replaces the service names in a route's shares by full names. Fails for an unknown or ambiguous name.
 pub(crate) fn resolve_shares(
     item: &Item<'_>,
     route: &mut Route,
@@ -106,8 +106,7 @@
     Ok(())
 }
 
-/// Two routes for the same requests into different meshes: which of the two has them would go by their order
-/// alone.
+/// Rejects two routes with the same host and path prefix into different meshes: only their order would decide between them.
 pub(crate) fn check_routes(rows: &ColumnarRows, routes: &[Route]) -> Result<(), ValidationError> {
     let meshes = |route: &Route| -> BTreeSet<String> {
         route.shares.iter().map(|(service, _)| parts(service).0.to_owned()).collect()
--- a/crates/config-model/src/model.rs
+++ b/crates/config-model/src/model.rs
@@ -1,84 +1,84 @@
-//! What a configuration consists of: routes, services, limits and tenants.
+//! The parts of a configuration: routes, services, limits and tenants.
 
 use crate::service_name;
 
-/// What may be repeated of a route's requests.
+/// Whether a route's requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// They may run more than once.
+    /// Requests may run more than once.
     Safe,
-    /// Each may run at most once. Also what a route is that does not say.
+    /// Each request may run at most once. The default.
     Unsafe,
-    /// As safe, with large answers.
+    /// Requests may run more than once, and their responses are large.
     Download,
 }
 
-/// Where the requests for a host and a prefix of its paths go.
+/// The destination of the requests for one host and path prefix, with their limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name, unique among routes.
     pub name: String,
-    /// The host, as it was put.
+    /// The host, as it was sent.
     pub host: String,
-    /// What the paths begin with. Begins and ends with a slash.
+    /// The path prefix. Begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RouteKind,
-    /// The longest that a request may be held, ms. Ten minutes if it is left out.
+    /// The timeout of a request, ms. The default is ten minutes.
     pub give_up_ms: f64,
-    /// Within this an answer has its full worth, ms. As `give_up_ms` if it is left out.
+    /// The latency up to which a response has its full value, ms. The default is `give_up_ms`.
     pub target_ms: f64,
-    /// 0 goes before all others, and is what a route has that does not say.
+    /// The priority; 0 is the highest and the default.
     pub rank: u32,
-    /// The mesh in which its services stand that say none; empty if it is left out.
+    /// The mesh of services that are named without one. The default is empty, for no mesh.
     pub mesh: String,
-    /// The services by their whole names and their weights, which add up to more than 0. A `service` is one
+    /// The services by their full names, with weights that add up to more than 0. The field `service` alone gives one
     /// share of weight 1.
     pub shares: Vec<(String, f64)>,
-    /// The most servers that one request may be sent to. 1 if it is left out.
+    /// The limit of servers that one request may be sent to. The default is 1.
     pub max_attempts: u32,
-    /// Do its requests need no key?
+    /// Whether requests need no key.
     pub keyless: bool,
-    /// The regions it may be served in; any if there are none.
+    /// The regions in which requests may be served; empty for any.
     pub homes: Vec<String>,
 }
 
-/// A kind of servers.
+/// A service: a group of interchangeable servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name, with its mesh before a slash if it has one.
+    /// The full name, `mesh/name` if the service belongs to a mesh.
     pub name: String,
-    /// Where a server says how it is; empty if nowhere.
+    /// The path of the health check; empty for none.
     pub health_path: String,
-    /// The most connections that a server takes from all callers together. `u32::MAX` if it is left out.
+    /// The limit of connections that a server accepts from all callers together. The default is `u32::MAX`.
     pub max_connections: u32,
-    /// What its servers speak. `h1` if it is left out.
+    /// The protocol of the servers. The default is `h1`.
     pub protocol: String,
-    /// Do they speak it over TLS?
+    /// Whether the protocol runs over TLS.
     pub tls: bool,
-    /// How long a server is cold after its start, s.
+    /// The duration of a server's warm-up after its start, s. The default is 0.
     pub warmup_s: f64,
-    /// Requests a second that a cold server bears; 0 if that is left out.
+    /// The rate that a server can bear during its warm-up, requests/s. The default is 0.
     pub warmup_rate: f64,
 }
 
 impl Service {
-    /// Its mesh, empty for none, and its name within it.
+    /// The mesh, empty for none, and the name within the mesh.
     pub fn parts(&self) -> (&str, &str) {
         service_name::parts(&self.name)
     }
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on the size and duration of clients' requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The longest head of a request, bytes.
+    /// The limit of a request's header, bytes.
     pub header_bytes: u64,
-    /// The longest body of a request, bytes.
+    /// The limit of a request's body, bytes.
     pub body_bytes: u64,
-    /// The longest that a head may take, ms.
+    /// The time limit for receiving a header, ms.
     pub header_wait_ms: f64,
-    /// The longest that a connection may sit idle, ms.
+    /// The time limit for an idle connection, ms.
     pub idle_ms: f64,
 }
 
@@ -88,19 +88,19 @@
     }
 }
 
-/// A tenant.
+/// A tenant with its keys and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Its name.
+    /// The name, unique among tenants.
     pub name: String,
-    /// The keys its requests carry.
+    /// The keys that identify the tenant's requests.
     pub keys: Vec<String>,
-    /// Goes before the route's rank.
+    /// The priority, which overrides that of the route.
     pub rank: Option<u32>,
-    /// Requests a second over all limiters; 0 for no limit.
+    /// The quota over all limiters, requests/s; 0 for no limit.
     pub rate: f64,
-    /// What it may send on top of that at once.
+    /// Requests that may be sent at once on top of `rate`.
     pub burst: f64,
-    /// The regions it may be served in; any if there are none.
+    /// The regions in which requests may be served; empty for any.
     pub homes: Vec<String>,
 }
--- a/crates/config-model/src/proposal.rs
+++ b/crates/config-model/src/proposal.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for, and building it on the configuration in place.
+//! Changes that operators propose, and applying them to the current configuration.
 
 use crate::columnar_rows::{self, ColumnarRows};
 use crate::configuration::{self, Configuration, SourceFields};
@@ -8,16 +8,16 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A call of the operator, read whole.
+/// A proposed change to the configuration, parsed from the body of an operator's call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Proposal {
-    /// A whole configuration in place of the one there is.
+    /// A whole configuration that replaces the current one.
     Replace(Replacement),
-    /// Named items to put and to take away.
+    /// Named items to add or replace, and names of items to remove.
     Change(Change),
 }
 
-/// A whole configuration, already checked.
+/// A whole configuration, already validated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replacement {
     built_on: u64,
@@ -25,7 +25,8 @@
     configuration: Configuration,
 }
 
-/// Named items to put and to take away. Whether they fit shows on the configuration in place.
+/// Named items to add or replace, and names of items to remove. Each item is valid by itself; the result is validated when
+/// the change is applied to the current configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     built_on: u64,
@@ -35,15 +36,15 @@
     put: BTreeMap<String, ColumnarRows>,
     remove: BTreeMap<String, Vec<String>>,
     limits: BTreeMap<String, Raw>,
-    /// What this crate does not know, named in the body or under `putItems`.
+    /// Fields unknown to this crate, from the body or from `putItems`.
     rest: BTreeMap<String, Raw>,
 }
 
 impl Proposal {
-    /// Reads the body of a call that replaces the configuration.
+    /// Parses the body of a call that replaces the configuration.
     ///
     /// # Errors
-    /// The row and field that cannot be read or are not allowed, and what is allowed.
+    /// The first invalid row and field, with the allowed values.
     pub fn replace(body: &[u8]) -> Result<Proposal, ValidationError> {
         let (fields, digest) = read(body, "replace")?;
         let built_on = configuration::built_on(&fields)?;
@@ -54,10 +55,10 @@
         }))
     }
 
-    /// Reads the body of a call that changes named items.
+    /// Parses the body of a call that changes named items.
     ///
     /// # Errors
-    /// The row and field that cannot be read or are not allowed, and what is allowed.
+    /// The first invalid row and field, with the allowed values.
     pub fn change(body: &[u8]) -> Result<Proposal, ValidationError> {
         let (mut fields, digest) = read(body, "change")?;
         let built_on = configuration::built_on(&fields)?;
@@ -90,7 +91,7 @@
                 }
             }
         }
-        // What is wrong in a row is told with the row's number in this body.
+        // Validated here so that an error gives the row's number in this body, not in the resulting list.
         put.get("routes").map(reading::read_routes).transpose()?;
         put.get("services").map(reading::read_services).transpose()?;
         put.get("customers").map(reading::read_customers).transpose()?;
@@ -108,7 +109,7 @@
         Ok(Proposal::Change(Change { built_on, digest, version, number, put, remove, limits, rest: fields }))
     }
 
-    /// The number of the version that it would be.
+    /// The version number of the resulting configuration.
     pub fn version(&self) -> u64 {
         match self {
             Proposal::Replace(whole) => whole.configuration.version,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The number of the version that it builds on, 0 for none.
+    /// The version number of the configuration that the proposal is based on; 0 for none.
     pub fn built_on(&self) -> u64 {
         match self {
             Proposal::Replace(whole) => whole.built_on,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Tells this call from others: the same for a repeat, whatever the white space and the order of fields.
+    /// A hash of the call and its body that identifies repeats. It ignores white space and the order of fields.
     pub fn digest(&self) -> u64 {
         match self {
             Proposal::Replace(whole) => whole.digest,
@@ -132,10 +133,11 @@
         }
     }
 
-    /// The configuration that follows `current`.
+    /// Applies the proposal to `current` and returns the resulting configuration.
     ///
     /// # Errors
-    /// `current` is not the version that this was built on, or what it comes to is not allowed.
+    /// [`ProposalError::Stale`] if the proposal is not based on `current`, [`ProposalError::Invalid`] if its version is not
+    /// above that of `current` or the result is invalid.
     pub fn onto(&self, current: Option<&Configuration>) -> Result<Configuration, ProposalError> {
         let now = current.map_or(0, |configuration| configuration.version);
         if self.built_on() != now {
@@ -146,7 +148,7 @@
             return Err(ValidationError::new(
                 "version",
                 found,
-                format!("one above r{now}, which is in place"),
+                format!("a version above the current one, r{now}"),
             )
             .into());
         }
@@ -161,7 +163,7 @@
 }
 
 impl Change {
-    /// Takes away first: an item that is named in both is there afterwards.
+    /// Applies the change to `source`. Removals come first, so an item that is both removed and put remains.
     fn apply(&self, mut source: SourceFields) -> Result<SourceFields, ValidationError> {
         source.version.clone_from(&self.version);
         for (list, names) in &self.remove {
@@ -194,7 +196,7 @@
     }
 }
 
-/// Changes a list of items that this crate does not know, if there is one of that name.
+/// Applies `then` to a list of items that is unknown to this crate. Does nothing if there is no such list.
 fn on_unknown(
     rest: &mut BTreeMap<String, Raw>,
     list: &str,
@@ -208,7 +210,7 @@
     Ok(())
 }
 
-/// The fields of a body, and what tells it from others that are meant for the same call.
+/// Parses a body. Returns its fields and a hash of the call's name and the body in canonical form.
 fn read(body: &[u8], call: &str) -> Result<(BTreeMap<String, Raw>, u64), ValidationError> {
     let value = Raw::read(body)?;
     let mut canonical = format!("{call}\n");
@@ -219,10 +221,13 @@
     }
 }
 
+/// Reads an object; `None` and null are empty ones.
 fn object(name: &str, value: Option<Raw>) -> Result<BTreeMap<String, Raw>, ValidationError> {
     match value {
         None | Some(Raw::Null) => Ok(BTreeMap::new()),
         Some(Raw::Object(fields)) => Ok(fields),
-        Some(other) => Err(ValidationError::new(name, other.shown(), "an object with lists by their names")),
+        Some(other) => {
+            Err(ValidationError::new(name, other.shown(), "an object of lists, keyed by their names"))
+        }
     }
 }
--- a/crates/config-model/src/reading.rs
+++ b/crates/config-model/src/reading.rs
@@ -6,7 +6,7 @@
 use crate::validation_error::ValidationError;
 use std::collections::BTreeMap;
 
-/// No route may hold a request longer, ms.
+/// Upper limit of a route's timeout, and its default, ms.
 const LONGEST_MS: f64 = 600_000.0;
 
 pub(crate) fn read_routes(rows: &ColumnarRows) -> Result<Vec<Route>, ValidationError> {
@@ -118,7 +118,7 @@
     })
 }
 
-/// The limits as fields, `None` if they are left out.
+/// The fields of the `limits` object; `None` if it is missing or null.
 pub(crate) fn limits_object(value: Option<Raw>) -> Result<Option<BTreeMap<String, Raw>>, ValidationError> {
     match value {
         None | Some(Raw::Null) => Ok(None),
--- a/crates/config-model/src/route_table.rs
+++ b/crates/config-model/src/route_table.rs
@@ -4,17 +4,17 @@
 use crate::host::plain_host;
 use std::collections::HashMap;
 
-/// One version of the configuration, laid out for requests. It does not change.
+/// An immutable index of one version of the configuration for looking up requests.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     configuration: Configuration,
-    /// By host, in lower case and without its port.
+    /// Path prefixes by host, in lower case and without its port.
     hosts: HashMap<String, Prefixes>,
-    /// Which customer holds a key.
+    /// The position of the tenant by key.
     keys: HashMap<String, usize>,
 }
 
-/// A host's prefixes in their order, each once, with their routes.
+/// The distinct path prefixes of a host, sorted, each with the position of its route.
 #[derive(Clone, Debug, Default)]
 struct Prefixes {
     sorted: Vec<(String, usize)>,
@@ -22,7 +22,7 @@
 }
 
 impl RouteTable {
-    /// Lays a configuration out. Of two routes with the same host and prefix the later one has the requests.
+    /// Builds the index of `configuration`. Of two routes with the same host and prefix, the later one gets the requests.
     pub fn new(configuration: &Configuration) -> RouteTable {
         let mut hosts: HashMap<String, Prefixes> = HashMap::new();
         for (at, route) in configuration.routes.iter().enumerate() {
@@ -41,18 +41,18 @@
         RouteTable { configuration: configuration.clone(), hosts, keys }
     }
 
-    /// The number of the configuration's version.
+    /// The version number of the configuration.
     pub fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// The route of a request, as its place in [`Configuration::routes`]: among those of the host, the one whose prefix is the
-    /// longest that begins the path. The host may come with a port and in any case, the path with a query.
+    /// The position in [`Configuration::routes`] of a request's route: the one of the host with the longest matching path
+    /// prefix. The host may have a port and upper-case letters, and the path a query.
     pub fn route(&self, host: &str, path: &str) -> Option<usize> {
         let prefixes = self.hosts.get(&*plain_host(host))?;
         let path = path.as_bytes();
         let end = path.iter().position(|b| *b == b'?').unwrap_or(path.len()).min(prefixes.longest);
-        // Every prefix ends with a slash, so only the path's own beginnings up to one can be it.
+        // Every prefix ends with a slash, so only the parts of the path up to a slash can match.
         let mut rest = &path[..end];
         while let Some(slash) = rest.iter().rposition(|b| *b == b'/') {
             let beginning = &rest[..=slash];
@@ -65,17 +65,17 @@
         None
     }
 
-    /// The tenant that holds a key, as its place in [`Configuration::customers`].
+    /// The position in [`Configuration::customers`] of the tenant with this key.
     pub fn customer(&self, key: &str) -> Option<usize> {
         self.keys.get(key).copied()
     }
 
-    /// Do requests need keys?
+    /// Whether there is a list of tenants, so that requests need keys.
     pub fn has_customers(&self) -> bool {
         self.configuration.customers.is_some()
     }
 
-    /// The configuration that it was made from.
+    /// The configuration that the table was built from.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
--- a/crates/config-model/src/service_name.rs
+++ b/crates/config-model/src/service_name.rs
@@ -1,6 +1,6 @@
-//! A service's name, which may name its mesh before a slash.
+//! Service names, which may be prefixed with a mesh and a slash.
 
-/// The mesh that a service's name says, empty for none, and its name within it.
+/// Splits a service name into its mesh, empty for none, and its name within the mesh.
 pub fn parts(name: &str) -> (&str, &str) {
     match name.split_once('/') {
         Some((mesh, rest)) if !mesh.is_empty() && !rest.is_empty() => (mesh, rest),
@@ -8,7 +8,7 @@
     }
 }
 
-/// The whole name of a service that is called `name` in this mesh. A name that says its mesh keeps it.
+/// The full name of the service `name` in `mesh`. A name that already contains a mesh is returned unchanged.
 pub fn whole(mesh: &str, name: &str) -> String {
     match parts(name) {
         ("", _) if !mesh.is_empty() => format!("{mesh}/{name}"),
--- a/crates/config-model/src/validation_error.rs
+++ b/crates/config-model/src/validation_error.rs
@@ -1,17 +1,17 @@
-//! Why a configuration is rejected.
+//! The errors for which a configuration is rejected.
 
 use quick_error::quick_error;
 use std::fmt::Display;
 
-/// What is wrong with a configuration, as a text for the operator who sent it.
+/// A problem in a configuration, as a text for the operator who sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
-    /// Names the list, the row and the field, what was found there and what is allowed.
+    /// The list, row and field, the value found there and the allowed values.
     pub problem: String,
 }
 
 impl ValidationError {
-    /// `found` is not allowed at `place`.
+    /// Creates an error for the value `found` at `place`.
     pub(crate) fn new(place: impl Display, found: impl Display, allowed: impl Display) -> ValidationError {
         ValidationError { problem: format!("{place}: found {found}, allowed is {allowed}") }
     }
@@ -26,15 +26,15 @@
 impl std::error::Error for ValidationError {}
 
 quick_error! {
-    /// Why a proposal cannot be applied to the configuration in force.
+    /// The reason for which a proposal cannot be applied to the current configuration.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum ProposalError {
-        /// It builds on another version than the one in force (412). The field is the number of that one, 0 for none.
+        /// The proposal is based on a version other than the current one (412). `current` is that version's number, 0 for none.
         #[allow(missing_docs)] // The macro takes no comments at fields.
         Stale { current: u64 } {
-            display("another version is in place: r{}", current)
+            display("the current version is another one: r{}", current)
         }
-        /// It is invalid, by itself or on the configuration in force (400).
+        /// The proposal is invalid, by itself or when applied to the current configuration (400).
         Invalid(problem: ValidationError) {
             from()
             source(problem)
