--- a/crates/config-model/src/columnar_rows.rs
+++ b/crates/config-model/src/columnar_rows.rs
@@ -16,7 +16,7 @@
 
 impl ColumnarRows {
     /// Whether the value is an object with `columns` and `rows`.
-    pub(crate) fn fits(value: &Raw) -> bool {
+    pub(crate) fn is_list(value: &Raw) -> bool {
         matches!(value, Raw::Object(fields) if fields.contains_key("columns") && fields.contains_key("rows"))
     }
 
@@ -136,8 +136,8 @@
     /// Removes the rows with these names.
     pub(crate) fn remove(&mut self, names: &[String]) {
         let Some(name) = self.name_column() else { return };
-        let gone: HashSet<&str> = names.iter().map(String::as_str).collect();
-        self.rows.retain(|row| !matches!(&row[name], Raw::Text(text) if gone.contains(text.as_str())));
+        let removed: HashSet<&str> = names.iter().map(String::as_str).collect();
+        self.rows.retain(|row| !matches!(&row[name], Raw::Text(text) if removed.contains(text.as_str())));
     }
 
     fn name_column(&self) -> Option<usize> {
@@ -236,7 +236,7 @@
 
     /// The name of the item, a non-empty string.
     pub(crate) fn name(&self) -> Result<&'a str, ValidationError> {
-        self.need("name", "a string of one character at least", filled)
+        self.need("name", "a string of one character at least", non_empty_text)
     }
 
     /// Reads an optional list of non-empty strings; empty if the field is missing.
@@ -255,20 +255,20 @@
 }
 
 /// The value as a non-empty string.
-pub(crate) fn filled(value: &Raw) -> Option<&str> {
+pub(crate) fn non_empty_text(value: &Raw) -> Option<&str> {
     text(value).filter(|text| !text.is_empty())
 }
 
 /// The value as a list of non-empty strings.
 pub(crate) fn strings(value: &Raw) -> Option<Vec<String>> {
     match value {
-        Raw::List(values) => values.iter().map(|value| filled(value).map(str::to_owned)).collect(),
+        Raw::List(values) => values.iter().map(|value| non_empty_text(value).map(str::to_owned)).collect(),
         _ => None,
     }
 }
 
 /// The value as a Boolean.
-pub(crate) fn flag(value: &Raw) -> Option<bool> {
+pub(crate) fn boolean(value: &Raw) -> Option<bool> {
     match value {
         Raw::Bool(flag) => Some(*flag),
         _ => None,
@@ -276,7 +276,7 @@
 }
 
 /// The value as a finite number of at least 0.
-pub(crate) fn amount(value: &Raw) -> Option<f64> {
+pub(crate) fn non_negative_number(value: &Raw) -> Option<f64> {
     match value {
         Raw::Number(digits) => digits.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0),
         _ => None,
@@ -284,13 +284,13 @@
 }
 
 /// The value as a whole number of at least 0; `3.0` counts as one.
-pub(crate) fn count(value: &Raw) -> Option<u64> {
+pub(crate) fn whole_number(value: &Raw) -> Option<u64> {
     // Up to 2^53 every whole number has an exact representation as a float.
-    const MOST: f64 = 9_007_199_254_740_992.0;
-    amount(value).filter(|n| n.fract() == 0.0 && *n <= MOST).map(|n| n as u64)
+    const MAX_EXACT: f64 = 9_007_199_254_740_992.0;
+    non_negative_number(value).filter(|n| n.fract() == 0.0 && *n <= MAX_EXACT).map(|n| n as u64)
 }
 
 /// The value as a whole number that fits into a `u32`.
-pub(crate) fn small(value: &Raw) -> Option<u32> {
-    count(value).and_then(|n| u32::try_from(n).ok())
+pub(crate) fn whole_u32(value: &Raw) -> Option<u32> {
+    whole_number(value).and_then(|n| u32::try_from(n).ok())
 }
--- a/crates/config-model/src/configuration.rs
+++ b/crates/config-model/src/configuration.rs
@@ -156,7 +156,7 @@
         Raw::Null => Some(0),
         Raw::Text(text) if text == "0" => Some(0),
         Raw::Text(text) => number(text),
-        value => columnar_rows::count(value),
+        value => columnar_rows::whole_number(value),
     };
     read.ok_or_else(|| ValidationError::new("builtOn", found.shown(), "a version such as r5, or 0 for none"))
 }
--- a/crates/config-model/src/json.rs
+++ b/crates/config-model/src/json.rs
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 
 /// Limit of nested lists and objects, as values are processed recursively. Valid bodies need six levels.
-const DEEPEST: usize = 64;
+const MAX_DEPTH: usize = 64;
 /// Prefix of a number that is passed to the parser as a string.
 const MARK: char = '\0';
 /// Integers of up to this many digits are parsed exactly.
-const PLAIN_DIGITS: usize = 18;
+const MAX_PLAIN_DIGITS: usize = 18;
 
 /// A JSON value.
 #[derive(Clone, Debug, PartialEq)]
@@ -89,10 +89,10 @@
 
     /// The value as JSON for an error message, truncated if it is long.
     pub(crate) fn shown(&self) -> String {
-        const LONGEST: usize = 80;
+        const MAX_SHOWN_CHARS: usize = 80;
         let mut text = String::new();
         self.write(&mut text);
-        if let Some((cut, _)) = text.char_indices().nth(LONGEST) {
+        if let Some((cut, _)) = text.char_indices().nth(MAX_SHOWN_CHARS) {
             text.truncate(cut);
             text.push_str("...");
         }
@@ -124,11 +124,11 @@
     let (mut out, mut copied, mut at, mut depth) = (String::new(), 0, 0, 0usize);
     while at < bytes.len() {
         match bytes[at] {
-            b'"' => at = past_string(bytes, at)?,
+            b'"' => at = end_of_string(bytes, at)?,
             b'[' | b'{' => {
                 depth += 1;
-                if depth > DEEPEST {
-                    let allowed = format!("at most {DEEPEST} levels");
+                if depth > MAX_DEPTH {
+                    let allowed = format!("at most {MAX_DEPTH} levels");
                     return Err(ValidationError::new(
                         "body",
                         "a deeper nesting of lists and objects",
@@ -167,7 +167,7 @@
 }
 
 /// The position after the string that begins at `open`. Fails if the string contains an escaped NUL.
-fn past_string(bytes: &[u8], open: usize) -> Result<usize, ValidationError> {
+fn end_of_string(bytes: &[u8], open: usize) -> Result<usize, ValidationError> {
     let mut at = open + 1;
     while at < bytes.len() {
         match bytes[at] {
@@ -189,7 +189,7 @@
 /// Whether the token is an integer that the JSON parser returns unchanged.
 fn is_plain(token: &str) -> bool {
     let digits = token.strip_prefix('-').unwrap_or(token);
-    digits.len() <= PLAIN_DIGITS && digits.bytes().all(|b| b.is_ascii_digit()) && token != "-0"
+    digits.len() <= MAX_PLAIN_DIGITS && digits.bytes().all(|b| b.is_ascii_digit()) && token != "-0"
 }
 
 fn is_number(token: &str) -> bool {
--- a/crates/config-model/src/proposal.rs
+++ b/crates/config-model/src/proposal.rs
@@ -82,7 +82,7 @@
                     let rows = ColumnarRows::read(&list, value)?;
                     put.insert(list, rows);
                 }
-                _ if ColumnarRows::fits(&value) => {
+                _ if ColumnarRows::is_list(&value) => {
                     let rows = ColumnarRows::read(&list, value)?;
                     put.insert(list, rows);
                 }
@@ -171,7 +171,7 @@
                 "routes" => source.routes.remove(names),
                 "services" => source.services.remove(names),
                 "customers" => source.customers.iter_mut().for_each(|rows| rows.remove(names)),
-                other => on_unknown(&mut source.rest, other, |rows| rows.remove(names))?,
+                other => change_unknown_list(&mut source.rest, other, |rows| rows.remove(names))?,
             }
         }
         for (list, items) in &self.put {
@@ -180,10 +180,10 @@
                 "services" => source.services.put(items),
                 "customers" => source.customers.get_or_insert_default().put(items),
                 other => {
-                    if !source.rest.get(other).is_some_and(ColumnarRows::fits) {
+                    if !source.rest.get(other).is_some_and(ColumnarRows::is_list) {
                         source.rest.insert(other.to_owned(), ColumnarRows::default().into_raw());
                     }
-                    on_unknown(&mut source.rest, other, |rows| rows.put(items))?;
+                    change_unknown_list(&mut source.rest, other, |rows| rows.put(items))?;
                 }
             }
         }
@@ -197,12 +197,12 @@
 }
 
 /// Applies `then` to a list of items that is unknown to this crate. Does nothing if there is no such list.
-fn on_unknown(
+fn change_unknown_list(
     rest: &mut BTreeMap<String, Raw>,
     list: &str,
     then: impl Fn(&mut ColumnarRows),
 ) -> Result<(), ValidationError> {
-    if let Some(value) = rest.get_mut(list).filter(|value| ColumnarRows::fits(value)) {
+    if let Some(value) = rest.get_mut(list).filter(|value| ColumnarRows::is_list(value)) {
         let mut rows = ColumnarRows::read(list, std::mem::replace(value, Raw::Null))?;
         then(&mut rows);
         *value = rows.into_raw();
--- a/crates/config-model/src/reading.rs
+++ b/crates/config-model/src/reading.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Upper limit of a route's timeout, and its default, ms.
-const LONGEST_MS: f64 = 600_000.0;
+const MAX_GIVE_UP_MS: f64 = 600_000.0;
 
 pub(crate) fn read_routes(rows: &ColumnarRows) -> Result<Vec<Route>, ValidationError> {
     rows.items("routes").map(|item| read_route(&item)).collect()
@@ -26,25 +26,29 @@
     })?;
     let give_up_ms = item
         .read("giveUpMs", "a number above 0 and at most 600000", |value| {
-            columnar_rows::amount(value).filter(|ms| *ms > 0.0 && *ms <= LONGEST_MS)
+            columnar_rows::non_negative_number(value).filter(|ms| *ms > 0.0 && *ms <= MAX_GIVE_UP_MS)
         })?
-        .unwrap_or(LONGEST_MS);
+        .unwrap_or(MAX_GIVE_UP_MS);
     Ok(Route {
         name: item.name()?.to_owned(),
-        host: item.need("hostName", "a string of one character at least", columnar_rows::filled)?.to_owned(),
+        host: item
+            .need("hostName", "a string of one character at least", columnar_rows::non_empty_text)?
+            .to_owned(),
         prefix: prefix.to_owned(),
         kind: kind.unwrap_or(RouteKind::Unsafe),
         give_up_ms,
-        target_ms: item.read("targetMs", "a number from 0 up", columnar_rows::amount)?.unwrap_or(give_up_ms),
-        rank: item.read("rank", "a whole number from 0 up", columnar_rows::small)?.unwrap_or(0),
+        target_ms: item
+            .read("targetMs", "a number from 0 up", columnar_rows::non_negative_number)?
+            .unwrap_or(give_up_ms),
+        rank: item.read("rank", "a whole number from 0 up", columnar_rows::whole_u32)?.unwrap_or(0),
         mesh: item.read("mesh", "a mesh's name, without a slash", mesh_name)?.unwrap_or("").to_owned(),
         shares: read_shares(item)?,
         max_attempts: item
             .read("tries", "a whole number from 1 up", |value| {
-                columnar_rows::small(value).filter(|max_attempts| *max_attempts > 0)
+                columnar_rows::whole_u32(value).filter(|max_attempts| *max_attempts > 0)
             })?
             .unwrap_or(1),
-        keyless: item.read("keyless", "true or false", columnar_rows::flag)?.unwrap_or(false),
+        keyless: item.read("keyless", "true or false", columnar_rows::boolean)?.unwrap_or(false),
         homes: item.strings("homeRegions")?,
     })
 }
@@ -54,7 +58,7 @@
 }
 
 fn read_shares(item: &Item<'_>) -> Result<Vec<(String, f64)>, ValidationError> {
-    let service = item.read("service", "the name of a service", columnar_rows::filled)?;
+    let service = item.read("service", "the name of a service", columnar_rows::non_empty_text)?;
     let allowed = "a list of objects with a service and a weight from 0 up";
     let shares = item.read("shares", allowed, |value| match value {
         Raw::List(shares) => shares.iter().map(share).collect::<Option<Vec<_>>>(),
@@ -77,8 +81,8 @@
 fn share(value: &Raw) -> Option<(String, f64)> {
     let Raw::Object(fields) = value else { return None };
     Some((
-        columnar_rows::filled(fields.get("service")?)?.to_owned(),
-        columnar_rows::amount(fields.get("weight")?)?,
+        columnar_rows::non_empty_text(fields.get("service")?)?.to_owned(),
+        columnar_rows::non_negative_number(fields.get("weight")?)?,
     ))
 }
 
@@ -94,12 +98,16 @@
         name: item.name()?.to_owned(),
         health_path: path.unwrap_or("").to_owned(),
         max_connections: item
-            .read("maxConnections", "a whole number from 0 up", columnar_rows::small)?
+            .read("maxConnections", "a whole number from 0 up", columnar_rows::whole_u32)?
             .unwrap_or(u32::MAX),
         protocol: item.read("protocol", "a string", columnar_rows::text)?.unwrap_or("h1").to_owned(),
-        tls: item.read("tls", "true or false", columnar_rows::flag)?.unwrap_or(false),
-        warmup_s: item.read("coldS", "a number from 0 up", columnar_rows::amount)?.unwrap_or(0.0),
-        warmup_rate: item.read("coldRateS", "a number from 0 up", columnar_rows::amount)?.unwrap_or(0.0),
+        tls: item.read("tls", "true or false", columnar_rows::boolean)?.unwrap_or(false),
+        warmup_s: item
+            .read("coldS", "a number from 0 up", columnar_rows::non_negative_number)?
+            .unwrap_or(0.0),
+        warmup_rate: item
+            .read("coldRateS", "a number from 0 up", columnar_rows::non_negative_number)?
+            .unwrap_or(0.0),
     })
 }
 
@@ -111,9 +119,9 @@
     Ok(Customer {
         name: item.name()?.to_owned(),
         keys: item.strings("keys")?,
-        rank: item.read("rank", "a whole number from 0 up", columnar_rows::small)?,
-        rate: item.read("ratePerS", "a number from 0 up", columnar_rows::amount)?.unwrap_or(0.0),
-        burst: item.read("burst", "a number from 0 up", columnar_rows::amount)?.unwrap_or(0.0),
+        rank: item.read("rank", "a whole number from 0 up", columnar_rows::whole_u32)?,
+        rate: item.read("ratePerS", "a number from 0 up", columnar_rows::non_negative_number)?.unwrap_or(0.0),
+        burst: item.read("burst", "a number from 0 up", columnar_rows::non_negative_number)?.unwrap_or(0.0),
         homes: item.strings("homeRegions")?,
     })
 }
@@ -128,25 +136,25 @@
 }
 
 pub(crate) fn read_limits(fields: Option<&BTreeMap<String, Raw>>) -> Result<Limits, ValidationError> {
-    let usual = Limits::default();
-    let Some(fields) = fields else { return Ok(usual) };
+    let defaults = Limits::default();
+    let Some(fields) = fields else { return Ok(defaults) };
     let get = |name| fields.get(name).filter(|value| **value != Raw::Null);
-    let bytes = |name, usual| match get(name) {
-        None => Ok(usual),
-        Some(value) => columnar_rows::count(value).ok_or_else(|| {
+    let bytes = |name, default| match get(name) {
+        None => Ok(default),
+        Some(value) => columnar_rows::whole_number(value).ok_or_else(|| {
             ValidationError::new(format!("limits, {name}"), value.shown(), "a whole number from 0 up")
         }),
     };
-    let ms = |name, usual| match get(name) {
-        None => Ok(usual),
-        Some(value) => columnar_rows::amount(value).ok_or_else(|| {
+    let ms = |name, default| match get(name) {
+        None => Ok(default),
+        Some(value) => columnar_rows::non_negative_number(value).ok_or_else(|| {
             ValidationError::new(format!("limits, {name}"), value.shown(), "a number from 0 up")
         }),
     };
     Ok(Limits {
-        header_bytes: bytes("maxHeaderBytes", usual.header_bytes)?,
-        body_bytes: bytes("maxBodyBytes", usual.body_bytes)?,
-        header_wait_ms: ms("headerWaitMs", usual.header_wait_ms)?,
-        idle_ms: ms("idleMs", usual.idle_ms)?,
+        header_bytes: bytes("maxHeaderBytes", defaults.header_bytes)?,
+        body_bytes: bytes("maxBodyBytes", defaults.body_bytes)?,
+        header_wait_ms: ms("headerWaitMs", defaults.header_wait_ms)?,
+        idle_ms: ms("idleMs", defaults.idle_ms)?,
     })
 }
