--- a/crates/service-catalog/tests/schedules.rs
+++ b/crates/service-catalog/tests/schedules.rs
@@ -14,81 +14,81 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const BEAT: f64 = 1500.0;
-const TICK: f64 = 50.0;
-const END: f64 = 20_000.0;
+const HEARTBEAT_MS: f64 = 1500.0;
+const TICK_MS: f64 = 50.0;
+const END_MS: f64 = 20_000.0;
 const CORES: usize = 3;
 const NODES: usize = 7;
 const OWNERS: [&str; 3] = ["north/hall", "south/hall", "south/choir"];
 /// An edition is everywhere within this of its taking.
-const APPLY: f64 = 2500.0;
+const APPLY_MS: f64 = 2500.0;
 
 /// What a broken catalogue would do; the checker has to find each.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Broken {
-    Not,
+enum InjectedFault {
+    None,
     /// Servers by their service's bare name.
     BareName,
     /// Of two claims under one id, the one of the higher number.
-    HighestNumber,
+    HighestCallCount,
     /// Servers are not told whom a try is meant for.
-    NoLife,
+    NoIncarnationCheck,
 }
 
 struct Server {
     id: String,
     owner: usize,
-    says: String,
+    service_name: String,
     address: String,
-    born: f64,
-    dies: f64,
+    starts_at: f64,
+    stops_at: f64,
     /// It says that it drains, and leaves, before it dies.
-    planned: bool,
+    is_graceful: bool,
     call_count: u64,
-    next: f64,
+    next_heartbeat: f64,
 }
 
 /// Beats under another's id.
-struct Forger {
+struct Impostor {
     row: ServerRow,
     from: f64,
     to: f64,
-    next: f64,
+    next_heartbeat: f64,
 }
 
 struct Node {
     table: StateTable,
     edition: u64,
     catalog: Catalog,
-    of: (u64, u64),
+    catalog_basis: (u64, u64),
     agreement: SourceAgreement,
     /// With whom it stands where, by node.
-    places: [(u64, u64); NODES],
-    teller: usize,
-    asks: [f64; NODES],
-    awake: f64,
-    began: f64,
+    positions: [(u64, u64); NODES],
+    source: usize,
+    next_request: [f64; NODES],
+    connected_since: f64,
+    started_at: f64,
 }
 
 impl Node {
     fn new(epoch: u64, now: f64) -> Self {
         Node {
-            table: StateTable::new(epoch, BEAT, now),
+            table: StateTable::new(epoch, HEARTBEAT_MS, now),
             edition: 0,
             catalog: Catalog::default(),
-            of: (0, 0),
+            catalog_basis: (0, 0),
             agreement: SourceAgreement::new(now),
-            places: [(0, 0); NODES],
-            teller: epoch as usize % CORES,
-            asks: [now; NODES],
-            awake: now,
-            began: now,
+            positions: [(0, 0); NODES],
+            source: epoch as usize % CORES,
+            next_request: [now; NODES],
+            connected_since: now,
+            started_at: now,
         }
     }
 }
 
 #[derive(Default)]
-struct FollowerProgress {
+struct Statistics {
     served: u64,
     rejected: u64,
     longest: f64,
@@ -96,22 +96,22 @@
     snapshots: u64,
 }
 
-struct Play {
+struct Simulation {
     rng: Pcg64Mcg,
-    broken: Broken,
+    fault: InjectedFault,
     now: f64,
     nodes: Vec<Node>,
     servers: Vec<Server>,
-    forgers: Vec<Forger>,
-    casts: [Arc<ServiceOwners>; 2],
-    swap: f64,
-    cut: [(usize, f64, f64); 2],
+    impostors: Vec<Impostor>,
+    owners_by_edition: [Arc<ServiceOwners>; 2],
+    swap_at: f64,
+    cuts: [(usize, f64, f64); 2],
     /// To whom, of whom, when, whether it is a late copy.
-    update: Vec<(f64, usize, usize, bool, StateUpdate)>,
-    differ: BTreeMap<String, f64>,
+    updates: Vec<(f64, usize, usize, bool, StateUpdate)>,
+    differing_since: BTreeMap<String, f64>,
     /// A catalogue was made anew in this tick.
-    changed: bool,
-    seen: FollowerProgress,
+    catalog_changed: bool,
+    statistics: Statistics,
 }
 
 fn service_owners(edition: u64) -> Arc<ServiceOwners> {
@@ -132,81 +132,87 @@
     }
 }
 
-impl Play {
-    fn new(seed: u64, broken: Broken) -> Self {
+impl Simulation {
+    fn new(seed: u64, fault: InjectedFault) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let nodes = (0..NODES).map(|at| Node::new(1 + at as u64, 0.0)).collect();
-        let casts = [service_owners(1), service_owners(2)];
-        let mut play = Play {
+        let owners_by_edition = [service_owners(1), service_owners(2)];
+        let mut simulation = Simulation {
             rng,
-            broken,
+            fault,
             now: 0.0,
             nodes,
             servers: Vec::new(),
-            forgers: Vec::new(),
-            casts,
-            swap: 0.0,
-            cut: [(0, 0.0, 0.0); 2],
-            update: Vec::new(),
-            differ: BTreeMap::new(),
-            changed: false,
-            seen: FollowerProgress::default(),
+            impostors: Vec::new(),
+            owners_by_edition,
+            swap_at: 0.0,
+            cuts: [(0, 0.0, 0.0); 2],
+            updates: Vec::new(),
+            differing_since: BTreeMap::new(),
+            catalog_changed: false,
+            statistics: Statistics::default(),
         };
-        play.write(seed % 100 == 7);
-        play
+        simulation.generate(seed % 100 == 7);
+        simulation
     }
 
     fn draw(&mut self, n: u64) -> u64 {
         self.rng.next_u64() % n
     }
 
-    fn span(&mut self, from: f64, to: f64) -> f64 {
+    fn draw_between(&mut self, from: f64, to: f64) -> f64 {
         from + (to - from) * (f64::from(self.rng.next_u32()) / f64::from(u32::MAX))
     }
 
     /// Writes the schedule.
-    fn write(&mut self, many: bool) {
+    fn generate(&mut self, many: bool) {
         let places = if many { 100 } else { 12 };
         for place in 0..places {
-            let mut born = self.span(0.0, 1500.0);
+            let mut starts_at = self.draw_between(0.0, 1500.0);
             for incarnation in 0..3 {
                 let owner = self.draw(3) as usize;
                 // Some do not say their mesh.
-                let says = if self.draw(4) == 0 { mesh::parts(OWNERS[owner]).1 } else { OWNERS[owner] };
-                let dies = if self.draw(3) == 0 { self.span(born + 3000.0, END) } else { 2.0 * END };
-                let planned = self.draw(2) == 0;
+                let service_name =
+                    if self.draw(4) == 0 { mesh::parts(OWNERS[owner]).1 } else { OWNERS[owner] };
+                let stops_at = if self.draw(3) == 0 {
+                    self.draw_between(starts_at + 3000.0, END_MS)
+                } else {
+                    2.0 * END_MS
+                };
+                let is_graceful = self.draw(2) == 0;
                 self.servers.push(Server {
                     id: format!("i-{place}-{incarnation}"),
                     owner,
-                    says: says.to_owned(),
+                    service_name: service_name.to_owned(),
                     address: format!("10.0.0.{place}:80"),
-                    born,
-                    dies,
-                    planned,
+                    starts_at,
+                    stops_at,
+                    is_graceful,
                     call_count: 0,
-                    next: born,
+                    next_heartbeat: starts_at,
                 });
                 // Its address may go to a server of another service after `reuseAfterS`.
-                born = dies + self.span(2000.0, 4000.0);
-                if born > END {
+                starts_at = stops_at + self.draw_between(2000.0, 4000.0);
+                if starts_at > END_MS {
                     break;
                 }
             }
         }
-        let forgers = if many { 100 } else { self.draw(4) };
-        let all = self.span(6000.0, 13_000.0);
-        for _ in 0..forgers {
-            let whose = self.draw(places) as usize;
-            let who = (whose + 1 + self.draw(places - 1) as usize) % places as usize;
-            let victim = |s: &&Server| s.id == format!("i-{whose}-0") && s.dies > all + 1.0;
+        let impostors = if many { 100 } else { self.draw(4) };
+        let impostors_start = self.draw_between(6000.0, 13_000.0);
+        for _ in 0..impostors {
+            let victim_place = self.draw(places) as usize;
+            let own_place = (victim_place + 1 + self.draw(places - 1) as usize) % places as usize;
+            let victim =
+                |s: &&Server| s.id == format!("i-{victim_place}-0") && s.stops_at > impostors_start + 1.0;
             let Some(victim) = self.servers.iter().find(victim) else { continue };
-            let (id, there, right) = (victim.id.clone(), victim.address.clone(), victim.says.clone());
-            let own = self.servers.iter().find(|s| s.id == format!("i-{who}-0")).expect("a server");
-            let (says, here) = (own.says.clone(), own.address.clone());
+            let (id, there, right) = (victim.id.clone(), victim.address.clone(), victim.service_name.clone());
+            let own = self.servers.iter().find(|s| s.id == format!("i-{own_place}-0")).expect("a server");
+            let (service_name, here) = (own.service_name.clone(), own.address.clone());
             let own_claim = (right.clone(), there.clone());
             let (service, address) = match self.draw(3) {
-                0 => (says, here),
-                1 => (says, there),
+                0 => (service_name, here),
+                1 => (service_name, there),
                 _ => (right, here),
             };
             if (&service, &address) == (&own_claim.0, &own_claim.1) {
@@ -215,19 +221,20 @@
             }
             let call_count = 1 + self.draw(2000);
             let row = ServerRow { id, service, address, call_count, ..ServerRow::default() };
-            let to = (all + self.span(100.0, 6000.0)).min(self.servers[0].dies.max(END));
-            self.forgers.push(Forger { row, from: all, to, next: all });
+            let to = (impostors_start + self.draw_between(100.0, 6000.0))
+                .min(self.servers[0].stops_at.max(END_MS));
+            self.impostors.push(Impostor { row, from: impostors_start, to, next_heartbeat: impostors_start });
         }
-        self.swap = self.span(4000.0, END - APPLY);
+        self.swap_at = self.draw_between(4000.0, END_MS - APPLY_MS);
         for at in 0..2 {
-            let from = self.span(3000.0, END);
-            let (node, to) = (self.draw(NODES as u64) as usize, self.span(from, from + 5000.0));
-            self.cut[at] = (node, from, to);
+            let from = self.draw_between(3000.0, END_MS);
+            let (node, to) = (self.draw(NODES as u64) as usize, self.draw_between(from, from + 5000.0));
+            self.cuts[at] = (node, from, to);
         }
     }
 
     fn is_cut(&self, node: usize) -> bool {
-        self.cut.iter().any(|(at, from, to)| *at == node && (*from..*to).contains(&self.now))
+        self.cuts.iter().any(|(at, from, to)| *at == node && (*from..*to).contains(&self.now))
     }
 
     /// In touch for long enough that the bound holds.
@@ -235,38 +242,39 @@
         let cut = |(at, from, to): &(usize, f64, f64)| {
             (*at == node || *at < CORES) && (*from..*to + 4000.0).contains(&self.now)
         };
-        !self.cut.iter().any(cut) && self.now - self.nodes[node].began > 4000.0
+        !self.cuts.iter().any(cut) && self.now - self.nodes[node].started_at > 4000.0
     }
 
-    fn beats(&mut self) {
+    fn send_heartbeats(&mut self) {
         for at in 0..self.servers.len() {
             let server = &self.servers[at];
-            if !(server.born..server.dies).contains(&self.now) || self.now < server.next {
+            if !(server.starts_at..server.stops_at).contains(&self.now) || self.now < server.next_heartbeat {
                 continue;
             }
-            let planned = server.planned && server.dies < END;
-            let draining = planned && server.dies - self.now < 3500.0;
+            let is_graceful = server.is_graceful && server.stops_at < END_MS;
+            let draining = is_graceful && server.stops_at - self.now < 3500.0;
             let state = if draining { server_state::DRAINING } else { server_state::READY };
-            let (id, service, address) = (server.id.clone(), server.says.clone(), server.address.clone());
+            let (id, service, address) =
+                (server.id.clone(), server.service_name.clone(), server.address.clone());
             let call_count = server.call_count + 1;
             let row = ServerRow { id, service, address, state, call_count, ..ServerRow::default() };
-            self.tell(&row, planned && server.dies - self.now < BEAT);
-            let next = self.now + self.span(0.9 * BEAT, 1.1 * BEAT);
-            (self.servers[at].next, self.servers[at].call_count) = (next, call_count);
+            self.deliver_heartbeat(&row, is_graceful && server.stops_at - self.now < HEARTBEAT_MS);
+            let next = self.now + self.draw_between(0.9 * HEARTBEAT_MS, 1.1 * HEARTBEAT_MS);
+            (self.servers[at].next_heartbeat, self.servers[at].call_count) = (next, call_count);
         }
-        for at in 0..self.forgers.len() {
-            let forger = &mut self.forgers[at];
-            if (forger.from..forger.to).contains(&self.now) && self.now >= forger.next {
-                forger.next += BEAT;
-                forger.row.call_count += 1;
-                let row = forger.row.clone();
-                self.tell(&row, false);
+        for at in 0..self.impostors.len() {
+            let impostor = &mut self.impostors[at];
+            if (impostor.from..impostor.to).contains(&self.now) && self.now >= impostor.next_heartbeat {
+                impostor.next_heartbeat += HEARTBEAT_MS;
+                impostor.row.call_count += 1;
+                let row = impostor.row.clone();
+                self.deliver_heartbeat(&row, false);
             }
         }
     }
 
     /// A server calls core machines until one takes it.
-    fn tell(&mut self, row: &ServerRow, mark_left: bool) {
+    fn deliver_heartbeat(&mut self, row: &ServerRow, mark_left: bool) {
         let first = self.draw(CORES as u64) as usize;
         for nth in 0..CORES {
             let core = (first + nth) % CORES;
@@ -283,43 +291,47 @@
     }
 
     /// Each node asks those whom it follows.
-    fn ask(&mut self) {
+    fn request_updates(&mut self) {
         for at in 0..NODES {
             let others: Vec<usize> = if at < CORES {
                 (0..CORES).filter(|other| *other != at).collect()
             } else {
                 let other = CORES + self.draw((NODES - CORES) as u64) as usize;
-                vec![self.nodes[at].teller, other]
+                vec![self.nodes[at].source, other]
             };
             for other in others {
-                if other == at || self.now < self.nodes[at].asks[other] || self.is_cut(at) {
+                if other == at || self.now < self.nodes[at].next_request[other] || self.is_cut(at) {
                     continue;
                 }
                 if self.is_cut(other) {
-                    if other == self.nodes[at].teller {
-                        self.nodes[at].teller = (other + 1) % CORES;
+                    if other == self.nodes[at].source {
+                        self.nodes[at].source = (other + 1) % CORES;
                     }
                     continue;
                 }
-                let (epoch, seen) = self.nodes[at].places[other];
+                let (epoch, seen) = self.nodes[at].positions[other];
                 let mut update = self.nodes[other].table.update_since(self.now, epoch, seen, at < CORES);
                 update.edition = self.nodes[other].edition;
-                let delay = if self.draw(50) == 0 { self.span(80.0, 600.0) } else { self.span(2.0, 80.0) };
+                let delay = if self.draw(50) == 0 {
+                    self.draw_between(80.0, 600.0)
+                } else {
+                    self.draw_between(2.0, 80.0)
+                };
                 if self.draw(20) == 0 {
-                    let late = self.now + self.span(100.0, 4000.0);
-                    self.update.push((late, at, other, true, update.clone()));
+                    let late = self.now + self.draw_between(100.0, 4000.0);
+                    self.updates.push((late, at, other, true, update.clone()));
                 }
-                self.update.push((self.now + delay, at, other, false, update));
+                self.updates.push((self.now + delay, at, other, false, update));
                 // One call at a time.
-                self.nodes[at].asks[other] = self.now + delay + 100.0;
+                self.nodes[at].next_request[other] = self.now + delay + 100.0;
             }
         }
     }
 
-    fn hear(&mut self) {
+    fn apply_updates(&mut self) {
         let due = |n: &(f64, usize, usize, bool, StateUpdate)| n.0 <= self.now;
-        let (due, rest) = std::mem::take(&mut self.update).into_iter().partition(due);
-        self.update = rest;
+        let (due, rest) = std::mem::take(&mut self.updates).into_iter().partition(due);
+        self.updates = rest;
         for (_, at, other, late, update) in due {
             // A late copy is of another life: what it says of places and digests is void.
             let (now, node) = (self.now, &mut self.nodes[at]);
@@ -328,41 +340,41 @@
                 continue;
             }
             node.edition = node.edition.max(update.edition);
-            node.places[other] = (update.epoch, update.seen);
-            let compares = at >= CORES && other == node.teller && update.source_is_warm && update.digest != 0;
+            node.positions[other] = (update.epoch, update.seen);
+            let compares = at >= CORES && other == node.source && update.source_is_warm && update.digest != 0;
             if compares && node.edition == update.edition {
                 let same = node.table.digest() == update.digest;
                 if node.agreement.on_update(now, same) {
-                    node.places[other] = (0, 0);
-                    self.seen.snapshots += 1;
+                    node.positions[other] = (0, 0);
+                    self.statistics.snapshots += 1;
                 }
             }
         }
     }
 
-    fn turn(&mut self) {
+    fn rebuild_catalogs(&mut self) {
         for at in 0..NODES {
             let now = self.now;
             // The core agrees on editions by ballots; here it has them at once.
             if at < CORES {
-                self.nodes[at].edition = if now >= self.swap { 2 } else { 1 };
+                self.nodes[at].edition = if now >= self.swap_at { 2 } else { 1 };
             }
             let cut = self.is_cut(at);
             let node = &mut self.nodes[at];
             if at < CORES {
                 if cut {
-                    node.awake = now;
+                    node.connected_since = now;
                 }
-                let judges = now - node.awake > 6500.0 && node.table.is_warm(now);
-                node.table.expire(now, judges.then_some(now));
+                let may_expire = now - node.connected_since > 6500.0 && node.table.is_warm(now);
+                node.table.expire(now, may_expire.then_some(now));
             }
             let of = (node.edition, node.table.change_sequence());
-            if node.edition > 0 && node.of != of {
-                let service_owners = self.casts[node.edition as usize - 1].clone();
+            if node.edition > 0 && node.catalog_basis != of {
+                let service_owners = self.owners_by_edition[node.edition as usize - 1].clone();
                 node.catalog = Catalog::new(service_owners, node.table.server_rows());
-                node.of = of;
-                self.changed = true;
-                self.seen.contested += node.catalog.contested().count() as u64;
+                node.catalog_basis = of;
+                self.catalog_changed = true;
+                self.statistics.contested += node.catalog.contested().count() as u64;
             }
         }
         // A proxy starts, and a core machine's book is wiped, each at one moment of some schedules.
@@ -370,17 +382,17 @@
             let at = self.draw(NODES as u64) as usize;
             let epoch = self.nodes[at].table.epoch() + NODES as u64;
             self.nodes[at] = Node::new(epoch, self.now);
-            self.update.retain(|update| update.1 != at);
+            self.updates.retain(|update| update.1 != at);
         }
     }
 
     /// The servers that a node would send an owner's confirmations to.
-    fn sure(&self, node: &Node, owner: usize) -> Vec<(String, String)> {
+    fn confirmation_targets(&self, node: &Node, owner: usize) -> Vec<(String, String)> {
         let rows = node.table.servers(self.now).map(|(row, _)| row);
         let ready = rows.filter(|row| row.state == server_state::READY && !row.timed_out);
-        let fits = |row: &&ServerRow| match self.broken {
-            Broken::BareName => mesh::parts(&row.service).1 == mesh::parts(OWNERS[owner]).1,
-            Broken::HighestNumber => {
+        let fits = |row: &&ServerRow| match self.fault {
+            InjectedFault::BareName => mesh::parts(&row.service).1 == mesh::parts(OWNERS[owner]).1,
+            InjectedFault::HighestCallCount => {
                 let claims = node.table.servers(self.now).map(|(other, _)| other).filter(|o| o.id == row.id);
                 row.service == OWNERS[owner] && claims.map(|o| o.call_count).max() == Some(row.call_count)
             }
@@ -393,33 +405,34 @@
     }
 
     /// Confirmations at each proxy, and what the checker says to what servers run of them.
-    fn confirm(&mut self) -> Result<(), String> {
+    fn send_confirmations(&mut self) -> Result<(), String> {
         for at in CORES..NODES {
             if self.nodes[at].edition == 0 || self.draw(3) != 0 {
                 continue;
             }
             let (route, edition) = (self.draw(3) as usize, self.nodes[at].edition);
             let owner = owner_of(route, edition);
-            let able = self.sure(&self.nodes[at], owner);
+            let targets = self.confirmation_targets(&self.nodes[at], owner);
             let (mut runs, mut answers) = (0, 0);
             let contested = self.nodes[at].catalog.counts(owner).nothing > 0;
-            if able.is_empty() || contested && self.nodes[at].agreement.has_diverged(self.now) {
-                (answers, self.seen.rejected) = (answers + 1, self.seen.rejected + 1);
+            if targets.is_empty() || contested && self.nodes[at].agreement.has_diverged(self.now) {
+                (answers, self.statistics.rejected) = (answers + 1, self.statistics.rejected + 1);
             }
             for _ in 0..2 {
                 if answers > 0 {
                     break;
                 }
-                let (meant, address) = &able[self.draw(able.len() as u64) as usize];
-                let there = |s: &&Server| s.address == *address && (s.born..s.dies).contains(&self.now);
-                let Some(server) = self.servers.iter().find(there) else { continue };
-                if server.id != *meant && self.broken != Broken::NoLife {
+                let (meant, address) = &targets[self.draw(targets.len() as u64) as usize];
+                let is_at_address =
+                    |s: &&Server| s.address == *address && (s.starts_at..s.stops_at).contains(&self.now);
+                let Some(server) = self.servers.iter().find(is_at_address) else { continue };
+                if server.id != *meant && self.fault != InjectedFault::NoIncarnationCheck {
                     continue;
                 }
                 (runs, answers) = (runs + 1, answers + 1);
-                self.seen.served += 1;
+                self.statistics.served += 1;
                 // Who is in touch goes by the newest edition.
-                let newest = edition == 2 || self.now < self.swap + APPLY || !self.in_touch(at);
+                let newest = edition == 2 || self.now < self.swap_at + APPLY_MS || !self.in_touch(at);
                 if server.owner != owner || !newest {
                     return Err(format!(
                         "{}: a confirmation of route {route} ran at {} of {}, meant for {meant}, edition {edition}",
@@ -429,7 +442,7 @@
             }
             if answers == 0 {
                 // Both tries were turned away: nothing has run, and the client is told so.
-                (answers, self.seen.rejected) = (1, self.seen.rejected + 1);
+                (answers, self.statistics.rejected) = (1, self.statistics.rejected + 1);
             }
             if runs > 1 || answers != 1 {
                 return Err(format!("{}: {runs} runs and {answers} answers", self.now));
@@ -440,7 +453,7 @@
 
     /// How long two proxies in touch have said different things of one id's owner: an owner against another
     /// one, or against none for sure.
-    fn compare(&mut self) -> Result<(), String> {
+    fn compare_owners(&mut self) -> Result<(), String> {
         let mut service_names: BTreeMap<&str, (u64, Option<usize>, bool)> = BTreeMap::new();
         for node in (CORES..NODES).filter(|at| self.in_touch(*at)).map(|at| &self.nodes[at]) {
             for entry in node.catalog.entries() {
@@ -453,11 +466,12 @@
             }
         }
         let differ = service_names.iter().filter(|(_, first)| first.2).map(|(id, _)| (*id).to_owned());
-        let since: BTreeMap<String, f64> =
-            differ.map(|id| (id.clone(), self.differ.get(&id).copied().unwrap_or(self.now))).collect();
-        self.differ = since;
-        for (id, since) in &self.differ {
-            self.seen.longest = self.seen.longest.max(self.now - since);
+        let since: BTreeMap<String, f64> = differ
+            .map(|id| (id.clone(), self.differing_since.get(&id).copied().unwrap_or(self.now)))
+            .collect();
+        self.differing_since = since;
+        for (id, since) in &self.differing_since {
+            self.statistics.longest = self.statistics.longest.max(self.now - since);
             if self.now - since > MAX_DIVERGENCE {
                 return Err(format!("{}: two nodes name different owners of {id} since {since}", self.now));
             }
@@ -465,22 +479,25 @@
         Ok(())
     }
 
-    fn play(mut self) -> Result<FollowerProgress, String> {
-        while self.now < END {
-            self.beats();
-            self.ask();
-            self.hear();
-            self.turn();
+    fn run(mut self) -> Result<Statistics, String> {
+        while self.now < END_MS {
+            self.send_heartbeats();
+            self.request_updates();
+            self.apply_updates();
+            self.rebuild_catalogs();
             if self.now > 3000.0 {
-                self.confirm()?;
+                self.send_confirmations()?;
             }
             // Who differs is looked at in each tick, and else once in a while.
-            if std::mem::take(&mut self.changed) || !self.differ.is_empty() || self.now % 500.0 == 0.0 {
-                self.compare()?;
+            if std::mem::take(&mut self.catalog_changed)
+                || !self.differing_since.is_empty()
+                || self.now % 500.0 == 0.0
+            {
+                self.compare_owners()?;
             }
-            self.now += TICK;
+            self.now += TICK_MS;
         }
-        Ok(self.seen)
+        Ok(self.statistics)
     }
 }
 
@@ -489,14 +506,15 @@
 }
 
 #[test]
-fn no_confirmation_runs_at_anothers_server_and_none_stays_unanswered() {
+fn confirmations_run_only_at_their_owners_servers_and_are_all_answered() {
     let threads: Vec<_> = (0..4)
         .map(|part| {
             std::thread::spawn(move || {
-                let mut all = FollowerProgress::default();
+                let mut all = Statistics::default();
                 for seed in (0..schedules()).filter(|seed| seed % 4 == part) {
-                    let seen =
-                        Play::new(seed, Broken::Not).play().unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+                    let seen = Simulation::new(seed, InjectedFault::None)
+                        .run()
+                        .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
                     all.served += seen.served;
                     all.rejected += seen.rejected;
                     all.contested += seen.contested;
@@ -507,9 +525,9 @@
             })
         })
         .collect();
-    let mut all = FollowerProgress::default();
+    let mut all = Statistics::default();
     for thread in threads {
-        let seen = thread.join().expect("no broken schedule");
+        let seen = thread.join().expect("no fault schedule");
         all.served += seen.served;
         all.rejected += seen.rejected;
         all.contested += seen.contested;
@@ -528,10 +546,11 @@
 }
 
 #[test]
-fn the_checker_finds_what_is_broken() {
-    for broken in [Broken::BareName, Broken::HighestNumber, Broken::NoLife] {
-        let found = (0..200).find_map(|seed| Play::new(seed, broken).play().err().map(|e| (seed, e)));
-        let (seed, violation) = found.unwrap_or_else(|| panic!("{broken:?} is not found"));
-        println!("{broken:?}: seed {seed}, {violation}");
+fn checker_detects_each_injected_fault() {
+    for fault in [InjectedFault::BareName, InjectedFault::HighestCallCount, InjectedFault::NoIncarnationCheck]
+    {
+        let found = (0..200).find_map(|seed| Simulation::new(seed, fault).run().err().map(|e| (seed, e)));
+        let (seed, violation) = found.unwrap_or_else(|| panic!("{fault:?} is not found"));
+        println!("{fault:?}: seed {seed}, {violation}");
     }
 }
