--- a/crates/service-catalog/tests/schedules.rs
+++ b/crates/service-catalog/tests/schedules.rs
@@ -1,8 +1,10 @@
-//! Seeded schedules in virtual time: core machines that follow each other, proxies that follow one of them
-//! and each other, servers that come, crash, leave their addresses to others or beat under another's id;
-//! cuts, late and doubled news, a core machine whose book is wiped, a proxy that starts, two services that
-//! swap their routes. The checker knows the true owners and sees only what servers run and what confirmations
-//! are answered. `SCHEDULES=n` plays more of them.
+//! Seeded schedules in virtual time that check the ownership of servers under faults.
+//!
+//! Core machines follow each other; proxies follow one core machine and each other. Servers start, crash, release
+//! their addresses to other servers, or send heartbeats under another server's id. Nodes are disconnected, updates
+//! arrive late or twice, core machines lose their state, proxies restart, and two services swap their routes. The
+//! checker knows the true owners and observes only what servers run and how confirmations (requests that run at most
+//! once) are answered. `SCHEDULES=n` sets the number of schedules.
 
 use oatbank_cluster_state::anti_entropy::{SourceAgreement, MAX_DIVERGENCE};
 use oatbank_cluster_state::messages::{ServerRow, StateUpdate};
@@ -20,18 +22,18 @@
 const CORES: usize = 3;
 const NODES: usize = 7;
 const OWNERS: [&str; 3] = ["north/hall", "south/hall", "south/choir"];
-/// An edition is everywhere within this of its taking.
+/// An edition reaches every connected node within this time of its acceptance.
 const APPLY_MS: f64 = 2500.0;
 
-/// What a broken catalogue would do; the checker has to find each.
+/// A fault built into the system, which the checker must detect.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum InjectedFault {
     None,
-    /// Servers by their service's bare name.
+    /// Servers are selected by their service's name without the mesh.
     BareName,
-    /// Of two claims under one id, the one of the higher number.
+    /// Of two claims under one id, the one with the higher call count wins.
     HighestCallCount,
-    /// Servers are not told whom a try is meant for.
+    /// Servers do not check which incarnation an attempt is meant for.
     NoIncarnationCheck,
 }
 
@@ -42,13 +44,13 @@
     address: String,
     starts_at: f64,
     stops_at: f64,
-    /// It says that it drains, and leaves, before it dies.
+    /// Whether the server drains and leaves before it stops.
     is_graceful: bool,
     call_count: u64,
     next_heartbeat: f64,
 }
 
-/// Beats under another's id.
+/// A server that sends heartbeats under another server's id.
 struct Impostor {
     row: ServerRow,
     from: f64,
@@ -62,7 +64,7 @@
     catalog: Catalog,
     catalog_basis: (u64, u64),
     agreement: SourceAgreement,
-    /// With whom it stands where, by node.
+    /// The epoch and position up to which updates of each node are known.
     positions: [(u64, u64); NODES],
     source: usize,
     next_request: [f64; NODES],
@@ -106,10 +108,10 @@
     owners_by_edition: [Arc<ServiceOwners>; 2],
     swap_at: f64,
     cuts: [(usize, f64, f64); 2],
-    /// To whom, of whom, when, whether it is a late copy.
+    /// Updates in transit: arrival time, receiver, sender, and whether it is a late duplicate.
     updates: Vec<(f64, usize, usize, bool, StateUpdate)>,
     differing_since: BTreeMap<String, f64>,
-    /// A catalogue was made anew in this tick.
+    /// Whether a catalog was rebuilt in this tick.
     catalog_changed: bool,
     statistics: Statistics,
 }
@@ -123,7 +125,7 @@
     Arc::new(ServiceOwners::new(edition, &Configuration::read(&text).expect("a configuration")))
 }
 
-/// The owner of a route's requests: two routes swap theirs in the second edition.
+/// The owner of a route's requests. The first two routes swap their owners in the second edition.
 fn owner_of(route: usize, edition: u64) -> usize {
     if edition > 1 && route < 2 {
         1 - route
@@ -164,14 +166,14 @@
         from + (to - from) * (f64::from(self.rng.next_u32()) / f64::from(u32::MAX))
     }
 
-    /// Writes the schedule.
+    /// Generates the schedule of servers, impostors, the route swap and disconnections.
     fn generate(&mut self, many: bool) {
         let places = if many { 100 } else { 12 };
         for place in 0..places {
             let mut starts_at = self.draw_between(0.0, 1500.0);
             for incarnation in 0..3 {
                 let owner = self.draw(3) as usize;
-                // Some do not say their mesh.
+                // Some servers do not name their mesh.
                 let service_name =
                     if self.draw(4) == 0 { mesh::parts(OWNERS[owner]).1 } else { OWNERS[owner] };
                 let stops_at = if self.draw(3) == 0 {
@@ -191,7 +193,7 @@
                     call_count: 0,
                     next_heartbeat: starts_at,
                 });
-                // Its address may go to a server of another service after `reuseAfterS`.
+                // The address may pass to a server of another service after `reuseAfterS`.
                 starts_at = stops_at + self.draw_between(2000.0, 4000.0);
                 if starts_at > END_MS {
                     break;
@@ -216,7 +218,7 @@
                 _ => (right, here),
             };
             if (&service, &address) == (&own_claim.0, &own_claim.1) {
-                // The server's own claim, word for word: not told apart, as the design's page says.
+                // Identical to the server's own claim, which by design cannot be distinguished.
                 continue;
             }
             let call_count = 1 + self.draw(2000);
@@ -237,7 +239,7 @@
         self.cuts.iter().any(|(at, from, to)| *at == node && (*from..*to).contains(&self.now))
     }
 
-    /// In touch for long enough that the bound holds.
+    /// Whether a node has been connected for long enough that the bound on divergence applies to it.
     fn in_touch(&self, node: usize) -> bool {
         let cut = |(at, from, to): &(usize, f64, f64)| {
             (*at == node || *at < CORES) && (*from..*to + 4000.0).contains(&self.now)
@@ -273,7 +275,7 @@
         }
     }
 
-    /// A server calls core machines until one takes it.
+    /// Sends a heartbeat to core machines, from a random one on, until one accepts it.
     fn deliver_heartbeat(&mut self, row: &ServerRow, mark_left: bool) {
         let first = self.draw(CORES as u64) as usize;
         for nth in 0..CORES {
@@ -290,7 +292,7 @@
         }
     }
 
-    /// Each node asks those whom it follows.
+    /// Requests updates at each node from the nodes that it follows.
     fn request_updates(&mut self) {
         for at in 0..NODES {
             let others: Vec<usize> = if at < CORES {
@@ -322,7 +324,7 @@
                     self.updates.push((late, at, other, true, update.clone()));
                 }
                 self.updates.push((self.now + delay, at, other, false, update));
-                // One call at a time.
+                // One call at a time to each node.
                 self.nodes[at].next_request[other] = self.now + delay + 100.0;
             }
         }
@@ -333,7 +335,7 @@
         let (due, rest) = std::mem::take(&mut self.updates).into_iter().partition(due);
         self.updates = rest;
         for (_, at, other, late, update) in due {
-            // A late copy is of another life: what it says of places and digests is void.
+            // A late duplicate may be from an earlier incarnation, so its position and digest are ignored.
             let (now, node) = (self.now, &mut self.nodes[at]);
             node.table.merge_update(now, &update);
             if late {
@@ -355,7 +357,7 @@
     fn rebuild_catalogs(&mut self) {
         for at in 0..NODES {
             let now = self.now;
-            // The core agrees on editions by ballots; here it has them at once.
+            // Core machines get editions by consensus; here they have them at once.
             if at < CORES {
                 self.nodes[at].edition = if now >= self.swap_at { 2 } else { 1 };
             }
@@ -377,7 +379,7 @@
                 self.statistics.contested += node.catalog.contested().count() as u64;
             }
         }
-        // A proxy starts, and a core machine's book is wiped, each at one moment of some schedules.
+        // At random times a node restarts without its state.
         if self.draw(300) == 0 {
             let at = self.draw(NODES as u64) as usize;
             let epoch = self.nodes[at].table.epoch() + NODES as u64;
@@ -386,7 +388,7 @@
         }
     }
 
-    /// The servers that a node would send an owner's confirmations to.
+    /// The id and address of each server that a node would send an owner's confirmations to.
     fn confirmation_targets(&self, node: &Node, owner: usize) -> Vec<(String, String)> {
         let rows = node.table.servers(self.now).map(|(row, _)| row);
         let ready = rows.filter(|row| row.state == server_state::READY && !row.timed_out);
@@ -404,7 +406,8 @@
         ready.filter(fits).map(|row| (row.id.clone(), row.address.clone())).collect()
     }
 
-    /// Confirmations at each proxy, and what the checker says to what servers run of them.
+    /// Sends confirmations through the proxies. Fails if one runs at a server of another owner or more than once, or is not
+    /// answered exactly once.
     fn send_confirmations(&mut self) -> Result<(), String> {
         for at in CORES..NODES {
             if self.nodes[at].edition == 0 || self.draw(3) != 0 {
@@ -431,7 +434,7 @@
                 }
                 (runs, answers) = (runs + 1, answers + 1);
                 self.statistics.served += 1;
-                // Who is in touch goes by the newest edition.
+                // A connected proxy must use the newest edition.
                 let newest = edition == 2 || self.now < self.swap_at + APPLY_MS || !self.in_touch(at);
                 if server.owner != owner || !newest {
                     return Err(format!(
@@ -441,7 +444,7 @@
                 }
             }
             if answers == 0 {
-                // Both tries were turned away: nothing has run, and the client is told so.
+                // Both attempts were rejected: nothing ran, and the client is told so.
                 (answers, self.statistics.rejected) = (1, self.statistics.rejected + 1);
             }
             if runs > 1 || answers != 1 {
@@ -451,8 +454,8 @@
         Ok(())
     }
 
-    /// How long two proxies in touch have said different things of one id's owner: an owner against another
-    /// one, or against none for sure.
+    /// Tracks how long connected proxies with the same edition have assigned different owners to one id, where no certain
+    /// owner counts as different too. Fails above [`MAX_DIVERGENCE`].
     fn compare_owners(&mut self) -> Result<(), String> {
         let mut service_names: BTreeMap<&str, (u64, Option<usize>, bool)> = BTreeMap::new();
         for node in (CORES..NODES).filter(|at| self.in_touch(*at)).map(|at| &self.nodes[at]) {
@@ -488,7 +491,7 @@
             if self.now > 3000.0 {
                 self.send_confirmations()?;
             }
-            // Who differs is looked at in each tick, and else once in a while.
+            // Compared in each tick in which a difference may begin or persist, otherwise every 500 ms.
             if std::mem::take(&mut self.catalog_changed)
                 || !self.differing_since.is_empty()
                 || self.now % 500.0 == 0.0
@@ -542,7 +545,10 @@
         all.snapshots,
         all.longest
     );
-    assert!(all.served > 10 * all.rejected && all.contested > 1000, "the schedules say something");
+    assert!(
+        all.served > 10 * all.rejected && all.contested > 1000,
+        "the schedules serve too few confirmations or have too few conflicts"
+    );
 }
 
 #[test]
@@ -550,7 +556,7 @@
     for fault in [InjectedFault::BareName, InjectedFault::HighestCallCount, InjectedFault::NoIncarnationCheck]
     {
         let found = (0..200).find_map(|seed| Simulation::new(seed, fault).run().err().map(|e| (seed, e)));
-        let (seed, violation) = found.unwrap_or_else(|| panic!("{fault:?} is not found"));
+        let (seed, violation) = found.unwrap_or_else(|| panic!("{fault:?} is not detected"));
         println!("{fault:?}: seed {seed}, {violation}");
     }
 }
