--- a/crates/service-catalog/tests/schedules.rs
+++ b/crates/service-catalog/tests/schedules.rs
@@ -530,7 +530,7 @@
         .collect();
     let mut all = Statistics::default();
     for thread in threads {
-        let seen = thread.join().expect("no fault schedule");
+        let seen = thread.join().expect("no failed schedule");
         all.served += seen.served;
         all.rejected += seen.rejected;
         all.contested += seen.contested;
