--- a/crates/local-cluster/src/checker.rs
+++ b/crates/local-cluster/src/checker.rs
@@ -1,69 +1,69 @@
-//! The independent checker: what servers ran, by `Try-Id`, held against what clients were told. It knows
-//! nothing of the programs, and takes no figure from them but what they say of a try when they are asked.
+//! Independent checker that compares the runs recorded by servers, keyed by `Try-Id`, with the answers that clients got. It
+//! shares no code with the programs; the only data it takes from them is their answer to a query about a single try.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A try of a request that runs once, and what its client was told.
+/// One try of an at-most-once request, with the answer that its client received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcknowledgedCall {
-    /// Its id.
+    /// `Try-Id` of the try.
     pub id: String,
-    /// The status of the answer; 0: none came whole.
+    /// HTTP status of the answer, or 0 if no complete answer arrived.
     pub status: u16,
-    /// Whose whole answer to this very try it is.
+    /// Id of the server whose seal matches this try and the complete body, if any.
     pub by: Option<String>,
 }
 
-/// A run that a server has begun.
+/// One execution of a try, as recorded by the server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ran {
-    /// The try's id.
+    /// `Try-Id` of the executed try.
     pub id: String,
-    /// The server.
+    /// Id of the server that executed it.
     pub server: String,
 }
 
-/// What was seen of a run of the system.
+/// Observations of one test run, as input to [`check`].
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedRequest {
-    /// Requests that run once, each with its tries.
+    /// At-most-once requests, each as the list of its tries in the order sent.
     pub requests: Vec<Vec<AcknowledgedCall>>,
-    /// What servers ran of them.
+    /// Executions that servers recorded.
     pub runs: Vec<Ran>,
-    /// What the system says of tries whose clients could not know, by id.
+    /// The system's later answer about tries with an unknown outcome, by `Try-Id`.
     pub said: BTreeMap<String, String>,
 }
 
-/// What the checker found.
+/// Counts and violations found by [`check`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Found {
-    /// Requests.
+    /// Number of requests checked.
     pub asked: usize,
-    /// Requests that a server ran.
+    /// Requests that at least one server executed.
     pub run: usize,
-    /// Requests whose client was told what a server said.
+    /// Requests whose last answer came from a server, or was a status 500.
     pub answered: usize,
-    /// Requests whose client was promised that nothing ran.
+    /// Requests whose last answer promises that the try was not executed.
     pub refused: usize,
-    /// Requests whose client could not know.
+    /// Requests whose outcome is unknown to the client.
     pub unknown: usize,
-    /// Tries of these of which the system could say afterwards whether they ran.
+    /// Tries for which the system later reported whether they were executed.
     pub settled: usize,
-    /// What must not be.
+    /// One line for each violated guarantee, sorted.
     pub wrongs: Vec<String>,
 }
 
-/// Whether an answer promises that the try has not run and never will.
+/// Returns whether a status promises that the try was not executed and never will be.
 pub fn is_promise(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-/// Whether an answer is a server's own, or a refusal of what was sent.
+/// Returns whether the answer is sealed by a server or has status 500.
 fn is_answer(acknowledged: &AcknowledgedCall) -> bool {
     acknowledged.by.is_some() || acknowledged.status == 500
 }
 
-/// Whether the system says that a try ran; none: it cannot tell.
+/// Parses the system's report on a try: executed or not, or `None` if the system does not know.
 fn says_ran(said: &str) -> Option<bool> {
     match said {
         "done" | "ran and failed" => Some(true),
@@ -72,7 +72,7 @@
     }
 }
 
-/// Holds one against the other.
+/// Compares the executions recorded by servers with the answers that clients received.
 pub fn check(seen: &ReceivedRequest) -> Found {
     let mut found = Found { asked: seen.requests.len(), ..Found::default() };
     let mut runs: HashMap<&str, Vec<&str>> = HashMap::new();
--- a/crates/local-cluster/src/soak/clients.rs
+++ b/crates/local-cluster/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the soak: several requests at once on kept connections, and some leave before their answers.
+//! Soak clients: they pipeline requests on keep-alive connections, and some disconnect before the answers arrive.
 
 use super::schedule::Random;
 use super::{HISTORY, HOST, READ, UNLIMITED_KEY, WRITE};
@@ -9,55 +9,55 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Requests that are sent at once, at most.
+/// Maximum number of pipelined requests in a batch.
 const MOST_AT_ONCE: usize = 5;
-/// A client waits so long for its answers.
+/// Time that a client waits for the answers to a batch.
 const PATIENCE: Duration = Duration::from_millis(2500);
-/// Share of the batches whose client leaves.
+/// Share of batches whose client disconnects without reading the answers.
 const LEAVES: f64 = 0.25;
 
-/// What is asked for.
+/// Type of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// May be repeated.
+    /// Idempotent request, which may run more than once.
     Read,
-    /// Runs at most once.
+    /// Request that must run at most once.
     Write,
-    /// A write without a route, in whose body another request stands.
+    /// Write to a path without a route, with another request in its body, to detect request smuggling.
     Smuggling,
 }
 
-/// What came of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// An answer, and whose whole answer to this very try it is.
+    /// Status of the answer, and the id of the server whose seal matches this try and the complete body.
     Answered(u16, Option<String>),
-    /// The connection ended before an answer.
+    /// The connection ended before an answer arrived.
     Unanswered,
-    /// An answer before it said that the connection ends.
+    /// The answer to an earlier request on the connection announced `Connection: close`.
     BehindLastAnswer,
-    /// The client left, of its own or as its time was up.
+    /// The client disconnected, on purpose or after its timeout.
     Left,
 }
 
-/// One request.
+/// One request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// Its `Try-Id`.
+    /// `Try-Id` of the request.
     pub id: String,
-    /// What it is.
+    /// Type of the request.
     pub kind: Kind,
-    /// The proxy's number.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Instant,
-    /// When its end was seen.
+    /// Time at which the client had read its batch's answers or disconnected.
     pub ended: Instant,
-    /// What came of it.
+    /// Outcome that the client observed.
     pub outcome: Outcome,
 }
 
-/// A request that is to be sent.
+/// A request that is ready to be sent.
 pub(super) struct Prepared {
     pub(super) id: String,
     pub(super) kind: Kind,
@@ -75,7 +75,7 @@
     };
     let drawn = random.share();
     if drawn < 0.04 {
-        // Nobody sends a request of this id: if it reaches a server, it was taken out of this body.
+        // No client sends a request with this id: if it reaches a server, a proxy parsed the body as a request.
         let body = format!(
             "GET {READ}2 HTTP/1.1\r\nHost: {HOST}\r\nTry-Id: {}\r\nAuthorization: Bearer {UNLIMITED_KEY}\r\n\r\n",
             try_id()
@@ -91,7 +91,7 @@
     Prepared { id, kind, text }
 }
 
-/// Sends batches until it is stopped.
+/// Sends batches until `stop` is set, and returns all exchanges.
 pub fn run(fronts: &[SocketAddr], seed: u64, number: u64, stop: &AtomicBool) -> Vec<Exchange> {
     let mut random = Random::new(seed, 100 + number);
     let mut kept: Vec<Option<HttpConnection>> = fronts.iter().map(|_| None).collect();
@@ -109,7 +109,7 @@
     exchanges
 }
 
-/// Sends some requests at once and reads their answers, or leaves; the connection, if it may be kept.
+/// Sends a batch and reads its answers or disconnects. Returns the connection if it can be reused.
 fn send_batch(
     random: &mut Random,
     proxy: usize,
@@ -132,7 +132,7 @@
         read_answers(&batch, &mut connection, sent + PATIENCE)
     };
     let is_kept = matches!(outcomes.last(), Some(Outcome::Answered(..))) && !closes;
-    // Whoever leaves does so here, and it is from here on that nobody is to work for it.
+    // Dropping the connection here disconnects the client; the GONE rule counts from this moment.
     let connection = is_kept.then_some(connection);
     let ended = Instant::now();
     for (prepared, outcome) in batch.into_iter().zip(outcomes) {
@@ -142,7 +142,7 @@
     connection
 }
 
-/// What became of each request of a batch, by what comes on its connection.
+/// Reads the answers to a batch and returns one outcome per request.
 pub(super) fn read_answers(
     batch: &[Prepared],
     connection: &mut HttpConnection,
--- a/crates/local-cluster/src/soak/mod.rs
+++ b/crates/local-cluster/src/soak/mod.rs
@@ -1,7 +1,7 @@
-//! A soak: the system's own processes under random faults that overlap, with clients that send several requests at once and
-//! some that leave. [`rules`] says what must hold.
+//! Soak test: runs the system's processes under random overlapping faults, with clients that pipeline requests and
+//! sometimes disconnect early. [`rules`] defines the guarantees that are checked.
 //!
-//! Links between the system's processes cannot be cut without privileges: there a process stands still instead.
+//! Cutting links between the system's processes needs privileges, so processes are stopped instead.
 
 pub mod clients;
 pub mod press;
@@ -24,74 +24,74 @@
 const HOST: &str = "soak.example";
 const READ: &str = "/read/";
 const WRITE: &str = "/write/";
-/// Served slowly: a client may leave long before its answer.
+/// Path of slow requests, whose clients may disconnect long before the answer.
 const HISTORY: &str = "/history/";
 const READ_WORK: Duration = Duration::from_millis(15);
 const HISTORY_WORK: Duration = Duration::from_millis(800);
-/// Servers of each service.
+/// Number of servers per service.
 const SERVERS: usize = 3;
 const SLOTS: usize = 24;
-/// The key of a tenant without a quota.
+/// API key of a tenant without a quota.
 const UNLIMITED_KEY: &str = "key-of-unlimited";
-/// The rule on quotas: its window, and by which share and how many requests a quota may be exceeded.
+/// Window of the quota rule. The quota may be exceeded by the share `QUOTA_OVER` plus `QUOTA_SLACK` requests.
 const QUOTA_WINDOW: Duration = Duration::from_secs(5);
 const QUOTA_OVER: f64 = 0.1;
 const QUOTA_SLACK: f64 = 20.0;
-/// Between the signals of a series.
+/// Delay between the SIGTERMs of a rolling restart.
 const SERIES_GAP: Duration = Duration::from_millis(200);
-/// Clients.
+/// Number of concurrent clients without a quota.
 const CLIENTS: u64 = 16;
-/// What a program that was told to end may take: half of it for new connections, and then a whole request.
+/// Graceful shutdown time in seconds: half of it for accepting new connections, the rest for completing a request.
 const GRACE_S: u64 = 5;
-/// Between the last request and the last look at what servers still do.
+/// Delay between the last request and the final reading of the servers' records.
 const CALM: Duration = Duration::from_millis(1500);
 
-/// What is to be played.
+/// Parameters of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
-    /// Draws the faults and what clients do.
+    /// Seed of the fault schedule and of the clients' behaviour.
     pub seed: u64,
-    /// How long there are faults.
+    /// Duration of the fault schedule.
     pub span: Duration,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
 }
 
-/// What came of it.
+/// Results of a soak.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Requests.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Requests that were served.
+    /// Requests answered with a 2xx status.
     pub served: usize,
-    /// Requests whose client left.
+    /// Requests whose client disconnected or timed out.
     pub left: usize,
-    /// Configurations that were acknowledged.
+    /// Acknowledged configurations, including the initial one.
     pub changes: usize,
-    /// Faults.
+    /// Number of scheduled faults.
     pub faults: usize,
-    /// Of each tenant with a quota, how much of what is allowed ran in its fullest window.
+    /// Use of the allowed requests in each tenant's fullest window, as a share.
     pub fullest: Vec<(String, f64)>,
-    /// What must not be.
+    /// One line for each violation.
     pub violations: Vec<String>,
 }
 
-/// What the threads of a soak share.
+/// State shared by the threads of a soak.
 struct Soak {
     cluster: LocalCluster,
     servers: Vec<Server>,
     outages: Mutex<Vec<Outage>>,
-    /// By proxy: held while a fault of one group is played on it.
+    /// One lock per proxy, held while a fault is applied to it.
     busy: Vec<Mutex<()>>,
-    /// The newest acknowledged configuration, and how many there were.
+    /// Version of the newest acknowledged configuration, and the number of acknowledged ones.
     acknowledged: Mutex<(u64, usize)>,
     stop: AtomicBool,
 }
 
-/// Plays a soak.
+/// Runs a soak and returns its results.
 ///
 /// # Errors
-/// When the system does not come about, or a program does not start again.
+/// Returns an error if the system does not start. Faults that fail are reported as violations.
 pub fn play(wanted: &Wanted) -> Result<Report, ClusterError> {
     let soak = Arc::new(Soak::start(wanted.proxies)?);
     let fronts = soak.cluster.fronts();
@@ -188,7 +188,7 @@
         Ok(())
     }
 
-    /// Plays a fault on one proxy, unless one of another group is played on it now.
+    /// Applies a fault to one proxy. Does nothing if another fault is being applied to it.
     fn hit_proxy(&self, fault: Fault, proxy: usize, lasts: Duration) -> Result<(), ClusterError> {
         let Ok(_busy) = self.busy[proxy - self.cluster.proxies().start].try_lock() else { return Ok(()) };
         match fault {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Plays a fault on many proxies, each so much later than the one before. They overlap; two thirds are hit at most.
+    /// Applies overlapping faults to at most two thirds of the proxies (at least one), starting them `gap` apart.
     fn hit_series(&self, step: &Step, fault: Fault, gap: Duration) -> Result<(), ClusterError> {
         let proxies = self.cluster.proxies();
         let count = 1 + step.target % (proxies.len() * 2 / 3).max(1);
@@ -238,7 +238,7 @@
         self.cluster.signal("CONT", programs)
     }
 
-    /// Ends a proxy in order, as for an update: no request is lost by it.
+    /// Shuts a proxy down gracefully, as in an upgrade, and restarts it. No request may be lost, so this is no outage.
     fn end_proxy(&self, proxy: usize) -> Result<(), ClusterError> {
         self.cluster.signal("TERM", &[(proxy, Role::Proxy)])?;
         let grace = Duration::from_secs(GRACE_S) + Duration::from_millis(500);
@@ -246,7 +246,7 @@
         self.cluster.run(proxy, Role::Proxy)
     }
 
-    /// Puts a configuration on top of the one in force; one without a clear answer may or may not be in force.
+    /// Submits a configuration based on the current one. Without a 200 answer it may or may not be in force.
     fn change_configuration(&self) {
         let operator = Operator::new(self.cluster.controls());
         let Ok((version, _)) = operator.read() else { return };
@@ -285,7 +285,7 @@
         self.cluster.end();
     }
 
-    /// What was acknowledged is read back.
+    /// Checks that the configuration read back is at least as new as the newest acknowledged one.
     fn check_configuration(&self, report: &mut Report) {
         let (version, changes) = *self.acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
         report.changes = changes;
@@ -301,7 +301,7 @@
         }
     }
 
-    /// What the proxies say of themselves, also in the logs of those that have ended.
+    /// Checks the invariants that proxies report through the shell, and their logs, which include those of ended processes.
     fn check_invariants(&self, report: &mut Report) {
         for proxy in self.cluster.proxies() {
             match shell::ask(self.cluster.inner(proxy, INNER_PROXY), &["invariants"]) {
@@ -319,7 +319,7 @@
     }
 }
 
-/// The rule's quota of a tenant, whose burst is its rate.
+/// Returns the requests allowed per window for a tenant whose burst equals one second of its rate.
 fn quota_of(tenant: &PressingTenant) -> Quota {
     let given = tenant.rate * QUOTA_WINDOW.as_secs_f64() + tenant.rate;
     let allowed = (given * (1.0 + QUOTA_OVER) + QUOTA_SLACK).floor() as usize;
--- a/crates/local-cluster/src/soak/press.rs
+++ b/crates/local-cluster/src/soak/press.rs
@@ -1,5 +1,5 @@
-//! Tenants of the soak that press: each sends its usual, and in periods many times that, on connections that it keeps for as long as
-//! their proxy does, whether or not the proxy has said that it ends.
+//! Soak tenants that exceed their quotas: each sends below its rate, and many times as much during overload periods. A
+//! connection is kept until the proxy closes it, even after an answer with `Connection: close`.
 
 use super::clients::{self, Exchange, Kind, Outcome, Prepared};
 use super::schedule::Random;
@@ -10,45 +10,45 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Connections of a tenant, each with one request at a time.
+/// Connections per tenant, each with one request at a time.
 pub const CONNECTIONS: usize = 12;
-/// What a tenant sends before it presses, as a share of its rate.
+/// Load outside overload periods, as a share of the tenant's rate.
 const USUAL: f64 = 0.62;
-/// A tenant waits so long for an answer.
+/// Time that a tenant waits for an answer.
 const PATIENCE: Duration = Duration::from_millis(700);
-/// A proxy that takes no connection is left out for this long.
+/// Connect timeout.
 const CONNECT: Duration = Duration::from_millis(100);
 
-/// A tenant with a quota; its burst is its rate.
+/// A tenant with a quota. Its burst equals one second of its rate.
 #[derive(Clone, Copy, Debug)]
 pub struct PressingTenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: &'static str,
-    /// Its key.
+    /// API key of the tenant.
     pub key: &'static str,
-    /// Requests a second.
+    /// Quota in requests per second.
     pub rate: f64,
 }
 
-/// The tenants that press.
+/// Tenants that exceed their quotas during overload periods.
 pub const TENANTS: [PressingTenant; 3] = [
     PressingTenant { name: "large", key: "key-of-large", rate: 60.0 },
     PressingTenant { name: "medium", key: "key-of-medium", rate: 25.0 },
     PressingTenant { name: "small", key: "key-of-small", rate: 8.0 },
 ];
 
-/// A period of pressing.
+/// A period of overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PressPeriod {
-    /// When it begins, from the start.
+    /// Start, relative to the start of the soak.
     pub from: Duration,
-    /// When it is over.
+    /// End, relative to the start of the soak.
     pub until: Duration,
-    /// How many times the usual is sent.
+    /// Factor by which the normal load is multiplied.
     pub times: f64,
 }
 
-/// The periods of one tenant within a soak.
+/// Draws the overload periods of one tenant for a soak of length `span`.
 pub fn draw_periods(seed: u64, tenant: usize, span: Duration) -> Vec<PressPeriod> {
     let mut random = Random::new(seed, 200 + tenant as u64);
     let (mut periods, mut at) = (Vec::new(), random.between(300, 2000));
@@ -60,17 +60,17 @@
     periods
 }
 
-/// What one connection of a tenant sends.
+/// Load generator for one connection of a tenant.
 pub struct Press<'a> {
-    /// The tenant.
+    /// Tenant that sends the requests.
     pub tenant: PressingTenant,
-    /// When it presses.
+    /// Overload periods of the tenant.
     pub periods: Vec<PressPeriod>,
-    /// Where proxies take clients.
+    /// Client addresses of the proxies.
     pub fronts: &'a [SocketAddr],
-    /// When the soak began.
+    /// Start of the soak.
     pub begun: Instant,
-    /// Set at its end.
+    /// Set at the end of the soak.
     pub stop: &'a AtomicBool,
 }
 
@@ -82,14 +82,14 @@
         Duration::from_secs_f64(CONNECTIONS as f64 / a_second)
     }
 
-    /// Sends until it is stopped.
+    /// Sends requests until `stop` is set, and returns all exchanges.
     pub fn run(&self, seed: u64, number: u64) -> Vec<Exchange> {
         let mut random = Random::new(seed, 300 + number);
         let mut kept: Vec<Option<HttpConnection>> = self.fronts.iter().map(|_| None).collect();
         let mut exchanges = Vec::new();
         let mut due = Instant::now() + self.pause().mul_f64(random.share());
         while !self.stop.load(Ordering::SeqCst) {
-            // Never longer than this at once, so that a period is noticed when it begins.
+            // Sleeps at most 50 ms at a time, so that the start of an overload period is noticed promptly.
             let wait = due.saturating_duration_since(Instant::now()).min(Duration::from_millis(50));
             std::thread::sleep(wait);
             due = due.min(Instant::now() + self.pause());
@@ -107,7 +107,7 @@
         exchanges
     }
 
-    /// Sends one request and reads its answer; the connection, if it may be kept.
+    /// Sends one request and reads its answer. Returns the connection if an answer arrived.
     fn send(
         &self,
         proxy: usize,
--- a/crates/local-cluster/src/soak/rules.rs
+++ b/crates/local-cluster/src/soak/rules.rs
@@ -1,4 +1,4 @@
-//! What must hold of a soak: what servers saw against what clients were told, and what the proxies say of themselves.
+//! Rules of the soak: compares the requests recorded by servers with the answers that clients received.
 
 use super::clients::{Exchange, Kind, Outcome};
 use crate::checker::is_promise;
@@ -6,58 +6,58 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// A server that is still at work this long after its client has left works for nobody.
+/// A read that a server still executes this long after its client disconnected is a GONE violation.
 pub const GONE_AFTER: Duration = Duration::from_millis(500);
-/// A request that no server has is lost only if its connection ended this long after it was sent.
+/// An unanswered request that reached no server counts as LOST only if its connection ended later than this after sending.
 pub const LOST_AFTER: Duration = Duration::from_millis(200);
-/// A machine counts again this long after its fault.
+/// Time after an outage during which the proxy is still exempt from the rules.
 const SETTLES: Duration = Duration::from_secs(1);
 
-/// When a proxy was killed or stood still: what it then did not do is no fault of its program.
+/// Time during which a proxy was killed or stopped. GONE and LOST do not apply to it then.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// Its proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// When it began.
+    /// Start of the outage.
     pub from: Instant,
-    /// When it was over.
+    /// End of the outage.
     pub until: Instant,
 }
 
-/// How much a tenant may send, and in which windows it counts.
+/// Largest number of a tenant's requests that may run within a sliding window.
 #[derive(Clone, Debug)]
 pub struct Quota {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// Requests in a window.
+    /// Requests allowed per window, including the tolerance.
     pub allowed: usize,
 }
 
-/// What was seen of a soak.
+/// Observations of one soak, as input to the rules.
 #[derive(Debug, Default)]
 pub struct Evidence {
-    /// What clients sent, and what came of it.
+    /// Requests that clients sent, with their outcomes.
     pub exchanges: Vec<Exchange>,
-    /// What reached servers, each with its server's id.
+    /// Requests that reached servers, each with the id of its server.
     pub received: Vec<(String, ReceivedRequest)>,
-    /// Outages of proxies.
+    /// Outages of proxies caused by the schedule.
     pub outages: Vec<Outage>,
-    /// Quotas of tenants.
+    /// Quotas to check.
     pub quotas: Vec<Quota>,
-    /// Until when all of this was looked at.
+    /// End of the observation; a request still executing then counts as executing until this time.
     pub ended: Option<Instant>,
 }
 
 impl Evidence {
-    /// Whether a proxy was in order from shortly before until then.
+    /// Returns whether no outage of the proxy, extended by [`SETTLES`], overlaps the interval.
     fn in_order(&self, proxy: usize, from: Instant, until: Instant) -> bool {
         let hits = |outage: &Outage| outage.from <= until && outage.until + SETTLES >= from;
         !self.outages.iter().any(|outage| outage.proxy == proxy && hits(outage))
     }
 
-    /// What must not be, a line each.
+    /// Returns one line for each violation.
     pub fn violations(&self) -> Vec<String> {
         let mut arrivals: HashMap<&str, Vec<&(String, ReceivedRequest)>> = HashMap::new();
         for arrival in &self.received {
@@ -84,7 +84,7 @@
         violations
     }
 
-    /// The fullest window of a tenant, if it holds more than its quota: requests that were sent and run within it.
+    /// Returns a QUOTA violation if the tenant's fullest window holds more requests than allowed.
     fn overrun(&self, quota: &Quota, sent: &HashMap<&str, Instant>) -> Option<String> {
         let (ran, at) = self.fullest_window(quota, sent)?;
         (ran > quota.allowed).then(|| {
@@ -99,9 +99,10 @@
         })
     }
 
-    /// How many requests ran in a tenant's fullest window, and its end.
+    /// Returns the number of requests in a tenant's fullest window and the end of that window, or `None` if none ran.
+    /// A request counts if it was both sent and executed within the window.
     pub fn fullest_window(&self, quota: &Quota, sent: &HashMap<&str, Instant>) -> Option<(usize, Instant)> {
-        // By id: one that was tried at two servers is one request.
+        // Grouped by id, so that a request tried at two servers counts once.
         let mut runs: HashMap<&str, Instant> = HashMap::new();
         let of_tenant =
             |request: &&ReceivedRequest| request.ran && request.customer.as_deref() == Some(&quota.tenant);
--- a/crates/local-cluster/src/soak/schedule.rs
+++ b/crates/local-cluster/src/soak/schedule.rs
@@ -1,68 +1,68 @@
-//! Which faults happen when: drawn from a seed, so that a schedule can be played again.
+//! Random fault schedules, reproducible from a seed.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Numbers drawn from a seed.
+/// Seeded random number generator.
 #[derive(Clone, Debug)]
 pub struct Random(Pcg64Mcg);
 
 impl Random {
-    /// The sequence of this seed with this number.
+    /// Creates the generator for one of the independent sequences of a seed.
     pub fn new(seed: u64, sequence: u64) -> Random {
         Random(Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9).wrapping_add(sequence)))
     }
 
-    /// From 0 to 1.
+    /// Draws a number from 0 to 1, both included.
     pub fn share(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / f64::from(u32::MAX)
     }
 
-    /// Below `end`.
+    /// Draws an index below `end`; 0 if `end` is 0.
     pub fn below(&mut self, end: usize) -> usize {
         self.0.next_u32() as usize % end.max(1)
     }
 
-    /// Between two times.
+    /// Draws a duration from `least` to `most` milliseconds, both included.
     pub fn between(&mut self, least: u64, most: u64) -> Duration {
         Duration::from_millis(least + u64::from(self.0.next_u32()) % (most - least + 1))
     }
 }
 
-/// A fault, or planned work.
+/// A fault to inject, or a planned operation such as a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// SIGKILL for a proxy; it starts again.
+    /// Kills a proxy with SIGKILL and restarts it.
     KillProxy,
-    /// SIGTERM for a proxy, as for an update; it starts again.
+    /// Ends a proxy with SIGTERM, as in an upgrade, and restarts it.
     EndProxy,
-    /// SIGKILL for many proxies at once; they start again.
+    /// Kills several proxies at once with SIGKILL and restarts them.
     KillProxies,
-    /// SIGTERM for many proxies, one after the other before the last has ended; they start again.
+    /// Ends several proxies with SIGTERM in overlapping succession and restarts them.
     RollProxies,
-    /// Many proxies stand still.
+    /// Stops several proxies with SIGSTOP, then continues them.
     FreezeProxies,
-    /// A proxy stands still.
+    /// Stops a proxy with SIGSTOP, then continues it.
     FreezeProxy,
-    /// SIGHUP for a proxy.
+    /// Makes a proxy reload with SIGHUP.
     ReloadProxy,
-    /// SIGKILL for a core machine's programs; they start again.
+    /// Kills the programs of a core machine with SIGKILL and restarts them.
     KillCore,
-    /// A core machine's programs stand still.
+    /// Stops the programs of a core machine with SIGSTOP, then continues them.
     FreezeCore,
-    /// A server's links are cut.
+    /// Makes a server unreachable: it neither runs nor answers requests.
     CutServer,
-    /// A server loses the answers of what it has run.
+    /// Makes a server run requests and reset the connection instead of answering.
     LoseAnswers,
-    /// A server is slow.
+    /// Makes a server slow.
     SlowServer,
-    /// The configuration changes.
+    /// Changes the configuration.
     ChangeConfiguration,
 }
 
-/// Faults that may overlap with those of the other groups; those of one group happen one after the other, so that no
-/// more of the core is lost at once than the cluster tolerates; any number of proxies may be.
+/// Groups of faults. Faults of different groups may overlap; those of one group run in sequence, so that the core never
+/// loses more machines at once than the cluster tolerates. Any number of proxies may be lost at once.
 pub const GROUPS: [&[Fault]; 5] = [
     &[Fault::KillProxy, Fault::EndProxy, Fault::EndProxy, Fault::FreezeProxy, Fault::ReloadProxy],
     &[Fault::KillCore, Fault::FreezeCore],
@@ -71,20 +71,20 @@
     &[Fault::KillProxies, Fault::KillProxies, Fault::RollProxies, Fault::FreezeProxies],
 ];
 
-/// One fault of a schedule.
+/// One step of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Pause before it.
+    /// Pause before the fault.
     pub pause: Duration,
-    /// What happens.
+    /// Fault to inject.
     pub fault: Fault,
-    /// Which of the things that it may hit, modulo their number.
+    /// Selects the target, modulo the number of possible targets.
     pub target: usize,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub lasts: Duration,
 }
 
-/// The faults of one group, one after the other, for so long.
+/// Draws the steps of one fault group until their total duration reaches `span`.
 pub fn draw(seed: u64, group: usize, span: Duration) -> Vec<Step> {
     let mut random = Random::new(seed, group as u64);
     let (mut steps, mut at) = (Vec::new(), Duration::ZERO);
