--- a/crates/local-cluster/src/client.rs
+++ b/crates/local-cluster/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: one try at one proxy, and requests by way of the directory, over connections that are kept.
+//! Clients: single tries at a proxy, and requests with directory lookup, retries and keep-alive connections.
 
 use crate::cluster::get;
 use crate::http::{HttpConnection, HttpError, Message};
@@ -9,96 +9,96 @@
 use std::time::{Duration, Instant};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Further tries within a request's time.
+/// Maximum number of tries per request.
 const TRIES: usize = 4;
 
-/// A request.
+/// A request that a client sends.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// Its method.
+    /// HTTP method.
     pub method: &'static str,
-    /// The host it is for.
+    /// Value of the `Host` header.
     pub host: String,
-    /// Its path.
+    /// Path and query.
     pub path: String,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// The key, if it has one.
+    /// API key, if any.
     pub key: Option<String>,
-    /// For how long the client waits.
+    /// Timeout of the request, including retries.
     pub within: Duration,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub safe: bool,
 }
 
 impl Ask {
-    /// A `GET` that may run more than once.
+    /// Creates a `GET` that may run more than once, with a timeout of 2 s.
     pub fn get(host: &str, path: &str) -> Ask {
         let (host, path, within) = (host.to_owned(), path.to_owned(), Duration::from_secs(2));
         Ask { method: "GET", host, path, body: Vec::new(), key: None, within, safe: true }
     }
 
-    /// A `POST` that may run at most once.
+    /// Creates a `POST` that must run at most once, with a timeout of 2 s.
     pub fn post(host: &str, path: &str, body: &str) -> Ask {
         Ask { method: "POST", body: body.as_bytes().to_vec(), safe: false, ..Ask::get(host, path) }
     }
 
-    /// With a key.
+    /// Sets the API key.
     pub fn key(mut self, key: &str) -> Ask {
         self.key = Some(key.to_owned());
         self
     }
 }
 
-/// One try, and what came of it.
+/// One try of a request and its result.
 #[derive(Clone, Debug)]
 pub struct Try {
-    /// Its name.
+    /// `Try-Id` of the try.
     pub id: String,
-    /// Where it was sent.
+    /// Address of the proxy.
     pub to: SocketAddr,
-    /// When it began.
+    /// Time at which the try was started.
     pub sent: Instant,
-    /// When it had ended.
+    /// Time at which the answer or error was received.
     pub ended: Instant,
-    /// What came back.
+    /// The answer, or why no complete one arrived.
     pub got: Result<Message, HttpError>,
 }
 
 impl Try {
-    /// The status of the answer; 0 if none came whole.
+    /// Returns the status of the answer, or 0 if no complete answer arrived.
     pub fn status(&self) -> u16 {
         self.got.as_ref().map_or(0, |a| a.status)
     }
 
-    /// Whether a success came.
+    /// Returns whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status())
     }
 
-    /// The server whose whole answer to this very try a success is.
+    /// Returns the id of the server whose seal on a 2xx answer matches this try and the complete body.
     pub fn served_by(&self) -> Option<String> {
         let answer = self.got.as_ref().ok().filter(|_| self.is_success())?;
         (answer.field("try-id") == Some(&self.id)).then(|| sealed_by(answer, &self.id))?
     }
 
-    /// A success that is not a server's whole answer to this try: never allowed.
+    /// Returns whether a 2xx answer is not a server's complete answer to this try, which is never allowed.
     pub fn is_mixed(&self) -> bool {
         self.is_success() && self.served_by().is_none()
     }
 
-    /// The answer promises that it has not run and never will.
+    /// Returns whether the status promises that the try was not executed and never will be.
     pub fn is_promise(&self) -> bool {
         matches!(self.status(), 408 | 421 | 429 | 503)
     }
 }
 
-/// A name for a try.
+/// Returns a random `Try-Id`.
 pub fn try_id() -> String {
     format!("{:016x}", crate::random_u64())
 }
 
-/// Sends one try on this connection and reads its answer.
+/// Sends one try on a connection and reads its answer.
 fn exchange(
     connection: &mut HttpConnection,
     ask: &Ask,
@@ -115,18 +115,18 @@
         "{} {} HTTP/1.1\r\nHost: {}\r\nTry-Id: {id}\r\nTime-Left-Ms: {left}\r\n{key}{length}\r\n",
         ask.method, ask.path, ask.host
     );
-    // A failed write may still have an answer before it.
+    // The answer may have arrived before the write failed.
     let _ = connection.send(&[head.as_bytes(), &ask.body].concat());
     connection.answer(until)
 }
 
-/// One try at this proxy, on a connection of its own.
+/// Sends one try to a proxy on a new connection.
 pub fn try_at(to: SocketAddr, ask: &Ask) -> Try {
     again_at(to, ask, &try_id())
 }
 
-/// A try under this name. Under one that was used before it is what no client may send: a test of whoever
-/// looks for that.
+/// Sends one try with the given id on a new connection. Reusing an id is a protocol violation, meant for tests of its
+/// detection.
 pub fn again_at(to: SocketAddr, ask: &Ask, id: &str) -> Try {
     let (id, sent) = (id.to_owned(), Instant::now());
     let got = match HttpConnection::connect(to, SECOND) {
@@ -143,10 +143,10 @@
     valid: f64,
 }
 
-/// What the directory at this address says now.
+/// Asks a directory for the proxies of a host. Returns their addresses and for how long the answer is valid (at most 5 s).
 ///
 /// # Errors
-/// The status it answers with instead, or how the call ended.
+/// Returns an error if the call fails or the answer is not a valid lookup answer.
 pub fn lookup(
     directory: SocketAddr,
     host: &str,
@@ -160,18 +160,18 @@
     Ok((addresses.ok_or(HttpError::Garbled)?, Duration::from_secs_f64(acknowledged.valid.clamp(0.0, 5.0))))
 }
 
-/// What came of a request.
+/// Outcome of a request after its last try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// A success.
+    /// Answered with a 2xx status.
     Served,
-    /// The last answer promises that it has not run.
+    /// The last answer promises that its try was not executed.
     Refused,
     /// Any other answer, or none.
     Failed,
 }
 
-/// A client with its connections.
+/// A client with its lookup cache and keep-alive connections.
 pub struct Client {
     directories: Vec<SocketAddr>,
     zone: (&'static str, &'static str),
@@ -182,7 +182,7 @@
 }
 
 impl Client {
-    /// In this zone, asking these directories, the first one first.
+    /// Creates a client in a zone (name, region). It asks up to three directories, in the order given.
     pub fn new(directories: Vec<SocketAddr>, zone: (&'static str, &'static str)) -> Client {
         let (addresses, until) = (Vec::new(), Instant::now());
         Client { directories, zone, addresses, until, kept: HashMap::new(), failed: HashMap::new() }
@@ -199,12 +199,12 @@
                 self.addresses = addresses;
                 self.until = Instant::now() + valid;
             }
-            // The old answer is kept where there is no new one.
+            // Keeps using the old addresses if no directory answers.
             None => self.until = Instant::now() + SECOND / 4,
         }
     }
 
-    /// Sends a request, again where that is allowed and helps; all tries, the last one last.
+    /// Sends a request and retries it where that is allowed. Returns the outcome and all tries in the order sent.
     pub fn ask(&mut self, ask: &Ask) -> (End, Vec<Try>) {
         let until = Instant::now() + ask.within;
         let mut attempts: Vec<Try> = Vec::new();
@@ -219,7 +219,7 @@
                 std::thread::sleep(SECOND / 20);
                 continue;
             };
-            // After a failure connections are new ones.
+            // Retries use new connections.
             let kept = if attempts.is_empty() { self.kept.entry(to).or_default() } else { &mut Vec::new() };
             let quiet = std::iter::from_fn(|| kept.pop()).find(HttpConnection::is_quiet);
             let (id, sent) = (try_id(), Instant::now());
--- a/crates/local-cluster/src/cluster.rs
+++ b/crates/local-cluster/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Machines on loopback: addresses, settings files, and the programs as processes that can be killed, frozen and ended.
+//! Local cluster on loopback addresses: settings files, and processes that can be killed, stopped and shut down.
 
 mod processes;
 
@@ -12,17 +12,17 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Zones, each with its region.
+/// Names of the zones, each with its region.
 pub const ZONES: [(&str, &str); 3] = [("east-1", "east"), ("east-2", "east"), ("east-3", "east")];
-/// Ports that a machine needs: four inner ones, and four for callers from outside.
+/// Ports per machine: four internal ones, and four for external callers.
 const PORTS: u16 = 8;
-/// The place of the registry's inner port.
+/// Offset of the registry's internal port.
 pub const INNER_REGISTRY: u16 = 1;
-/// The place of the proxy's inner port.
+/// Offset of the proxy's internal port.
 pub const INNER_PROXY: u16 = 2;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The programs.
+/// Program that runs on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// `oatbank-config-store`.
@@ -43,25 +43,25 @@
     }
 }
 
-/// The core's programs.
+/// Programs that run on each core machine.
 pub const CORE: [Role; 2] = [Role::Store, Role::Registry];
 
-/// What is to be built.
+/// Size and settings of a cluster.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Core machines.
+    /// Number of core machines.
     pub cores: usize,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Core machines that may be lost at once, as the settings say.
+    /// Value of the setting `tolerate.machines`: core machines that may fail at once.
     pub tolerates: usize,
-    /// Servers speak up about this often, ms.
+    /// Heartbeat interval of servers, in milliseconds.
     pub beat_every_ms: u64,
-    /// Figures of the rules that differ from the usual ones, by name.
+    /// Overrides of the default bounds, by name; the last one for a name wins.
     pub bounds: Vec<(&'static str, String)>,
-    /// What the programs' logs hold.
+    /// Log level of the programs.
     pub log_level: &'static str,
-    /// The folder is kept.
+    /// Whether the folder is kept when the cluster is dropped.
     pub keep: bool,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl Plan {
-    /// With another figure of a rule.
+    /// Overrides a bound of the settings.
     pub fn bound(mut self, name: &'static str, value: impl ToString) -> Plan {
         self.bounds.push((name, value.to_string()));
         self
@@ -120,34 +120,34 @@
     ip: Ipv4Addr,
     zone: usize,
     core: bool,
-    /// It has been started before.
+    /// Whether a program of this machine has ended before; if so, `firstStart` is false.
     born: bool,
-    /// The programs that run on it.
+    /// Running programs.
     running: Vec<(Role, Child)>,
 }
 
-/// The system. What it has started ends with it.
+/// A running cluster. Dropping it kills its processes.
 #[derive(Debug)]
 pub struct LocalCluster {
     folder: PathBuf,
     plan: Plan,
     first_port: u16,
     net: u8,
-    /// Core machines first, then proxies.
+    /// Core machines, followed by proxies.
     machines: Mutex<Vec<Machine>>,
     programs: PathBuf,
-    /// Held as long as these addresses are in use.
+    /// Listening socket that reserves the address range.
     _guard: TcpListener,
 }
 
-/// Addresses that no other local cluster on this machine uses: 127.0.N.*.
+/// Reserves an address range 127.0.N.* that no other local cluster on this machine uses.
 fn draw_net() -> Result<(u8, TcpListener), ClusterError> {
     const GUARD: u16 = 7641;
     let free = |n: u8| Some((n, TcpListener::bind((Ipv4Addr::new(127, 0, n, 254), GUARD)).ok()?));
     (1..=254).find_map(free).ok_or_else(|| ClusterError::NoRoom("all loopback addresses are in use".into()))
 }
 
-/// Ports that are free on all addresses, below those that the system gives to outgoing connections.
+/// Finds consecutive ports that are free on all addresses, below the range for outgoing connections.
 fn draw_ports() -> Result<u16, ClusterError> {
     let free =
         |first: &u16| (0..PORTS).all(|n| TcpListener::bind((Ipv4Addr::UNSPECIFIED, first + n)).is_ok());
@@ -156,10 +156,10 @@
 }
 
 impl LocalCluster {
-    /// Writes all settings and starts all programs, on empty disks.
+    /// Writes all settings files and starts all programs with empty data folders.
     ///
     /// # Errors
-    /// When a program is missing, or does not start.
+    /// Returns an error if a program is missing or does not start, or if no addresses or ports are free.
     pub fn start(plan: Plan) -> Result<LocalCluster, ClusterError> {
         let programs = crate::programs::folder()?;
         let (net, guard) = draw_net()?;
@@ -186,17 +186,17 @@
         Ok(cluster)
     }
 
-    /// The folder with settings, logs and data.
+    /// Returns the folder with settings, logs and data.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// The machines of the core.
+    /// Returns the indices of the core machines.
     pub fn cores(&self) -> std::ops::Range<usize> {
         0..self.plan.cores
     }
 
-    /// The machines with a proxy.
+    /// Returns the indices of the machines that run a proxy.
     pub fn proxies(&self) -> std::ops::Range<usize> {
         self.plan.cores..self.plan.cores + self.plan.proxies
     }
@@ -210,62 +210,62 @@
         SocketAddr::from((Ipv4Addr::new(127, 0, self.net, machine as u8 + 1), self.first_port + port))
     }
 
-    /// Where a machine's programs answer each other, and the shell.
+    /// Returns the internal address at a port offset, which serves the other programs and the shell.
     pub fn inner(&self, machine: usize, place: u16) -> SocketAddr {
         self.at(machine, place)
     }
 
-    /// Where a proxy takes clients.
+    /// Returns the address at which a proxy serves clients.
     pub fn front(&self, machine: usize) -> SocketAddr {
         self.at(machine, 4)
     }
 
-    /// Where a proxy says whether it is ready.
+    /// Returns the address of a proxy's readiness check.
     pub fn ready_at(&self, machine: usize) -> SocketAddr {
         self.at(machine, 5)
     }
 
-    /// Where a core machine takes servers and operators.
+    /// Returns the address at which a core machine serves servers and operators.
     pub fn control(&self, machine: usize) -> SocketAddr {
         self.at(machine, 6)
     }
 
-    /// Where a core machine tells clients where to go.
+    /// Returns the address at which a core machine answers clients' lookups of proxies.
     pub fn directory(&self, machine: usize) -> SocketAddr {
         self.at(machine, 7)
     }
 
-    /// All `control` addresses.
+    /// Returns the `control` addresses of all core machines.
     pub fn controls(&self) -> Vec<SocketAddr> {
         self.cores().map(|c| self.control(c)).collect()
     }
 
-    /// All `directory` addresses.
+    /// Returns the `directory` addresses of all core machines.
     pub fn directories(&self) -> Vec<SocketAddr> {
         self.cores().map(|c| self.directory(c)).collect()
     }
 
-    /// All `front` addresses.
+    /// Returns the `front` addresses of all proxies.
     pub fn fronts(&self) -> Vec<SocketAddr> {
         self.proxies().map(|p| self.front(p)).collect()
     }
 
-    /// An address for the `nth` server, without a port.
+    /// Returns the IP address of the `nth` server.
     pub fn server_ip(&self, nth: usize) -> Ipv4Addr {
         Ipv4Addr::new(127, 0, self.net, 100 + (nth % 150) as u8)
     }
 
-    /// The zone of the `nth` server.
+    /// Returns the zone of the `nth` server.
     pub fn server_zone(&self, nth: usize) -> &'static str {
         ZONES[nth % ZONES.len()].0
     }
 
-    /// Servers speak up about this often.
+    /// Returns the heartbeat interval of servers.
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(self.plan.beat_every_ms)
     }
 
-    /// Where a store keeps its data.
+    /// Returns the data folder of a machine.
     pub fn data(&self, machine: usize) -> PathBuf {
         self.with(machine, |m| self.folder.join(&m.name).join("data"))
     }
@@ -313,18 +313,18 @@
         )
     }
 
-    /// What a proxy's `GET /ready` is answered with, if it is.
+    /// Returns the status of a proxy's readiness check, or `None` if it does not answer within 1 s.
     pub fn ready(&self, machine: usize) -> Option<u16> {
         let answer = get(self.ready_at(machine), "/ready", SECOND).ok()?;
         Some(answer.status)
     }
 
-    /// Whether a program has ever said this in its log.
+    /// Returns whether a line of a program's log contains the text.
     pub fn has_logged(&self, machine: usize, role: Role, words: &str) -> bool {
         self.logged(machine, role, words).is_some()
     }
 
-    /// The last line of a program's log that says this.
+    /// Returns the last line of a program's log that contains the text.
     pub fn logged(&self, machine: usize, role: Role, words: &str) -> Option<String> {
         let log = self.with(machine, |m| self.folder.join(&m.name).join(format!("{}.log", role.program())));
         let log = fs::read_to_string(log).ok()?;
@@ -334,7 +334,7 @@
     /// Waits until all proxies are ready.
     ///
     /// # Errors
-    /// When they are not in time.
+    /// Returns an error if a proxy is not ready within [`wait::LONG`].
     pub fn until_ready(&self) -> Result<(), ClusterError> {
         for proxy in self.proxies() {
             wait::holds(wait::LONG, &format!("proxy {proxy} is ready"), || self.ready(proxy) == Some(200))?;
@@ -342,7 +342,7 @@
         Ok(())
     }
 
-    /// Ends all programs in order, proxies first.
+    /// Shuts down all programs with SIGTERM, proxies first. Kills those that have not ended after 8 s.
     pub fn end(&self) {
         let running: Vec<(usize, Role)> = (0..self.plan.cores + self.plan.proxies)
             .flat_map(|at| self.with(at, |m| m.running.iter().map(|(r, _)| (at, *r)).collect::<Vec<_>>()))
@@ -367,7 +367,7 @@
             .flat_map(|at| [Role::Proxy, Role::Registry, Role::Store].map(|role| (at, role)))
             .collect();
         self.kill_all(&all);
-        // Where a test has failed, its folder tells why.
+        // Keeps the folder of a failed test for diagnosis.
         if !self.plan.keep && !std::thread::panicking() {
             let _ = fs::remove_dir_all(&self.folder);
         } else {
@@ -376,18 +376,18 @@
     }
 }
 
-/// A `GET` on a connection of its own.
+/// Sends a `GET` request on a new connection.
 ///
 /// # Errors
-/// How it ended.
+/// Returns an error if the connection fails or no complete answer arrives in time.
 pub fn get(to: SocketAddr, path: &str, within: Duration) -> Result<Message, crate::http::HttpError> {
     call(to, "GET", path, "", within)
 }
 
-/// A call on a connection of its own.
+/// Sends a request on a new connection and returns the answer.
 ///
 /// # Errors
-/// How it ended.
+/// Returns an error if the connection fails or no complete answer arrives in time.
 pub fn call(
     to: SocketAddr,
     method: &str,
--- a/crates/local-cluster/src/cluster/processes.rs
+++ b/crates/local-cluster/src/cluster/processes.rs
@@ -1,4 +1,4 @@
-//! The programs of a local cluster as processes: started, signalled, killed and waited for.
+//! Process control for a local cluster: starting, signalling, killing and waiting.
 
 use super::{LocalCluster, Role, CORE};
 use crate::error::ClusterError;
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 impl LocalCluster {
-    /// Starts a program.
+    /// Writes a program's settings file and starts it. Its output is appended to its log file.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Returns an error if a file cannot be written or the program does not start.
     pub fn run(&self, machine: usize, role: Role) -> Result<(), ClusterError> {
         self.with(machine, |m| {
             let folder = self.folder.join(&m.name);
@@ -24,7 +24,7 @@
             let log = folder.join(format!("{}.log", role.program()));
             let log = File::options().create(true).append(true).open(&log).map_err(of(&log))?;
             let program = self.programs.join(role.program());
-            // Of a group of its own: what the keyboard says is for this process, which ends the others in order.
+            // A separate process group keeps ctrl-C from the terminal away from the child: this process shuts the children down.
             let child = Command::new(&program)
                 .arg("--settings")
                 .arg(&settings)
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Kills a program (SIGKILL) and waits for its end.
+    /// Kills a program with SIGKILL and waits for its exit.
     pub fn kill(&self, machine: usize, role: Role) {
         let taken = self.with(machine, |m| {
             m.born = true;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Kills several at one moment, as near as can be.
+    /// Sends SIGKILL to several programs in immediate succession, then waits for them.
     pub fn kill_all(&self, which: &[(usize, Role)]) {
         let mut taken = Vec::new();
         for (machine, role) in which {
@@ -66,10 +66,10 @@
         taken.iter_mut().for_each(|child| _ = child.wait());
     }
 
-    /// Sends signals: `STOP`, `CONT`, `TERM`, `HUP`.
+    /// Sends the named signal to several programs: `STOP`, `CONT`, `TERM` or `HUP`.
     ///
     /// # Errors
-    /// When a program does not run.
+    /// Returns an error if a program is not running or `kill` fails. No signal is sent if a program is not running.
     pub fn signal(&self, name: &str, which: &[(usize, Role)]) -> Result<(), ClusterError> {
         let mut ids = Vec::new();
         for (machine, role) in which {
@@ -92,20 +92,20 @@
             .ok_or_else(|| ClusterError::Never(format!("kill -{name} {}", ids.join(" "))))
     }
 
-    /// The id of a program's process, while it runs.
+    /// Returns the process id of a program, or `None` if it is not running.
     pub fn process(&self, machine: usize, role: Role) -> Option<u32> {
         self.with(machine, |m| m.running.iter().find(|(r, _)| *r == role).map(|(_, child)| child.id()))
     }
 
-    /// All programs of the core.
+    /// Returns all programs of the core machines.
     pub fn core(&self) -> Vec<(usize, Role)> {
         self.cores().flat_map(|c| CORE.map(|role| (c, role))).collect()
     }
 
-    /// Waits for a program's own end; the status it ended with.
+    /// Waits until a program exits and returns its exit status.
     ///
     /// # Errors
-    /// When it does not end in time.
+    /// Returns an error if the program does not exit in time.
     pub fn ended(&self, machine: usize, role: Role, within: Duration) -> Result<ExitStatus, ClusterError> {
         let status = wait::until(within, &format!("{role:?} on {machine} ends"), || {
             self.with(machine, |m| {
@@ -120,7 +120,7 @@
         Ok(status)
     }
 
-    /// Programs that have ended by themselves.
+    /// Returns a line for each program that exited without being killed or waited for by this cluster.
     pub fn lost(&self) -> Vec<String> {
         let all = 0..self.plan.cores + self.plan.proxies;
         let lost = |at: usize| {
--- a/crates/local-cluster/src/server.rs
+++ b/crates/local-cluster/src/server.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers: they speak up at the registry, run requests, and answer in a manner that a test chooses.
+//! Test servers: they send heartbeats to the registry, run requests, and answer as the test's [`Behaviour`] says.
 
 use crate::cluster::{call, LocalCluster};
 use crate::error::ClusterError;
@@ -10,77 +10,77 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Pieces of the body that a path under `/…/large` is answered with: more than a proxy holds back.
+/// Body length, in bytes, of answers to paths that end in `/large`: more than a proxy buffers.
 const LARGE: usize = 3 * 1024 * 1024;
-/// How many times longer a slow server works.
+/// Factor by which [`Behaviour::Slow`] extends the run time.
 const SLOWER: u32 = 8;
-/// A server that works looks this often whether its answer is still wanted.
+/// Interval at which a running request checks whether its client is still connected.
 const WORK_STEP: Duration = Duration::from_millis(5);
-/// Requests that wait for a slot.
+/// Requests accepted beyond the number of slots.
 const QUEUE: usize = 8;
 const IDLE: Duration = Duration::from_secs(8);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// How a server answers.
+/// Server behaviour, including injected faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// In order.
+    /// Runs the request and answers correctly.
     Serve,
-    /// Says that it is full and has not run it.
+    /// Refuses with 503 without running the request, as if all slots were in use.
     Full,
-    /// 421: as if another had its address now.
+    /// Refuses with 421, as if the address now belonged to another server.
     Misdirected,
-    /// Runs it, then resets the connection.
+    /// Runs the request, then resets the connection.
     RunThenReset,
-    /// Runs it, then closes the connection.
+    /// Runs the request, then closes the connection.
     RunThenClose,
-    /// Runs it and cuts its answer off in the middle.
+    /// Runs the request and closes the connection in the middle of the answer's body.
     Cut,
-    /// Runs it; the answer has no seal.
+    /// Runs the request and answers without a seal.
     Unsealed,
-    /// Runs it; the answer names another try.
+    /// Runs the request and answers with the `Try-Id` of another try.
     WrongTry,
-    /// Runs it, and sends an answer more than was asked for, at once.
+    /// Runs the request and sends the answer twice.
     Surplus,
-    /// Runs it; the answer to the one before comes once more, first.
+    /// Runs the request and repeats the previous answer before the actual one.
     Late,
-    /// Runs it; the answer is in a coding that nobody asked for.
+    /// Runs the request and answers with a `Content-Encoding` that was not requested.
     Coded,
-    /// Runs it; what comes back is no answer.
+    /// Runs the request and sends bytes that are not an HTTP answer.
     Garbled,
-    /// In order, and takes many times as long as usual.
+    /// Runs the request and answers correctly, but takes many times as long as usual.
     Slow,
-    /// Runs it, and says by a 500 that it failed; of one in three the connection is reset instead.
+    /// Runs the request and answers 500, or resets the connection in a third of the cases.
     Fails,
-    /// As if its link were cut: what arrives is not run and not answered, and its connection ends with this behaviour.
+    /// Neither runs nor answers requests, as if the link were cut. Their connections are closed when this behaviour ends.
     Unreachable,
 }
 
-/// A request that reached a server.
+/// Record of a request that reached a server.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// When it was read.
+    /// Time at which the request had been read.
     pub at: Instant,
-    /// Its `Try-Id`.
+    /// `Try-Id` of the request, empty if missing.
     pub try_id: String,
     /// Method, path and body.
     pub what: (String, String, Vec<u8>),
-    /// Whose it is, as the proxy says.
+    /// Tenant of the request, as named by the proxy.
     pub customer: Option<String>,
-    /// Whether a key came with it.
+    /// Whether the request carried an API key.
     pub key: bool,
-    /// Whether it was run.
+    /// Whether the server ran the request.
     pub ran: bool,
-    /// When the server stopped working on it: it was done, or its connection was closed.
+    /// Time at which the run ended, because it was complete or because its connection was closed.
     pub ended: Option<Instant>,
 }
 
-/// Whose word was acknowledged, by whom and when.
+/// Acknowledgement of a server's message by a registry.
 #[derive(Clone, Copy, Debug)]
 pub struct Acknowledgement {
-    /// The address that acknowledged.
+    /// Address of the registry that acknowledged.
     pub by: SocketAddr,
-    /// When the answer had come.
+    /// Time at which the acknowledgement arrived.
     pub at: Instant,
 }
 
@@ -99,11 +99,11 @@
     draining: AtomicBool,
     quiet: AtomicBool,
     ended: AtomicBool,
-    /// Where the next beat goes.
+    /// Index of the registry that gets the next heartbeat.
     next: Mutex<usize>,
 }
 
-/// A server. It ends, without a word, when it is dropped.
+/// A running test server. Dropping it ends it without notice to the registry.
 pub struct Server {
     shared: Arc<Shared>,
 }
@@ -118,17 +118,17 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// FNV-1a: enough to tell bodies apart.
+/// Hashes a body with 64-bit FNV-1a, which is enough to distinguish bodies.
 fn digest(text: &[u8]) -> u64 {
     text.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// What a server stamps its answer with: names the try and the whole body.
+/// Returns the value of `Server-Seal`, which identifies the server, the try and the complete body.
 fn seal(server: &str, try_id: &str, body: &[u8]) -> String {
     format!("{server}.{try_id}.{}.{:x}", body.len(), digest(body))
 }
 
-/// Which server's stamp an answer to this try bears, if it bears one over its whole body.
+/// Returns the id of the server whose seal on the answer matches this try and the complete body, if any.
 pub fn sealed_by(answer: &Message, try_id: &str) -> Option<String> {
     let stamp = answer.field("server-seal")?;
     let server = stamp.split('.').next()?;
@@ -136,18 +136,18 @@
 }
 
 impl Server {
-    /// Starts the `nth` server of a stage, of this service. It listens from the start, and speaks up until it is heard.
+    /// Starts the `nth` server of a cluster, with 8 slots and 4 ms per request. It listens and sends heartbeats at once.
     ///
     /// # Errors
-    /// When it has no address.
+    /// Returns an error if no listening socket can be bound.
     pub fn start(cluster: &LocalCluster, nth: usize, service: &str) -> Result<Server, ClusterError> {
         Server::with(cluster, nth, service, 8, Duration::from_millis(4))
     }
 
-    /// The same, with so many slots and such a time for each request.
+    /// Starts the `nth` server of a cluster with the given number of slots and run time per request.
     ///
     /// # Errors
-    /// When it has no address.
+    /// Returns an error if no listening socket can be bound.
     pub fn with(
         cluster: &LocalCluster,
         nth: usize,
@@ -190,70 +190,70 @@
         Ok(Server { shared })
     }
 
-    /// Its id.
+    /// Returns the id of the server.
     pub fn id(&self) -> &str {
         &self.shared.id
     }
 
-    /// Its address.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// How it answers from now on.
+    /// Sets the behaviour for requests that arrive from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *lock(&self.shared.behaviour) = behaviour;
     }
 
-    /// All that has reached it.
+    /// Returns the records of all requests that reached the server, except health checks.
     pub fn seen(&self) -> Vec<ReceivedRequest> {
         lock(&self.shared.seen).clone()
     }
 
-    /// Its next words go first to this core machine's address.
+    /// Sends the next messages to the registry at this `control` address first. Unknown addresses are ignored.
     pub fn prefer_registry(&self, control: SocketAddr) {
         if let Some(at) = self.shared.controls.iter().position(|c| *c == control) {
             *lock(&self.shared.next) = at;
         }
     }
 
-    /// Says that it is ready, and waits until that is acknowledged.
+    /// Sends heartbeats until one is acknowledged.
     ///
     /// # Errors
-    /// When nobody acknowledges.
+    /// Returns an error if no registry acknowledges within [`wait::LONG`].
     pub fn register(&self) -> Result<Acknowledgement, ClusterError> {
         wait::until(wait::LONG, "a beat is acknowledged", || self.shared.heartbeat())
     }
 
-    /// Says that it drains, and waits until that is acknowledged. It goes on answering.
+    /// Reports the state `draining` and waits for the acknowledgement. The server continues to answer requests.
     ///
     /// # Errors
-    /// When nobody acknowledges.
+    /// Returns an error if no registry acknowledges within [`wait::LONG`].
     pub fn drain(&self) -> Result<Acknowledgement, ClusterError> {
         self.shared.draining.store(true, Ordering::SeqCst);
         wait::until(wait::LONG, "draining is acknowledged", || self.shared.heartbeat())
     }
 
-    /// Says that it leaves, and waits until that is acknowledged. It says nothing more, but goes on answering who still
-    /// comes: that is what tells whether somebody does.
+    /// Deregisters, waits for the acknowledgement and stops sending heartbeats. The server continues to answer requests, so
+    /// that tests can detect proxies that still send some.
     ///
     /// # Errors
-    /// When nobody acknowledges.
+    /// Returns an error if no registry acknowledges within [`wait::LONG`].
     pub fn leave(&self) -> Result<Acknowledgement, ClusterError> {
         self.shared.quiet.store(true, Ordering::SeqCst);
         let path = format!("/servers/{}/leave", self.shared.id);
         wait::until(wait::LONG, "leaving is acknowledged", || self.shared.say(&path, ""))
     }
 
-    /// Says nothing more.
+    /// Stops sending heartbeats.
     pub fn stop_heartbeats(&self) {
         self.shared.quiet.store(true, Ordering::SeqCst);
     }
 
-    /// Its process has ended without a word: nothing listens at its address any more, and connections are closed.
+    /// Simulates a crash: stops heartbeats without notice, closes connections and waits up to 1 s until nothing listens.
     pub fn crash(&self) {
         self.shared.ended.store(true, Ordering::SeqCst);
-        // Wakes the listener, which then ends.
+        // Unblocks the accept loop, which then ends.
         let _ = TcpStream::connect_timeout(&self.shared.address, SECOND);
         let refused = || TcpStream::connect_timeout(&self.shared.address, SECOND).is_err();
         let _ = wait::holds(SECOND, "nothing listens", refused);
@@ -267,7 +267,7 @@
 }
 
 impl Shared {
-    /// Notes a request, and says where.
+    /// Appends a record and returns its index.
     fn note(&self, request: ReceivedRequest) -> usize {
         let mut seen = lock(&self.seen);
         seen.push(request);
@@ -285,7 +285,7 @@
         self.say(&format!("/servers/{}/beat", self.id), &body)
     }
 
-    /// Tells one registry after the other, a second each.
+    /// Sends a message to one registry after another, with a timeout of 1 s each, until one acknowledges.
     fn say(&self, path: &str, body: &str) -> Option<Acknowledgement> {
         for _ in 0..self.controls.len() {
             let to = { self.controls[*lock(&self.next) % self.controls.len()] };
@@ -320,7 +320,7 @@
     }
 }
 
-/// Takes one off a count whichever way its holder ends.
+/// Decrements a counter when dropped.
 struct CountGuard<'a>(&'a AtomicUsize);
 
 impl Drop for CountGuard<'_> {
@@ -364,7 +364,7 @@
     }
 }
 
-/// Answers one request; whether the connection goes on.
+/// Answers one request. Returns whether the connection can be reused.
 fn answer(
     shared: &Shared,
     connection: &mut HttpConnection,
@@ -415,7 +415,7 @@
     send_success(shared, connection, &request, &try_id, before, behaviour)
 }
 
-/// Works so long, or until nobody waits for the answer any more; whether somebody still does.
+/// Sleeps for the run time or until the client disconnects. Returns whether the client is still connected.
 fn work_for(connection: &HttpConnection, work: Duration) -> bool {
     let until = Instant::now() + work;
     loop {
@@ -430,7 +430,7 @@
     }
 }
 
-/// Says nothing until the server can be reached again. The connection is then of no use.
+/// Blocks until the server is reachable again or the client disconnects. Returns false: the connection must be closed.
 fn wait_until_reachable(shared: &Shared, connection: &HttpConnection) -> bool {
     let is_cut = || *lock(&shared.behaviour) == Behaviour::Unreachable;
     while is_cut() && connection.is_quiet() && !shared.ended.load(Ordering::SeqCst) {
@@ -439,15 +439,15 @@
     false
 }
 
-/// Answers a health check.
+/// Answers a health check: 503 while draining, otherwise 200.
 fn send_health(shared: &Shared, connection: &mut HttpConnection) -> bool {
     let status = if shared.draining.load(Ordering::SeqCst) { "503 Service Unavailable" } else { "200 OK" };
     let text = format!("HTTP/1.1 {status}\r\nServer-Id: {}\r\nContent-Length: 0\r\n\r\n", shared.id);
     connection.send(text.as_bytes()).is_ok()
 }
 
-/// Answers a request that has run, in the way that the server's behaviour asks for. `before` is the last answer that
-/// was sent whole on this connection.
+/// Answers a request that has run, as the server's behaviour says. `before` is the previous answer on this connection.
+/// Returns whether the connection can be reused.
 fn send_success(
     shared: &Shared,
     connection: &mut HttpConnection,
