--- a/crates/local-cluster/src/changes.rs
+++ b/crates/local-cluster/src/changes.rs
@@ -1,5 +1,5 @@
-//! Changes of the configuration, one after the other: how long each takes to be acknowledged, and which proxies act by it
-//! at that moment.
+//! Measures successive configuration changes: the time until each is acknowledged, and the number of proxies that have not
+//! applied it by then.
 
 use crate::client::{try_at, Ask};
 use crate::cluster::{LocalCluster, Plan};
@@ -11,30 +11,30 @@
 
 const HOST: &str = "shop.example";
 
-/// What is to be measured.
+/// Parameters of the measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
-    /// Core machines.
+    /// Number of core machines.
     pub cores: usize,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Changes.
+    /// Number of changes.
     pub changes: usize,
 }
 
-/// A change that was acknowledged.
+/// An acknowledged change.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
-    /// From its sending to its acknowledgement.
+    /// Time from sending to acknowledgement.
     pub took: Duration,
-    /// Proxies that did not yet act by it when they were asked then.
+    /// Number of proxies that answered a request on the new route with 404 right after the acknowledgement.
     pub behind: usize,
 }
 
-/// Sends changes that each add a route, and asks every proxy for that route as soon as the change is acknowledged.
+/// Sends changes that each add a route, and requests that route from every proxy as soon as the change is acknowledged.
 ///
 /// # Errors
-/// When a program does not start or a change is not taken.
+/// Returns an error if a program does not start or a change is not accepted.
 pub fn play(
     wanted: Wanted,
     end: &AtomicBool,
@@ -79,7 +79,7 @@
     Ok(changes)
 }
 
-/// Median and longest of what the changes took.
+/// Returns the median and the longest time to acknowledgement; zero if there are no changes.
 pub fn median_and_longest(changes: &[Change]) -> (Duration, Duration) {
     let mut took: Vec<Duration> = changes.iter().map(|c| c.took).collect();
     took.sort_unstable();
--- a/crates/local-cluster/src/chart.rs
+++ b/crates/local-cluster/src/chart.rs
@@ -1,4 +1,4 @@
-//! A run as a picture (SVG): each server's share over time, and below what became of the bookings.
+//! SVG chart of a failing-backend run: each server's share over time, and below it the outcomes of the bookings.
 
 use crate::failing::{Moment, Played};
 use std::fmt::Write;
@@ -29,7 +29,7 @@
         writeln!(svg, "<polyline points=\"{points}\" fill=\"none\" stroke=\"{colour}\" stroke-width=\"2\"/>");
 }
 
-/// Draws a run.
+/// Returns the chart of a run as SVG text.
 pub fn draw(played: &Played) -> String {
     let last = played.moments.last().map_or(1.0, |m| m.at.max(0.1));
     let x = |at: f64| LEFT + (WIDE - LEFT - 20.0) * at / last;
--- a/crates/local-cluster/src/error.rs
+++ b/crates/local-cluster/src/error.rs
@@ -1,30 +1,30 @@
-//! What goes wrong.
+//! Errors of the local cluster.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why the system, or a call to it, did not come about.
+    /// Failure to run the system or to call it.
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no words at fields.
     pub enum ClusterError {
-        /// A file, folder or socket.
+        /// An operation on a file, folder or socket failed.
         Io(what: String, error: std::io::Error) {
             source(error)
             display("{}: {}", what, error)
         }
-        /// A program that is not there and could not be built.
+        /// An executable is missing and could not be built.
         NoProgram(path: String, build: String) {
             display("there is no {}; build it with: {}", path, build)
         }
-        /// Something that did not come about in time.
+        /// A condition was not met in time.
         Never(what: String) {
             display("never came about: {}", what)
         }
-        /// A call whose answer is not what was wanted.
+        /// A call was answered with an unexpected status.
         Answer(status: u16, body: String) {
             display("answered {}: {}", status, body)
         }
-        /// No free addresses or ports.
+        /// No free addresses or ports, or an executable could not be found or built.
         NoRoom(what: String) {
             display("{}", what)
         }
@@ -32,7 +32,7 @@
 }
 
 impl ClusterError {
-    /// Something with a file or socket.
+    /// Returns a function that wraps an I/O error with a description of the file or socket.
     pub fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ClusterError {
         move |error| ClusterError::Io(what.into(), error)
     }
--- a/crates/local-cluster/src/failing.rs
+++ b/crates/local-cluster/src/failing.rs
@@ -1,5 +1,5 @@
-//! A backend that turns slow, then fails, then recovers, under bookings that must land once: live figures,
-//! and the checker's word at the end.
+//! Scenario: a backend turns slow, fails and recovers while clients send bookings that must run at most once. Prints a
+//! table row per interval and the checker's result at the end.
 
 use crate::checker::{self, AcknowledgedCall, Found, Ran};
 use crate::client::{again_at, Ask, Try};
@@ -18,19 +18,19 @@
 const HOST: &str = "halls.example";
 const BOOK: &str = "booking";
 const READ: &str = "calendar";
-/// Servers of each.
+/// Number of servers of the booking service.
 const BOOKERS: usize = 4;
 const READERS: usize = 2;
 const SLOTS: usize = 8;
 const WORK: Duration = Duration::from_millis(16);
-/// A booking's client waits so long: less than a slow server takes.
+/// Timeout of a booking. It is shorter than the run time of a slow server.
 const WITHIN: Duration = Duration::from_millis(350);
-/// After the last request, so long until nothing is under way any more.
+/// Delay after the last request, until no request is outstanding.
 const CALM: Duration = Duration::from_millis(1200);
-/// Of so many bookings one is sent twice, where that fault is wanted.
+/// With the fault `duplicate`, one in this many bookings is sent twice.
 const EACH: usize = 40;
 
-/// What the one backend does, from which share of the time on.
+/// Phases of the faulty backend: start as a share of the run time, name and behaviour.
 const PHASES: [(f64, &str, Behaviour); 4] = [
     (0.0, "calm", Behaviour::Serve),
     (0.2, "slow", Behaviour::Slow),
@@ -38,57 +38,57 @@
     (0.7, "recovered", Behaviour::Serve),
 ];
 
-/// What is wanted.
+/// Parameters of the scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
-    /// How long traffic runs.
+    /// Duration of the traffic.
     pub span: Duration,
-    /// Between two rows of the table.
+    /// Interval between rows of the table.
     pub step: Duration,
-    /// Bookings a second.
+    /// Bookings per second.
     pub rate: f64,
-    /// Now and then a booking is sent to two proxies under one id, as no client may: the checker must find
-    /// it.
+    /// Whether some bookings are sent to two proxies with the same id. This is a protocol violation that the checker must
+    /// detect.
     pub duplicate: bool,
 }
 
 /// One row of the table.
 #[derive(Clone, Debug, Serialize)]
 pub struct Moment {
-    /// Its end, s.
+    /// End of the interval, in seconds from the start.
     pub at: f64,
-    /// What the backend does.
+    /// Phase of the faulty backend.
     pub phase: String,
-    /// Each server's share of what was run of bookings.
+    /// Each server's share of the bookings that were run.
     pub shares: Vec<f64>,
-    /// Bookings that ended in this time, those told what a server said, those promised that nothing ran, and
-    /// the others.
+    /// Bookings whose clients finished in this interval: the sum of `answered`, `refused` and
+    /// `unknown`.
     pub asked: u64,
-    /// Bookings that servers began.
+    /// Bookings that servers ran.
     pub run: u64,
-    /// Told what a server said.
+    /// Bookings answered by a server, or with status 500.
     pub answered: u64,
-    /// Promised that nothing ran.
+    /// Bookings whose clients were promised that they were not run.
     pub refused: u64,
-    /// Told that it may have run, or nothing.
+    /// Bookings whose outcome is unknown to their clients.
     pub unknown: u64,
-    /// What each proxy thinks of the backend, where proxies answer that.
+    /// Each proxy's verdict on the faulty backend; empty if proxies do not report verdicts.
     pub verdicts: Vec<String>,
 }
 
-/// The run.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Played {
-    /// The bookings' servers, the backend in trouble first.
+    /// Ids of the booking servers, the faulty one first.
     pub servers: Vec<String>,
-    /// The rows.
+    /// Rows of the table.
     pub moments: Vec<Moment>,
-    /// Bookings asked, run, answered, refused, unknown, and of the unknown tries those that the shell could
-    /// settle.
+    /// Totals of bookings: asked, run, answered, refused, unknown, and the number of tries whose outcome the shell could
+    /// report.
     pub totals: Vec<u64>,
-    /// What must not be.
+    /// One line for each violation.
     pub wrongs: Vec<String>,
-    /// Reads that were served, and all.
+    /// Number of reads served, and of all reads.
     pub reads: Vec<u64>,
 }
 
@@ -101,14 +101,14 @@
     (phase.1, phase.2)
 }
 
-/// What a proxy thinks of a server, if it answers that.
+/// Returns a proxy's verdict on a server, or `None` if the proxy does not report verdicts.
 fn verdict(cluster: &LocalCluster, proxy: usize, id: &str) -> Option<String> {
     let table = shell::ask(cluster.inner(proxy, INNER_PROXY), &["verdicts"])?;
-    // Servers that are simply well have no row.
+    // Servers with the verdict `well` have no row.
     Some(table.cell(id, "verdict").unwrap_or("well").to_owned())
 }
 
-/// The line over the table.
+/// Returns the header line of the table.
 pub fn heading(servers: &[String]) -> String {
     let names: Vec<String> = servers.iter().map(|s| format!("{s:>10}")).collect();
     format!(
@@ -118,7 +118,7 @@
     )
 }
 
-/// A row of it.
+/// Formats one row of the table.
 pub fn line(m: &Moment) -> String {
     let shares: Vec<String> = m.shares.iter().map(|s| format!("{:>9.0}%", 100.0 * s)).collect();
     format!(
@@ -135,10 +135,10 @@
     )
 }
 
-/// Plays it, and tells each row as it comes.
+/// Runs the scenario and passes each line of output to `tell`.
 ///
 /// # Errors
-/// When the system does not come about, or one of its programs ends by itself.
+/// Returns an error if the system does not start. Programs that exit by themselves are reported as violations.
 pub fn play(wanted: &Wanted, end: &AtomicBool, mut tell: impl FnMut(&str)) -> Result<Played, ClusterError> {
     let cluster = LocalCluster::start(Plan::default().bound("graceS", 2))?;
     let operator = Operator::new(cluster.controls());
@@ -215,7 +215,7 @@
     let reads = reads.stop();
     std::thread::sleep(CALM);
 
-    // What clients could not know is asked for at the core, as a planner would.
+    // Asks the core about the tries whose outcome the clients do not know.
     let unsure = |t: &&AcknowledgedCall| t.by.is_none() && t.status != 500 && !checker::is_promise(t.status);
     let unsure: Vec<String> =
         seen.requests.iter().flatten().filter(unsure).map(|t| format!("outcome {}", t.id)).collect();
@@ -226,7 +226,7 @@
             seen.said.insert(id.to_owned(), said);
         }
     }
-    // The system's own word on what was sent twice.
+    // Prints the system's report on the duplicated tries.
     let doubled: Vec<String> = doubled.iter().map(|id| format!("outcome {id}")).collect();
     shell::ask_all(core, &doubled).iter().for_each(|table| tell(&table.title));
     for server in bookers {
@@ -251,7 +251,7 @@
     })
 }
 
-/// How often the shell gave each answer.
+/// Counts how often the shell gave each answer, one line per answer.
 fn words(said: &BTreeMap<String, String>) -> Vec<String> {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     said.values().for_each(|word| *counts.entry(word).or_default() += 1);
@@ -260,7 +260,7 @@
     counts.into_iter().map(|(word, n)| format!("asked afterwards, the system says of {n}: {word}")).collect()
 }
 
-/// The checker's word.
+/// Formats the checker's result.
 fn closing(found: &Found) -> String {
     let mut text = format!(
         "{} bookings: {} run, {} answered, {} refused, {} unknown to clients, {} settled afterwards",
@@ -276,7 +276,7 @@
 }
 
 impl Played {
-    /// The backend's share of what was run in a phase.
+    /// Returns the faulty backend's share of the bookings run in a phase.
     pub fn share(&self, phase: &str) -> f64 {
         let of = || self.moments.iter().filter(|m| m.phase == phase);
         let run: u64 = of().map(|m| m.run).sum();
@@ -284,7 +284,7 @@
         own / run.max(1) as f64
     }
 
-    /// As JSON.
+    /// Returns the results as JSON.
     pub fn json(&self) -> String {
         miniserde::json::to_string(self) + "\n"
     }
--- a/crates/local-cluster/src/http.rs
+++ b/crates/local-cluster/src/http.rs
@@ -1,4 +1,4 @@
-//! Messages of HTTP/1.1 on a socket, read whole and checked strictly.
+//! Minimal HTTP/1.1 connection that reads complete messages and checks them strictly.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,49 +7,49 @@
 const LONGEST_HEAD: usize = 64 * 1024;
 const FIELDS: usize = 64;
 
-/// How a message ended before it was whole.
+/// Reason why no complete message was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
-    /// No connection came up.
+    /// The connection could not be established.
     Unreachable,
-    /// Closed before its first byte.
+    /// Closed before the first byte of the message.
     Closed,
-    /// Reset, or closed within.
+    /// Reset, or closed within the message.
     Cut,
-    /// It did not come in time.
+    /// The timeout expired.
     Late,
-    /// It is no message.
+    /// The bytes are not a valid HTTP message.
     Garbled,
 }
 
 /// A request or an answer.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The method of a request.
+    /// Method of a request.
     pub method: String,
-    /// The path and query of a request.
+    /// Path and query of a request.
     pub path: String,
-    /// The status of an answer.
+    /// Status of an answer.
     pub status: u16,
-    /// Header fields, names in lower case.
+    /// Header fields, with names in lower case.
     pub fields: Vec<(String, String)>,
-    /// The body.
+    /// Body of the message, without the chunked encoding.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The first field of this name.
+    /// Returns the value of the first field with this lower-case name.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// Whether the connection ends after it.
+    /// Returns whether the message announces `Connection: close`.
     pub fn closes(&self) -> bool {
         self.field("connection").is_some_and(|v| v.to_ascii_lowercase().contains("close"))
     }
 }
 
-/// One connection.
+/// An HTTP/1.1 connection with its read buffer.
 #[derive(Debug)]
 pub struct HttpConnection {
     stream: TcpStream,
@@ -57,35 +57,35 @@
 }
 
 impl HttpConnection {
-    /// Connects.
+    /// Connects to an address within a timeout.
     ///
     /// # Errors
-    /// As the system says.
+    /// Returns the error of the operating system.
     pub fn connect(to: SocketAddr, within: Duration) -> io::Result<HttpConnection> {
         Ok(HttpConnection::new(TcpStream::connect_timeout(&to, within)?))
     }
 
-    /// Over this stream.
+    /// Wraps a connected stream and disables Nagle's algorithm.
     pub fn new(stream: TcpStream) -> HttpConnection {
         let _ = stream.set_nodelay(true);
         HttpConnection { stream, buffer: Vec::new() }
     }
 
-    /// Sends bytes.
+    /// Sends bytes, with a write timeout of 10 s.
     ///
     /// # Errors
-    /// As the system says.
+    /// Returns the error of the operating system.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.set_write_timeout(Some(Duration::from_secs(10)))?;
         self.stream.write_all(bytes)
     }
 
-    /// Its end will be a reset.
+    /// Makes closing the connection send a reset, by a linger time of zero.
     pub fn linger_none(&self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Nothing has come that was not read, not even the end.
+    /// Returns whether the connection is open and has no unread data.
     pub fn is_quiet(&self) -> bool {
         if !self.buffer.is_empty() || self.stream.set_nonblocking(true).is_err() {
             return false;
@@ -94,10 +94,10 @@
         self.stream.set_nonblocking(false).is_ok() && quiet
     }
 
-    /// Waits for bytes of the next message, for so long at most; false when there are none yet.
+    /// Waits for the first bytes of the next message. Returns false if none arrive within the timeout.
     ///
     /// # Errors
-    /// When the other side has closed.
+    /// Returns an error if the peer has closed or reset the connection.
     pub fn wait(&mut self, within: Duration) -> Result<bool, HttpError> {
         if !self.buffer.is_empty() {
             return Ok(true);
@@ -128,20 +128,20 @@
         }
     }
 
-    /// Reads a request whole.
+    /// Reads a complete request.
     ///
     /// # Errors
-    /// How it ended.
+    /// Returns the reason why no complete message was read.
     pub fn request(&mut self, until: Instant) -> Result<Message, HttpError> {
         let mut message = self.head(until, request_head)?;
         self.body(&mut message, until, true)?;
         Ok(message)
     }
 
-    /// Reads an answer whole.
+    /// Reads a complete answer.
     ///
     /// # Errors
-    /// How it ended.
+    /// Returns the reason why no complete message was read.
     pub fn answer(&mut self, until: Instant) -> Result<Message, HttpError> {
         let mut message = self.head(until, answer_head)?;
         self.body(&mut message, until, false)?;
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    /// Bytes within a message: an end here cuts it.
+    /// Reads body bytes. The end of the connection here is [`HttpError::Cut`], as the message is incomplete.
     fn bytes(&mut self, length: usize, until: Instant) -> Result<Vec<u8>, HttpError> {
         while self.buffer.len() < length {
             self.fill(until).map_err(|e| if e == HttpError::Closed { HttpError::Cut } else { e })?;
@@ -223,7 +223,7 @@
     }
 }
 
-/// A head and its length, if it is whole.
+/// Parsed head and its length in bytes, or `None` if it is incomplete.
 type Parsed = Result<Option<(usize, Message)>, HttpError>;
 
 fn request_head(bytes: &[u8]) -> Parsed {
--- a/crates/local-cluster/src/lib.rs
+++ b/crates/local-cluster/src/lib.rs
@@ -1,21 +1,21 @@
-//! The whole system on one's own machine: its three programs as child processes on loopback addresses, and in this process
-//! what stands around them: servers, clients and operators. They speak what the users' pages say and share no code with the
-//! programs, so what they saw is evidence.
+//! Runs the whole system on one machine: its three programs as child processes on loopback addresses, and test servers,
+//! clients and operators in this process. These implement the documented protocols and share no code with the programs,
+//! so that their records are independent evidence.
 //!
-//! | module | does |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`cluster`] | machines with addresses, settings files and processes: started, killed, frozen, ended |
-//! | [`programs`] | where the programs' files are, and building them |
-//! | [`server`] | stand-in servers, each with a manner in which it answers |
-//! | [`client`] | clients: one try at one proxy, and requests by way of the directory |
-//! | [`operator`] | configurations and orders |
-//! | [`failing`], [`chart`] | a backend that fails and recovers, live and as a picture |
-//! | [`changes`] | changes of the configuration, and who acts by them when they are acknowledged |
-//! | [`checker`] | what servers ran against what clients were told |
-//! | [`soak`] | random faults that overlap, with clients that leave, and what must hold of it |
-//! | [`shell`] | asking the system by its own shell |
-//! | [`traffic`] | requests at a rate, counted |
-//! | [`http`], [`wait`], [`error`] | messages on a socket, waiting for conditions, what goes wrong |
+//! | [`cluster`] | machines with addresses, settings files and processes that can be killed, stopped and shut down |
+//! | [`programs`] | finds the programs' executables and builds them if needed |
+//! | [`server`] | test servers with selectable behaviour |
+//! | [`client`] | clients: single tries at a proxy, and requests with directory lookup and retries |
+//! | [`operator`] | configurations and operator calls |
+//! | [`failing`], [`chart`] | scenario of a backend that fails and recovers, as a live table and as an SVG chart |
+//! | [`changes`] | measures configuration changes until they are acknowledged and applied |
+//! | [`checker`] | compares the runs recorded by servers with the answers that clients got |
+//! | [`soak`] | soak test under random overlapping faults |
+//! | [`shell`] | queries through the operator's shell `oatbankctl` |
+//! | [`traffic`] | load generator with a fixed rate |
+//! | [`http`], [`wait`], [`error`] | HTTP/1.1 on a socket, waiting for conditions, errors |
 
 pub mod changes;
 pub mod chart;
@@ -33,7 +33,7 @@
 pub mod traffic;
 pub mod wait;
 
-/// A number drawn by chance.
+/// Returns a random number. It is not reproducible; seeded tests use [`soak::schedule::Random`].
 pub fn random_u64() -> u64 {
     use std::hash::{BuildHasher, RandomState};
     RandomState::new().hash_one(0u8)
--- a/crates/local-cluster/src/main.rs
+++ b/crates/local-cluster/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: the whole system on one's own machine, with traffic, until ctrl-C or for some seconds.
+//! Command-line program that runs a local cluster with traffic until ctrl-C or for a given time.
 
 use oatbank_local_cluster::changes;
 use oatbank_local_cluster::chart;
@@ -57,9 +57,9 @@
     seconds: u64,
     keep: bool,
     failing: bool,
-    /// Core machines and changes, where these are measured.
+    /// Numbers of core machines and of changes, if the command is `changes`.
     changes: Option<(usize, usize)>,
-    /// The first seed and how many, where this is a soak.
+    /// First seed and number of seeds, if the command is `soak`.
     soak: Option<(u64, u64)>,
     json: Option<String>,
     picture: Option<String>,
@@ -67,7 +67,7 @@
 }
 
 impl CommandLine {
-    /// No command was named yet.
+    /// Returns whether no command has been given yet.
     fn is_plain(&self) -> bool {
         !self.failing && self.changes.is_none() && self.soak.is_none()
     }
@@ -157,7 +157,7 @@
     Ok(Some(command_line))
 }
 
-/// A backend fails and recovers; whether the checker finds nothing wrong.
+/// Runs the failing-backend scenario. Returns whether the checker found no violation.
 fn fail_a_backend(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
     let (span, step) = (Duration::from_secs(command_line.seconds), Duration::from_secs(1));
     let wanted = Wanted { span, step, rate: command_line.rate, duplicate: command_line.duplicate };
@@ -170,7 +170,7 @@
     Ok(played.wrongs.is_empty())
 }
 
-/// Changes the configuration again and again; whether all changes were taken.
+/// Measures configuration changes. Returns whether all were accepted.
 fn change(proxies: usize, (cores, changes): (usize, usize), end: &AtomicBool) -> Result<bool, ClusterError> {
     let wanted = changes::Wanted { cores, proxies, changes };
     let played = changes::play(wanted, end, |nth, change| {
@@ -187,7 +187,7 @@
     Ok(played.len() == changes)
 }
 
-/// Soaks, one seed after the other; whether nothing was violated.
+/// Runs soaks with consecutive seeds. Returns whether none had a violation.
 fn soak(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
     let (first, seeds) = command_line.soak.unwrap_or_default();
     let mut is_clean = true;
@@ -218,7 +218,7 @@
     Ok(is_clean)
 }
 
-/// Set once somebody wants this to end.
+/// Returns a flag that is set on SIGINT or SIGTERM.
 fn shutdown_flag() -> Arc<AtomicBool> {
     let end = Arc::new(AtomicBool::new(false));
     let acknowledged = end.clone();
--- a/crates/local-cluster/src/operator.rs
+++ b/crates/local-cluster/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: configurations, and how they are sent.
+//! Operator client: builds configurations and sends them to the core.
 
 use crate::cluster::call;
 use crate::error::ClusterError;
@@ -13,54 +13,54 @@
 /// A route of a configuration.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// What its paths begin with; also its name, without the slashes.
+    /// Path prefix. Without the outer slashes, and with `-` for inner ones, it is also the route's name.
     pub prefix: String,
-    /// `safe`, `unsafe` or `download`.
+    /// Kind of the route: `safe`, `unsafe` or `download`.
     pub kind: &'static str,
-    /// Its service.
+    /// Name of the service that the route leads to.
     pub service: String,
-    /// The most servers that one try may be sent to.
+    /// Maximum number of servers that one try may be sent to.
     pub max_attempts: u32,
-    /// Its requests need no key.
+    /// Whether requests need no API key.
     pub keyless: bool,
 }
 
 /// A tenant of a configuration.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its keys.
+    /// API keys of the tenant.
     pub keys: Vec<String>,
-    /// Requests a second; 0 for any number.
+    /// Quota in requests per second, also used as the burst; 0 for no quota.
     pub rate: f64,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug)]
 pub struct TestConfiguration {
-    /// Its number.
+    /// Version number.
     pub version: u64,
-    /// The number that it builds on.
+    /// Version that this one is based on; 0 for none.
     pub built_on: u64,
-    /// The host of all routes.
+    /// Host name of all routes.
     pub host: String,
-    /// The routes.
+    /// Routes of the configuration.
     pub routes: Vec<Route>,
-    /// The services.
+    /// Names of the services.
     pub services: Vec<String>,
-    /// The tenants, if there are any.
+    /// Tenants; if empty, the configuration has no `customers` table.
     pub tenants: Vec<Tenant>,
 }
 
 impl TestConfiguration {
-    /// The first configuration of this host, without a route.
+    /// Creates a first configuration for a host, without routes.
     pub fn new(host: &str) -> TestConfiguration {
         let (routes, services, tenants) = (Vec::new(), Vec::new(), Vec::new());
         TestConfiguration { version: 3, built_on: 0, host: host.to_owned(), routes, services, tenants }
     }
 
-    /// With a route to a service; two servers may be tried.
+    /// Adds a route to a service, with at most two attempts.
     pub fn route(mut self, prefix: &str, kind: &'static str, service: &str) -> TestConfiguration {
         if !self.services.iter().any(|s| s == service) {
             self.services.push(service.to_owned());
@@ -70,19 +70,19 @@
         self
     }
 
-    /// With a tenant.
+    /// Adds a tenant.
     pub fn tenant(mut self, name: &str, keys: &[&str], rate: f64) -> TestConfiguration {
         let keys = keys.iter().map(|k| (*k).to_owned()).collect();
         self.tenants.push(Tenant { name: name.to_owned(), keys, rate });
         self
     }
 
-    /// The next version, on top of this one.
+    /// Returns a copy with a higher version number that is based on this version.
     pub fn next(&self) -> TestConfiguration {
         TestConfiguration { version: self.version + 4, built_on: self.version, ..self.clone() }
     }
 
-    /// As it travels.
+    /// Returns the configuration as JSON text, as it is sent to the core.
     pub fn text(&self) -> String {
         let mut routes = String::new();
         for r in &self.routes {
@@ -124,18 +124,18 @@
     }
 }
 
-/// An order that has got its clear answer.
+/// Definite answer to an operator's call.
 #[derive(Clone, Copy, Debug)]
 pub struct Answered {
-    /// Its status.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// Who answered.
+    /// Address that answered.
     pub by: SocketAddr,
-    /// When the answer had come.
+    /// Time at which the answer arrived.
     pub at: Instant,
 }
 
-/// An operator.
+/// An operator that sends calls to the core.
 #[derive(Clone, Debug)]
 pub struct Operator {
     controls: Vec<SocketAddr>,
@@ -147,15 +147,15 @@
 }
 
 impl Operator {
-    /// One that knows these `control` addresses.
+    /// Creates an operator that uses the given `control` addresses.
     pub fn new(controls: Vec<SocketAddr>) -> Operator {
         Operator { controls }
     }
 
-    /// Sends a call to one address after the other until it gets a clear answer.
+    /// Sends a call to one address after another until one gives a definite answer: a status below 500 except 408 and 429.
     ///
     /// # Errors
-    /// When none comes in time.
+    /// Returns an error with the last answer if no definite one arrives in time.
     pub fn send(
         &self,
         method: &str,
@@ -185,18 +185,18 @@
         Err(ClusterError::Never(format!("{method} {path} is answered; last: {last}")))
     }
 
-    /// Puts a configuration and gives its clear answer.
+    /// Submits a configuration and returns the definite answer, which may be a rejection.
     ///
     /// # Errors
-    /// When none comes in time.
+    /// Returns an error with the last answer if no definite one arrives in time.
     pub fn put(&self, configuration: &TestConfiguration) -> Result<Answered, ClusterError> {
         Ok(self.send("POST", "/settings/replace", &configuration.text(), Duration::from_secs(10))?.0)
     }
 
-    /// Puts a configuration that is to be taken.
+    /// Submits a configuration that must be accepted.
     ///
     /// # Errors
-    /// When it is not.
+    /// Returns an error if it is not answered with 200.
     pub fn must_put(&self, configuration: &TestConfiguration) -> Result<Answered, ClusterError> {
         let (answered, answer) =
             self.send("POST", "/settings/replace", &configuration.text(), Duration::from_secs(10))?;
@@ -206,10 +206,10 @@
         }
     }
 
-    /// The configuration that is in force: the number of its version, and its text.
+    /// Returns the version number and the text of the configuration in force.
     ///
     /// # Errors
-    /// When it does not come in time.
+    /// Returns an error if no definite answer arrives in time or the answer is not a configuration.
     pub fn read(&self) -> Result<(u64, String), ClusterError> {
         let (answered, answer) = self.send("GET", "/settings/read", "", Duration::from_secs(10))?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
--- a/crates/local-cluster/src/programs.rs
+++ b/crates/local-cluster/src/programs.rs
@@ -1,4 +1,4 @@
-//! Where the programs' files are, and building them.
+//! Finds the programs' executables and builds them if needed.
 
 use crate::error::ClusterError;
 use std::path::{Path, PathBuf};
@@ -6,14 +6,14 @@
 use std::sync::OnceLock;
 use std::time::SystemTime;
 
-/// The programs, and the shell.
+/// Names of the programs and of the shell.
 pub const NAMES: [&str; 4] = ["oatbank-config-store", "oatbank-registry", "oatbank-proxy", "oatbankctl"];
 
-/// The folder with the programs: the one that this process's own program was built to. Where they are missing, or older
-/// than their sources, and cargo runs this process, they are built.
+/// Returns the folder with the executables, which is the one of this process's own executable. If one is missing or older
+/// than the sources, and cargo runs this process, they are built.
 ///
 /// # Errors
-/// When one is missing and cannot be built; the error names the command that builds it.
+/// Returns an error if one is missing and cannot be built. It names the command that builds them.
 pub fn folder() -> Result<PathBuf, ClusterError> {
     static FOLDER: OnceLock<Result<PathBuf, String>> = OnceLock::new();
     let found = FOLDER.get_or_init(|| find().map_err(|e| e.to_string()));
@@ -35,7 +35,7 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let cargo = std::env::var_os("CARGO");
     if let Some(cargo) = cargo.filter(|_| !are_fresh(&folder, &root)) {
-        // Test programs and their like are told of other folders than their caller's.
+        // Passes the target folder explicitly, as the environment may name a different one than the caller used.
         let target = folder.parent().unwrap_or(&folder);
         let build = Command::new(cargo)
             .args(&arguments)
@@ -59,7 +59,7 @@
     Ok(folder)
 }
 
-/// All programs are there and no source of theirs is newer.
+/// Returns whether all executables exist and no source file of the other crates is newer.
 fn are_fresh(folder: &Path, root: &Path) -> bool {
     let built = |name: &&str| std::fs::metadata(folder.join(name)).and_then(|m| m.modified()).ok();
     let Some(built) = NAMES.iter().map(built).collect::<Option<Vec<_>>>() else { return false };
--- a/crates/local-cluster/src/shell.rs
+++ b/crates/local-cluster/src/shell.rs
@@ -1,23 +1,23 @@
-//! Asking the system by its own shell, as an operator does.
+//! Queries to the system through the operator's shell `oatbankctl`.
 
 use crate::programs;
 use miniserde::{json, Deserialize};
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
 
-/// What the shell shows.
+/// A table printed by the shell.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Table {
-    /// Its title.
+    /// Title of the table.
     pub title: String,
     /// Names of the columns.
     pub columns: Vec<String>,
-    /// The rows.
+    /// Cells of each row, in the order of the columns.
     pub rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// The cell in this column of the row that has this text somewhere.
+    /// Returns the cell in a named column of the first row that has a cell equal to `row`.
     pub fn cell(&self, row: &str, column: &str) -> Option<&str> {
         let at = self.columns.iter().position(|c| c == column)?;
         let row = self.rows.iter().find(|cells| cells.iter().any(|c| c == row))?;
@@ -25,13 +25,13 @@
     }
 }
 
-/// Asks one question; none: it was not answered, or the one asked does not know the command.
+/// Runs one command. Returns `None` if it was not answered or the program does not know the command.
 pub fn ask(at: SocketAddr, words: &[&str]) -> Option<Table> {
     ask_all(at, &[words.join(" ")]).pop()
 }
 
-/// Asks one question after the other by one shell. Answers come in their order; what is not answered is left
-/// out.
+/// Runs several commands in one shell process. Returns the answers in order, without the commands that were not
+/// answered.
 pub fn ask_all(at: SocketAddr, lines: &[String]) -> Vec<Table> {
     let Ok(folder) = programs::folder() else { return Vec::new() };
     let shell = Command::new(folder.join("oatbankctl"))
@@ -43,7 +43,7 @@
     let Ok(mut shell) = shell else { return Vec::new() };
     let questions = lines.join("\n");
     if let Some(mut to) = shell.stdin.take() {
-        // Written beside the reading: neither waits for the other.
+        // Writes in a separate thread, so that writing and reading cannot deadlock on full pipes.
         std::thread::spawn(move || std::io::Write::write_all(&mut to, questions.as_bytes()));
     }
     let Ok(output) = shell.wait_with_output() else { return Vec::new() };
--- a/crates/local-cluster/src/traffic.rs
+++ b/crates/local-cluster/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Requests at a rate, each counted once.
+//! Load generator: sends requests at a fixed rate and counts their outcomes.
 
 use crate::client::{Ask, Client, End, Try};
 use crate::cluster::ZONES;
@@ -8,29 +8,29 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Requests a second that one client sends at most.
+/// Maximum rate of one client, in requests per second.
 const EACH: f64 = 10.0;
 
-/// What came of some requests.
+/// Counts of request outcomes.
 #[derive(Clone, Debug, Default)]
 pub struct Count {
-    /// Served, refused, failed.
+    /// Number of requests by outcome: served, refused, failed.
     pub ends: [u64; 3],
-    /// Successes that are not a server's whole answer to the very try: never allowed.
+    /// Number of 2xx answers that are not a server's complete answer to the try, which is never allowed.
     pub mixed: u64,
-    /// Time of those served, ms.
+    /// Latencies of served requests, in milliseconds.
     pub took: Vec<f64>,
-    /// The tries, where they are kept.
+    /// Outcome and tries of each request, if they are kept.
     pub attempts: Vec<(End, Vec<Try>)>,
 }
 
 impl Count {
-    /// All requests.
+    /// Returns the number of requests.
     pub fn all(&self) -> u64 {
         self.ends.iter().sum()
     }
 
-    /// Takes another's numbers in.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: Count) {
         self.ends.iter_mut().zip(other.ends).for_each(|(own, more)| *own += more);
         self.mixed += other.mixed;
@@ -38,7 +38,7 @@
         self.attempts.extend(other.attempts);
     }
 
-    /// One line.
+    /// Formats the counts and the latencies' 50th and 99th percentile as one line.
     pub fn line(&self) -> String {
         let mut took = self.took.clone();
         took.sort_by(f64::total_cmp);
@@ -56,7 +56,7 @@
     }
 }
 
-/// Traffic that runs until it is stopped.
+/// Load that runs in threads until it is stopped.
 pub struct Traffic {
     stop: Arc<AtomicBool>,
     count: Arc<Mutex<Count>>,
@@ -64,7 +64,7 @@
 }
 
 impl Traffic {
-    /// Sends the requests in turn, so many a second in all; `keep`: all tries are kept, for a test to look at.
+    /// Starts to send the given requests in turn, at `rate` per second in total. If `keep` is set, all tries are recorded.
     pub fn start(directories: &[SocketAddr], asks: &[Ask], rate: f64, keep: bool) -> Traffic {
         let clients = (rate / EACH).ceil().max(1.0) as usize;
         let every = Duration::from_secs_f64(clients as f64 / rate.max(0.1));
@@ -102,12 +102,12 @@
         Traffic { stop, count, clients }
     }
 
-    /// What has been counted since the last look.
+    /// Returns the counts since the last call and resets them.
     pub fn take(&self) -> Count {
         std::mem::take(&mut *self.count.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Stops, waits for what is under way, and gives what was counted since the last look.
+    /// Stops sending, waits for outstanding requests and returns the counts since the last [`Traffic::take`].
     pub fn stop(self) -> Count {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.into_iter().for_each(|c| _ = c.join());
--- a/crates/local-cluster/src/wait.rs
+++ b/crates/local-cluster/src/wait.rs
@@ -1,15 +1,15 @@
-//! Waiting for conditions.
+//! Waiting for conditions with a timeout.
 
 use crate::error::ClusterError;
 use std::time::{Duration, Instant};
 
-/// Longest that anything is waited for, unless something else is said.
+/// Default timeout.
 pub const LONG: Duration = Duration::from_secs(15);
 
-/// Waits for so long until something is there.
+/// Calls `look` every 5 ms until it returns a value, and returns that value.
 ///
 /// # Errors
-/// When the time is up.
+/// Returns [`ClusterError::Never`] with the text `what` if the timeout `within` expires.
 pub fn until<T>(
     within: Duration,
     what: &str,
@@ -27,15 +27,15 @@
     }
 }
 
-/// Waits for so long until something holds.
+/// Calls `look` every 5 ms until it returns true.
 ///
 /// # Errors
-/// When the time is up.
+/// Returns [`ClusterError::Never`] with the text `what` if the timeout `within` expires.
 pub fn holds(within: Duration, what: &str, mut look: impl FnMut() -> bool) -> Result<(), ClusterError> {
     until(within, what, || look().then_some(()))
 }
 
-/// Waits until a moment.
+/// Sleeps until the given time; returns at once if it has passed.
 pub fn moment(at: Instant) {
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
