--- a/crates/local-cluster/tests/answers.rs
+++ b/crates/local-cluster/tests/answers.rs
@@ -1,4 +1,5 @@
-//! What comes back from servers in trouble: nothing runs twice, promises hold, and no success is another's or half of one.
+//! Answers of faulty servers: nothing runs twice, promises not to run hold, and no 2xx answer is truncated or belongs to
+//! another request.
 
 mod common;
 
@@ -12,12 +13,12 @@
 use std::time::{Duration, Instant};
 
 fn plan() -> Plan {
-    // What is tested is not how few further tries there are.
+    // The retry budget is not under test here, so it is large.
     Plan::default().bound("extraTries", 2000)
 }
 
 #[test]
-fn what_may_have_run_is_not_repeated_and_what_has_not_run_goes_to_another_server() {
+fn only_requests_that_have_not_run_are_retried_at_another_server() {
     let services = ["reset", "close", "cut", "garbled", "full", "moved", "gone", "shut"];
     let configuration = services.iter().fold(TestConfiguration::new(HOST), |configuration, s| {
         configuration.route(&format!("/{s}/"), "unsafe", s)
@@ -38,7 +39,7 @@
     gone.stop_heartbeats();
     gone.crash();
 
-    // Each has another server near.
+    // Each service has two servers, so a retry at another one is possible.
     let fronts = system.cluster.fronts();
     let attempts = |service: &str| -> Vec<Try> {
         let ask = Ask::post(HOST, &format!("/{service}/1"), "words");
@@ -47,13 +48,13 @@
     for service in ["reset", "close", "cut", "garbled"] {
         let attempts = attempts(service);
         let ran = attempts.iter().filter(|t| system.runs(t) == 1).count();
-        assert!(ran > 2, "{service}: {ran} have run");
+        assert!(ran > 2, "{service}: only {ran} tries ran");
         for one in &attempts {
             match system.runs(one) {
-                // Refused before it was sent: the servers had failed too often.
+                // The proxy refused it without sending it, as the servers had failed too often.
                 0 => assert!(one.is_promise(), "{service}: {one:?}"),
                 1 => assert_eq!(one.status(), 502, "{service}: {one:?}"),
-                more => panic!("{service}: has run {more} times: {one:?}"),
+                more => panic!("{service}: ran {more} times: {one:?}"),
             }
         }
     }
@@ -63,17 +64,17 @@
         }
         let bad = system.of(service)[0];
         let turned_away = bad.seen().iter().filter(|s| !s.ran).count();
-        assert!(service == "gone" || turned_away > 0, "{service}: the bad one was tried");
+        assert!(service == "gone" || turned_away > 0, "{service}: the faulty server was never tried");
     }
     for one in attempts("shut") {
         assert!(one.is_promise() && system.runs(&one) == 0, "{one:?}");
     }
     let seen = system.seen();
-    assert!(seen.iter().all(|s| s.what.0 == "POST" && s.what.2 == b"words"), "all came as it was sent");
+    assert!(seen.iter().all(|s| s.what.0 == "POST" && s.what.2 == b"words"), "a request arrived altered");
 }
 
 #[test]
-fn no_success_is_spoilt_or_belongs_to_another_request() {
+fn no_success_is_corrupt_or_belongs_to_another_request() {
     let manners = [
         ("surplus", Behaviour::Surplus),
         ("late", Behaviour::Late),
@@ -126,24 +127,24 @@
             assert!(mixed.is_empty(), "{service}: {mixed:?}");
             let served = attempts.iter().filter(|t| t.served_by().is_some()).count();
             let sound = matches!(service, "surplus" | "late");
-            assert!(served > 0 || all_bad, "{service}: {} tries, none is served", attempts.len());
-            assert!(served == 0 || !all_bad || sound, "{service}: there is nothing that could be served");
+            assert!(served > 0 || all_bad, "{service}: none of {} tries was served", attempts.len());
+            assert!(served == 0 || !all_bad || sound, "{service}: served although all servers are faulty");
             let seen = system.seen();
             let ran = |t: &&Try| seen.iter().any(|s| s.ran && s.try_id == t.id && s.what.0 == "POST");
             let refused = attempts.iter().filter(|t| t.is_promise()).find(ran);
-            assert!(refused.is_none(), "{service}: it has run: {refused:?}");
+            assert!(refused.is_none(), "{service}: refused although it ran: {refused:?}");
             let twice = |t: &&Try| {
                 seen.iter().filter(|s| s.ran && s.try_id == t.id && s.what.0 == "POST").count() > 1
             };
-            assert!(!attempts.iter().any(|t| twice(&t)), "{service}: has run twice");
+            assert!(!attempts.iter().any(|t| twice(&t)), "{service}: a try ran twice");
         }
         let bad = |s: &str| system.of(s)[0].seen().iter().filter(|s| s.ran).count();
-        assert!(manners.iter().all(|(s, _)| bad(s) > 0), "each bad one was used");
+        assert!(manners.iter().all(|(s, _)| bad(s) > 0), "a faulty server was never used");
     }
 }
 
 #[test]
-fn behind_an_answer_that_ends_its_connection_nothing_that_runs_once_has_begun() {
+fn at_most_once_request_pipelined_after_a_truncated_answer_does_not_run() {
     let configuration =
         TestConfiguration::new(HOST).route("/cut/", "download", "cut").route("/once/", "unsafe", "once");
     let system = System::serving(plan(), configuration, &["cut", "once"]);
@@ -158,11 +159,11 @@
     let mut connection = HttpConnection::connect(front, LONG).unwrap();
     connection.send((get("/cut/large", &first) + &get("/once/1", &behind)).as_bytes()).unwrap();
     let until = Instant::now() + LONG;
-    assert!(connection.answer(until).is_err(), "it breaks off");
-    assert!(connection.answer(until).is_err(), "and nothing follows it");
+    assert!(connection.answer(until).is_err(), "the answer must be truncated");
+    assert!(connection.answer(until).is_err(), "no answer may follow the truncated one");
     assert_eq!((came(&first), came(&behind)), (1, 0));
 
-    // In order: the second is sent on once the first has its answer.
+    // Without a fault, the second request is forwarded once the first is answered.
     system.of("cut")[0].set_behaviour(Behaviour::Serve);
     let mut connection = HttpConnection::connect(front, LONG).unwrap();
     connection.send((get("/cut/1", &first) + &get("/once/2", &alone)).as_bytes()).unwrap();
@@ -170,11 +171,11 @@
         let answer = connection.answer(until).unwrap();
         assert_eq!((answer.status, answer.field("try-id")), (200, Some(&**id)));
     }
-    holds(LONG, "each ran", || came(&alone) == 1).unwrap();
+    holds(LONG, "the second request ran", || came(&alone) == 1).unwrap();
 }
 
 #[test]
-fn answers_of_the_core_stand_in_the_order_of_their_requests_and_a_lost_one_can_be_asked_for_again() {
+fn core_answers_pipelined_requests_in_order_and_a_lost_answer_can_be_requested_again() {
     let system = System::serving(plan(), TestConfiguration::new(HOST).route("/x/", "safe", "one"), &["one"]);
     let (cluster, next) = (&system.cluster, system.configuration.next());
     let call = |method: &str, path: &str, body: &str| {
@@ -195,7 +196,7 @@
         assert!(answer.status == status && text.contains(holds), "{holds}: {} {text}", answer.status);
     }
 
-    // The caller is gone before its answer; what it sent stands or not, and may be sent again anywhere.
+    // The caller disconnects before its answer. The change may or may not be in force, and may be resent to any machine.
     let after = next.next().route("/y/", "safe", "one");
     let mut connection = HttpConnection::connect(cluster.control(1), LONG).unwrap();
     connection.send(put(&after).as_bytes()).unwrap();
@@ -206,13 +207,13 @@
 }
 
 #[test]
-fn bookings_run_once_at_most_while_machines_freeze_and_die_and_servers_lose_answers() {
+fn bookings_run_at_most_once_under_frozen_and_killed_processes_and_lost_answers() {
     let configuration = TestConfiguration::new(HOST).route("/book/", "unsafe", "book");
     let system = System::with(plan(), configuration, &["book"; 4], 20 * MS);
     let (cluster, servers) = (&system.cluster, system.of("book"));
     let ask = Ask { within: 400 * MS, ..Ask::post(HOST, "/book/1", "words") };
     let (fronts, proxies) = (cluster.fronts(), cluster.proxies());
-    // The third proxy takes tries all the while; the others are frozen and killed.
+    // The third proxy serves throughout; the first is frozen and the second is killed.
     let (steady, shaken) = (
         Hammer::start(&fronts[2..], std::slice::from_ref(&ask)),
         Hammer::start(&fronts[..2], std::slice::from_ref(&ask)),
@@ -237,7 +238,7 @@
         goes_on();
         cluster.signal("CONT", &cluster.core()).unwrap();
         cluster.run(second, Role::Proxy).unwrap();
-        holds(LONG, "it is ready", || cluster.ready(second) == Some(200)).unwrap();
+        holds(LONG, "the restarted proxy is ready", || cluster.ready(second) == Some(200)).unwrap();
         goes_on();
         servers[round % 4].set_behaviour(Behaviour::Serve);
     }
@@ -247,11 +248,11 @@
     let runs = |t: &Try| seen.iter().filter(|s| s.ran && s.try_id == t.id).count();
     assert!(attempts.iter().filter(|t| t.served_by().is_some()).count() > 50, "{} tries", attempts.len());
     for one in &attempts {
-        assert!(runs(one) <= 1, "has run {} times: {one:?}", runs(one));
-        assert!(runs(one) == 0 || !one.is_promise(), "promised, and has run: {one:?}");
-        assert!(runs(one) == 1 || one.served_by().is_none(), "served, and has not run: {one:?}");
-        assert!(!one.is_mixed(), "another's answer: {one:?}");
+        assert!(runs(one) <= 1, "ran {} times: {one:?}", runs(one));
+        assert!(runs(one) == 0 || !one.is_promise(), "promised not to run, but ran: {one:?}");
+        assert!(runs(one) == 1 || one.served_by().is_none(), "served, but did not run: {one:?}");
+        assert!(!one.is_mixed(), "answer of another try: {one:?}");
     }
     let known = |id: &String| attempts.iter().any(|t| t.id == *id);
-    assert!(seen.iter().all(|s| known(&s.try_id)), "what ran was asked for");
+    assert!(seen.iter().all(|s| known(&s.try_id)), "a server received a try that no client sent");
 }
--- a/crates/local-cluster/tests/common/mod.rs
+++ b/crates/local-cluster/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a system that serves, tries sent at proxies without a pause, and what the servers saw of them.
+//! Shared test setup: a running cluster with servers, clients that send tries continuously, and the servers' records.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -16,7 +16,7 @@
 pub const HOST: &str = "shop.example";
 pub const MS: Duration = Duration::from_millis(1);
 
-/// Few systems at once: their times are what is tested.
+/// Limits the clusters that run at the same time to three, as the tests check response times.
 static ROOM: (Mutex<usize>, Condvar) = (Mutex::new(3), Condvar::new());
 
 struct Room;
@@ -48,12 +48,12 @@
 }
 
 impl System {
-    /// Serves by this configuration, with one server for each name of a service.
+    /// Starts a cluster with a configuration and one server per entry of `services`, each with a run time of 4 ms.
     pub fn serving(plan: Plan, configuration: TestConfiguration, services: &[&str]) -> System {
         System::with(plan, configuration, services, 4 * MS)
     }
 
-    /// The same; servers work so long on a request.
+    /// Starts a cluster with a configuration and one server per entry of `services`, each with the run time `work`.
     pub fn with(plan: Plan, configuration: TestConfiguration, services: &[&str], work: Duration) -> System {
         let room = Room::take();
         let cluster = LocalCluster::start(plan).unwrap();
@@ -67,39 +67,39 @@
         System { servers, operator, configuration, cluster, _room: room }
     }
 
-    /// The servers of a service.
+    /// Returns the servers of a service.
     pub fn of(&self, service: &str) -> Vec<&Server> {
         self.servers.iter().filter(|(s, _)| s == service).map(|(_, server)| server).collect()
     }
 
-    /// The service of the server with this id.
+    /// Returns the service of the server with this id; panics if there is none.
     pub fn service_of(&self, id: &str) -> &str {
         &self.servers.iter().find(|(_, s)| s.id() == id).expect("a server of this test").0
     }
 
-    /// The service that a try was served by, if it was.
+    /// Returns the service whose server answered a try with a 2xx status, if any.
     pub fn served(&self, of: &Try) -> Option<&str> {
         of.served_by().map(|id| self.service_of(&id))
     }
 
-    /// What all servers saw.
+    /// Returns the records of all servers.
     pub fn seen(&self) -> Vec<ReceivedRequest> {
         self.servers.iter().flat_map(|(_, s)| s.seen()).collect()
     }
 
-    /// How often a try has run, as the servers saw it.
+    /// Returns how often servers ran a try, according to their records.
     pub fn runs(&self, of: &Try) -> usize {
         self.servers.iter().flat_map(|(_, s)| s.seen()).filter(|s| s.ran && s.try_id == of.id).count()
     }
 
-    /// Waits until a proxy serves this.
+    /// Waits until a proxy serves the request.
     pub fn until_served(&self, front: SocketAddr, ask: &Ask) {
         let served = || try_at(front, ask).served_by().is_some();
         holds(LONG, &format!("{front} serves {}", ask.path), served).unwrap();
     }
 }
 
-/// Tries sent at proxies one after the other, by one thread a proxy and request, until it is stopped.
+/// Sends tries to proxies until it is stopped, with one thread per proxy and request.
 pub struct Hammer {
     stop: Arc<AtomicBool>,
     attempts: Vec<Arc<Mutex<Vec<Try>>>>,
@@ -124,15 +124,15 @@
         hammer
     }
 
-    /// Waits until each thread has had some tries that were sent after this.
+    /// Waits until each thread has completed at least four tries that were sent after `at`.
     pub fn until_after(&self, at: Instant) {
         let enough =
             |attempts: &Mutex<Vec<Try>>| attempts.lock().unwrap().iter().filter(|t| t.sent > at).count() > 3;
         let left = at.saturating_duration_since(Instant::now()) + LONG;
-        holds(left, "tries are sent by each thread", || self.attempts.iter().all(|t| enough(t))).unwrap();
+        holds(left, "each thread has completed tries", || self.attempts.iter().all(|t| enough(t))).unwrap();
     }
 
-    /// All tries, by thread: proxies in their order, and for each the requests in theirs.
+    /// Stops and returns all tries by thread: in the order of the proxies, and for each proxy of the requests.
     pub fn stop(self) -> Vec<Vec<Try>> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|t| t.join().unwrap());
--- a/crates/local-cluster/tests/config.rs
+++ b/crates/local-cluster/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations: how soon they act, that no machine goes back, rivals, repeats, and what is refused.
+//! Configuration changes: time until they apply, no return to older versions, conflicts, repeats and validation.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const APPLY: Duration = Duration::from_millis(3000);
 const GO_BACK: Duration = Duration::from_millis(250);
 
-/// The same, its route to another service.
+/// Returns the next version of a configuration, with its first route leading to another service.
 fn moved(configuration: &TestConfiguration, service: &str) -> TestConfiguration {
     let mut next = configuration.next();
     next.routes[0].service = service.into();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_change_acts_everywhere_in_time_and_no_life_of_a_proxy_goes_back() {
+fn change_applies_in_time_and_no_proxy_reverts_even_after_a_restart() {
     let mut configuration = TestConfiguration::new(HOST).route("/x/", "safe", "one");
     configuration.services.extend(["two".into(), "three".into()]);
     let system =
@@ -30,7 +30,7 @@
 
     let hammer = Hammer::start(&cluster.fronts(), std::slice::from_ref(&ask));
     let reached = || system.of("one").iter().all(|s| !s.seen().is_empty());
-    wait::holds(wait::LONG, "the first service is used", reached).unwrap();
+    wait::holds(wait::LONG, "the first service receives requests", reached).unwrap();
     let second = moved(&system.configuration, "two");
     let acked = system.operator.must_put(&second).unwrap().at;
     hammer.until_after(acked + APPLY);
@@ -38,13 +38,16 @@
         let late: Vec<_> =
             attempts.iter().filter(|t| t.sent > acked + APPLY).map(|t| system.served(t)).collect();
         assert!(late.iter().all(|s| *s == Some("two")), "proxy {proxy}: {late:?}");
-        let new =
-            attempts.iter().find(|t| system.served(t) == Some("two")).expect("served by the new one").ended;
+        let new = attempts
+            .iter()
+            .find(|t| system.served(t) == Some("two"))
+            .expect("a try served by the new service")
+            .ended;
         let back = attempts.iter().find(|t| t.sent > new + GO_BACK && system.served(t) == Some("one"));
-        assert!(back.is_none(), "proxy {proxy} went back: {back:?}");
+        assert!(back.is_none(), "proxy {proxy} reverted: {back:?}");
     }
 
-    // One proxy dies, misses a change, and finds no core that answers when it comes back.
+    // One proxy is killed, misses a change, and finds no core that answers when it restarts.
     let proxy = cluster.proxies().start;
     let front = cluster.front(proxy);
     cluster.kill(proxy, Role::Proxy);
@@ -52,18 +55,19 @@
     cluster.signal("STOP", &cluster.core()).unwrap();
     cluster.run(proxy, Role::Proxy).unwrap();
     let hammer = Hammer::start(&[front], std::slice::from_ref(&ask));
-    wait::holds(wait::LONG, "it says that it is not ready", || cluster.ready(proxy) == Some(503)).unwrap();
+    wait::holds(wait::LONG, "the proxy reports that it is not ready", || cluster.ready(proxy) == Some(503))
+        .unwrap();
     let until = Instant::now() + 800 * MS;
     while Instant::now() < until {
-        assert_eq!(cluster.ready(proxy), Some(503), "it cannot know the newest");
+        assert_eq!(cluster.ready(proxy), Some(503), "ready without the newest configuration");
     }
     let without = hammer.stop();
-    assert!(without[0].iter().any(|t| t.status() == 503), "it answers: {without:?}");
-    assert!(without[0].iter().all(|t| matches!(t.status(), 0 | 503)), "it serves nobody: {without:?}");
+    assert!(without[0].iter().any(|t| t.status() == 503), "no request was refused: {without:?}");
+    assert!(without[0].iter().all(|t| matches!(t.status(), 0 | 503)), "a request was served: {without:?}");
 
     let hammer = Hammer::start(&[front], std::slice::from_ref(&ask));
     cluster.signal("CONT", &cluster.core()).unwrap();
-    wait::holds(wait::LONG, "it is ready", || cluster.ready(proxy) == Some(200)).unwrap();
+    wait::holds(wait::LONG, "the proxy is ready", || cluster.ready(proxy) == Some(200)).unwrap();
     system.until_served(front, &ask);
     hammer.until_after(Instant::now());
     let services: Vec<_> =
@@ -72,7 +76,7 @@
 }
 
 #[test]
-fn of_two_on_top_of_the_same_version_one_wins_and_what_is_invalid_changes_nothing() {
+fn one_of_two_conflicting_changes_wins_and_invalid_configurations_are_rejected() {
     let system =
         System::serving(Plan::default(), TestConfiguration::new(HOST).route("/x/", "safe", "one"), &["one"]);
     let cluster = &system.cluster;
@@ -91,12 +95,13 @@
         let mut statuses: Vec<u16> = answers.iter().map(|(status, _)| *status).collect();
         statuses.sort_unstable();
         assert_eq!(statuses, [200, 412], "round {round}");
-        let (_, winner) = answers.iter().find(|(status, _)| *status == 200).expect("one won").clone();
+        let (_, winner) =
+            answers.iter().find(|(status, _)| *status == 200).expect("one change must be accepted").clone();
         for control in controls {
             assert_eq!(
                 Operator::new(vec![control]).put(&winner).unwrap().status,
                 200,
-                "a repeat of the winner"
+                "a repeat of the accepted change must be accepted"
             );
         }
         assert_eq!(system.operator.read().unwrap().0, winner.version);
@@ -116,12 +121,12 @@
     let invalid = [
         ("an unknown service", text.replace("false,\"one\"]", "false,\"none\"]")),
         ("weights that add up to 0", weightless),
-        ("over ten minutes", text.replace("2000,500,2,2", "600001,500,2,2")),
+        ("a timeout over ten minutes", text.replace("2000,500,2,2", "600001,500,2,2")),
         ("no tries", text.replace("2000,500,2,2", "2000,500,2,0")),
         ("two tenants with one key", keys),
         ("a version that is not above", stale.text()),
-        ("half of it", text[..text.len() / 2].to_owned()),
-        ("no JSON", "version: r9".to_owned()),
+        ("truncated JSON", text[..text.len() / 2].to_owned()),
+        ("not JSON", "version: r9".to_owned()),
     ];
     let before = system.operator.read().unwrap();
     for (what, body) in &invalid {
@@ -129,18 +134,22 @@
         let answer = call(cluster.control(0), "POST", "/settings/replace", body, wait::LONG).unwrap();
         assert!((400..500).contains(&answer.status), "{what}: {}", answer.status);
     }
-    assert_eq!(system.operator.read().unwrap(), before, "the old one stays");
+    assert_eq!(system.operator.read().unwrap(), before, "an invalid configuration changed the one in force");
     for front in cluster.fronts() {
         assert_eq!(try_at(front, &Ask::get(HOST, "/x/1")).status(), 200);
     }
-    assert_eq!(system.operator.put(&next).unwrap().status, 200, "and what was made wrong is right by itself");
+    assert_eq!(
+        system.operator.put(&next).unwrap().status,
+        200,
+        "the unmodified configuration must be accepted"
+    );
 }
 
 #[test]
-fn what_is_acknowledged_before_the_wait_for_limiters_is_over_acts_everywhere() {
+fn change_acknowledged_before_the_limiter_wait_ends_is_applied_everywhere() {
     let wanted = changes::Wanted { cores: 3, proxies: 4, changes: 8 };
     let played = changes::play(wanted, &false.into(), |_, _| ()).unwrap();
-    assert_eq!(played.len(), 8, "all were taken");
+    assert_eq!(played.len(), 8, "a change was not accepted");
     let early: Vec<_> = played.iter().filter(|c| c.took < 400 * MS).collect();
     assert!(early.iter().all(|c| c.behind == 0), "{played:?}");
 }
--- a/crates/local-cluster/tests/cut_off.rs
+++ b/crates/local-cluster/tests/cut_off.rs
@@ -1,5 +1,5 @@
-//! A core machine that stands still for twenty seconds with calls in its sockets, and one that is left alone for as long.
-//! Processes are stopped by signal: a loopback has no links to cut.
+//! A core machine that is stopped for 20 s with unread calls in its sockets, and one that is isolated for as long.
+//! Processes are stopped by signals, as the loopback interface has no links to cut.
 
 mod common;
 
@@ -16,7 +16,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const LONG_CUT: Duration = Duration::from_secs(20);
 
-/// A word of a server that no route leads to.
+/// Returns a heartbeat body for a server of a service that no route leads to.
 fn heartbeat(cluster: &LocalCluster, calls: u64) -> String {
     format!(
         r#"{{"service":"g","address":"{}:9","zone":"{}","serverState":"ready","slots":4,"callCount":{calls}}}"#,
@@ -25,7 +25,7 @@
     )
 }
 
-/// Sends a call and leaves its answer where it is.
+/// Sends a call without reading its answer.
 fn leave_there(to: SocketAddr, path: &str, body: &str) -> HttpConnection {
     let mut connection = HttpConnection::connect(to, SECOND).unwrap();
     let text = format!("POST {path} HTTP/1.1\r\nHost: {to}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -37,14 +37,14 @@
     connection.answer(Instant::now() + 3 * SECOND)
 }
 
-/// Whether this core machine names the server among those it may be sent to.
+/// Returns whether a core machine lists the server as ready.
 fn lists(cluster: &LocalCluster, machine: usize, id: &str) -> bool {
     let table = shell::ask(cluster.inner(machine, INNER_REGISTRY), &["servers"]).expect("it answers");
     table.cell(id, "state").is_some_and(|state| state == "ready")
 }
 
 #[test]
-fn a_core_machine_that_wakes_takes_no_old_word_and_no_old_order_for_a_new_one() {
+fn core_machine_that_resumes_rejects_stale_heartbeats_and_operator_calls() {
     let configuration = TestConfiguration::new(HOST).route("/x/", "safe", "s");
     let system = System::serving(Plan::default(), configuration, &["s"; 3]);
     let cluster = &system.cluster;
@@ -61,7 +61,7 @@
     let order = leave_there(cluster.control(0), &begin, "");
     let word = leave_there(cluster.control(0), &path, &heartbeat(cluster, 9));
     let put = leave_there(cluster.control(0), "/settings/replace", &system.configuration.next().text());
-    // The others go on: the same order is taken, and taken back.
+    // The other machines continue: they accept the same operator call and its reversal.
     let others = Operator::new(vec![cluster.control(1), cluster.control(2)]);
     for end in ["begin", "end"] {
         let (done, _) = others.send("POST", &format!("/empty/{zone}/{end}"), "", wait::LONG).unwrap();
@@ -69,28 +69,32 @@
     }
     let newer = system.configuration.next().route("/y/", "safe", "s");
     others.must_put(&newer).unwrap();
-    wait::holds(LONG_CUT, "the ghost is silent", || !lists(cluster, 1, ghost)).unwrap();
+    wait::holds(LONG_CUT, "the ghost is no longer listed", || !lists(cluster, 1, ghost)).unwrap();
     wait::moment(asleep + LONG_CUT);
     cluster.signal("CONT", &sleeper).unwrap();
     let woke = Instant::now();
     let statuses = [answer(word), answer(order), answer(put)].map(|a| a.map(|a| a.status));
-    assert_eq!(statuses, [Ok(503), Ok(503), Ok(503)], "nothing that lay there is taken");
-    // For as long as a silence would take to be judged again.
+    assert_eq!(statuses, [Ok(503), Ok(503), Ok(503)], "a stale call was accepted");
+    // Long enough for the failure detector to judge the ghost's silence again.
     while woke.elapsed() < 4 * SECOND {
-        assert!(!lists(cluster, 1, ghost) && !lists(cluster, 2, ghost), "{:?} after waking", woke.elapsed());
+        assert!(
+            !lists(cluster, 1, ghost) && !lists(cluster, 2, ghost),
+            "listed {:?} after resuming",
+            woke.elapsed()
+        );
         std::thread::sleep(100 * MS);
     }
-    // It takes part again, and knows what was agreed meanwhile.
+    // The machine takes part again and knows the configuration accepted meanwhile.
     let read = get(cluster.control(0), "/settings/read", SECOND).unwrap();
     assert!(read.status == 200 && String::from_utf8_lossy(&read.body).contains("\"/y/\""));
     assert_eq!(call(cluster.control(0), "POST", &begin, "", 2 * SECOND).unwrap().status, 200);
     let attempts = hammer.stop();
-    assert!(attempts.iter().flatten().all(|t| t.is_success()), "all are served");
+    assert!(attempts.iter().flatten().all(|t| t.is_success()), "a try was not served");
     assert!(cluster.lost().is_empty());
 }
 
 #[test]
-fn a_core_machine_that_is_left_alone_confirms_nothing_and_gives_out_nothing_old() {
+fn isolated_core_machine_acknowledges_nothing_and_returns_no_stale_data() {
     let configuration = TestConfiguration::new(HOST).route("/x/", "safe", "s");
     let system = System::serving(Plan::default(), configuration, &["s"; 3]);
     let cluster = &system.cluster;
@@ -109,7 +113,7 @@
         let mut timed = |nth: usize, asked: Instant| worst[nth] = worst[nth].max(asked.elapsed());
         let asked = Instant::now();
         let said = call(alone, "POST", path, &heartbeat(cluster, calls), SECOND).unwrap().status;
-        // 1.5 s from its last question, and 0.3 s that an answer may have been held.
+        // 1.5 s from its last request to the others, and 0.3 s for which an answer may have been held.
         assert!(said == 503 || said == 200 && since < 1900 * MS, "beat: {said} at {since:?}");
         timed(0, asked);
         let asked = Instant::now();
@@ -137,6 +141,6 @@
     system.operator.must_put(&next).unwrap();
     assert_eq!(system.operator.read().unwrap().0, next.version);
     let attempts = hammer.stop();
-    assert!(attempts.iter().flatten().all(|t| t.is_success()), "all are served by what is known");
+    assert!(attempts.iter().flatten().all(|t| t.is_success()), "a try was not served from the known state");
     assert!(cluster.lost().is_empty());
 }
--- a/crates/local-cluster/tests/failing.rs
+++ b/crates/local-cluster/tests/failing.rs
@@ -1,4 +1,4 @@
-//! A backend that turns slow, fails and recovers, and what becomes of orders whose clients cannot know.
+//! A backend that turns slow, fails and recovers, and outcome queries for requests with an unknown result.
 
 mod common;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_backend_fails_and_recovers_and_each_booking_runs_once_at_most() {
+fn bookings_run_at_most_once_while_a_backend_fails_and_recovers() {
     let (played, lines) = played(false);
     assert!(played.wrongs.is_empty(), "{:#?}", played.wrongs);
     assert!(played.totals[0] > 300 && played.totals[2] > 250, "{:?}", played.totals);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_booking_that_is_sent_twice_is_found() {
+fn duplicated_booking_is_detected() {
     let (played, lines) = played(true);
     assert!(played.wrongs.iter().any(|w| w.contains("ran more than once")), "{:#?}", played.wrongs);
     assert!(lines.iter().any(|l| l.contains("ALARM")), "{}", lines.join("\n"));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_client_learns_what_became_of_its_order_and_one_that_leaves_stops_nothing() {
+fn request_outcome_can_be_queried_and_a_disconnect_does_not_stop_a_write() {
     let configuration =
         TestConfiguration::new(HOST).route("/slow/", "unsafe", "slow").route("/full/", "unsafe", "full");
     let system = System::with(Plan::default(), configuration, &["slow", "full"], 500 * MS);
@@ -58,20 +58,21 @@
     let text = |one: &Try| String::from_utf8_lossy(&one.got.as_ref().unwrap().body).into_owned();
     let server = system.of("slow")[0].id().to_owned();
 
-    // Told that it may have run, while it runs.
+    // The client times out while the request runs, and is told that it may have run.
     let asked = Ask { within: 300 * MS, ..Ask::post(HOST, "/slow/1", "a job") };
     let late = try_at(front, &asked);
     assert!(matches!(late.status(), 502 | 504), "{late:?}");
     assert!(text(&late).contains(&format!("may have run; server {server}; try {}", late.id)), "{late:?}");
     assert!(says(&outcome(&system, core, INNER_REGISTRY, &late.id), "running"));
-    holds(LONG, "it is done", || says(&outcome(&system, core, INNER_REGISTRY, &late.id), "done")).unwrap();
+    holds(LONG, "the request is done", || says(&outcome(&system, core, INNER_REGISTRY, &late.id), "done"))
+        .unwrap();
 
-    // The same once more, by whoever doubles it on the way: it has run.
+    // A duplicate of the request is answered with 409, as it has run.
     let again = oatbank_local_cluster::client::again_at(front, &asked, &late.id);
     assert!(again.status() == 409 && text(&again).contains(&server), "{again:?}");
     assert_eq!(system.seen().iter().filter(|s| s.try_id == late.id).count(), 1);
 
-    // A client that leaves.
+    // A client disconnects while its request runs.
     let id = oatbank_local_cluster::client::try_id();
     let mut connection = HttpConnection::connect(front, LONG).unwrap();
     let head = format!(
@@ -79,24 +80,24 @@
     );
     connection.send(head.as_bytes()).unwrap();
     let began = || system.seen().iter().any(|s| s.try_id == id);
-    holds(LONG, "it runs", began).unwrap();
+    holds(LONG, "the request runs", began).unwrap();
     drop(connection);
     let other = system.cluster.proxies().start + 1;
-    let done = until(LONG, "it is done", || {
+    let done = until(LONG, "the request is done", || {
         Some(outcome(&system, other, INNER_PROXY, &id)).filter(|table| says(table, "done"))
     });
     assert_eq!(done.unwrap().cell(&server, "outcome"), Some("done"));
     assert_eq!(system.seen().iter().filter(|s| s.ran && s.try_id == id).count(), 1);
 
-    // A promise.
+    // A refused request is reported as not run.
     let asked = Ask { within: 600 * MS, ..Ask::post(HOST, "/full/1", "a job") };
     let refused = try_at(front, &asked);
     assert!(refused.is_promise() && text(&refused).contains("has not run and never will"), "{refused:?}");
     assert!(says(&outcome(&system, proxy, INNER_PROXY, &refused.id), "did not run"));
     let again = oatbank_local_cluster::client::again_at(front, &asked, &refused.id);
-    assert!(again.is_promise(), "what has not run may come again: {again:?}");
+    assert!(again.is_promise(), "a request that has not run may be sent again: {again:?}");
 
-    // The shell's other words.
+    // Other commands of the shell.
     let guard = shell::ask(system.cluster.inner(proxy, INNER_PROXY), &["guard"]).unwrap();
     assert_eq!((guard.cell("slow", "out"), guard.cell("slow", "kept from")), (Some("0"), Some("0")));
     let at = system.cluster.inner(core, INNER_REGISTRY);
--- a/crates/local-cluster/tests/keys.rs
+++ b/crates/local-cluster/tests/keys.rs
@@ -1,4 +1,4 @@
-//! A key that was taken away fails in time also where news does not get through.
+//! A revoked key is refused in time even by a proxy that is cut off from the core.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const REVOKE: Duration = Duration::from_millis(5000);
 
 #[test]
-fn a_proxy_that_is_cut_off_refuses_before_a_key_that_was_taken_away_must_fail() {
+fn isolated_proxy_refuses_requests_before_a_revoked_key_must_fail() {
     let configuration =
         TestConfiguration::new(HOST).route("/x/", "unsafe", "s").tenant("t", &["kept", "lost"], 0.0);
     let plan = Plan::default().bound("revokedFail", true).bound("revokeMs", REVOKE.as_millis());
@@ -25,7 +25,7 @@
         system.until_served(front, &ask(key));
     }
 
-    // It hears nothing of the change, and of the others nothing more at all.
+    // The proxy is stopped during the change. Afterwards all other processes are stopped, so that it learns nothing.
     cluster.signal("STOP", &[(cut_off, Role::Proxy)]).unwrap();
     let mut next = system.configuration.next();
     next.tenants[0].keys.retain(|k| k != "lost");
@@ -38,21 +38,21 @@
     hammer.until_after(acked + REVOKE);
     let attempts = hammer.stop();
     let served = attempts.iter().flatten().filter(|t| t.served_by().is_some()).count();
-    assert!(served > 0, "it went on for a while, by what it knew");
+    assert!(served > 0, "the proxy must serve from its known state at first");
     for one in attempts.iter().flatten().filter(|t| t.sent > acked + REVOKE) {
         assert!(one.is_promise() && system.runs(one) == 0, "{:?} after {:?}", one, one.sent - acked);
     }
 
-    // The core is back, and so is the proxy, by the newest.
+    // The core resumes, and the proxy serves by the newest configuration.
     cluster.signal("CONT", &others).unwrap();
     system.until_served(front, &ask("kept"));
     for front in cluster.fronts() {
         let refused = || try_at(front, &ask("lost")).status() == 401;
-        wait::holds(wait::LONG, "the key is unknown everywhere", refused).unwrap();
+        wait::holds(wait::LONG, "every proxy refuses the revoked key", refused).unwrap();
     }
     let seen = system.seen();
     assert!(
         seen.iter().all(|s| s.customer.as_deref() == Some("t") && !s.key),
-        "the tenant is told, its key is not"
+        "servers must get the tenant but not its key"
     );
 }
--- a/crates/local-cluster/tests/leaving.rs
+++ b/crates/local-cluster/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Servers and proxies that leave in order.
+//! Graceful shutdown of servers and proxies.
 
 mod common;
 
@@ -15,14 +15,15 @@
 const DRAIN: Duration = Duration::from_millis(3000);
 
 #[test]
-fn a_server_that_leaves_is_left_also_when_who_acknowledged_it_dies_at_once() {
+fn leaving_server_gets_no_requests_even_if_the_acknowledging_registry_dies() {
     let configuration = TestConfiguration::new(HOST).route("/x/", "safe", "s");
     let system =
         System::serving(Plan::default().bound("drainMs", DRAIN.as_millis()), configuration, &["s"; 5]);
     let cluster = &system.cluster;
     let hammer = Hammer::start(&cluster.fronts(), &[Ask::get(HOST, "/x/1"), Ask::get(HOST, "/x/2")]);
     let all = system.of("s");
-    wait::holds(wait::LONG, "all servers are used", || all.iter().all(|s| s.seen().len() > 5)).unwrap();
+    wait::holds(wait::LONG, "all servers receive requests", || all.iter().all(|s| s.seen().len() > 5))
+        .unwrap();
     let (drains, leaves) = (all[0], all[1]);
     let by = cluster.control(0);
     drains.stop_heartbeats();
@@ -35,24 +36,27 @@
         })
         .collect();
     cluster.kill(0, Role::Registry);
-    assert!(acked.iter().all(|(_, a)| a.by == by), "by the one that died");
+    assert!(acked.iter().all(|(_, a)| a.by == by), "acknowledged by another registry than the killed one");
     hammer.until_after(acked[1].1.at + DRAIN);
     let attempts = hammer.stop();
     for (server, acked) in &acked {
         let late = server.seen().into_iter().filter(|s| s.at > acked.at + DRAIN).count();
         let last = server.seen().last().map(|s| s.at.saturating_duration_since(acked.at));
-        assert_eq!(late, 0, "the last one came {last:?} after the word");
+        assert_eq!(late, 0, "last request {last:?} after the acknowledgement");
     }
     let since = acked[1].1.at;
     for (nth, attempts) in attempts.iter().enumerate() {
-        assert!(attempts.iter().all(|t| t.is_success() && !t.is_mixed()), "thread {nth}: all are served");
+        assert!(
+            attempts.iter().all(|t| t.is_success() && !t.is_mixed()),
+            "thread {nth}: a try was not served"
+        );
     }
     let others = all[2..].iter().map(|s| s.seen().iter().filter(|s| s.at > since + DRAIN).count());
-    assert!(others.sum::<usize>() > 3, "the others serve");
+    assert!(others.sum::<usize>() > 3, "the other servers received too few requests");
 }
 
 #[test]
-fn a_proxy_that_is_told_to_end_loses_no_request() {
+fn proxy_shutdown_loses_no_request() {
     let configuration =
         TestConfiguration::new(HOST).route("/read/", "safe", "s").route("/write/", "unsafe", "s");
     let grace = Duration::from_secs(4);
@@ -67,11 +71,12 @@
     wait::holds(wait::LONG, "traffic flows", seen).unwrap();
     cluster.signal("TERM", &[(leaves, Role::Proxy)]).unwrap();
     let acknowledged = Instant::now();
-    wait::holds(Duration::from_secs(1), "it is not ready", || cluster.ready(leaves) == Some(503)).unwrap();
+    wait::holds(Duration::from_secs(1), "the proxy is not ready", || cluster.ready(leaves) == Some(503))
+        .unwrap();
     for directory in cluster.directories() {
         let gone =
             || lookup(directory, HOST, ZONES[0]).is_ok_and(|(at, _)| !at.is_empty() && !at.contains(&front));
-        wait::holds(Duration::from_secs(1), "the directory names it no more", gone).unwrap();
+        wait::holds(Duration::from_secs(1), "the directory no longer returns the proxy", gone).unwrap();
     }
     let status = cluster.ended(leaves, Role::Proxy, grace + 500 * MS).unwrap();
     assert!(status.success(), "{status}");
@@ -83,15 +88,15 @@
     assert!(
         attempts.iter().filter(|t| t.to == front && t.sent < acknowledged && t.ended > acknowledged).count()
             > 0,
-        "some were under way"
+        "no try was in flight at the signal"
     );
     for one in &attempts {
         let error = one.got.as_ref().err();
         assert!(!matches!(one.status(), 500 | 502 | 504), "{one:?}");
-        assert!(error.is_none() || !ran.contains(&one.id), "a server had it, and no answer came: {one:?}");
-        // A kept connection may be closed just when a request is sent; it was not read then.
+        assert!(error.is_none() || !ran.contains(&one.id), "reached a server, but got no answer: {one:?}");
+        // A keep-alive connection may be closed just as a request is sent. The request is then unread.
         let unread = error.is_none_or(|e| *e == HttpError::Unreachable || one.ended - one.sent < 200 * MS);
-        assert!(unread, "it was held and then dropped: {one:?}");
+        assert!(unread, "held and then dropped: {one:?}");
     }
     let bad = |(end, attempts): &&(End, Vec<oatbank_local_cluster::client::Try>)| {
         *end != End::Served && attempts.iter().all(|t| t.got.is_ok() || t.ended - t.sent >= 200 * MS)
--- a/crates/local-cluster/tests/names.rs
+++ b/crates/local-cluster/tests/names.rs
@@ -1,4 +1,4 @@
-//! One name, several owners: no confirmation runs at another's server, and none is left without an answer.
+//! Services with the same name in several meshes: no request runs at a server of another mesh, and each is answered.
 
 mod common;
 
@@ -15,13 +15,13 @@
 }
 
 #[test]
-fn two_meshes_with_one_name_and_a_server_that_does_not_say_which() {
+fn contested_server_id_gets_no_requests_and_other_mesh_is_unaffected() {
     let configuration = TestConfiguration::new(HOST).route("/north/", "unsafe", "north/hall").route(
         "/south/",
         "unsafe",
         "south/hall",
     );
-    // The last one beats for a hall of neither, or of both.
+    // The last server registers without naming a mesh.
     let system =
         System::serving(Plan::default(), configuration, &["north/hall", "south/hall", "south/hall", "hall"]);
     let fronts: Vec<_> = system.cluster.fronts();
@@ -31,7 +31,7 @@
     }
     let hammer = Hammer::start(&fronts, &[confirm("/north/2"), confirm("/south/2")]);
 
-    // The only one of the north gets a rival: another address beats under its id, with a higher number.
+    // A rival address sends heartbeats with the id of north's only server and a higher call count.
     let (victim, rival) = (system.of("north/hall")[0], system.of("hall")[0]);
     let heartbeat = |calls: u32| {
         let body = format!(
@@ -44,11 +44,11 @@
     heartbeat(1000);
     let refused = |t: &Try| t.status() == 503;
     let all = || fronts.iter().all(|front| refused(&try_at(*front, &confirm("/north/3"))));
-    holds(LONG, "nobody sends the contested one anything", all).unwrap();
-    // A proxy and a core machine say why, when asked.
+    holds(LONG, "no proxy sends requests to the contested server", all).unwrap();
+    // The shell reports the conflict at a proxy and at a core machine.
     let (proxy, core) = (system.cluster.proxies().start, system.cluster.cores().start);
     for at in [system.cluster.inner(proxy, INNER_PROXY), system.cluster.inner(core, INNER_REGISTRY)] {
-        let table = shell::ask(at, &["who-owns", victim.id()]).expect("an answer");
+        let table = shell::ask(at, &["who-owns", victim.id()]).expect("the shell must answer");
         let contested = |cell: &String| cell.starts_with("contested");
         assert!(table.rows.iter().flatten().any(contested), "{table:?}");
     }
@@ -56,13 +56,13 @@
     hammer.until_after(since + 300 * MS);
     heartbeat(1001);
     let until = Instant::now();
-    // The rival falls silent, and the one that goes on is used again.
+    // The rival stops its heartbeats, and the original server is used again.
     for front in &fronts {
         system.until_served(*front, &confirm("/north/4"));
     }
     assert!(until.elapsed() < Duration::from_secs(8), "{:?}", until.elapsed());
 
-    // By proxy, and for each the north's and the south's.
+    // Tries are grouped by proxy, and for each proxy by mesh: north, then south.
     let attempts = hammer.stop();
     for (nth, one) in
         attempts.iter().enumerate().flat_map(|(nth, attempts)| attempts.iter().map(move |t| (nth, t)))
@@ -71,11 +71,11 @@
             Some(service) => assert_eq!(service, ["north/hall", "south/hall"][nth % 2], "{one:?}"),
             None => assert!(one.is_promise() && system.runs(one) == 0, "{one:?}"),
         }
-        assert!(nth % 2 == 0 || system.served(one).is_some(), "the south is not touched: {one:?}");
+        assert!(nth % 2 == 0 || system.served(one).is_some(), "south is affected: {one:?}");
     }
     for north in attempts.iter().step_by(2) {
         let between: Vec<&Try> = north.iter().filter(|t| t.sent > since && t.sent < until).collect();
         assert!(between.len() > 3 && between.iter().all(|t| refused(t)), "{between:?}");
     }
-    assert!(rival.seen().iter().all(|seen| !seen.ran), "nobody's server runs nothing");
+    assert!(rival.seen().iter().all(|seen| !seen.ran), "the server without a mesh ran a request");
 }
--- a/crates/local-cluster/tests/program.rs
+++ b/crates/local-cluster/tests/program.rs
@@ -1,10 +1,10 @@
-//! The command itself, and what holds of the programs' sources.
+//! Tests of the command line, and of a rule for the programs' sources.
 
 use std::path::Path;
 use std::process::Command;
 
 #[test]
-fn the_command_serves_and_says_so_by_its_status() {
+fn command_serves_traffic_and_reports_the_result_in_its_exit_status() {
     let run = Command::new(env!("CARGO_BIN_EXE_oatbank-local-cluster"))
         .args(["--seconds", "2", "--rate", "60"])
         .output()
@@ -22,10 +22,10 @@
     assert!(!wrong.status.success() && String::from_utf8_lossy(&wrong.stderr).contains("--help"));
 }
 
-/// Machines' times of day differ and jump: no decision may hang on one. (The store stirs it into a number drawn by chance, and
-/// the engine has a clock by it that the daemon uses and the proxy does not.)
+/// Wall clocks differ between machines and jump, so no decision may depend on one. Exempt are the store, which mixes it into
+/// a random number, and the engine, whose wall clock is used by the daemon but not by the proxy.
 #[test]
-fn nothing_reads_the_time_of_day() {
+fn sources_do_not_read_the_wall_clock() {
     fn look(folder: &Path, found: &mut Vec<String>) {
         for entry in std::fs::read_dir(folder).unwrap().flatten() {
             let path = entry.path();
--- a/crates/local-cluster/tests/soak.rs
+++ b/crates/local-cluster/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak, and that its rules can fail. The long form is `oatbank-local-cluster soak`.
+//! Runs a short soak and tests that each of its rules detects a violation. `oatbank-local-cluster soak` runs longer ones.
 
 use oatbank_local_cluster::server::ReceivedRequest;
 use oatbank_local_cluster::soak::clients::{Exchange, Kind, Outcome};
@@ -8,12 +8,12 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// The same faults and periods each time. With the first, 435 requests of the large tenant ran where 416 are allowed, when only the
-/// usual time of an owner's answer bounded what limiters admitted ahead of it.
+/// Seeds of the fault schedule. With the first, 435 requests of the large tenant ran where 416 are allowed, when only the
+/// usual response time of a quota's owner bounded what limiters admitted ahead of its answer.
 const SEEDS: [u64; 2] = [2, 3];
 
 #[test]
-fn quotas_are_kept_and_nothing_is_lost_or_worked_on_for_nobody_under_faults_that_overlap() {
+fn soak_under_overlapping_faults_has_no_violations() {
     for seed in SEEDS {
         println!("seed {seed}");
         let report = play(&Wanted { seed, span: 12_000 * MS, proxies: 6 }).unwrap();
@@ -34,7 +34,7 @@
     ("i-1".into(), ReceivedRequest { at, try_id, what, customer: None, key: false, ran: true, ended })
 }
 
-/// The first words of what is found of one request, with so many arrivals that each take so long.
+/// Returns the verdict names found for one request that arrived `arrivals` times and ran for `works` each time.
 fn found(exchange: &Exchange, arrivals: usize, works: Duration, outages: Vec<Outage>) -> Vec<String> {
     let received = (0..arrivals).map(|_| arrival("1", exchange.sent, works)).collect();
     let evidence = Evidence { exchanges: vec![exchange.clone()], received, outages, ..Evidence::default() };
@@ -42,23 +42,31 @@
 }
 
 #[test]
-fn each_rule_of_the_soak_can_fail() {
+fn each_soak_rule_detects_its_violation() {
     let none = Vec::<String>::new();
     let left = exchange(Kind::Read, Outcome::Left, 10 * MS);
     assert_eq!(found(&left, 1, 10 * MS + GONE_AFTER + MS, Vec::new()), ["GONE"]);
     assert_eq!(found(&left, 1, 10 * MS + GONE_AFTER - MS, Vec::new()), none);
     let write = exchange(Kind::Write, Outcome::Left, 10 * MS);
-    assert_eq!(found(&write, 1, 2000 * MS, Vec::new()), none, "what runs at most once goes on");
+    assert_eq!(
+        found(&write, 1, 2000 * MS, Vec::new()),
+        none,
+        "at-most-once requests continue after a disconnect"
+    );
 
     let unanswered = |took| exchange(Kind::Read, Outcome::Unanswered, took);
     assert_eq!(found(&unanswered(MS), 1, MS, Vec::new()), ["LOST"]);
-    assert_eq!(found(&unanswered(MS), 0, MS, Vec::new()), none, "it crossed the close");
+    assert_eq!(
+        found(&unanswered(MS), 0, MS, Vec::new()),
+        none,
+        "the request crossed the closing of the connection"
+    );
     assert_eq!(found(&unanswered(300 * MS), 0, MS, Vec::new()), ["LOST"]);
     let behind = exchange(Kind::Read, Outcome::BehindLastAnswer, MS);
     assert_eq!(found(&behind, 1, MS, Vec::new()), ["LOST"]);
-    assert_eq!(found(&behind, 0, MS, Vec::new()), none, "it counts as not read");
+    assert_eq!(found(&behind, 0, MS, Vec::new()), none, "a request after the last answer counts as unread");
     let killed = Outage { proxy: 0, from: behind.sent, until: behind.ended };
-    assert_eq!(found(&behind, 1, MS, vec![killed]), none, "its proxy was killed");
+    assert_eq!(found(&behind, 1, MS, vec![killed]), none, "the proxy was killed");
 
     assert_eq!(found(&write, 2, MS, Vec::new()), ["TWICE"]);
     let refused = exchange(Kind::Write, Outcome::Answered(503, None), MS);
@@ -70,7 +78,7 @@
 }
 
 #[test]
-fn a_quota_that_is_overrun_by_one_request_is_found() {
+fn one_request_over_the_quota_is_detected() {
     let begun = Instant::now();
     let quota = Quota { tenant: "large".into(), window: 5000 * MS, allowed: 10 };
     let found = |sent: &[u32]| {
@@ -82,7 +90,7 @@
         let received = exchanges.iter().flat_map(|exchange| {
             let (server, request) = arrival(&exchange.id, exchange.sent + 400 * MS, MS);
             let request = ReceivedRequest { customer: Some("large".into()), ..request };
-            // Tried at two servers, it is one request all the same.
+            // A request that was tried at two servers counts once.
             [(server.clone(), request.clone()), (server, request)]
         });
         let received = received.collect();
@@ -92,5 +100,5 @@
     let every = |ms: u32, count: u32| (0..count).map(|nth| nth * ms).collect::<Vec<u32>>();
     assert_eq!(found(&every(400, 11)), 1);
     assert_eq!(found(&every(400, 10)), 0);
-    assert_eq!(found(&every(480, 40)), 0, "in any window of five seconds that holds sending and running");
+    assert_eq!(found(&every(480, 40)), 0, "only requests both sent and run within the 5 s window count");
 }
