--- a/crates/local-cluster/src/changes.rs
+++ b/crates/local-cluster/src/changes.rs
@@ -1,7 +1,7 @@
 //! Measures successive configuration changes: the time until each is acknowledged, and the number of proxies that have not
 //! applied it by then.
 
-use crate::client::{try_at, Ask};
+use crate::client::{try_at, ClientRequest};
 use crate::cluster::{LocalCluster, Plan};
 use crate::error::ClusterError;
 use crate::operator::{Operator, TestConfiguration};
@@ -13,7 +13,7 @@
 
 /// Parameters of the measurement.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct Options {
     /// Number of core machines.
     pub cores: usize,
     /// Number of proxies.
@@ -35,13 +35,13 @@
 ///
 /// # Errors
 /// Returns an error if a program does not start or a change is not accepted.
-pub fn play(
-    wanted: Wanted,
+pub fn run(
+    options: Options,
     end: &AtomicBool,
     mut hears: impl FnMut(usize, Change),
 ) -> Result<Vec<Change>, ClusterError> {
     let cluster = LocalCluster::start(
-        Plan { cores: wanted.cores, proxies: wanted.proxies, ..Plan::default() }.bound("graceS", 2),
+        Plan { cores: options.cores, proxies: options.proxies, ..Plan::default() }.bound("graceS", 2),
     )?;
     let operator = Operator::new(cluster.controls());
     let mut configuration = TestConfiguration::new(HOST).route("/first/", "safe", "reader");
@@ -50,7 +50,7 @@
     server.register()?;
     cluster.until_ready()?;
     let mut changes = Vec::new();
-    for nth in 0..wanted.changes {
+    for nth in 0..options.changes {
         if end.load(Ordering::SeqCst) {
             break;
         }
@@ -61,7 +61,7 @@
         let sent = Instant::now();
         operator.must_put(&configuration)?;
         let took = sent.elapsed();
-        let ask = Ask::get(HOST, &format!("{path}1"));
+        let ask = ClientRequest::get(HOST, &format!("{path}1"));
         let asked: Vec<_> = cluster
             .fronts()
             .into_iter()
--- a/crates/local-cluster/src/checker.rs
+++ b/crates/local-cluster/src/checker.rs
@@ -5,7 +5,7 @@
 
 /// One try of an at-most-once request, with the answer that its client received.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AcknowledgedCall {
+pub struct TryResult {
     /// `Try-Id` of the try.
     pub id: String,
     /// HTTP status of the answer, or 0 if no complete answer arrived.
@@ -16,7 +16,7 @@
 
 /// One execution of a try, as recorded by the server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ran {
+pub struct Execution {
     /// `Try-Id` of the executed try.
     pub id: String,
     /// Id of the server that executed it.
@@ -25,18 +25,18 @@
 
 /// Observations of one test run, as input to [`check`].
 #[derive(Clone, Debug, Default)]
-pub struct ReceivedRequest {
+pub struct Observations {
     /// At-most-once requests, each as the list of its tries in the order sent.
-    pub requests: Vec<Vec<AcknowledgedCall>>,
+    pub requests: Vec<Vec<TryResult>>,
     /// Executions that servers recorded.
-    pub runs: Vec<Ran>,
+    pub runs: Vec<Execution>,
     /// The system's later answer about tries with an unknown outcome, by `Try-Id`.
     pub said: BTreeMap<String, String>,
 }
 
 /// Counts and violations found by [`check`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct CheckResult {
     /// Number of requests checked.
     pub asked: usize,
     /// Requests that at least one server executed.
@@ -59,12 +59,12 @@
 }
 
 /// Returns whether the answer is sealed by a server or has status 500.
-fn is_answer(acknowledged: &AcknowledgedCall) -> bool {
+fn has_definite_answer(acknowledged: &TryResult) -> bool {
     acknowledged.by.is_some() || acknowledged.status == 500
 }
 
 /// Parses the system's report on a try: executed or not, or `None` if the system does not know.
-fn says_ran(said: &str) -> Option<bool> {
+fn parse_outcome(said: &str) -> Option<bool> {
     match said {
         "done" | "ran and failed" => Some(true),
         "did not run" => Some(false),
@@ -73,8 +73,8 @@
 }
 
 /// Compares the executions recorded by servers with the answers that clients received.
-pub fn check(seen: &ReceivedRequest) -> Found {
-    let mut found = Found { asked: seen.requests.len(), ..Found::default() };
+pub fn check(seen: &Observations) -> CheckResult {
+    let mut found = CheckResult { asked: seen.requests.len(), ..CheckResult::default() };
     let mut runs: HashMap<&str, Vec<&str>> = HashMap::new();
     for run in &seen.runs {
         runs.entry(run.id.as_str()).or_default().push(&run.server);
@@ -106,7 +106,7 @@
                 }
                 _ => {}
             }
-            let said = seen.said.get(&acknowledged.id).and_then(|said| says_ran(said));
+            let said = seen.said.get(&acknowledged.id).and_then(|said| parse_outcome(said));
             if said.is_some_and(|said| said == ran.is_empty()) {
                 wrong("the system says otherwise afterwards");
             }
@@ -118,7 +118,7 @@
         }
         found.run += usize::from(all > 0);
         match attempts.last() {
-            Some(last) if is_answer(last) => found.answered += 1,
+            Some(last) if has_definite_answer(last) => found.answered += 1,
             Some(last) if is_promise(last.status) => found.refused += 1,
             _ => found.unknown += 1,
         }
--- a/crates/local-cluster/src/checker/tests.rs
+++ b/crates/local-cluster/src/checker/tests.rs
@@ -2,21 +2,21 @@
 
 use super::*;
 
-fn acknowledged(id: &str, status: u16, by: Option<&str>) -> AcknowledgedCall {
-    AcknowledgedCall { id: id.into(), status, by: by.map(str::to_owned) }
+fn acknowledged(id: &str, status: u16, by: Option<&str>) -> TryResult {
+    TryResult { id: id.into(), status, by: by.map(str::to_owned) }
 }
 
-fn ran(id: &str, server: &str) -> Ran {
-    Ran { id: id.into(), server: server.into() }
+fn ran(id: &str, server: &str) -> Execution {
+    Execution { id: id.into(), server: server.into() }
 }
 
-type Case = (&'static str, Vec<Vec<AcknowledgedCall>>, Vec<Ran>, &'static str);
+type Case = (&'static str, Vec<Vec<TryResult>>, Vec<Execution>, &'static str);
 
 #[test]
 fn each_wrong_is_found_and_a_sound_run_has_none() {
     let said = |said: &str| BTreeMap::from([("a".to_owned(), said.to_owned())]);
     let once = vec![vec![acknowledged("a", 200, Some("s1"))]];
-    let sound = ReceivedRequest {
+    let sound = Observations {
         requests: vec![
             vec![acknowledged("p", 503, None), acknowledged("a", 200, Some("s1"))],
             vec![acknowledged("b", 502, None)],
@@ -44,7 +44,7 @@
         ("says otherwise", vec![vec![acknowledged("a", 504, None)]], vec![ran("a", "s1")], "did not run"),
     ];
     for (what, requests, runs, word) in cases {
-        let found = check(&ReceivedRequest { requests, runs, said: said(word) });
+        let found = check(&Observations { requests, runs, said: said(word) });
         assert!(found.wrongs.iter().any(|w| w.contains(what)), "{what}: {:?}", found.wrongs);
     }
 }
--- a/crates/local-cluster/src/client.rs
+++ b/crates/local-cluster/src/client.rs
@@ -10,11 +10,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Maximum number of tries per request.
-const TRIES: usize = 4;
+const MAX_TRIES: usize = 4;
 
 /// A request that a client sends.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// HTTP method.
     pub method: &'static str,
     /// Value of the `Host` header.
@@ -31,20 +31,25 @@
     pub safe: bool,
 }
 
-impl Ask {
+impl ClientRequest {
     /// Creates a `GET` that may run more than once, with a timeout of 2 s.
-    pub fn get(host: &str, path: &str) -> Ask {
+    pub fn get(host: &str, path: &str) -> ClientRequest {
         let (host, path, within) = (host.to_owned(), path.to_owned(), Duration::from_secs(2));
-        Ask { method: "GET", host, path, body: Vec::new(), key: None, within, safe: true }
+        ClientRequest { method: "GET", host, path, body: Vec::new(), key: None, within, safe: true }
     }
 
     /// Creates a `POST` that must run at most once, with a timeout of 2 s.
-    pub fn post(host: &str, path: &str, body: &str) -> Ask {
-        Ask { method: "POST", body: body.as_bytes().to_vec(), safe: false, ..Ask::get(host, path) }
+    pub fn post(host: &str, path: &str, body: &str) -> ClientRequest {
+        ClientRequest {
+            method: "POST",
+            body: body.as_bytes().to_vec(),
+            safe: false,
+            ..ClientRequest::get(host, path)
+        }
     }
 
     /// Sets the API key.
-    pub fn key(mut self, key: &str) -> Ask {
+    pub fn key(mut self, key: &str) -> ClientRequest {
         self.key = Some(key.to_owned());
         self
     }
@@ -101,7 +106,7 @@
 /// Sends one try on a connection and reads its answer.
 fn exchange(
     connection: &mut HttpConnection,
-    ask: &Ask,
+    ask: &ClientRequest,
     id: &str,
     until: Instant,
 ) -> Result<Message, HttpError> {
@@ -121,13 +126,13 @@
 }
 
 /// Sends one try to a proxy on a new connection.
-pub fn try_at(to: SocketAddr, ask: &Ask) -> Try {
-    again_at(to, ask, &try_id())
+pub fn try_at(to: SocketAddr, ask: &ClientRequest) -> Try {
+    try_with_id(to, ask, &try_id())
 }
 
 /// Sends one try with the given id on a new connection. Reusing an id is a protocol violation, meant for tests of its
 /// detection.
-pub fn again_at(to: SocketAddr, ask: &Ask, id: &str) -> Try {
+pub fn try_with_id(to: SocketAddr, ask: &ClientRequest, id: &str) -> Try {
     let (id, sent) = (id.to_owned(), Instant::now());
     let got = match HttpConnection::connect(to, SECOND) {
         Ok(mut connection) => exchange(&mut connection, ask, &id, sent + ask.within),
@@ -162,7 +167,7 @@
 
 /// Outcome of a request after its last try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Answered with a 2xx status.
     Served,
     /// The last answer promises that its try was not executed.
@@ -205,16 +210,16 @@
     }
 
     /// Sends a request and retries it where that is allowed. Returns the outcome and all tries in the order sent.
-    pub fn ask(&mut self, ask: &Ask) -> (End, Vec<Try>) {
+    pub fn ask(&mut self, ask: &ClientRequest) -> (RequestOutcome, Vec<Try>) {
         let until = Instant::now() + ask.within;
         let mut attempts: Vec<Try> = Vec::new();
-        while attempts.len() < TRIES && Instant::now() < until {
+        while attempts.len() < MAX_TRIES && Instant::now() < until {
             self.look_up(&ask.host);
-            let able: Vec<SocketAddr> = {
+            let reachable: Vec<SocketAddr> = {
                 let failed = |a: &&SocketAddr| self.failed.get(*a).is_none_or(|at| at.elapsed() > SECOND);
                 self.addresses.iter().filter(failed).copied().collect()
             };
-            let from = if able.is_empty() { &self.addresses } else { &able };
+            let from = if reachable.is_empty() { &self.addresses } else { &reachable };
             let Some(to) = from.get(crate::random_u64() as usize % from.len().max(1)).copied() else {
                 std::thread::sleep(SECOND / 20);
                 continue;
@@ -238,7 +243,7 @@
             attempts.push(Try { id, to, sent, ended: Instant::now(), got });
             let Some(last) = attempts.last() else { break };
             match last.status() {
-                200..=299 => return (End::Served, attempts),
+                200..=299 => return (RequestOutcome::Served, attempts),
                 400 | 401 | 404 | 413 | 431 => break,
                 0 => _ = self.failed.insert(to, Instant::now()),
                 _ => {}
@@ -253,6 +258,6 @@
             std::thread::sleep(wait.min(left / 3));
         }
         let refused = attempts.last().is_some_and(Try::is_promise);
-        (if refused { End::Refused } else { End::Failed }, attempts)
+        (if refused { RequestOutcome::Refused } else { RequestOutcome::Failed }, attempts)
     }
 }
--- a/crates/local-cluster/src/cluster.rs
+++ b/crates/local-cluster/src/cluster.rs
@@ -88,7 +88,7 @@
     }
 }
 
-const BOUNDS: [(&str, &str); 23] = [
+const DEFAULT_BOUNDS: [(&str, &str); 23] = [
     ("listLagS", "3"),
     ("reuseAfterS", "2"),
     ("inTouchMs", "5000"),
@@ -121,7 +121,7 @@
     zone: usize,
     core: bool,
     /// Whether a program of this machine has ended before; if so, `firstStart` is false.
-    born: bool,
+    has_ended: bool,
     /// Running programs.
     running: Vec<(Role, Child)>,
 }
@@ -141,14 +141,14 @@
 }
 
 /// Reserves an address range 127.0.N.* that no other local cluster on this machine uses.
-fn draw_net() -> Result<(u8, TcpListener), ClusterError> {
-    const GUARD: u16 = 7641;
-    let free = |n: u8| Some((n, TcpListener::bind((Ipv4Addr::new(127, 0, n, 254), GUARD)).ok()?));
+fn reserve_addresses() -> Result<(u8, TcpListener), ClusterError> {
+    const GUARD_PORT: u16 = 7641;
+    let free = |n: u8| Some((n, TcpListener::bind((Ipv4Addr::new(127, 0, n, 254), GUARD_PORT)).ok()?));
     (1..=254).find_map(free).ok_or_else(|| ClusterError::NoRoom("all loopback addresses are in use".into()))
 }
 
 /// Finds consecutive ports that are free on all addresses, below the range for outgoing connections.
-fn draw_ports() -> Result<u16, ClusterError> {
+fn find_free_ports() -> Result<u16, ClusterError> {
     let free =
         |first: &u16| (0..PORTS).all(|n| TcpListener::bind((Ipv4Addr::UNSPECIFIED, first + n)).is_ok());
     let mut drawn = (0..200).map(|_| 10_000 + (crate::random_u64() % 20_000) as u16);
@@ -162,8 +162,8 @@
     /// Returns an error if a program is missing or does not start, or if no addresses or ports are free.
     pub fn start(plan: Plan) -> Result<LocalCluster, ClusterError> {
         let programs = crate::programs::folder()?;
-        let (net, guard) = draw_net()?;
-        let first_port = draw_ports()?;
+        let (net, guard) = reserve_addresses()?;
+        let first_port = find_free_ports()?;
         let folder = std::env::temp_dir().join(format!("oatbank-local-cluster-{}-{net}", std::process::id()));
         fs::create_dir_all(&folder).map_err(ClusterError::io(folder.display().to_string()))?;
         let machine = |at: usize| {
@@ -171,7 +171,7 @@
             let nth = if core { at } else { at - plan.cores };
             let name = format!("{}-{}", if core { "core" } else { "edge" }, nth + 1);
             let ip = Ipv4Addr::new(127, 0, net, at as u8 + 1);
-            Machine { name, ip, zone: nth % ZONES.len(), core, born: false, running: Vec::new() }
+            Machine { name, ip, zone: nth % ZONES.len(), core, has_ended: false, running: Vec::new() }
         };
         let machines = Mutex::new((0..plan.cores + plan.proxies).map(machine).collect());
         let cluster = LocalCluster { folder, plan, first_port, net, machines, programs, _guard: guard };
@@ -288,7 +288,7 @@
             ("edge", "\"edge\"", String::new(), listen)
         };
         let mut bounds = String::new();
-        for (name, usual) in BOUNDS {
+        for (name, usual) in DEFAULT_BOUNDS {
             let own = self.plan.bounds.iter().rev().find(|(n, _)| *n == name);
             bounds += &format!("{name} = {}\n", own.map_or(usual, |(_, v)| v.as_str()));
         }
@@ -306,7 +306,7 @@
             first = self.first_port,
             last = self.first_port + 3,
             seeds = seeds.join(","),
-            first_start = !m.born,
+            first_start = !m.has_ended,
             core = m.core,
             heartbeat = self.plan.beat_every_ms,
             tolerates = self.plan.tolerates,
--- a/crates/local-cluster/src/cluster/processes.rs
+++ b/crates/local-cluster/src/cluster/processes.rs
@@ -44,7 +44,7 @@
     /// Kills a program with SIGKILL and waits for its exit.
     pub fn kill(&self, machine: usize, role: Role) {
         let taken = self.with(machine, |m| {
-            m.born = true;
+            m.has_ended = true;
             m.running.iter().position(|(r, _)| *r == role).map(|at| m.running.remove(at).1)
         });
         if let Some(mut child) = taken {
@@ -58,7 +58,7 @@
         let mut taken = Vec::new();
         for (machine, role) in which {
             taken.extend(self.with(*machine, |m| {
-                m.born = true;
+                m.has_ended = true;
                 m.running.iter().position(|(r, _)| r == role).map(|at| m.running.remove(at).1)
             }));
         }
@@ -81,12 +81,12 @@
         if ids.is_empty() {
             return Ok(());
         }
-        let acknowledged = Command::new("kill")
+        let status = Command::new("kill")
             .arg(format!("-{name}"))
             .args(&ids)
             .status()
             .map_err(ClusterError::io("kill"))?;
-        acknowledged
+        status
             .success()
             .then_some(())
             .ok_or_else(|| ClusterError::Never(format!("kill -{name} {}", ids.join(" "))))
@@ -114,7 +114,7 @@
             })
         })?;
         self.with(machine, |m| {
-            m.born = true;
+            m.has_ended = true;
             m.running.retain(|(r, _)| *r != role);
         });
         Ok(status)
--- a/crates/local-cluster/src/failing.rs
+++ b/crates/local-cluster/src/failing.rs
@@ -1,8 +1,8 @@
 //! Scenario: a backend turns slow, fails and recovers while clients send bookings that must run at most once. Prints a
 //! table row per interval and the checker's result at the end.
 
-use crate::checker::{self, AcknowledgedCall, Found, Ran};
-use crate::client::{again_at, Ask, Try};
+use crate::checker::{self, CheckResult, Execution, TryResult};
+use crate::client::{try_with_id, ClientRequest, Try};
 use crate::cluster::{LocalCluster, Plan, INNER_PROXY, INNER_REGISTRY};
 use crate::error::ClusterError;
 use crate::operator::{Operator, TestConfiguration};
@@ -19,16 +19,16 @@
 const BOOK: &str = "booking";
 const READ: &str = "calendar";
 /// Number of servers of the booking service.
-const BOOKERS: usize = 4;
-const READERS: usize = 2;
+const BOOKING_SERVERS: usize = 4;
+const READ_SERVERS: usize = 2;
 const SLOTS: usize = 8;
 const WORK: Duration = Duration::from_millis(16);
 /// Timeout of a booking. It is shorter than the run time of a slow server.
-const WITHIN: Duration = Duration::from_millis(350);
+const BOOKING_TIMEOUT: Duration = Duration::from_millis(350);
 /// Delay after the last request, until no request is outstanding.
-const CALM: Duration = Duration::from_millis(1200);
+const SETTLE_TIME: Duration = Duration::from_millis(1200);
 /// With the fault `duplicate`, one in this many bookings is sent twice.
-const EACH: usize = 40;
+const DUPLICATE_INTERVAL: usize = 40;
 
 /// Phases of the faulty backend: start as a share of the run time, name and behaviour.
 const PHASES: [(f64, &str, Behaviour); 4] = [
@@ -40,7 +40,7 @@
 
 /// Parameters of the scenario.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct Options {
     /// Duration of the traffic.
     pub span: Duration,
     /// Interval between rows of the table.
@@ -92,8 +92,8 @@
     pub reads: Vec<u64>,
 }
 
-fn acknowledged(one: &Try) -> AcknowledgedCall {
-    AcknowledgedCall { id: one.id.clone(), status: one.status(), by: one.served_by() }
+fn acknowledged(one: &Try) -> TryResult {
+    TryResult { id: one.id.clone(), status: one.status(), by: one.served_by() }
 }
 
 fn phase(share: f64) -> (&'static str, Behaviour) {
@@ -109,7 +109,7 @@
 }
 
 /// Returns the header line of the table.
-pub fn heading(servers: &[String]) -> String {
+pub fn table_header(servers: &[String]) -> String {
     let names: Vec<String> = servers.iter().map(|s| format!("{s:>10}")).collect();
     format!(
         "   s  phase      {}   asked    run answered refused unknown  verdicts on {}",
@@ -119,7 +119,7 @@
 }
 
 /// Formats one row of the table.
-pub fn line(m: &Moment) -> String {
+pub fn table_row(m: &Moment) -> String {
     let shares: Vec<String> = m.shares.iter().map(|s| format!("{:>9.0}%", 100.0 * s)).collect();
     format!(
         "{:>4.0}  {:<9}  {}  {:>6} {:>6} {:>8} {:>7} {:>7}  {}",
@@ -139,53 +139,57 @@
 ///
 /// # Errors
 /// Returns an error if the system does not start. Programs that exit by themselves are reported as violations.
-pub fn play(wanted: &Wanted, end: &AtomicBool, mut tell: impl FnMut(&str)) -> Result<Played, ClusterError> {
+pub fn run(options: &Options, end: &AtomicBool, mut tell: impl FnMut(&str)) -> Result<Played, ClusterError> {
     let cluster = LocalCluster::start(Plan::default().bound("graceS", 2))?;
     let operator = Operator::new(cluster.controls());
     operator.must_put(
         &TestConfiguration::new(HOST).route("/book/", "unsafe", BOOK).route("/read/", "safe", READ),
     )?;
     let start = |nth: usize| {
-        let service = if nth < BOOKERS { BOOK } else { READ };
+        let service = if nth < BOOKING_SERVERS { BOOK } else { READ };
         Server::with(&cluster, nth, service, SLOTS, WORK)
     };
-    let servers: Vec<Server> = (0..BOOKERS + READERS).map(start).collect::<Result<_, _>>()?;
+    let servers: Vec<Server> = (0..BOOKING_SERVERS + READ_SERVERS).map(start).collect::<Result<_, _>>()?;
     for server in &servers {
         server.register()?;
     }
     cluster.until_ready()?;
-    let (bookers, _) = servers.split_at(BOOKERS);
-    let names: Vec<String> = bookers.iter().map(|s| s.id().to_owned()).collect();
-    tell(&heading(&names));
-    let booking = Ask { within: WITHIN, ..Ask::post(HOST, "/book/1", "a hall") };
-    let bookings = Traffic::start(&cluster.directories(), std::slice::from_ref(&booking), wanted.rate, true);
-    let reads =
-        Traffic::start(&cluster.directories(), &[Ask::get(HOST, "/read/1")], wanted.rate / 2.0, false);
+    let (booking_servers, _) = servers.split_at(BOOKING_SERVERS);
+    let names: Vec<String> = booking_servers.iter().map(|s| s.id().to_owned()).collect();
+    tell(&table_header(&names));
+    let booking = ClientRequest { within: BOOKING_TIMEOUT, ..ClientRequest::post(HOST, "/book/1", "a hall") };
+    let bookings = Traffic::start(&cluster.directories(), std::slice::from_ref(&booking), options.rate, true);
+    let reads = Traffic::start(
+        &cluster.directories(),
+        &[ClientRequest::get(HOST, "/read/1")],
+        options.rate / 2.0,
+        false,
+    );
 
     let begun = Instant::now();
-    let mut seen = checker::ReceivedRequest::default();
+    let mut seen = checker::Observations::default();
     let mut moments: Vec<Moment> = Vec::new();
-    let mut counted = vec![0; BOOKERS];
-    let mut doubled: Vec<String> = Vec::new();
-    let mut asks_verdicts = true;
-    while begun.elapsed() < wanted.span && !end.load(Ordering::SeqCst) {
-        let (name, behaviour) = phase(begun.elapsed().as_secs_f64() / wanted.span.as_secs_f64());
-        bookers[0].set_behaviour(behaviour);
-        wait::moment(begun + wanted.step * (moments.len() as u32 + 1));
+    let mut counted = vec![0; BOOKING_SERVERS];
+    let mut duplicated: Vec<String> = Vec::new();
+    let mut has_verdicts = true;
+    while begun.elapsed() < options.span && !end.load(Ordering::SeqCst) {
+        let (name, behaviour) = phase(begun.elapsed().as_secs_f64() / options.span.as_secs_f64());
+        booking_servers[0].set_behaviour(behaviour);
+        wait::moment(begun + options.step * (moments.len() as u32 + 1));
         let count = bookings.take();
         let now: Vec<usize> =
-            bookers.iter().map(|s| s.seen().iter().filter(|seen| seen.ran).count()).collect();
+            booking_servers.iter().map(|s| s.seen().iter().filter(|seen| seen.ran).count()).collect();
         let run: Vec<u64> = now.iter().zip(&counted).map(|(now, before)| (now - before) as u64).collect();
         counted = now;
         let all: u64 = run.iter().sum();
-        let requests: Vec<Vec<AcknowledgedCall>> =
+        let requests: Vec<Vec<TryResult>> =
             count.attempts.iter().map(|(_, attempts)| attempts.iter().map(acknowledged).collect()).collect();
         let part =
-            checker::check(&checker::ReceivedRequest { requests: requests.clone(), ..Default::default() });
+            checker::check(&checker::Observations { requests: requests.clone(), ..Default::default() });
         let mut verdicts = Vec::new();
-        if asks_verdicts {
+        if has_verdicts {
             verdicts = cluster.proxies().filter_map(|p| verdict(&cluster, p, &names[0])).collect();
-            asks_verdicts = !verdicts.is_empty();
+            has_verdicts = !verdicts.is_empty();
         }
         let moment = Moment {
             at: begun.elapsed().as_secs_f64(),
@@ -198,25 +202,25 @@
             unknown: part.unknown as u64,
             verdicts,
         };
-        tell(&line(&moment));
+        tell(&table_row(&moment));
         moments.push(moment);
         seen.requests.extend(requests);
-        if wanted.duplicate && seen.requests.len() / EACH > doubled.len() {
+        if options.duplicate && seen.requests.len() / DUPLICATE_INTERVAL > duplicated.len() {
             let fronts = cluster.fronts();
             let first = crate::client::try_at(fronts[0], &booking);
-            let second = again_at(fronts[1], &booking, &first.id);
+            let second = try_with_id(fronts[1], &booking, &first.id);
             seen.requests.push(vec![acknowledged(&first)]);
-            doubled.push(second.id);
+            duplicated.push(second.id);
         }
     }
     let more = bookings.stop();
     seen.requests
         .extend(more.attempts.iter().map(|(_, attempts)| attempts.iter().map(acknowledged).collect()));
     let reads = reads.stop();
-    std::thread::sleep(CALM);
+    std::thread::sleep(SETTLE_TIME);
 
     // Asks the core about the tries whose outcome the clients do not know.
-    let unsure = |t: &&AcknowledgedCall| t.by.is_none() && t.status != 500 && !checker::is_promise(t.status);
+    let unsure = |t: &&TryResult| t.by.is_none() && t.status != 500 && !checker::is_promise(t.status);
     let unsure: Vec<String> =
         seen.requests.iter().flatten().filter(unsure).map(|t| format!("outcome {}", t.id)).collect();
     let core = cluster.inner(cluster.cores().start, INNER_REGISTRY);
@@ -227,19 +231,19 @@
         }
     }
     // Prints the system's report on the duplicated tries.
-    let doubled: Vec<String> = doubled.iter().map(|id| format!("outcome {id}")).collect();
-    shell::ask_all(core, &doubled).iter().for_each(|table| tell(&table.title));
-    for server in bookers {
+    let duplicated: Vec<String> = duplicated.iter().map(|id| format!("outcome {id}")).collect();
+    shell::ask_all(core, &duplicated).iter().for_each(|table| tell(&table.title));
+    for server in booking_servers {
         let ran = server.seen().into_iter().filter(|s| s.ran);
-        seen.runs.extend(ran.map(|s| Ran { id: s.try_id, server: server.id().to_owned() }));
+        seen.runs.extend(ran.map(|s| Execution { id: s.try_id, server: server.id().to_owned() }));
     }
     let lost = cluster.lost();
     let mut found = checker::check(&seen);
     found.wrongs.extend(lost.iter().map(|program| format!("has ended by itself: {program}")));
-    for said in words(&seen.said) {
+    for said in count_outcomes(&seen.said) {
         tell(&said);
     }
-    tell(&closing(&found));
+    tell(&format_result(&found));
     cluster.end();
     let totals = [found.asked, found.run, found.answered, found.refused, found.unknown, found.settled];
     Ok(Played {
@@ -252,7 +256,7 @@
 }
 
 /// Counts how often the shell gave each answer, one line per answer.
-fn words(said: &BTreeMap<String, String>) -> Vec<String> {
+fn count_outcomes(said: &BTreeMap<String, String>) -> Vec<String> {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     said.values().for_each(|word| *counts.entry(word).or_default() += 1);
     let mut counts: Vec<_> = counts.into_iter().collect();
@@ -261,7 +265,7 @@
 }
 
 /// Formats the checker's result.
-fn closing(found: &Found) -> String {
+fn format_result(found: &CheckResult) -> String {
     let mut text = format!(
         "{} bookings: {} run, {} answered, {} refused, {} unknown to clients, {} settled afterwards",
         found.asked, found.run, found.answered, found.refused, found.unknown, found.settled
--- a/crates/local-cluster/src/http.rs
+++ b/crates/local-cluster/src/http.rs
@@ -4,8 +4,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-const LONGEST_HEAD: usize = 64 * 1024;
-const FIELDS: usize = 64;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+const MAX_HEADER_FIELDS: usize = 64;
 
 /// Reason why no complete message was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -148,14 +148,14 @@
         Ok(message)
     }
 
-    fn head(&mut self, until: Instant, parse: fn(&[u8]) -> Parsed) -> Result<Message, HttpError> {
+    fn head(&mut self, until: Instant, parse: fn(&[u8]) -> ParsedHead) -> Result<Message, HttpError> {
         loop {
             if !self.buffer.is_empty() {
                 if let Some((length, message)) = parse(&self.buffer)? {
                     self.buffer.drain(..length);
                     return Ok(message);
                 }
-                if self.buffer.len() > LONGEST_HEAD {
+                if self.buffer.len() > MAX_HEAD_BYTES {
                     return Err(HttpError::Garbled);
                 }
             }
@@ -224,30 +224,30 @@
 }
 
 /// Parsed head and its length in bytes, or `None` if it is incomplete.
-type Parsed = Result<Option<(usize, Message)>, HttpError>;
+type ParsedHead = Result<Option<(usize, Message)>, HttpError>;
 
-fn request_head(bytes: &[u8]) -> Parsed {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+fn request_head(bytes: &[u8]) -> ParsedHead {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
     let httparse::Status::Complete(length) = head.parse(bytes).map_err(|_| HttpError::Garbled)? else {
         return Ok(None);
     };
     let (method, path) =
         (head.method.unwrap_or_default().to_owned(), head.path.unwrap_or_default().to_owned());
-    Ok(Some((length, Message { method, path, fields: fields_of(head.headers), ..Message::default() })))
+    Ok(Some((length, Message { method, path, fields: convert_fields(head.headers), ..Message::default() })))
 }
 
-fn answer_head(bytes: &[u8]) -> Parsed {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+fn answer_head(bytes: &[u8]) -> ParsedHead {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Response::new(&mut fields);
     let httparse::Status::Complete(length) = head.parse(bytes).map_err(|_| HttpError::Garbled)? else {
         return Ok(None);
     };
     let status = head.code.unwrap_or(0);
-    Ok(Some((length, Message { status, fields: fields_of(head.headers), ..Message::default() })))
+    Ok(Some((length, Message { status, fields: convert_fields(head.headers), ..Message::default() })))
 }
 
-fn fields_of(fields: &[httparse::Header<'_>]) -> Vec<(String, String)> {
+fn convert_fields(fields: &[httparse::Header<'_>]) -> Vec<(String, String)> {
     let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
     fields.iter().map(|f| (f.name.to_ascii_lowercase(), text(f.value))).collect()
 }
--- a/crates/local-cluster/src/main.rs
+++ b/crates/local-cluster/src/main.rs
@@ -2,10 +2,10 @@
 
 use oatbank_local_cluster::changes;
 use oatbank_local_cluster::chart;
-use oatbank_local_cluster::client::Ask;
+use oatbank_local_cluster::client::ClientRequest;
 use oatbank_local_cluster::cluster::{LocalCluster, Plan};
 use oatbank_local_cluster::error::ClusterError;
-use oatbank_local_cluster::failing::{self, Wanted};
+use oatbank_local_cluster::failing::{self, Options};
 use oatbank_local_cluster::operator::{Operator, TestConfiguration};
 use oatbank_local_cluster::random_u64;
 use oatbank_local_cluster::server::Server;
@@ -68,7 +68,7 @@
 
 impl CommandLine {
     /// Returns whether no command has been given yet.
-    fn is_plain(&self) -> bool {
+    fn has_no_command(&self) -> bool {
         !self.failing && self.changes.is_none() && self.soak.is_none()
     }
 }
@@ -96,10 +96,10 @@
             Long("rate") => command_line.rate = parser.value()?.parse()?,
             Long("seconds") => command_line.seconds = parser.value()?.parse()?,
             Long("keep") if !command_line.failing => command_line.keep = true,
-            Value(word) if word == "changes" && command_line.is_plain() => {
+            Value(word) if word == "changes" && command_line.has_no_command() => {
                 command_line.changes = Some((3, 30));
             }
-            Value(word) if word == "soak" && command_line.is_plain() => {
+            Value(word) if word == "soak" && command_line.has_no_command() => {
                 (command_line.soak, command_line.seconds) = (Some((random_u64() >> 32, 1)), 20);
             }
             Long("seed") if command_line.soak.is_some() => {
@@ -118,7 +118,7 @@
                 command_line.changes =
                     command_line.changes.zip(Some(parser.value()?.parse()?)).map(|((c, _), n)| (c, n));
             }
-            Value(word) if word == "failing-backend" && command_line.is_plain() => {
+            Value(word) if word == "failing-backend" && command_line.has_no_command() => {
                 (command_line.failing, command_line.rate, command_line.seconds) = (true, 80.0, 30);
             }
             Long("json") if command_line.failing => command_line.json = Some(parser.value()?.string()?),
@@ -158,10 +158,10 @@
 }
 
 /// Runs the failing-backend scenario. Returns whether the checker found no violation.
-fn fail_a_backend(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
+fn run_failing_backend(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
     let (span, step) = (Duration::from_secs(command_line.seconds), Duration::from_secs(1));
-    let wanted = Wanted { span, step, rate: command_line.rate, duplicate: command_line.duplicate };
-    let played = failing::play(&wanted, end, |line| println!("{line}"))?;
+    let options = Options { span, step, rate: command_line.rate, duplicate: command_line.duplicate };
+    let played = failing::run(&options, end, |line| println!("{line}"))?;
     for (path, text) in [(&command_line.json, played.json()), (&command_line.picture, chart::draw(&played))] {
         if let Some(path) = path {
             std::fs::write(path, text).map_err(ClusterError::io(path.clone()))?;
@@ -171,9 +171,13 @@
 }
 
 /// Measures configuration changes. Returns whether all were accepted.
-fn change(proxies: usize, (cores, changes): (usize, usize), end: &AtomicBool) -> Result<bool, ClusterError> {
-    let wanted = changes::Wanted { cores, proxies, changes };
-    let played = changes::play(wanted, end, |nth, change| {
+fn measure_changes(
+    proxies: usize,
+    (cores, changes): (usize, usize),
+    end: &AtomicBool,
+) -> Result<bool, ClusterError> {
+    let options = changes::Options { cores, proxies, changes };
+    let played = changes::run(options, end, |nth, change| {
         println!("{nth:5} acknowledged in {:4} ms, {} behind", change.took.as_millis(), change.behind);
     })?;
     let (median, longest) = changes::median_and_longest(&played);
@@ -188,19 +192,19 @@
 }
 
 /// Runs soaks with consecutive seeds. Returns whether none had a violation.
-fn soak(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
+fn run_soak(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
     let (first, seeds) = command_line.soak.unwrap_or_default();
     let mut is_clean = true;
     for seed in first..first.saturating_add(seeds) {
         if end.load(Ordering::SeqCst) {
             break;
         }
-        let wanted = soak::Wanted {
+        let options = soak::Options {
             seed,
             span: Duration::from_secs(command_line.seconds),
             proxies: command_line.proxies,
         };
-        let report = soak::play(&wanted)?;
+        let report = soak::run(&options)?;
         println!(
             "seed {seed}: {} faults, {} changes, {} requests, {} served, {} left by their clients, {} violations",
             report.faults,
@@ -268,9 +272,9 @@
     println!("oatbank-local-cluster serves at {} in {}", fronts.join(", "), cluster.folder().display());
     let mut asks = Vec::new();
     for key in ["first-key", "second-key"] {
-        asks.push(Ask::get(HOST, "/read/1").key(key));
+        asks.push(ClientRequest::get(HOST, "/read/1").key(key));
         if command_line.servers > 1 {
-            asks.push(Ask::post(HOST, "/write/1", "some words").key(key));
+            asks.push(ClientRequest::post(HOST, "/write/1", "some words").key(key));
         }
     }
     let traffic = Traffic::start(&cluster.directories(), &asks, command_line.rate, false);
@@ -312,9 +316,9 @@
     };
     let end = shutdown_flag();
     let played = match command_line.changes {
-        None if command_line.soak.is_some() => soak(&command_line, &end),
-        Some(changes) => change(command_line.proxies, changes, &end),
-        None if command_line.failing => fail_a_backend(&command_line, &end),
+        None if command_line.soak.is_some() => run_soak(&command_line, &end),
+        Some(changes) => measure_changes(command_line.proxies, changes, &end),
+        None if command_line.failing => run_failing_backend(&command_line, &end),
         None => run_cluster(&command_line, &end),
     };
     match played {
--- a/crates/local-cluster/src/operator.rs
+++ b/crates/local-cluster/src/operator.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_millis(2500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// A route of a configuration.
 #[derive(Clone, Debug)]
@@ -169,7 +169,7 @@
         let first = crate::random_u64() as usize;
         for nth in 0.. {
             let by = self.controls[first.wrapping_add(nth) % self.controls.len()];
-            match call(by, method, path, body, PATIENCE) {
+            match call(by, method, path, body, CALL_TIMEOUT) {
                 Ok(answer) if answer.status < 500 && !matches!(answer.status, 408 | 429) => {
                     return Ok((Answered { status: answer.status, by, at: Instant::now() }, answer));
                 }
--- a/crates/local-cluster/src/server.rs
+++ b/crates/local-cluster/src/server.rs
@@ -11,13 +11,13 @@
 use std::time::{Duration, Instant};
 
 /// Body length, in bytes, of answers to paths that end in `/large`: more than a proxy buffers.
-const LARGE: usize = 3 * 1024 * 1024;
+const LARGE_BODY_BYTES: usize = 3 * 1024 * 1024;
 /// Factor by which [`Behaviour::Slow`] extends the run time.
-const SLOWER: u32 = 8;
+const SLOWDOWN_FACTOR: u32 = 8;
 /// Interval at which a running request checks whether its client is still connected.
 const WORK_STEP: Duration = Duration::from_millis(5);
 /// Requests accepted beyond the number of slots.
-const QUEUE: usize = 8;
+const MAX_QUEUED: usize = 8;
 const IDLE: Duration = Duration::from_secs(8);
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -97,7 +97,7 @@
     busy: AtomicUsize,
     calls: AtomicU64,
     draining: AtomicBool,
-    quiet: AtomicBool,
+    heartbeats_stopped: AtomicBool,
     ended: AtomicBool,
     /// Index of the registry that gets the next heartbeat.
     next: Mutex<usize>,
@@ -109,7 +109,7 @@
 }
 
 #[derive(Deserialize)]
-struct AcknowledgedCall {
+struct HeartbeatResponse {
     #[serde(rename = "beatAddress")]
     address: Option<String>,
 }
@@ -173,7 +173,7 @@
             busy: AtomicUsize::new(0),
             calls: AtomicU64::new(0),
             draining: AtomicBool::new(false),
-            quiet: AtomicBool::new(false),
+            heartbeats_stopped: AtomicBool::new(false),
             ended: AtomicBool::new(false),
         });
         let accepting = shared.clone();
@@ -181,7 +181,7 @@
         let (beating, every) = (shared.clone(), cluster.heartbeat_interval());
         std::thread::spawn(move || {
             while !beating.ended.load(Ordering::SeqCst) {
-                if !beating.quiet.load(Ordering::SeqCst) {
+                if !beating.heartbeats_stopped.load(Ordering::SeqCst) {
                     let _ = beating.heartbeat();
                 }
                 std::thread::sleep(every);
@@ -240,14 +240,14 @@
     /// # Errors
     /// Returns an error if no registry acknowledges within [`wait::LONG`].
     pub fn leave(&self) -> Result<Acknowledgement, ClusterError> {
-        self.shared.quiet.store(true, Ordering::SeqCst);
+        self.shared.heartbeats_stopped.store(true, Ordering::SeqCst);
         let path = format!("/servers/{}/leave", self.shared.id);
-        wait::until(wait::LONG, "leaving is acknowledged", || self.shared.say(&path, ""))
+        wait::until(wait::LONG, "leaving is acknowledged", || self.shared.post_to_registry(&path, ""))
     }
 
     /// Stops sending heartbeats.
     pub fn stop_heartbeats(&self) {
-        self.shared.quiet.store(true, Ordering::SeqCst);
+        self.shared.heartbeats_stopped.store(true, Ordering::SeqCst);
     }
 
     /// Simulates a crash: stops heartbeats without notice, closes connections and waits up to 1 s until nothing listens.
@@ -268,7 +268,7 @@
 
 impl Shared {
     /// Appends a record and returns its index.
-    fn note(&self, request: ReceivedRequest) -> usize {
+    fn record(&self, request: ReceivedRequest) -> usize {
         let mut seen = lock(&self.seen);
         seen.push(request);
         seen.len() - 1
@@ -282,11 +282,11 @@
              \"serverState\":\"{state}\",\"coldLeftMs\":0,\"callCount\":{calls}}}",
             self.service, self.address, self.zone, self.slots
         );
-        self.say(&format!("/servers/{}/beat", self.id), &body)
+        self.post_to_registry(&format!("/servers/{}/beat", self.id), &body)
     }
 
     /// Sends a message to one registry after another, with a timeout of 1 s each, until one acknowledges.
-    fn say(&self, path: &str, body: &str) -> Option<Acknowledgement> {
+    fn post_to_registry(&self, path: &str, body: &str) -> Option<Acknowledgement> {
         for _ in 0..self.controls.len() {
             let to = { self.controls[*lock(&self.next) % self.controls.len()] };
             match call(to, "POST", path, body, SECOND) {
@@ -294,7 +294,7 @@
                     let acked = Acknowledgement { by: to, at: Instant::now() };
                     let acknowledged = std::str::from_utf8(&answer.body)
                         .ok()
-                        .and_then(|t| json::from_str::<AcknowledgedCall>(t).ok());
+                        .and_then(|t| json::from_str::<HeartbeatResponse>(t).ok());
                     let address = acknowledged.and_then(|t| t.address?.parse().ok());
                     if let Some(at) = address.and_then(|a| self.controls.iter().position(|c| *c == a)) {
                         *lock(&self.next) = at;
@@ -380,13 +380,13 @@
     if behaviour == Behaviour::Unreachable {
         return wait_until_reachable(shared, connection);
     }
-    let full = shared.busy.fetch_add(1, Ordering::SeqCst) >= shared.slots + QUEUE;
+    let full = shared.busy.fetch_add(1, Ordering::SeqCst) >= shared.slots + MAX_QUEUED;
     let held = CountGuard(&shared.busy);
     let other = request.field("meant-server").is_some_and(|id| id != shared.id)
         || behaviour == Behaviour::Misdirected;
     let full = full || behaviour == Behaviour::Full;
     let ran = !(other || full || try_id.is_empty());
-    let place = shared.note(ReceivedRequest {
+    let place = shared.record(ReceivedRequest {
         at,
         try_id: try_id.clone(),
         customer: request.field("customer").map(str::to_owned),
@@ -405,7 +405,7 @@
     if let Some(refusal) = refusal {
         return connection.send(&refusal).is_ok();
     }
-    let work = if behaviour == Behaviour::Slow { shared.work * SLOWER } else { shared.work };
+    let work = if behaviour == Behaviour::Slow { shared.work * SLOWDOWN_FACTOR } else { shared.work };
     let is_wanted = work_for(connection, work);
     drop(held);
     lock(&shared.seen)[place].ended = Some(Instant::now());
@@ -457,7 +457,7 @@
     behaviour: Behaviour,
 ) -> bool {
     let body = if request.path.ends_with("/large") {
-        try_id.bytes().cycle().take(LARGE).collect()
+        try_id.bytes().cycle().take(LARGE_BODY_BYTES).collect()
     } else {
         format!("{} {} {try_id} by {}", request.method, request.path, shared.id).into_bytes()
     };
--- a/crates/local-cluster/src/soak/clients.rs
+++ b/crates/local-cluster/src/soak/clients.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of pipelined requests in a batch.
-const MOST_AT_ONCE: usize = 5;
+const MAX_PIPELINED_REQUESTS: usize = 5;
 /// Time that a client waits for the answers to a batch.
-const PATIENCE: Duration = Duration::from_millis(2500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Share of batches whose client disconnects without reading the answers.
-const LEAVES: f64 = 0.25;
+const DISCONNECT_SHARE: f64 = 0.25;
 
 /// Type of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,20 +116,20 @@
     mut connection: HttpConnection,
     exchanges: &mut Vec<Exchange>,
 ) -> Option<HttpConnection> {
-    let count = 1 + random.below(MOST_AT_ONCE);
+    let count = 1 + random.below(MAX_PIPELINED_REQUESTS);
     let closes = random.share() < 0.1;
     let batch: Vec<Prepared> = (0..count).map(|nth| prepare(random, closes && nth + 1 == count)).collect();
     let text: String = batch.iter().map(|prepared| prepared.text.as_str()).collect();
     let sent = Instant::now();
     let _ = connection.send(text.as_bytes());
-    let outcomes = if random.share() < LEAVES {
+    let outcomes = if random.share() < DISCONNECT_SHARE {
         std::thread::sleep(random.between(0, 150));
         if random.share() < 0.3 {
             connection.linger_none();
         }
         vec![Outcome::Left; count]
     } else {
-        read_answers(&batch, &mut connection, sent + PATIENCE)
+        read_answers(&batch, &mut connection, sent + ANSWER_TIMEOUT)
     };
     let is_kept = matches!(outcomes.last(), Some(Outcome::Answered(..))) && !closes;
     // Dropping the connection here disconnects the client; the GONE rule counts from this moment.
--- a/crates/local-cluster/src/soak/mod.rs
+++ b/crates/local-cluster/src/soak/mod.rs
@@ -4,7 +4,7 @@
 //! Cutting links between the system's processes needs privileges, so processes are stopped instead.
 
 pub mod clients;
-pub mod press;
+pub mod overload;
 pub mod rules;
 pub mod schedule;
 
@@ -14,7 +14,7 @@
 use crate::server::{Behaviour, Server};
 use crate::{shell, wait};
 use clients::Exchange;
-use press::{Press, PressingTenant};
+use overload::{OverloadClient, OverloadTenant};
 use rules::{Evidence, Outage, Quota};
 use schedule::{Fault, Step, GROUPS};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -44,11 +44,11 @@
 /// Graceful shutdown time in seconds: half of it for accepting new connections, the rest for completing a request.
 const GRACE_S: u64 = 5;
 /// Delay between the last request and the final reading of the servers' records.
-const CALM: Duration = Duration::from_millis(1500);
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 /// Parameters of a soak.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct Options {
     /// Seed of the fault schedule and of the clients' behaviour.
     pub seed: u64,
     /// Duration of the fault schedule.
@@ -92,33 +92,33 @@
 ///
 /// # Errors
 /// Returns an error if the system does not start. Faults that fail are reported as violations.
-pub fn play(wanted: &Wanted) -> Result<Report, ClusterError> {
-    let soak = Arc::new(Soak::start(wanted.proxies)?);
+pub fn run(options: &Options) -> Result<Report, ClusterError> {
+    let soak = Arc::new(Soak::start(options.proxies)?);
     let fronts = soak.cluster.fronts();
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
-            let (soak, fronts, seed) = (soak.clone(), fronts.clone(), wanted.seed);
+            let (soak, fronts, seed) = (soak.clone(), fronts.clone(), options.seed);
             std::thread::spawn(move || clients::run(&fronts, seed, number, &soak.stop))
         })
         .collect();
-    let mut pressing = Vec::new();
+    let mut overload_clients = Vec::new();
     let begun = Instant::now();
-    for (nth, tenant) in press::TENANTS.into_iter().enumerate() {
-        let periods = press::draw_periods(wanted.seed, nth, wanted.span);
-        for connection in 0..press::CONNECTIONS {
-            let (soak, fronts, seed, periods) = (soak.clone(), fronts.clone(), wanted.seed, periods.clone());
-            pressing.push(std::thread::spawn(move || {
-                let press = Press { tenant, periods, fronts: &fronts, begun, stop: &soak.stop };
-                press.run(seed, (nth * press::CONNECTIONS + connection) as u64)
+    for (nth, tenant) in overload::TENANTS.into_iter().enumerate() {
+        let periods = overload::draw_periods(options.seed, nth, options.span);
+        for connection in 0..overload::CONNECTIONS {
+            let (soak, fronts, seed, periods) = (soak.clone(), fronts.clone(), options.seed, periods.clone());
+            overload_clients.push(std::thread::spawn(move || {
+                let client = OverloadClient { tenant, periods, fronts: &fronts, begun, stop: &soak.stop };
+                client.run(seed, (nth * overload::CONNECTIONS + connection) as u64)
             }));
         }
     }
     let mut report = Report::default();
     let mut groups = Vec::new();
     for group in 0..GROUPS.len() {
-        let (soak, steps) = (soak.clone(), schedule::draw(wanted.seed, group, wanted.span));
+        let (soak, steps) = (soak.clone(), schedule::draw(options.seed, group, options.span));
         report.faults += steps.len();
-        groups.push(std::thread::spawn(move || steps.iter().try_for_each(|step| soak.play_step(step))));
+        groups.push(std::thread::spawn(move || steps.iter().try_for_each(|step| soak.run_step(step))));
     }
     for (group, playing) in groups.into_iter().enumerate() {
         match playing.join() {
@@ -128,10 +128,13 @@
         }
     }
     soak.stop.store(true, Ordering::SeqCst);
-    let exchanges =
-        clients.into_iter().chain(pressing).flat_map(|client| client.join().unwrap_or_default()).collect();
-    std::thread::sleep(CALM);
-    soak.conclude(exchanges, &mut report);
+    let exchanges = clients
+        .into_iter()
+        .chain(overload_clients)
+        .flat_map(|client| client.join().unwrap_or_default())
+        .collect();
+    std::thread::sleep(SETTLE_TIME);
+    soak.evaluate(exchanges, &mut report);
     Ok(report)
 }
 
@@ -160,7 +163,7 @@
         })
     }
 
-    fn play_step(&self, step: &Step) -> Result<(), ClusterError> {
+    fn run_step(&self, step: &Step) -> Result<(), ClusterError> {
         std::thread::sleep(step.pause);
         let proxies = self.cluster.proxies();
         let proxy = proxies.start + step.target % proxies.len();
@@ -259,7 +262,7 @@
         }
     }
 
-    fn conclude(&self, exchanges: Vec<Exchange>, report: &mut Report) {
+    fn evaluate(&self, exchanges: Vec<Exchange>, report: &mut Report) {
         report.requests = exchanges.len();
         let is_served = |exchange: &&Exchange| matches!(exchange.outcome, clients::Outcome::Answered(status, _) if (200..300).contains(&status));
         report.served = exchanges.iter().filter(is_served).count();
@@ -272,7 +275,7 @@
             exchanges,
             received: self.servers.iter().flat_map(received).collect(),
             outages: self.outages.lock().unwrap_or_else(PoisonError::into_inner).clone(),
-            quotas: press::TENANTS.iter().map(quota_of).collect(),
+            quotas: overload::TENANTS.iter().map(quota_of).collect(),
             ended: Some(Instant::now()),
         };
         report.fullest = fullest_windows(&evidence);
@@ -320,7 +323,7 @@
 }
 
 /// Returns the requests allowed per window for a tenant whose burst equals one second of its rate.
-fn quota_of(tenant: &PressingTenant) -> Quota {
+fn quota_of(tenant: &OverloadTenant) -> Quota {
     let given = tenant.rate * QUOTA_WINDOW.as_secs_f64() + tenant.rate;
     let allowed = (given * (1.0 + QUOTA_OVER) + QUOTA_SLACK).floor() as usize;
     Quota { tenant: tenant.name.to_owned(), window: QUOTA_WINDOW, allowed }
@@ -347,5 +350,5 @@
         .route(WRITE, "unsafe", "writer")
         .route(HISTORY, "safe", "historian")
         .tenant("unlimited", &[UNLIMITED_KEY], 0.0);
-    press::TENANTS.iter().fold(routes, |all, tenant| all.tenant(tenant.name, &[tenant.key], tenant.rate))
+    overload::TENANTS.iter().fold(routes, |all, tenant| all.tenant(tenant.name, &[tenant.key], tenant.rate))
 }
--- a/crates/local-cluster/src/soak/press.rs
+++ b/crates/local-cluster/src/soak/overload.rs
@@ -13,15 +13,15 @@
 /// Connections per tenant, each with one request at a time.
 pub const CONNECTIONS: usize = 12;
 /// Load outside overload periods, as a share of the tenant's rate.
-const USUAL: f64 = 0.62;
+const NORMAL_LOAD_SHARE: f64 = 0.62;
 /// Time that a tenant waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(700);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 /// Connect timeout.
-const CONNECT: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A tenant with a quota. Its burst equals one second of its rate.
 #[derive(Clone, Copy, Debug)]
-pub struct PressingTenant {
+pub struct OverloadTenant {
     /// Name of the tenant.
     pub name: &'static str,
     /// API key of the tenant.
@@ -31,15 +31,15 @@
 }
 
 /// Tenants that exceed their quotas during overload periods.
-pub const TENANTS: [PressingTenant; 3] = [
-    PressingTenant { name: "large", key: "key-of-large", rate: 60.0 },
-    PressingTenant { name: "medium", key: "key-of-medium", rate: 25.0 },
-    PressingTenant { name: "small", key: "key-of-small", rate: 8.0 },
+pub const TENANTS: [OverloadTenant; 3] = [
+    OverloadTenant { name: "large", key: "key-of-large", rate: 60.0 },
+    OverloadTenant { name: "medium", key: "key-of-medium", rate: 25.0 },
+    OverloadTenant { name: "small", key: "key-of-small", rate: 8.0 },
 ];
 
 /// A period of overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PressPeriod {
+pub struct OverloadPeriod {
     /// Start, relative to the start of the soak.
     pub from: Duration,
     /// End, relative to the start of the soak.
@@ -49,23 +49,23 @@
 }
 
 /// Draws the overload periods of one tenant for a soak of length `span`.
-pub fn draw_periods(seed: u64, tenant: usize, span: Duration) -> Vec<PressPeriod> {
+pub fn draw_periods(seed: u64, tenant: usize, span: Duration) -> Vec<OverloadPeriod> {
     let mut random = Random::new(seed, 200 + tenant as u64);
     let (mut periods, mut at) = (Vec::new(), random.between(300, 2000));
     while at < span {
         let until = at + random.between(2000, 6000);
-        periods.push(PressPeriod { from: at, until, times: 6.0 + 4.0 * random.share() });
+        periods.push(OverloadPeriod { from: at, until, times: 6.0 + 4.0 * random.share() });
         at = until + random.between(500, 4000);
     }
     periods
 }
 
 /// Load generator for one connection of a tenant.
-pub struct Press<'a> {
+pub struct OverloadClient<'a> {
     /// Tenant that sends the requests.
-    pub tenant: PressingTenant,
+    pub tenant: OverloadTenant,
     /// Overload periods of the tenant.
-    pub periods: Vec<PressPeriod>,
+    pub periods: Vec<OverloadPeriod>,
     /// Client addresses of the proxies.
     pub fronts: &'a [SocketAddr],
     /// Start of the soak.
@@ -74,12 +74,13 @@
     pub stop: &'a AtomicBool,
 }
 
-impl Press<'_> {
+impl OverloadClient<'_> {
     fn pause(&self) -> Duration {
         let now = self.begun.elapsed();
         let period = self.periods.iter().find(|period| (period.from..period.until).contains(&now));
-        let a_second = self.tenant.rate * USUAL * period.map_or(1.0, |period| period.times);
-        Duration::from_secs_f64(CONNECTIONS as f64 / a_second)
+        let requests_per_second =
+            self.tenant.rate * NORMAL_LOAD_SHARE * period.map_or(1.0, |period| period.times);
+        Duration::from_secs_f64(CONNECTIONS as f64 / requests_per_second)
     }
 
     /// Sends requests until `stop` is set, and returns all exchanges.
@@ -99,7 +100,8 @@
             due = Instant::now() + self.pause();
             let proxy = random.below(self.fronts.len());
             let quiet = kept[proxy].take().filter(HttpConnection::is_quiet);
-            let connection = quiet.or_else(|| HttpConnection::connect(self.fronts[proxy], CONNECT).ok());
+            let connection =
+                quiet.or_else(|| HttpConnection::connect(self.fronts[proxy], CONNECT_TIMEOUT).ok());
             if let Some(connection) = connection {
                 kept[proxy] = self.send(proxy, connection, &mut exchanges);
             }
@@ -123,7 +125,7 @@
         let prepared = [Prepared { id, kind: Kind::Read, text }];
         let sent = Instant::now();
         let _ = connection.send(prepared[0].text.as_bytes());
-        let outcomes = clients::read_answers(&prepared, &mut connection, sent + PATIENCE);
+        let outcomes = clients::read_answers(&prepared, &mut connection, sent + ANSWER_TIMEOUT);
         let outcome = outcomes.into_iter().next().unwrap_or(Outcome::Unanswered);
         let connection = matches!(outcome, Outcome::Answered(..)).then_some(connection);
         let [Prepared { id, kind, .. }] = prepared;
--- a/crates/local-cluster/src/soak/rules.rs
+++ b/crates/local-cluster/src/soak/rules.rs
@@ -11,7 +11,7 @@
 /// An unanswered request that reached no server counts as LOST only if its connection ended later than this after sending.
 pub const LOST_AFTER: Duration = Duration::from_millis(200);
 /// Time after an outage during which the proxy is still exempt from the rules.
-const SETTLES: Duration = Duration::from_secs(1);
+const RECOVERY_TIME: Duration = Duration::from_secs(1);
 
 /// Time during which a proxy was killed or stopped. GONE and LOST do not apply to it then.
 #[derive(Clone, Copy, Debug)]
@@ -51,9 +51,9 @@
 }
 
 impl Evidence {
-    /// Returns whether no outage of the proxy, extended by [`SETTLES`], overlaps the interval.
-    fn in_order(&self, proxy: usize, from: Instant, until: Instant) -> bool {
-        let hits = |outage: &Outage| outage.from <= until && outage.until + SETTLES >= from;
+    /// Returns whether no outage of the proxy, extended by [`RECOVERY_TIME`], overlaps the interval.
+    fn has_no_outage(&self, proxy: usize, from: Instant, until: Instant) -> bool {
+        let hits = |outage: &Outage| outage.from <= until && outage.until + RECOVERY_TIME >= from;
         !self.outages.iter().any(|outage| outage.proxy == proxy && hits(outage))
     }
 
@@ -64,9 +64,9 @@
             arrivals.entry(arrival.1.try_id.as_str()).or_default().push(arrival);
         }
         let known: HashSet<&str> = self.exchanges.iter().map(|exchange| exchange.id.as_str()).collect();
-        let unasked = arrivals.keys().filter(|id| !known.contains(**id));
+        let unsent = arrivals.keys().filter(|id| !known.contains(**id));
         let mut violations: Vec<String> =
-            unasked.map(|id| format!("UNASKED: {id} reached a server, and no client sent it")).collect();
+            unsent.map(|id| format!("UNASKED: {id} reached a server, and no client sent it")).collect();
         for exchange in &self.exchanges {
             let of = arrivals.get(exchange.id.as_str()).map_or(&[][..], Vec::as_slice);
             let broken = [
@@ -132,7 +132,7 @@
         let late = exchange.ended + GONE_AFTER;
         let counts = exchange.outcome == Outcome::Left
             && exchange.kind == Kind::Read
-            && self.in_order(exchange.proxy, exchange.sent, late);
+            && self.has_no_outage(exchange.proxy, exchange.sent, late);
         let works_on = |arrival: &&&(String, ReceivedRequest)| {
             let until = arrival.1.ended.or(self.ended);
             arrival.1.ran && until.is_some_and(|until| until > late)
@@ -151,7 +151,7 @@
             Outcome::BehindLastAnswer => !arrivals.is_empty(),
             _ => false,
         };
-        (is_lost && self.in_order(exchange.proxy, exchange.sent, exchange.ended)).then(|| {
+        (is_lost && self.has_no_outage(exchange.proxy, exchange.sent, exchange.ended)).then(|| {
             format!(
                 "LOST: {} ({:?}, {:?}) at proxy {}: {} arrivals, no answer after {took:?}",
                 exchange.id,
--- a/crates/local-cluster/src/traffic.rs
+++ b/crates/local-cluster/src/traffic.rs
@@ -1,6 +1,6 @@
 //! Load generator: sends requests at a fixed rate and counts their outcomes.
 
-use crate::client::{Ask, Client, End, Try};
+use crate::client::{Client, ClientRequest, RequestOutcome, Try};
 use crate::cluster::ZONES;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum rate of one client, in requests per second.
-const EACH: f64 = 10.0;
+const MAX_CLIENT_RATE: f64 = 10.0;
 
 /// Counts of request outcomes.
 #[derive(Clone, Debug, Default)]
@@ -21,7 +21,7 @@
     /// Latencies of served requests, in milliseconds.
     pub took: Vec<f64>,
     /// Outcome and tries of each request, if they are kept.
-    pub attempts: Vec<(End, Vec<Try>)>,
+    pub attempts: Vec<(RequestOutcome, Vec<Try>)>,
 }
 
 impl Count {
@@ -65,8 +65,8 @@
 
 impl Traffic {
     /// Starts to send the given requests in turn, at `rate` per second in total. If `keep` is set, all tries are recorded.
-    pub fn start(directories: &[SocketAddr], asks: &[Ask], rate: f64, keep: bool) -> Traffic {
-        let clients = (rate / EACH).ceil().max(1.0) as usize;
+    pub fn start(directories: &[SocketAddr], asks: &[ClientRequest], rate: f64, keep: bool) -> Traffic {
+        let clients = (rate / MAX_CLIENT_RATE).ceil().max(1.0) as usize;
         let every = Duration::from_secs_f64(clients as f64 / rate.max(0.1));
         let (stop, count) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Count::default())));
         let client = |nth: usize| {
@@ -88,7 +88,9 @@
                         ..Count::default()
                     };
                     one.ends[end as usize] = 1;
-                    if let (End::Served, Some(first), Some(last)) = (end, attempts.first(), attempts.last()) {
+                    if let (RequestOutcome::Served, Some(first), Some(last)) =
+                        (end, attempts.first(), attempts.last())
+                    {
                         one.took.push((last.ended - first.sent).as_secs_f64() * 1000.0);
                     }
                     if keep {
--- a/crates/local-cluster/tests/answers.rs
+++ b/crates/local-cluster/tests/answers.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::{Hammer, System, HOST, MS};
-use oatbank_local_cluster::client::{try_at, try_id, Ask, Client, Try};
+use common::{ContinuousTries, System, HOST, MS};
+use oatbank_local_cluster::client::{try_at, try_id, Client, ClientRequest, Try};
 use oatbank_local_cluster::cluster::{Plan, Role, ZONES};
 use oatbank_local_cluster::http::HttpConnection;
 use oatbank_local_cluster::operator::TestConfiguration;
@@ -25,8 +25,8 @@
     });
     let twice: Vec<&str> = services.iter().flat_map(|s| [*s, *s]).collect();
     let system = System::serving(plan(), configuration, &twice);
-    let set_behaviour = |service: &str, manners: [Behaviour; 2]| {
-        system.of(service).iter().zip(manners).for_each(|(s, m)| s.set_behaviour(m));
+    let set_behaviour = |service: &str, behaviours: [Behaviour; 2]| {
+        system.of(service).iter().zip(behaviours).for_each(|(s, m)| s.set_behaviour(m));
     };
     set_behaviour("reset", [Behaviour::RunThenReset; 2]);
     set_behaviour("close", [Behaviour::RunThenClose; 2]);
@@ -42,7 +42,7 @@
     // Each service has two servers, so a retry at another one is possible.
     let fronts = system.cluster.fronts();
     let attempts = |service: &str| -> Vec<Try> {
-        let ask = Ask::post(HOST, &format!("/{service}/1"), "words");
+        let ask = ClientRequest::post(HOST, &format!("/{service}/1"), "words");
         (0..24).map(|nth| try_at(fronts[nth % fronts.len()], &ask)).collect()
     };
     for service in ["reset", "close", "cut", "garbled"] {
@@ -75,7 +75,7 @@
 
 #[test]
 fn no_success_is_corrupt_or_belongs_to_another_request() {
-    let manners = [
+    let behaviours = [
         ("surplus", Behaviour::Surplus),
         ("late", Behaviour::Late),
         ("other", Behaviour::WrongTry),
@@ -85,21 +85,21 @@
         ("garbled", Behaviour::Garbled),
     ];
     let mut configuration = TestConfiguration::new(HOST);
-    for (service, _) in manners {
+    for (service, _) in behaviours {
         configuration = configuration.route(&format!("/{service}/"), "safe", service);
         configuration = configuration.route(&format!("/post/{service}/"), "unsafe", service);
         configuration = configuration.route(&format!("/down/{service}/"), "download", service);
     }
-    let twice: Vec<&str> = manners.iter().flat_map(|(s, _)| [*s, *s]).collect();
+    let twice: Vec<&str> = behaviours.iter().flat_map(|(s, _)| [*s, *s]).collect();
     let system = System::serving(plan(), configuration, &twice);
     let directories = system.cluster.directories();
     for all_bad in [false, true] {
-        for (service, behaviour) in manners {
+        for (service, behaviour) in behaviours {
             let servers = system.of(service);
             servers[0].set_behaviour(behaviour);
             servers[1].set_behaviour(if all_bad { behaviour } else { Behaviour::Serve });
         }
-        let clients: Vec<_> = manners
+        let clients: Vec<_> = behaviours
             .iter()
             .flat_map(|(service, _)| [0, 1].map(|nth| (*service, nth)))
             .map(|(service, nth)| {
@@ -109,12 +109,12 @@
                     let mut attempts = Vec::new();
                     for turn in 0..if all_bad { 8 } else { 24 } {
                         let ask = match turn % 4 {
-                            0 | 1 => Ask::get(HOST, &format!("/{service}/{turn}")),
-                            2 => Ask::post(HOST, &format!("/post/{service}/{turn}"), "words"),
-                            _ => Ask::get(HOST, &format!("/down/{service}/large")),
+                            0 | 1 => ClientRequest::get(HOST, &format!("/{service}/{turn}")),
+                            2 => ClientRequest::post(HOST, &format!("/post/{service}/{turn}"), "words"),
+                            _ => ClientRequest::get(HOST, &format!("/down/{service}/large")),
                         };
                         let within = if all_bad { 300 * MS } else { Duration::from_secs(3) };
-                        attempts.extend(client.ask(&Ask { within, ..ask }).1);
+                        attempts.extend(client.ask(&ClientRequest { within, ..ask }).1);
                     }
                     (service, attempts)
                 })
@@ -139,7 +139,7 @@
             assert!(!attempts.iter().any(|t| twice(&t)), "{service}: a try ran twice");
         }
         let bad = |s: &str| system.of(s)[0].seen().iter().filter(|s| s.ran).count();
-        assert!(manners.iter().all(|(s, _)| bad(s) > 0), "a faulty server was never used");
+        assert!(behaviours.iter().all(|(s, _)| bad(s) > 0), "a faulty server was never used");
     }
 }
 
@@ -211,23 +211,23 @@
     let configuration = TestConfiguration::new(HOST).route("/book/", "unsafe", "book");
     let system = System::with(plan(), configuration, &["book"; 4], 20 * MS);
     let (cluster, servers) = (&system.cluster, system.of("book"));
-    let ask = Ask { within: 400 * MS, ..Ask::post(HOST, "/book/1", "words") };
+    let ask = ClientRequest { within: 400 * MS, ..ClientRequest::post(HOST, "/book/1", "words") };
     let (fronts, proxies) = (cluster.fronts(), cluster.proxies());
     // The third proxy serves throughout; the first is frozen and the second is killed.
     let (steady, shaken) = (
-        Hammer::start(&fronts[2..], std::slice::from_ref(&ask)),
-        Hammer::start(&fronts[..2], std::slice::from_ref(&ask)),
+        ContinuousTries::start(&fronts[2..], std::slice::from_ref(&ask)),
+        ContinuousTries::start(&fronts[..2], std::slice::from_ref(&ask)),
     );
     let goes_on = || steady.until_after(Instant::now());
     let (first, second) = (proxies.start, proxies.start + 1);
-    let manners = [
+    let behaviours = [
         Behaviour::RunThenReset,
         Behaviour::Late,
         Behaviour::WrongTry,
         Behaviour::RunThenClose,
         Behaviour::Surplus,
     ];
-    for (round, behaviour) in manners.into_iter().enumerate() {
+    for (round, behaviour) in behaviours.into_iter().enumerate() {
         servers[round % 4].set_behaviour(behaviour);
         cluster.signal("STOP", &[(first, Role::Proxy)]).unwrap();
         goes_on();
--- a/crates/local-cluster/tests/common/mod.rs
+++ b/crates/local-cluster/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, unreachable_pub)]
 
-use oatbank_local_cluster::client::{try_at, Ask, Try};
+use oatbank_local_cluster::client::{try_at, ClientRequest, Try};
 use oatbank_local_cluster::cluster::{LocalCluster, Plan};
 use oatbank_local_cluster::operator::{Operator, TestConfiguration};
 use oatbank_local_cluster::server::{ReceivedRequest, Server};
@@ -17,25 +17,25 @@
 pub const MS: Duration = Duration::from_millis(1);
 
 /// Limits the clusters that run at the same time to three, as the tests check response times.
-static ROOM: (Mutex<usize>, Condvar) = (Mutex::new(3), Condvar::new());
+static FREE_CLUSTERS: (Mutex<usize>, Condvar) = (Mutex::new(3), Condvar::new());
 
-struct Room;
+struct ClusterPermit;
 
-impl Room {
-    fn take() -> Room {
-        let mut free = ROOM.0.lock().unwrap();
+impl ClusterPermit {
+    fn take() -> ClusterPermit {
+        let mut free = FREE_CLUSTERS.0.lock().unwrap();
         while *free == 0 {
-            free = ROOM.1.wait(free).unwrap();
+            free = FREE_CLUSTERS.1.wait(free).unwrap();
         }
         *free -= 1;
-        Room
+        ClusterPermit
     }
 }
 
-impl Drop for Room {
+impl Drop for ClusterPermit {
     fn drop(&mut self) {
-        *ROOM.0.lock().unwrap() += 1;
-        ROOM.1.notify_one();
+        *FREE_CLUSTERS.0.lock().unwrap() += 1;
+        FREE_CLUSTERS.1.notify_one();
     }
 }
 
@@ -44,7 +44,7 @@
     pub operator: Operator,
     pub configuration: TestConfiguration,
     pub cluster: LocalCluster,
-    _room: Room,
+    _permit: ClusterPermit,
 }
 
 impl System {
@@ -55,7 +55,7 @@
 
     /// Starts a cluster with a configuration and one server per entry of `services`, each with the run time `work`.
     pub fn with(plan: Plan, configuration: TestConfiguration, services: &[&str], work: Duration) -> System {
-        let room = Room::take();
+        let permit = ClusterPermit::take();
         let cluster = LocalCluster::start(plan).unwrap();
         let operator = Operator::new(cluster.controls());
         operator.must_put(&configuration).unwrap();
@@ -64,7 +64,7 @@
         let servers: Vec<(String, Server)> = services.iter().enumerate().map(start).collect();
         servers.iter().for_each(|(_, server)| _ = server.register().unwrap());
         cluster.until_ready().unwrap();
-        System { servers, operator, configuration, cluster, _room: room }
+        System { servers, operator, configuration, cluster, _permit: permit }
     }
 
     /// Returns the servers of a service.
@@ -93,27 +93,27 @@
     }
 
     /// Waits until a proxy serves the request.
-    pub fn until_served(&self, front: SocketAddr, ask: &Ask) {
+    pub fn until_served(&self, front: SocketAddr, ask: &ClientRequest) {
         let served = || try_at(front, ask).served_by().is_some();
         holds(LONG, &format!("{front} serves {}", ask.path), served).unwrap();
     }
 }
 
 /// Sends tries to proxies until it is stopped, with one thread per proxy and request.
-pub struct Hammer {
+pub struct ContinuousTries {
     stop: Arc<AtomicBool>,
     attempts: Vec<Arc<Mutex<Vec<Try>>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Hammer {
-    pub fn start(fronts: &[SocketAddr], asks: &[Ask]) -> Hammer {
+impl ContinuousTries {
+    pub fn start(fronts: &[SocketAddr], asks: &[ClientRequest]) -> ContinuousTries {
         let stop = Arc::new(AtomicBool::new(false));
-        let mut hammer = Hammer { stop, attempts: Vec::new(), threads: Vec::new() };
+        let mut running_tries = ContinuousTries { stop, attempts: Vec::new(), threads: Vec::new() };
         for (front, ask) in fronts.iter().flat_map(|f| asks.iter().map(move |a| (*f, a.clone()))) {
-            let (stop, attempts) = (hammer.stop.clone(), Arc::<Mutex<Vec<Try>>>::default());
-            hammer.attempts.push(attempts.clone());
-            hammer.threads.push(std::thread::spawn(move || {
+            let (stop, attempts) = (running_tries.stop.clone(), Arc::<Mutex<Vec<Try>>>::default());
+            running_tries.attempts.push(attempts.clone());
+            running_tries.threads.push(std::thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     let one = try_at(front, &ask);
                     attempts.lock().unwrap().push(one);
@@ -121,7 +121,7 @@
                 }
             }));
         }
-        hammer
+        running_tries
     }
 
     /// Waits until each thread has completed at least four tries that were sent after `at`.
--- a/crates/local-cluster/tests/config.rs
+++ b/crates/local-cluster/tests/config.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::{Hammer, System, HOST, MS};
+use common::{ContinuousTries, System, HOST, MS};
 use oatbank_local_cluster::changes;
-use oatbank_local_cluster::client::{try_at, Ask};
+use oatbank_local_cluster::client::{try_at, ClientRequest};
 use oatbank_local_cluster::cluster::{call, Plan, Role};
 use oatbank_local_cluster::operator::{Operator, TestConfiguration};
 use oatbank_local_cluster::wait;
@@ -26,15 +26,15 @@
     configuration.services.extend(["two".into(), "three".into()]);
     let system =
         System::serving(Plan::default(), configuration, &["one", "two", "three", "one", "two", "three"]);
-    let (cluster, ask) = (&system.cluster, Ask::get(HOST, "/x/1"));
+    let (cluster, ask) = (&system.cluster, ClientRequest::get(HOST, "/x/1"));
 
-    let hammer = Hammer::start(&cluster.fronts(), std::slice::from_ref(&ask));
+    let running_tries = ContinuousTries::start(&cluster.fronts(), std::slice::from_ref(&ask));
     let reached = || system.of("one").iter().all(|s| !s.seen().is_empty());
     wait::holds(wait::LONG, "the first service receives requests", reached).unwrap();
     let second = moved(&system.configuration, "two");
     let acked = system.operator.must_put(&second).unwrap().at;
-    hammer.until_after(acked + APPLY);
-    for (proxy, attempts) in hammer.stop().iter().enumerate() {
+    running_tries.until_after(acked + APPLY);
+    for (proxy, attempts) in running_tries.stop().iter().enumerate() {
         let late: Vec<_> =
             attempts.iter().filter(|t| t.sent > acked + APPLY).map(|t| system.served(t)).collect();
         assert!(late.iter().all(|s| *s == Some("two")), "proxy {proxy}: {late:?}");
@@ -54,24 +54,24 @@
     system.operator.must_put(&moved(&second, "three")).unwrap();
     cluster.signal("STOP", &cluster.core()).unwrap();
     cluster.run(proxy, Role::Proxy).unwrap();
-    let hammer = Hammer::start(&[front], std::slice::from_ref(&ask));
+    let running_tries = ContinuousTries::start(&[front], std::slice::from_ref(&ask));
     wait::holds(wait::LONG, "the proxy reports that it is not ready", || cluster.ready(proxy) == Some(503))
         .unwrap();
     let until = Instant::now() + 800 * MS;
     while Instant::now() < until {
         assert_eq!(cluster.ready(proxy), Some(503), "ready without the newest configuration");
     }
-    let without = hammer.stop();
+    let without = running_tries.stop();
     assert!(without[0].iter().any(|t| t.status() == 503), "no request was refused: {without:?}");
     assert!(without[0].iter().all(|t| matches!(t.status(), 0 | 503)), "a request was served: {without:?}");
 
-    let hammer = Hammer::start(&[front], std::slice::from_ref(&ask));
+    let running_tries = ContinuousTries::start(&[front], std::slice::from_ref(&ask));
     cluster.signal("CONT", &cluster.core()).unwrap();
     wait::holds(wait::LONG, "the proxy is ready", || cluster.ready(proxy) == Some(200)).unwrap();
     system.until_served(front, &ask);
-    hammer.until_after(Instant::now());
+    running_tries.until_after(Instant::now());
     let services: Vec<_> =
-        hammer.stop()[0].iter().filter_map(|t| system.served(t).map(str::to_owned)).collect();
+        running_tries.stop()[0].iter().filter_map(|t| system.served(t).map(str::to_owned)).collect();
     assert!(!services.is_empty() && services.iter().all(|s| s == "three"), "{services:?}");
 }
 
@@ -136,7 +136,7 @@
     }
     assert_eq!(system.operator.read().unwrap(), before, "an invalid configuration changed the one in force");
     for front in cluster.fronts() {
-        assert_eq!(try_at(front, &Ask::get(HOST, "/x/1")).status(), 200);
+        assert_eq!(try_at(front, &ClientRequest::get(HOST, "/x/1")).status(), 200);
     }
     assert_eq!(
         system.operator.put(&next).unwrap().status,
@@ -147,8 +147,8 @@
 
 #[test]
 fn change_acknowledged_before_the_limiter_wait_ends_is_applied_everywhere() {
-    let wanted = changes::Wanted { cores: 3, proxies: 4, changes: 8 };
-    let played = changes::play(wanted, &false.into(), |_, _| ()).unwrap();
+    let options = changes::Options { cores: 3, proxies: 4, changes: 8 };
+    let played = changes::run(options, &false.into(), |_, _| ()).unwrap();
     assert_eq!(played.len(), 8, "a change was not accepted");
     let early: Vec<_> = played.iter().filter(|c| c.took < 400 * MS).collect();
     assert!(early.iter().all(|c| c.behind == 0), "{played:?}");
--- a/crates/local-cluster/tests/cut_off.rs
+++ b/crates/local-cluster/tests/cut_off.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::{Hammer, System, HOST, MS};
-use oatbank_local_cluster::client::{lookup, Ask};
+use common::{ContinuousTries, System, HOST, MS};
+use oatbank_local_cluster::client::{lookup, ClientRequest};
 use oatbank_local_cluster::cluster::{call, get, LocalCluster, Plan, CORE, INNER_REGISTRY, ZONES};
 use oatbank_local_cluster::http::{HttpConnection, HttpError, Message};
 use oatbank_local_cluster::operator::{Operator, TestConfiguration};
@@ -53,7 +53,7 @@
     let said = call(cluster.control(1), "POST", &path, &heartbeat(cluster, 1), SECOND).unwrap();
     assert_eq!(said.status, 200);
     let begin = format!("/empty/{zone}/begin");
-    let hammer = Hammer::start(&cluster.fronts(), &[Ask::get(HOST, "/x/1")]);
+    let running_tries = ContinuousTries::start(&cluster.fronts(), &[ClientRequest::get(HOST, "/x/1")]);
 
     let sleeper = CORE.map(|role| (0, role));
     cluster.signal("STOP", &sleeper).unwrap();
@@ -88,7 +88,7 @@
     let read = get(cluster.control(0), "/settings/read", SECOND).unwrap();
     assert!(read.status == 200 && String::from_utf8_lossy(&read.body).contains("\"/y/\""));
     assert_eq!(call(cluster.control(0), "POST", &begin, "", 2 * SECOND).unwrap().status, 200);
-    let attempts = hammer.stop();
+    let attempts = running_tries.stop();
     assert!(attempts.iter().flatten().all(|t| t.is_success()), "a try was not served");
     assert!(cluster.lost().is_empty());
 }
@@ -101,7 +101,7 @@
     let alone = cluster.control(0);
     let path = "/servers/i-other/beat";
     let (begin, next) = (format!("/empty/{}/begin", ZONES[0].0), system.configuration.next());
-    let hammer = Hammer::start(&cluster.fronts(), &[Ask::get(HOST, "/x/1")]);
+    let running_tries = ContinuousTries::start(&cluster.fronts(), &[ClientRequest::get(HOST, "/x/1")]);
     let rest: Vec<_> = [1, 2].into_iter().flat_map(|m| CORE.map(|role| (m, role))).collect();
     cluster.signal("STOP", &rest).unwrap();
     let cut = Instant::now();
@@ -140,7 +140,7 @@
     cluster.signal("CONT", &rest).unwrap();
     system.operator.must_put(&next).unwrap();
     assert_eq!(system.operator.read().unwrap().0, next.version);
-    let attempts = hammer.stop();
+    let attempts = running_tries.stop();
     assert!(attempts.iter().flatten().all(|t| t.is_success()), "a try was not served from the known state");
     assert!(cluster.lost().is_empty());
 }
--- a/crates/local-cluster/tests/failing.rs
+++ b/crates/local-cluster/tests/failing.rs
@@ -4,9 +4,9 @@
 
 use common::{System, HOST, MS};
 use oatbank_local_cluster::chart;
-use oatbank_local_cluster::client::{try_at, Ask, Try};
+use oatbank_local_cluster::client::{try_at, ClientRequest, Try};
 use oatbank_local_cluster::cluster::{Plan, INNER_PROXY, INNER_REGISTRY};
-use oatbank_local_cluster::failing::{play, Played, Wanted};
+use oatbank_local_cluster::failing::{run, Options, Played};
 use oatbank_local_cluster::http::HttpConnection;
 use oatbank_local_cluster::operator::TestConfiguration;
 use oatbank_local_cluster::server::Behaviour;
@@ -16,9 +16,9 @@
 use std::sync::atomic::AtomicBool;
 
 fn played(duplicate: bool) -> (Played, Vec<String>) {
-    let wanted = Wanted { span: 5000 * MS, step: 500 * MS, rate: 80.0, duplicate };
+    let options = Options { span: 5000 * MS, step: 500 * MS, rate: 80.0, duplicate };
     let mut lines = Vec::new();
-    let played = play(&wanted, &AtomicBool::new(false), |line| lines.push(line.to_owned())).unwrap();
+    let played = run(&options, &AtomicBool::new(false), |line| lines.push(line.to_owned())).unwrap();
     (played, lines)
 }
 
@@ -59,7 +59,7 @@
     let server = system.of("slow")[0].id().to_owned();
 
     // The client times out while the request runs, and is told that it may have run.
-    let asked = Ask { within: 300 * MS, ..Ask::post(HOST, "/slow/1", "a job") };
+    let asked = ClientRequest { within: 300 * MS, ..ClientRequest::post(HOST, "/slow/1", "a job") };
     let late = try_at(front, &asked);
     assert!(matches!(late.status(), 502 | 504), "{late:?}");
     assert!(text(&late).contains(&format!("may have run; server {server}; try {}", late.id)), "{late:?}");
@@ -68,7 +68,7 @@
         .unwrap();
 
     // A duplicate of the request is answered with 409, as it has run.
-    let again = oatbank_local_cluster::client::again_at(front, &asked, &late.id);
+    let again = oatbank_local_cluster::client::try_with_id(front, &asked, &late.id);
     assert!(again.status() == 409 && text(&again).contains(&server), "{again:?}");
     assert_eq!(system.seen().iter().filter(|s| s.try_id == late.id).count(), 1);
 
@@ -90,11 +90,11 @@
     assert_eq!(system.seen().iter().filter(|s| s.ran && s.try_id == id).count(), 1);
 
     // A refused request is reported as not run.
-    let asked = Ask { within: 600 * MS, ..Ask::post(HOST, "/full/1", "a job") };
+    let asked = ClientRequest { within: 600 * MS, ..ClientRequest::post(HOST, "/full/1", "a job") };
     let refused = try_at(front, &asked);
     assert!(refused.is_promise() && text(&refused).contains("has not run and never will"), "{refused:?}");
     assert!(says(&outcome(&system, proxy, INNER_PROXY, &refused.id), "did not run"));
-    let again = oatbank_local_cluster::client::again_at(front, &asked, &refused.id);
+    let again = oatbank_local_cluster::client::try_with_id(front, &asked, &refused.id);
     assert!(again.is_promise(), "a request that has not run may be sent again: {again:?}");
 
     // Other commands of the shell.
--- a/crates/local-cluster/tests/keys.rs
+++ b/crates/local-cluster/tests/keys.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{Hammer, System, HOST, MS};
-use oatbank_local_cluster::client::{try_at, Ask};
+use common::{ContinuousTries, System, HOST, MS};
+use oatbank_local_cluster::client::{try_at, ClientRequest};
 use oatbank_local_cluster::cluster::{Plan, Role};
 use oatbank_local_cluster::operator::TestConfiguration;
 use oatbank_local_cluster::wait;
@@ -18,7 +18,10 @@
     let plan = Plan::default().bound("revokedFail", true).bound("revokeMs", REVOKE.as_millis());
     let system = System::serving(plan, configuration, &["s", "s", "s"]);
     let cluster = &system.cluster;
-    let ask = |key: &str| Ask { within: 1000 * MS, ..Ask::post(HOST, "/x/1", "words").key(key) };
+    let ask = |key: &str| ClientRequest {
+        within: 1000 * MS,
+        ..ClientRequest::post(HOST, "/x/1", "words").key(key)
+    };
     let cut_off = cluster.proxies().start;
     let front = cluster.front(cut_off);
     for key in ["kept", "lost"] {
@@ -33,10 +36,10 @@
     let mut others = cluster.core();
     others.extend(cluster.proxies().filter(|p| *p != cut_off).map(|p| (p, Role::Proxy)));
     cluster.signal("STOP", &others).unwrap();
-    let hammer = Hammer::start(&[front], &[ask("lost"), ask("kept")]);
+    let running_tries = ContinuousTries::start(&[front], &[ask("lost"), ask("kept")]);
     cluster.signal("CONT", &[(cut_off, Role::Proxy)]).unwrap();
-    hammer.until_after(acked + REVOKE);
-    let attempts = hammer.stop();
+    running_tries.until_after(acked + REVOKE);
+    let attempts = running_tries.stop();
     let served = attempts.iter().flatten().filter(|t| t.served_by().is_some()).count();
     assert!(served > 0, "the proxy must serve from its known state at first");
     for one in attempts.iter().flatten().filter(|t| t.sent > acked + REVOKE) {
--- a/crates/local-cluster/tests/leaving.rs
+++ b/crates/local-cluster/tests/leaving.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{Hammer, System, HOST, MS};
-use oatbank_local_cluster::client::{lookup, Ask, End};
+use common::{ContinuousTries, System, HOST, MS};
+use oatbank_local_cluster::client::{lookup, ClientRequest, RequestOutcome};
 use oatbank_local_cluster::cluster::{Plan, Role, ZONES};
 use oatbank_local_cluster::http::HttpError;
 use oatbank_local_cluster::operator::TestConfiguration;
@@ -20,7 +20,10 @@
     let system =
         System::serving(Plan::default().bound("drainMs", DRAIN.as_millis()), configuration, &["s"; 5]);
     let cluster = &system.cluster;
-    let hammer = Hammer::start(&cluster.fronts(), &[Ask::get(HOST, "/x/1"), Ask::get(HOST, "/x/2")]);
+    let running_tries = ContinuousTries::start(
+        &cluster.fronts(),
+        &[ClientRequest::get(HOST, "/x/1"), ClientRequest::get(HOST, "/x/2")],
+    );
     let all = system.of("s");
     wait::holds(wait::LONG, "all servers receive requests", || all.iter().all(|s| s.seen().len() > 5))
         .unwrap();
@@ -37,8 +40,8 @@
         .collect();
     cluster.kill(0, Role::Registry);
     assert!(acked.iter().all(|(_, a)| a.by == by), "acknowledged by another registry than the killed one");
-    hammer.until_after(acked[1].1.at + DRAIN);
-    let attempts = hammer.stop();
+    running_tries.until_after(acked[1].1.at + DRAIN);
+    let attempts = running_tries.stop();
     for (server, acked) in &acked {
         let late = server.seen().into_iter().filter(|s| s.at > acked.at + DRAIN).count();
         let last = server.seen().last().map(|s| s.at.saturating_duration_since(acked.at));
@@ -63,7 +66,7 @@
     let plan = Plan::default().bound("graceS", grace.as_secs());
     let system = System::with(plan, configuration, &["s"; 4], 80 * MS);
     let cluster = &system.cluster;
-    let asks = [Ask::get(HOST, "/read/1"), Ask::post(HOST, "/write/1", "words")];
+    let asks = [ClientRequest::get(HOST, "/read/1"), ClientRequest::post(HOST, "/write/1", "words")];
     let traffic = Traffic::start(&cluster.directories(), &asks, 200.0, true);
     let leaves = cluster.proxies().start;
     let front = cluster.front(leaves);
@@ -98,8 +101,9 @@
         let unread = error.is_none_or(|e| *e == HttpError::Unreachable || one.ended - one.sent < 200 * MS);
         assert!(unread, "held and then dropped: {one:?}");
     }
-    let bad = |(end, attempts): &&(End, Vec<oatbank_local_cluster::client::Try>)| {
-        *end != End::Served && attempts.iter().all(|t| t.got.is_ok() || t.ended - t.sent >= 200 * MS)
+    let bad = |(end, attempts): &&(RequestOutcome, Vec<oatbank_local_cluster::client::Try>)| {
+        *end != RequestOutcome::Served
+            && attempts.iter().all(|t| t.got.is_ok() || t.ended - t.sent >= 200 * MS)
     };
     assert_eq!(count.attempts.iter().filter(bad).count(), 0, "{}", count.line());
     assert!(count.ends[0] > 100 && count.mixed == 0, "{}", count.line());
--- a/crates/local-cluster/tests/names.rs
+++ b/crates/local-cluster/tests/names.rs
@@ -2,16 +2,16 @@
 
 mod common;
 
-use common::{Hammer, System, HOST, MS};
-use oatbank_local_cluster::client::{try_at, Ask, Try};
+use common::{ContinuousTries, System, HOST, MS};
+use oatbank_local_cluster::client::{try_at, ClientRequest, Try};
 use oatbank_local_cluster::cluster::{Plan, INNER_PROXY, INNER_REGISTRY};
 use oatbank_local_cluster::operator::TestConfiguration;
 use oatbank_local_cluster::shell;
 use oatbank_local_cluster::wait::{holds, LONG};
 use std::time::{Duration, Instant};
 
-fn confirm(path: &str) -> Ask {
-    Ask { within: 1000 * MS, ..Ask::post(HOST, path, "the hall, the date") }
+fn confirm(path: &str) -> ClientRequest {
+    ClientRequest { within: 1000 * MS, ..ClientRequest::post(HOST, path, "the hall, the date") }
 }
 
 #[test]
@@ -29,7 +29,7 @@
         system.until_served(*front, &confirm("/north/1"));
         system.until_served(*front, &confirm("/south/1"));
     }
-    let hammer = Hammer::start(&fronts, &[confirm("/north/2"), confirm("/south/2")]);
+    let running_tries = ContinuousTries::start(&fronts, &[confirm("/north/2"), confirm("/south/2")]);
 
     // A rival address sends heartbeats with the id of north's only server and a higher call count.
     let (victim, rival) = (system.of("north/hall")[0], system.of("hall")[0]);
@@ -53,7 +53,7 @@
         assert!(table.rows.iter().flatten().any(contested), "{table:?}");
     }
     let since = Instant::now();
-    hammer.until_after(since + 300 * MS);
+    running_tries.until_after(since + 300 * MS);
     heartbeat(1001);
     let until = Instant::now();
     // The rival stops its heartbeats, and the original server is used again.
@@ -63,7 +63,7 @@
     assert!(until.elapsed() < Duration::from_secs(8), "{:?}", until.elapsed());
 
     // Tries are grouped by proxy, and for each proxy by mesh: north, then south.
-    let attempts = hammer.stop();
+    let attempts = running_tries.stop();
     for (nth, one) in
         attempts.iter().enumerate().flat_map(|(nth, attempts)| attempts.iter().map(move |t| (nth, t)))
     {
--- a/crates/local-cluster/tests/soak.rs
+++ b/crates/local-cluster/tests/soak.rs
@@ -3,7 +3,7 @@
 use oatbank_local_cluster::server::ReceivedRequest;
 use oatbank_local_cluster::soak::clients::{Exchange, Kind, Outcome};
 use oatbank_local_cluster::soak::rules::{Evidence, Outage, Quota, GONE_AFTER};
-use oatbank_local_cluster::soak::{play, Wanted};
+use oatbank_local_cluster::soak::{run, Options};
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
@@ -16,7 +16,7 @@
 fn soak_under_overlapping_faults_has_no_violations() {
     for seed in SEEDS {
         println!("seed {seed}");
-        let report = play(&Wanted { seed, span: 12_000 * MS, proxies: 6 }).unwrap();
+        let report = run(&Options { seed, span: 12_000 * MS, proxies: 6 }).unwrap();
         println!("{:?}", report.fullest);
         assert!(report.violations.is_empty(), "seed {seed}:\n{}", report.violations.join("\n"));
         assert!(report.served > 200 && report.left > 50, "seed {seed}: {report:?}");
--- a/crates/local-cluster/tests/store.rs
+++ b/crates/local-cluster/tests/store.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{System, HOST, MS};
-use oatbank_local_cluster::client::Ask;
+use oatbank_local_cluster::client::ClientRequest;
 use oatbank_local_cluster::cluster::{Plan, Role, CORE};
 use oatbank_local_cluster::operator::TestConfiguration;
 use oatbank_local_cluster::wait;
@@ -55,7 +55,7 @@
     let field = |text: &str, from: &str| text.contains(from);
     assert!(field(&read.1, "\"/last/\"") && field(&read.1, "\"/round-0/\""), "incomplete: {}", read.1);
     for front in cluster.fronts() {
-        system.until_served(front, &Ask::get(HOST, "/last/1"));
+        system.until_served(front, &ClientRequest::get(HOST, "/last/1"));
     }
     wait::holds(wait::LONG, "all programs run", || cluster.lost().is_empty()).unwrap();
 }
