--- a/crates/local-cluster/src/chart.rs
+++ b/crates/local-cluster/src/chart.rs
@@ -61,7 +61,7 @@
         text(&mut svg, LEFT + 120.0 * nth as f64, SHARES.1 + 20.0, colour, server);
     }
     let most = played.moments.iter().map(|m| m.asked.max(m.run)).max().unwrap_or(1).max(1) as f64;
-    text(&mut svg, 4.0, ENDS.0 - 20.0, "black", &format!("bookings a row of the table (up to {most:.0})"));
+    text(&mut svg, 4.0, ENDS.0 - 20.0, "black", &format!("bookings per table row (maximum {most:.0})"));
     for (nth, (name, colour, of)) in SERIES.iter().enumerate() {
         path(&mut svg, colour, played.moments.iter().map(|m| (x(m.at), y(ENDS, of(m) as f64 / most))));
         text(&mut svg, LEFT + 120.0 * nth as f64, ENDS.1 + 20.0, colour, name);
--- a/crates/local-cluster/src/checker.rs
+++ b/crates/local-cluster/src/checker.rs
@@ -96,19 +96,23 @@
                 wrong("ran more than once");
             }
             if is_promise(acknowledged.status) && !ran.is_empty() {
-                wrong("a promise that was not kept");
+                wrong("ran despite the promise that it did not");
             }
             match &acknowledged.by {
-                Some(by) if ran != [by.as_str()] => wrong("a success of another run"),
-                None if (200..300).contains(&acknowledged.status) => wrong("a success that is no server's"),
+                Some(by) if ran != [by.as_str()] => {
+                    wrong("sealed by a server that is not the only one that ran it");
+                }
+                None if (200..300).contains(&acknowledged.status) => {
+                    wrong("a 2xx answer without a server's seal");
+                }
                 None if acknowledged.status == 500 && ran.is_empty() => {
-                    wrong("a failure of a run that was not");
+                    wrong("status 500, but no server ran it");
                 }
                 _ => {}
             }
             let said = seen.said.get(&acknowledged.id).and_then(|said| parse_outcome(said));
             if said.is_some_and(|said| said == ran.is_empty()) {
-                wrong("the system says otherwise afterwards");
+                wrong("contradicted by the system's later report");
             }
             found.settled += usize::from(said.is_some());
         }
--- a/crates/local-cluster/src/checker/tests.rs
+++ b/crates/local-cluster/src/checker/tests.rs
@@ -13,7 +13,7 @@
 type Case = (&'static str, Vec<Vec<TryResult>>, Vec<Execution>, &'static str);
 
 #[test]
-fn each_wrong_is_found_and_a_sound_run_has_none() {
+fn each_violation_is_detected_and_a_correct_run_has_none() {
     let said = |said: &str| BTreeMap::from([("a".to_owned(), said.to_owned())]);
     let once = vec![vec![acknowledged("a", 200, Some("s1"))]];
     let sound = Observations {
@@ -35,13 +35,23 @@
         |status, id: &str| vec![vec![acknowledged("a", status, None), acknowledged(id, 200, Some("s1"))]];
     let cases: [Case; 8] = [
         ("more than once", once.clone(), vec![ran("a", "s1"), ran("a", "s1")], ""),
-        ("promise", vec![vec![acknowledged("a", 503, None)]], vec![ran("a", "s1")], ""),
-        ("of another run", once.clone(), vec![ran("a", "s2")], ""),
-        ("no server's", vec![vec![acknowledged("a", 200, None)]], vec![ran("a", "s1")], ""),
-        ("that was not", vec![vec![acknowledged("a", 500, None)]], vec![], ""),
+        ("ran despite the promise", vec![vec![acknowledged("a", 503, None)]], vec![ran("a", "s1")], ""),
+        ("sealed by a server that is not the only one that ran it", once.clone(), vec![ran("a", "s2")], ""),
+        (
+            "a 2xx answer without a server's seal",
+            vec![vec![acknowledged("a", 200, None)]],
+            vec![ran("a", "s1")],
+            "",
+        ),
+        ("status 500, but no server ran it", vec![vec![acknowledged("a", 500, None)]], vec![], ""),
         ("one request ran 2", two(502, "b"), vec![ran("a", "s2"), ran("b", "s1")], ""),
         ("no client sent", once.clone(), vec![ran("a", "s1"), ran("z", "s1")], ""),
-        ("says otherwise", vec![vec![acknowledged("a", 504, None)]], vec![ran("a", "s1")], "did not run"),
+        (
+            "contradicted by the system's later report",
+            vec![vec![acknowledged("a", 504, None)]],
+            vec![ran("a", "s1")],
+            "did not run",
+        ),
     ];
     for (what, requests, runs, word) in cases {
         let found = check(&Observations { requests, runs, said: said(word) });
--- a/crates/local-cluster/src/cluster.rs
+++ b/crates/local-cluster/src/cluster.rs
@@ -152,7 +152,7 @@
     let free =
         |first: &u16| (0..PORTS).all(|n| TcpListener::bind((Ipv4Addr::UNSPECIFIED, first + n)).is_ok());
     let mut drawn = (0..200).map(|_| 10_000 + (crate::random_u64() % 20_000) as u16);
-    drawn.find(free).ok_or_else(|| ClusterError::NoRoom("no free ports in a row".into()))
+    drawn.find(free).ok_or_else(|| ClusterError::NoRoom("no range of consecutive free ports".into()))
 }
 
 impl LocalCluster {
--- a/crates/local-cluster/src/cluster/processes.rs
+++ b/crates/local-cluster/src/cluster/processes.rs
@@ -75,7 +75,8 @@
         for (machine, role) in which {
             let id = self.with(*machine, |m| m.running.iter().find(|(r, _)| r == role).map(|(_, c)| c.id()));
             ids.push(
-                id.ok_or_else(|| ClusterError::Never(format!("{role:?} on {machine} runs")))?.to_string(),
+                id.ok_or_else(|| ClusterError::Never(format!("{role:?} on machine {machine} is running")))?
+                    .to_string(),
             );
         }
         if ids.is_empty() {
@@ -89,7 +90,7 @@
         status
             .success()
             .then_some(())
-            .ok_or_else(|| ClusterError::Never(format!("kill -{name} {}", ids.join(" "))))
+            .ok_or_else(|| ClusterError::Never(format!("kill -{name} {} succeeds", ids.join(" "))))
     }
 
     /// Returns the process id of a program, or `None` if it is not running.
@@ -107,7 +108,7 @@
     /// # Errors
     /// Returns an error if the program does not exit in time.
     pub fn ended(&self, machine: usize, role: Role, within: Duration) -> Result<ExitStatus, ClusterError> {
-        let status = wait::until(within, &format!("{role:?} on {machine} ends"), || {
+        let status = wait::until(within, &format!("{role:?} on machine {machine} ends"), || {
             self.with(machine, |m| {
                 let at = m.running.iter().position(|(r, _)| *r == role)?;
                 m.running[at].1.try_wait().ok().flatten()
--- a/crates/local-cluster/src/error.rs
+++ b/crates/local-cluster/src/error.rs
@@ -14,15 +14,15 @@
         }
         /// An executable is missing and could not be built.
         NoProgram(path: String, build: String) {
-            display("there is no {}; build it with: {}", path, build)
+            display("executable {} is missing; build it with: {}", path, build)
         }
         /// A condition was not met in time.
         Never(what: String) {
-            display("never came about: {}", what)
+            display("condition not met: {}", what)
         }
         /// A call was answered with an unexpected status.
         Answer(status: u16, body: String) {
-            display("answered {}: {}", status, body)
+            display("unexpected answer {}: {}", status, body)
         }
         /// No free addresses or ports, or an executable could not be found or built.
         NoRoom(what: String) {
--- a/crates/local-cluster/src/failing.rs
+++ b/crates/local-cluster/src/failing.rs
@@ -261,7 +261,10 @@
     said.values().for_each(|word| *counts.entry(word).or_default() += 1);
     let mut counts: Vec<_> = counts.into_iter().collect();
     counts.sort();
-    counts.into_iter().map(|(word, n)| format!("asked afterwards, the system says of {n}: {word}")).collect()
+    counts
+        .into_iter()
+        .map(|(word, n)| format!("outcome reported by the system for {n} tries: {word}"))
+        .collect()
 }
 
 /// Formats the checker's result.
--- a/crates/local-cluster/src/main.rs
+++ b/crates/local-cluster/src/main.rs
@@ -17,36 +17,36 @@
 use std::time::{Duration, Instant};
 
 const HELP: &str =
-    "oatbank-local-cluster: the whole system on one's own machine, with servers, clients and a line a second
+    "oatbank-local-cluster: runs the whole system on one machine with test servers and clients, and prints a line per second
 
 Usage: oatbank-local-cluster [--proxies N] [--servers N] [--rate N] [--seconds N] [--keep]
        oatbank-local-cluster failing-backend [--rate N] [--seconds N] [--json FILE] [--picture FILE] [--fault duplicate]
        oatbank-local-cluster changes [--cores N] [--proxies N] [--changes N]
        oatbank-local-cluster soak [--seconds N] [--seed N] [--seeds N] [--proxies N]
 
-failing-backend: three proxies, three core machines, and bookings that must land once at four servers, of which
-one turns slow, then fails, then recovers. A row a second; at the end an independent checker holds what servers
-ran against what clients were told.
-changes: changes of the configuration one after the other, how long each takes to be acknowledged, and how many
-proxies do not act by it at that moment.
-soak: random faults that overlap, drawn from a seed, with clients of which some leave; what must not be is printed.
+failing-backend: three proxies, three core machines, and bookings that must run at most once at four servers, of
+which one turns slow, then fails, then recovers. Prints a row per second; at the end an independent checker compares
+the runs recorded by servers with the answers that clients got.
+changes: successive configuration changes; prints the time until each is acknowledged, and the number of proxies that
+have not applied it by then.
+soak: random overlapping faults, drawn from a seed, with clients that may disconnect early; prints all violations.
 
-  --proxies N  proxies (3); the core has three machines
-  --servers N  stand-in servers (6)
-  --rate N     requests a second (100)
-  --seconds N  ends after so many seconds of traffic (0: at ctrl-C; failing-backend: 30)
-  --json FILE     failing-backend: the run, for programs
-  --picture FILE  failing-backend: the run as a picture (SVG)
-  --fault NAME    failing-backend: duplicate: some bookings are sent twice under one id, for the checker to find
-  --cores N    changes: core machines (3)
-  --changes N  changes: so many (30)
-  --seed N     soak: the first seed (drawn)
-  --seeds N    soak: so many, one after the other (1)
-  --keep       keeps the folder with settings, logs and data, and names it
+  --proxies N  number of proxies (3); the core has three machines
+  --servers N  number of test servers (6)
+  --rate N     requests per second (100; failing-backend: 80)
+  --seconds N  duration of the traffic in seconds (0: until ctrl-C; failing-backend: 30; soak: 20)
+  --json FILE     failing-backend: writes the results as JSON
+  --picture FILE  failing-backend: writes the results as an SVG chart
+  --fault NAME    failing-backend: duplicate: sends some bookings twice with the same id, for the checker to detect
+  --cores N    changes: number of core machines (3)
+  --changes N  changes: number of changes (30)
+  --seed N     soak: first seed (random)
+  --seeds N    soak: number of consecutive seeds (1)
+  --keep       keeps the folder with settings, logs and data, and prints its path
   --help, --version
 
-Ends with 0 if requests were served, none failed and all programs ran (failing-backend: if the checker finds
-nothing wrong; changes: if all were taken; soak: if nothing was violated); else with 1.
+Exit status: 0 if requests were served, none failed and no program ended by itself (failing-backend: if the checker
+finds no violation; changes: if all changes were accepted; soak: if there was no violation); otherwise 1.
 ";
 const HOST: &str = "shop.example";
 
@@ -183,7 +183,7 @@
     let (median, longest) = changes::median_and_longest(&played);
     let behind = played.iter().filter(|c| c.behind > 0).count();
     println!(
-        "{} changes, {cores} core machines, {proxies} proxies: median {} ms, longest {} ms; {behind} acknowledged before all acted",
+        "{} changes, {cores} core machines, {proxies} proxies: median {} ms, longest {} ms; {behind} acknowledged before all proxies applied them",
         played.len(),
         median.as_millis(),
         longest.as_millis()
--- a/crates/local-cluster/src/programs.rs
+++ b/crates/local-cluster/src/programs.rs
@@ -21,7 +21,7 @@
 }
 
 fn find() -> Result<PathBuf, ClusterError> {
-    let own = std::env::current_exe().map_err(ClusterError::io("this program's own file"))?;
+    let own = std::env::current_exe().map_err(ClusterError::io("path of this executable"))?;
     let mut folder = own.parent().unwrap_or(Path::new(".")).to_owned();
     if folder.ends_with("deps") {
         folder.pop();
--- a/crates/local-cluster/src/server.rs
+++ b/crates/local-cluster/src/server.rs
@@ -222,7 +222,7 @@
     /// # Errors
     /// Returns an error if no registry acknowledges within [`wait::LONG`].
     pub fn register(&self) -> Result<Acknowledgement, ClusterError> {
-        wait::until(wait::LONG, "a beat is acknowledged", || self.shared.heartbeat())
+        wait::until(wait::LONG, "a heartbeat is acknowledged", || self.shared.heartbeat())
     }
 
     /// Reports the state `draining` and waits for the acknowledgement. The server continues to answer requests.
@@ -242,7 +242,7 @@
     pub fn leave(&self) -> Result<Acknowledgement, ClusterError> {
         self.shared.heartbeats_stopped.store(true, Ordering::SeqCst);
         let path = format!("/servers/{}/leave", self.shared.id);
-        wait::until(wait::LONG, "leaving is acknowledged", || self.shared.post_to_registry(&path, ""))
+        wait::until(wait::LONG, "deregistration is acknowledged", || self.shared.post_to_registry(&path, ""))
     }
 
     /// Stops sending heartbeats.
@@ -256,7 +256,7 @@
         // Unblocks the accept loop, which then ends.
         let _ = TcpStream::connect_timeout(&self.shared.address, SECOND);
         let refused = || TcpStream::connect_timeout(&self.shared.address, SECOND).is_err();
-        let _ = wait::holds(SECOND, "nothing listens", refused);
+        let _ = wait::holds(SECOND, "the listener is closed", refused);
     }
 }
 
--- a/crates/local-cluster/src/soak/mod.rs
+++ b/crates/local-cluster/src/soak/mod.rs
@@ -217,7 +217,7 @@
                 hits.push(scope.spawn(move || self.hit_proxy(fault, proxy, step.lasts)));
                 std::thread::sleep(gap);
             }
-            let failed = |_| Err(ClusterError::Never("a series of faults is played".into()));
+            let failed = |_| Err(ClusterError::Never("all faults of a series are applied".into()));
             hits.into_iter().try_for_each(|hit| hit.join().unwrap_or_else(failed))
         })
     }
@@ -292,7 +292,7 @@
     fn check_configuration(&self, report: &mut Report) {
         let (version, changes) = *self.acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
         report.changes = changes;
-        let read = wait::until(wait::LONG, "the configuration is read", || {
+        let read = wait::until(wait::LONG, "the configuration can be read", || {
             Operator::new(self.cluster.controls()).read().ok()
         });
         match read {
