--- a/crates/local-cluster/src/server.rs
+++ b/crates/local-cluster/src/server.rs
@@ -234,7 +234,7 @@
         wait::until(wait::LONG, "draining is acknowledged", || self.shared.heartbeat())
     }
 
-    /// Deregisters, waits for the acknowledgement and stops sending heartbeats. The server continues to answer requests, so
+    /// Stops sending heartbeats, deregisters and waits for the acknowledgement. The server continues to answer requests, so
     /// that tests can detect proxies that still send some.
     ///
     /// # Errors
