--- a/crates/local-cluster/src/changes.rs
+++ b/crates/local-cluster/src/changes.rs
@@ -1,7 +1,7 @@
-//! Changes of the configuration, one after the other: how long each takes to be acknowledged, and which proxies act by it
-//! at that moment.
+//! Measures successive configuration changes: the time until each is acknowledged, and the number of proxies that have not
+//! applied it by then.
 
-use crate::client::{try_at, Ask};
+use crate::client::{try_at, ClientRequest};
 use crate::cluster::{LocalCluster, Plan};
 use crate::error::ClusterError;
 use crate::operator::{Operator, TestConfiguration};
@@ -11,37 +11,37 @@
 
 const HOST: &str = "shop.example";
 
-/// What is to be measured.
+/// Parameters of the measurement.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
-    /// Core machines.
+pub struct Options {
+    /// Number of core machines.
     pub cores: usize,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Changes.
+    /// Number of changes.
     pub changes: usize,
 }
 
-/// A change that was acknowledged.
+/// An acknowledged change.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
-    /// From its sending to its acknowledgement.
+    /// Time from sending to acknowledgement.
     pub took: Duration,
-    /// Proxies that did not yet act by it when they were asked then.
+    /// Number of proxies that answered a request on the new route with 404 right after the acknowledgement.
     pub behind: usize,
 }
 
-/// Sends changes that each add a route, and asks every proxy for that route as soon as the change is acknowledged.
+/// Sends changes that each add a route, and requests that route from every proxy as soon as the change is acknowledged.
 ///
 /// # Errors
-/// When a program does not start or a change is not taken.
-pub fn play(
-    wanted: Wanted,
+/// Returns an error if a program does not start or a change is not accepted.
+pub fn run(
+    options: Options,
     end: &AtomicBool,
     mut hears: impl FnMut(usize, Change),
 ) -> Result<Vec<Change>, ClusterError> {
     let cluster = LocalCluster::start(
-        Plan { cores: wanted.cores, proxies: wanted.proxies, ..Plan::default() }.bound("graceS", 2),
+        Plan { cores: options.cores, proxies: options.proxies, ..Plan::default() }.bound("graceS", 2),
     )?;
     let operator = Operator::new(cluster.controls());
     let mut configuration = TestConfiguration::new(HOST).route("/first/", "safe", "reader");
@@ -50,7 +50,7 @@
     server.register()?;
     cluster.until_ready()?;
     let mut changes = Vec::new();
-    for nth in 0..wanted.changes {
+    for nth in 0..options.changes {
         if end.load(Ordering::SeqCst) {
             break;
         }
@@ -61,7 +61,7 @@
         let sent = Instant::now();
         operator.must_put(&configuration)?;
         let took = sent.elapsed();
-        let ask = Ask::get(HOST, &format!("{path}1"));
+        let ask = ClientRequest::get(HOST, &format!("{path}1"));
         let asked: Vec<_> = cluster
             .fronts()
             .into_iter()
@@ -79,7 +79,7 @@
     Ok(changes)
 }
 
-/// Median and longest of what the changes took.
+/// Returns the median and the longest time to acknowledgement; zero if there are no changes.
 pub fn median_and_longest(changes: &[Change]) -> (Duration, Duration) {
     let mut took: Vec<Duration> = changes.iter().map(|c| c.took).collect();
     took.sort_unstable();
--- a/crates/local-cluster/src/chart.rs
+++ b/crates/local-cluster/src/chart.rs
@@ -1,4 +1,4 @@
-//! A run as a picture (SVG): each server's share over time, and below what became of the bookings.
+//! SVG chart of a failing-backend run: each server's share over time, and below it the outcomes of the bookings.
 
 use crate::failing::{Moment, Played};
 use std::fmt::Write;
@@ -29,7 +29,7 @@
         writeln!(svg, "<polyline points=\"{points}\" fill=\"none\" stroke=\"{colour}\" stroke-width=\"2\"/>");
 }
 
-/// Draws a run.
+/// Returns the chart of a run as SVG text.
 pub fn draw(played: &Played) -> String {
     let last = played.moments.last().map_or(1.0, |m| m.at.max(0.1));
     let x = |at: f64| LEFT + (WIDE - LEFT - 20.0) * at / last;
@@ -61,7 +61,7 @@
         text(&mut svg, LEFT + 120.0 * nth as f64, SHARES.1 + 20.0, colour, server);
     }
     let most = played.moments.iter().map(|m| m.asked.max(m.run)).max().unwrap_or(1).max(1) as f64;
-    text(&mut svg, 4.0, ENDS.0 - 20.0, "black", &format!("bookings a row of the table (up to {most:.0})"));
+    text(&mut svg, 4.0, ENDS.0 - 20.0, "black", &format!("bookings per table row (maximum {most:.0})"));
     for (nth, (name, colour, of)) in SERIES.iter().enumerate() {
         path(&mut svg, colour, played.moments.iter().map(|m| (x(m.at), y(ENDS, of(m) as f64 / most))));
         text(&mut svg, LEFT + 120.0 * nth as f64, ENDS.1 + 20.0, colour, name);
--- a/crates/local-cluster/src/main.rs
+++ b/crates/local-cluster/src/main.rs
@@ -1,11 +1,11 @@
-//! The program: the whole system on one's own machine, with traffic, until ctrl-C or for some seconds.
+//! Command-line program that runs a local cluster with traffic until ctrl-C or for a given time.
 
 use oatbank_local_cluster::changes;
 use oatbank_local_cluster::chart;
-use oatbank_local_cluster::client::Ask;
+use oatbank_local_cluster::client::ClientRequest;
 use oatbank_local_cluster::cluster::{LocalCluster, Plan};
 use oatbank_local_cluster::error::ClusterError;
-use oatbank_local_cluster::failing::{self, Wanted};
+use oatbank_local_cluster::failing::{self, Options};
 use oatbank_local_cluster::operator::{Operator, TestConfiguration};
 use oatbank_local_cluster::random_u64;
 use oatbank_local_cluster::server::Server;
@@ -17,36 +17,36 @@
 use std::time::{Duration, Instant};
 
 const HELP: &str =
-    "oatbank-local-cluster: the whole system on one's own machine, with servers, clients and a line a second
+    "oatbank-local-cluster: runs the whole system on one machine with test servers and clients, and prints a line per second
 
 Usage: oatbank-local-cluster [--proxies N] [--servers N] [--rate N] [--seconds N] [--keep]
        oatbank-local-cluster failing-backend [--rate N] [--seconds N] [--json FILE] [--picture FILE] [--fault duplicate]
        oatbank-local-cluster changes [--cores N] [--proxies N] [--changes N]
        oatbank-local-cluster soak [--seconds N] [--seed N] [--seeds N] [--proxies N]
 
-failing-backend: three proxies, three core machines, and bookings that must land once at four servers, of which
-one turns slow, then fails, then recovers. A row a second; at the end an independent checker holds what servers
-ran against what clients were told.
-changes: changes of the configuration one after the other, how long each takes to be acknowledged, and how many
-proxies do not act by it at that moment.
-soak: random faults that overlap, drawn from a seed, with clients of which some leave; what must not be is printed.
+failing-backend: three proxies, three core machines, and bookings that must run at most once at four servers, of
+which one turns slow, then fails, then recovers. Prints a row per second; at the end an independent checker compares
+the runs recorded by servers with the answers that clients got.
+changes: successive configuration changes; prints the time until each is acknowledged, and the number of proxies that
+have not applied it by then.
+soak: random overlapping faults, drawn from a seed, with clients that may disconnect early; prints all violations.
 
-  --proxies N  proxies (3); the core has three machines
-  --servers N  stand-in servers (6)
-  --rate N     requests a second (100)
-  --seconds N  ends after so many seconds of traffic (0: at ctrl-C; failing-backend: 30)
-  --json FILE     failing-backend: the run, for programs
-  --picture FILE  failing-backend: the run as a picture (SVG)
-  --fault NAME    failing-backend: duplicate: some bookings are sent twice under one id, for the checker to find
-  --cores N    changes: core machines (3)
-  --changes N  changes: so many (30)
-  --seed N     soak: the first seed (drawn)
-  --seeds N    soak: so many, one after the other (1)
-  --keep       keeps the folder with settings, logs and data, and names it
+  --proxies N  number of proxies (3); the core has three machines
+  --servers N  number of test servers (6)
+  --rate N     requests per second (100; failing-backend: 80)
+  --seconds N  duration of the traffic in seconds (0: until ctrl-C; failing-backend: 30; soak: 20)
+  --json FILE     failing-backend: writes the results as JSON
+  --picture FILE  failing-backend: writes the results as an SVG chart
+  --fault NAME    failing-backend: duplicate: sends some bookings twice with the same id, for the checker to detect
+  --cores N    changes: number of core machines (3)
+  --changes N  changes: number of changes (30)
+  --seed N     soak: first seed (random)
+  --seeds N    soak: number of consecutive seeds (1)
+  --keep       keeps the folder with settings, logs and data, and prints its path
   --help, --version
 
-Ends with 0 if requests were served, none failed and all programs ran (failing-backend: if the checker finds
-nothing wrong; changes: if all were taken; soak: if nothing was violated); else with 1.
+Exit status: 0 if requests were served, none failed and no program ended by itself (failing-backend: if the checker
+finds no violation; changes: if all changes were accepted; soak: if there was no violation); otherwise 1.
 ";
 const HOST: &str = "shop.example";
 
@@ -57,9 +57,9 @@
     seconds: u64,
     keep: bool,
     failing: bool,
-    /// Core machines and changes, where these are measured.
+    /// Numbers of core machines and of changes, if the command is `changes`.
     changes: Option<(usize, usize)>,
-    /// The first seed and how many, where this is a soak.
+    /// First seed and number of seeds, if the command is `soak`.
     soak: Option<(u64, u64)>,
     json: Option<String>,
     picture: Option<String>,
@@ -67,8 +67,8 @@
 }
 
 impl CommandLine {
-    /// No command was named yet.
-    fn is_plain(&self) -> bool {
+    /// Returns whether no command has been given yet.
+    fn has_no_command(&self) -> bool {
         !self.failing && self.changes.is_none() && self.soak.is_none()
     }
 }
@@ -96,10 +96,10 @@
             Long("rate") => command_line.rate = parser.value()?.parse()?,
             Long("seconds") => command_line.seconds = parser.value()?.parse()?,
             Long("keep") if !command_line.failing => command_line.keep = true,
-            Value(word) if word == "changes" && command_line.is_plain() => {
+            Value(word) if word == "changes" && command_line.has_no_command() => {
                 command_line.changes = Some((3, 30));
             }
-            Value(word) if word == "soak" && command_line.is_plain() => {
+            Value(word) if word == "soak" && command_line.has_no_command() => {
                 (command_line.soak, command_line.seconds) = (Some((random_u64() >> 32, 1)), 20);
             }
             Long("seed") if command_line.soak.is_some() => {
@@ -118,7 +118,7 @@
                 command_line.changes =
                     command_line.changes.zip(Some(parser.value()?.parse()?)).map(|((c, _), n)| (c, n));
             }
-            Value(word) if word == "failing-backend" && command_line.is_plain() => {
+            Value(word) if word == "failing-backend" && command_line.has_no_command() => {
                 (command_line.failing, command_line.rate, command_line.seconds) = (true, 80.0, 30);
             }
             Long("json") if command_line.failing => command_line.json = Some(parser.value()?.string()?),
@@ -157,11 +157,11 @@
     Ok(Some(command_line))
 }
 
-/// A backend fails and recovers; whether the checker finds nothing wrong.
-fn fail_a_backend(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
+/// Runs the failing-backend scenario. Returns whether the checker found no violation.
+fn run_failing_backend(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
     let (span, step) = (Duration::from_secs(command_line.seconds), Duration::from_secs(1));
-    let wanted = Wanted { span, step, rate: command_line.rate, duplicate: command_line.duplicate };
-    let played = failing::play(&wanted, end, |line| println!("{line}"))?;
+    let options = Options { span, step, rate: command_line.rate, duplicate: command_line.duplicate };
+    let played = failing::run(&options, end, |line| println!("{line}"))?;
     for (path, text) in [(&command_line.json, played.json()), (&command_line.picture, chart::draw(&played))] {
         if let Some(path) = path {
             std::fs::write(path, text).map_err(ClusterError::io(path.clone()))?;
@@ -170,16 +170,20 @@
     Ok(played.wrongs.is_empty())
 }
 
-/// Changes the configuration again and again; whether all changes were taken.
-fn change(proxies: usize, (cores, changes): (usize, usize), end: &AtomicBool) -> Result<bool, ClusterError> {
-    let wanted = changes::Wanted { cores, proxies, changes };
-    let played = changes::play(wanted, end, |nth, change| {
+/// Measures configuration changes. Returns whether all were accepted.
+fn measure_changes(
+    proxies: usize,
+    (cores, changes): (usize, usize),
+    end: &AtomicBool,
+) -> Result<bool, ClusterError> {
+    let options = changes::Options { cores, proxies, changes };
+    let played = changes::run(options, end, |nth, change| {
         println!("{nth:5} acknowledged in {:4} ms, {} behind", change.took.as_millis(), change.behind);
     })?;
     let (median, longest) = changes::median_and_longest(&played);
     let behind = played.iter().filter(|c| c.behind > 0).count();
     println!(
-        "{} changes, {cores} core machines, {proxies} proxies: median {} ms, longest {} ms; {behind} acknowledged before all acted",
+        "{} changes, {cores} core machines, {proxies} proxies: median {} ms, longest {} ms; {behind} acknowledged before all proxies applied them",
         played.len(),
         median.as_millis(),
         longest.as_millis()
@@ -187,20 +191,20 @@
     Ok(played.len() == changes)
 }
 
-/// Soaks, one seed after the other; whether nothing was violated.
-fn soak(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
+/// Runs soaks with consecutive seeds. Returns whether none had a violation.
+fn run_soak(command_line: &CommandLine, end: &AtomicBool) -> Result<bool, ClusterError> {
     let (first, seeds) = command_line.soak.unwrap_or_default();
     let mut is_clean = true;
     for seed in first..first.saturating_add(seeds) {
         if end.load(Ordering::SeqCst) {
             break;
         }
-        let wanted = soak::Wanted {
+        let options = soak::Options {
             seed,
             span: Duration::from_secs(command_line.seconds),
             proxies: command_line.proxies,
         };
-        let report = soak::play(&wanted)?;
+        let report = soak::run(&options)?;
         println!(
             "seed {seed}: {} faults, {} changes, {} requests, {} served, {} left by their clients, {} violations",
             report.faults,
@@ -218,7 +222,7 @@
     Ok(is_clean)
 }
 
-/// Set once somebody wants this to end.
+/// Returns a flag that is set on SIGINT or SIGTERM.
 fn shutdown_flag() -> Arc<AtomicBool> {
     let end = Arc::new(AtomicBool::new(false));
     let acknowledged = end.clone();
@@ -268,9 +272,9 @@
     println!("oatbank-local-cluster serves at {} in {}", fronts.join(", "), cluster.folder().display());
     let mut asks = Vec::new();
     for key in ["first-key", "second-key"] {
-        asks.push(Ask::get(HOST, "/read/1").key(key));
+        asks.push(ClientRequest::get(HOST, "/read/1").key(key));
         if command_line.servers > 1 {
-            asks.push(Ask::post(HOST, "/write/1", "some words").key(key));
+            asks.push(ClientRequest::post(HOST, "/write/1", "some words").key(key));
         }
     }
     let traffic = Traffic::start(&cluster.directories(), &asks, command_line.rate, false);
@@ -312,9 +316,9 @@
     };
     let end = shutdown_flag();
     let played = match command_line.changes {
-        None if command_line.soak.is_some() => soak(&command_line, &end),
-        Some(changes) => change(command_line.proxies, changes, &end),
-        None if command_line.failing => fail_a_backend(&command_line, &end),
+        None if command_line.soak.is_some() => run_soak(&command_line, &end),
+        Some(changes) => measure_changes(command_line.proxies, changes, &end),
+        None if command_line.failing => run_failing_backend(&command_line, &end),
         None => run_cluster(&command_line, &end),
     };
     match played {
--- a/crates/local-cluster/src/soak/mod.rs
+++ b/crates/local-cluster/src/soak/mod.rs
@@ -1,10 +1,10 @@
-//! A soak: the system's own processes under random faults that overlap, with clients that send several requests at once and
-//! some that leave. [`rules`] says what must hold.
+//! Soak test: runs the system's processes under random overlapping faults, with clients that pipeline requests and
+//! sometimes disconnect early. [`rules`] defines the guarantees that are checked.
 //!
-//! Links between the system's processes cannot be cut without privileges: there a process stands still instead.
+//! Cutting links between the system's processes needs privileges, so processes are stopped instead.
 
 pub mod clients;
-pub mod press;
+pub mod overload;
 pub mod rules;
 pub mod schedule;
 
@@ -14,7 +14,7 @@
 use crate::server::{Behaviour, Server};
 use crate::{shell, wait};
 use clients::Exchange;
-use press::{Press, PressingTenant};
+use overload::{OverloadClient, OverloadTenant};
 use rules::{Evidence, Outage, Quota};
 use schedule::{Fault, Step, GROUPS};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -24,101 +24,101 @@
 const HOST: &str = "soak.example";
 const READ: &str = "/read/";
 const WRITE: &str = "/write/";
-/// Served slowly: a client may leave long before its answer.
+/// Path of slow requests, whose clients may disconnect long before the answer.
 const HISTORY: &str = "/history/";
 const READ_WORK: Duration = Duration::from_millis(15);
 const HISTORY_WORK: Duration = Duration::from_millis(800);
-/// Servers of each service.
+/// Number of servers per service.
 const SERVERS: usize = 3;
 const SLOTS: usize = 24;
-/// The key of a tenant without a quota.
+/// API key of a tenant without a quota.
 const UNLIMITED_KEY: &str = "key-of-unlimited";
-/// The rule on quotas: its window, and by which share and how many requests a quota may be exceeded.
+/// Window of the quota rule. The quota may be exceeded by the share `QUOTA_OVER` plus `QUOTA_SLACK` requests.
 const QUOTA_WINDOW: Duration = Duration::from_secs(5);
 const QUOTA_OVER: f64 = 0.1;
 const QUOTA_SLACK: f64 = 20.0;
-/// Between the signals of a series.
+/// Delay between the SIGTERMs of a rolling restart.
 const SERIES_GAP: Duration = Duration::from_millis(200);
-/// Clients.
+/// Number of concurrent clients without a quota.
 const CLIENTS: u64 = 16;
-/// What a program that was told to end may take: half of it for new connections, and then a whole request.
+/// Graceful shutdown time in seconds: half of it for accepting new connections, the rest for completing a request.
 const GRACE_S: u64 = 5;
-/// Between the last request and the last look at what servers still do.
-const CALM: Duration = Duration::from_millis(1500);
+/// Delay between the last request and the final reading of the servers' records.
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
-/// What is to be played.
+/// Parameters of a soak.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
-    /// Draws the faults and what clients do.
+pub struct Options {
+    /// Seed of the fault schedule and of the clients' behaviour.
     pub seed: u64,
-    /// How long there are faults.
+    /// Duration of the fault schedule.
     pub span: Duration,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
 }
 
-/// What came of it.
+/// Results of a soak.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Requests.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Requests that were served.
+    /// Requests answered with a 2xx status.
     pub served: usize,
-    /// Requests whose client left.
+    /// Requests whose client disconnected or timed out.
     pub left: usize,
-    /// Configurations that were acknowledged.
+    /// Acknowledged configurations, including the initial one.
     pub changes: usize,
-    /// Faults.
+    /// Number of scheduled faults.
     pub faults: usize,
-    /// Of each tenant with a quota, how much of what is allowed ran in its fullest window.
+    /// Use of the allowed requests in each tenant's fullest window, as a share.
     pub fullest: Vec<(String, f64)>,
-    /// What must not be.
+    /// One line for each violation.
     pub violations: Vec<String>,
 }
 
-/// What the threads of a soak share.
+/// State shared by the threads of a soak.
 struct Soak {
     cluster: LocalCluster,
     servers: Vec<Server>,
     outages: Mutex<Vec<Outage>>,
-    /// By proxy: held while a fault of one group is played on it.
+    /// One lock per proxy, held while a fault is applied to it.
     busy: Vec<Mutex<()>>,
-    /// The newest acknowledged configuration, and how many there were.
+    /// Version of the newest acknowledged configuration, and the number of acknowledged ones.
     acknowledged: Mutex<(u64, usize)>,
     stop: AtomicBool,
 }
 
-/// Plays a soak.
+/// Runs a soak and returns its results.
 ///
 /// # Errors
-/// When the system does not come about, or a program does not start again.
-pub fn play(wanted: &Wanted) -> Result<Report, ClusterError> {
-    let soak = Arc::new(Soak::start(wanted.proxies)?);
+/// Returns an error if the system does not start. Faults that fail are reported as violations.
+pub fn run(options: &Options) -> Result<Report, ClusterError> {
+    let soak = Arc::new(Soak::start(options.proxies)?);
     let fronts = soak.cluster.fronts();
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
-            let (soak, fronts, seed) = (soak.clone(), fronts.clone(), wanted.seed);
+            let (soak, fronts, seed) = (soak.clone(), fronts.clone(), options.seed);
             std::thread::spawn(move || clients::run(&fronts, seed, number, &soak.stop))
         })
         .collect();
-    let mut pressing = Vec::new();
+    let mut overload_clients = Vec::new();
     let begun = Instant::now();
-    for (nth, tenant) in press::TENANTS.into_iter().enumerate() {
-        let periods = press::draw_periods(wanted.seed, nth, wanted.span);
-        for connection in 0..press::CONNECTIONS {
-            let (soak, fronts, seed, periods) = (soak.clone(), fronts.clone(), wanted.seed, periods.clone());
-            pressing.push(std::thread::spawn(move || {
-                let press = Press { tenant, periods, fronts: &fronts, begun, stop: &soak.stop };
-                press.run(seed, (nth * press::CONNECTIONS + connection) as u64)
+    for (nth, tenant) in overload::TENANTS.into_iter().enumerate() {
+        let periods = overload::draw_periods(options.seed, nth, options.span);
+        for connection in 0..overload::CONNECTIONS {
+            let (soak, fronts, seed, periods) = (soak.clone(), fronts.clone(), options.seed, periods.clone());
+            overload_clients.push(std::thread::spawn(move || {
+                let client = OverloadClient { tenant, periods, fronts: &fronts, begun, stop: &soak.stop };
+                client.run(seed, (nth * overload::CONNECTIONS + connection) as u64)
             }));
         }
     }
     let mut report = Report::default();
     let mut groups = Vec::new();
     for group in 0..GROUPS.len() {
-        let (soak, steps) = (soak.clone(), schedule::draw(wanted.seed, group, wanted.span));
+        let (soak, steps) = (soak.clone(), schedule::draw(options.seed, group, options.span));
         report.faults += steps.len();
-        groups.push(std::thread::spawn(move || steps.iter().try_for_each(|step| soak.play_step(step))));
+        groups.push(std::thread::spawn(move || steps.iter().try_for_each(|step| soak.run_step(step))));
     }
     for (group, playing) in groups.into_iter().enumerate() {
         match playing.join() {
@@ -128,10 +128,13 @@
         }
     }
     soak.stop.store(true, Ordering::SeqCst);
-    let exchanges =
-        clients.into_iter().chain(pressing).flat_map(|client| client.join().unwrap_or_default()).collect();
-    std::thread::sleep(CALM);
-    soak.conclude(exchanges, &mut report);
+    let exchanges = clients
+        .into_iter()
+        .chain(overload_clients)
+        .flat_map(|client| client.join().unwrap_or_default())
+        .collect();
+    std::thread::sleep(SETTLE_TIME);
+    soak.evaluate(exchanges, &mut report);
     Ok(report)
 }
 
@@ -160,7 +163,7 @@
         })
     }
 
-    fn play_step(&self, step: &Step) -> Result<(), ClusterError> {
+    fn run_step(&self, step: &Step) -> Result<(), ClusterError> {
         std::thread::sleep(step.pause);
         let proxies = self.cluster.proxies();
         let proxy = proxies.start + step.target % proxies.len();
@@ -188,7 +191,7 @@
         Ok(())
     }
 
-    /// Plays a fault on one proxy, unless one of another group is played on it now.
+    /// Applies a fault to one proxy. Does nothing if another fault is being applied to it.
     fn hit_proxy(&self, fault: Fault, proxy: usize, lasts: Duration) -> Result<(), ClusterError> {
         let Ok(_busy) = self.busy[proxy - self.cluster.proxies().start].try_lock() else { return Ok(()) };
         match fault {
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Plays a fault on many proxies, each so much later than the one before. They overlap; two thirds are hit at most.
+    /// Applies overlapping faults to at most two thirds of the proxies (at least one), starting them `gap` apart.
     fn hit_series(&self, step: &Step, fault: Fault, gap: Duration) -> Result<(), ClusterError> {
         let proxies = self.cluster.proxies();
         let count = 1 + step.target % (proxies.len() * 2 / 3).max(1);
@@ -214,7 +217,7 @@
                 hits.push(scope.spawn(move || self.hit_proxy(fault, proxy, step.lasts)));
                 std::thread::sleep(gap);
             }
-            let failed = |_| Err(ClusterError::Never("a series of faults is played".into()));
+            let failed = |_| Err(ClusterError::Never("all faults of a series are applied".into()));
             hits.into_iter().try_for_each(|hit| hit.join().unwrap_or_else(failed))
         })
     }
@@ -238,7 +241,7 @@
         self.cluster.signal("CONT", programs)
     }
 
-    /// Ends a proxy in order, as for an update: no request is lost by it.
+    /// Shuts a proxy down gracefully, as in an upgrade, and restarts it. No request may be lost, so this is no outage.
     fn end_proxy(&self, proxy: usize) -> Result<(), ClusterError> {
         self.cluster.signal("TERM", &[(proxy, Role::Proxy)])?;
         let grace = Duration::from_secs(GRACE_S) + Duration::from_millis(500);
@@ -246,7 +249,7 @@
         self.cluster.run(proxy, Role::Proxy)
     }
 
-    /// Puts a configuration on top of the one in force; one without a clear answer may or may not be in force.
+    /// Submits a configuration based on the current one. Without a 200 answer it may or may not be in force.
     fn change_configuration(&self) {
         let operator = Operator::new(self.cluster.controls());
         let Ok((version, _)) = operator.read() else { return };
@@ -259,7 +262,7 @@
         }
     }
 
-    fn conclude(&self, exchanges: Vec<Exchange>, report: &mut Report) {
+    fn evaluate(&self, exchanges: Vec<Exchange>, report: &mut Report) {
         report.requests = exchanges.len();
         let is_served = |exchange: &&Exchange| matches!(exchange.outcome, clients::Outcome::Answered(status, _) if (200..300).contains(&status));
         report.served = exchanges.iter().filter(is_served).count();
@@ -272,7 +275,7 @@
             exchanges,
             received: self.servers.iter().flat_map(received).collect(),
             outages: self.outages.lock().unwrap_or_else(PoisonError::into_inner).clone(),
-            quotas: press::TENANTS.iter().map(quota_of).collect(),
+            quotas: overload::TENANTS.iter().map(quota_of).collect(),
             ended: Some(Instant::now()),
         };
         report.fullest = fullest_windows(&evidence);
@@ -285,11 +288,11 @@
         self.cluster.end();
     }
 
-    /// What was acknowledged is read back.
+    /// Checks that the configuration read back is at least as new as the newest acknowledged one.
     fn check_configuration(&self, report: &mut Report) {
         let (version, changes) = *self.acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
         report.changes = changes;
-        let read = wait::until(wait::LONG, "the configuration is read", || {
+        let read = wait::until(wait::LONG, "the configuration can be read", || {
             Operator::new(self.cluster.controls()).read().ok()
         });
         match read {
@@ -301,7 +304,7 @@
         }
     }
 
-    /// What the proxies say of themselves, also in the logs of those that have ended.
+    /// Checks the invariants that proxies report through the shell, and their logs, which include those of ended processes.
     fn check_invariants(&self, report: &mut Report) {
         for proxy in self.cluster.proxies() {
             match shell::ask(self.cluster.inner(proxy, INNER_PROXY), &["invariants"]) {
@@ -319,8 +322,8 @@
     }
 }
 
-/// The rule's quota of a tenant, whose burst is its rate.
-fn quota_of(tenant: &PressingTenant) -> Quota {
+/// Returns the requests allowed per window for a tenant whose burst equals one second of its rate.
+fn quota_of(tenant: &OverloadTenant) -> Quota {
     let given = tenant.rate * QUOTA_WINDOW.as_secs_f64() + tenant.rate;
     let allowed = (given * (1.0 + QUOTA_OVER) + QUOTA_SLACK).floor() as usize;
     Quota { tenant: tenant.name.to_owned(), window: QUOTA_WINDOW, allowed }
@@ -347,5 +350,5 @@
         .route(WRITE, "unsafe", "writer")
         .route(HISTORY, "safe", "historian")
         .tenant("unlimited", &[UNLIMITED_KEY], 0.0);
-    press::TENANTS.iter().fold(routes, |all, tenant| all.tenant(tenant.name, &[tenant.key], tenant.rate))
+    overload::TENANTS.iter().fold(routes, |all, tenant| all.tenant(tenant.name, &[tenant.key], tenant.rate))
 }
--- a/crates/local-cluster/src/soak/press.rs
+++ b/crates/local-cluster/src/soak/overload.rs
@@ -1,5 +1,5 @@
-//! Tenants of the soak that press: each sends its usual, and in periods many times that, on connections that it keeps for as long as
-//! their proxy does, whether or not the proxy has said that it ends.
+//! Soak tenants that exceed their quotas: each sends below its rate, and many times as much during overload periods. A
+//! connection is kept until the proxy closes it, even after an answer with `Connection: close`.
 
 use super::clients::{self, Exchange, Kind, Outcome, Prepared};
 use super::schedule::Random;
@@ -10,86 +10,87 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Connections of a tenant, each with one request at a time.
+/// Connections per tenant, each with one request at a time.
 pub const CONNECTIONS: usize = 12;
-/// What a tenant sends before it presses, as a share of its rate.
-const USUAL: f64 = 0.62;
-/// A tenant waits so long for an answer.
-const PATIENCE: Duration = Duration::from_millis(700);
-/// A proxy that takes no connection is left out for this long.
-const CONNECT: Duration = Duration::from_millis(100);
+/// Load outside overload periods, as a share of the tenant's rate.
+const NORMAL_LOAD_SHARE: f64 = 0.62;
+/// Time that a tenant waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Connect timeout.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A tenant with a quota; its burst is its rate.
+/// A tenant with a quota. Its burst equals one second of its rate.
 #[derive(Clone, Copy, Debug)]
-pub struct PressingTenant {
-    /// Its name.
+pub struct OverloadTenant {
+    /// Name of the tenant.
     pub name: &'static str,
-    /// Its key.
+    /// API key of the tenant.
     pub key: &'static str,
-    /// Requests a second.
+    /// Quota in requests per second.
     pub rate: f64,
 }
 
-/// The tenants that press.
-pub const TENANTS: [PressingTenant; 3] = [
-    PressingTenant { name: "large", key: "key-of-large", rate: 60.0 },
-    PressingTenant { name: "medium", key: "key-of-medium", rate: 25.0 },
-    PressingTenant { name: "small", key: "key-of-small", rate: 8.0 },
+/// Tenants that exceed their quotas during overload periods.
+pub const TENANTS: [OverloadTenant; 3] = [
+    OverloadTenant { name: "large", key: "key-of-large", rate: 60.0 },
+    OverloadTenant { name: "medium", key: "key-of-medium", rate: 25.0 },
+    OverloadTenant { name: "small", key: "key-of-small", rate: 8.0 },
 ];
 
-/// A period of pressing.
+/// A period of overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PressPeriod {
-    /// When it begins, from the start.
+pub struct OverloadPeriod {
+    /// Start, relative to the start of the soak.
     pub from: Duration,
-    /// When it is over.
+    /// End, relative to the start of the soak.
     pub until: Duration,
-    /// How many times the usual is sent.
+    /// Factor by which the normal load is multiplied.
     pub times: f64,
 }
 
-/// The periods of one tenant within a soak.
-pub fn draw_periods(seed: u64, tenant: usize, span: Duration) -> Vec<PressPeriod> {
+/// Draws the overload periods of one tenant for a soak of length `span`.
+pub fn draw_periods(seed: u64, tenant: usize, span: Duration) -> Vec<OverloadPeriod> {
     let mut random = Random::new(seed, 200 + tenant as u64);
     let (mut periods, mut at) = (Vec::new(), random.between(300, 2000));
     while at < span {
         let until = at + random.between(2000, 6000);
-        periods.push(PressPeriod { from: at, until, times: 6.0 + 4.0 * random.share() });
+        periods.push(OverloadPeriod { from: at, until, times: 6.0 + 4.0 * random.share() });
         at = until + random.between(500, 4000);
     }
     periods
 }
 
-/// What one connection of a tenant sends.
-pub struct Press<'a> {
-    /// The tenant.
-    pub tenant: PressingTenant,
-    /// When it presses.
-    pub periods: Vec<PressPeriod>,
-    /// Where proxies take clients.
+/// Load generator for one connection of a tenant.
+pub struct OverloadClient<'a> {
+    /// Tenant that sends the requests.
+    pub tenant: OverloadTenant,
+    /// Overload periods of the tenant.
+    pub periods: Vec<OverloadPeriod>,
+    /// Client addresses of the proxies.
     pub fronts: &'a [SocketAddr],
-    /// When the soak began.
+    /// Start of the soak.
     pub begun: Instant,
-    /// Set at its end.
+    /// Set at the end of the soak.
     pub stop: &'a AtomicBool,
 }
 
-impl Press<'_> {
+impl OverloadClient<'_> {
     fn pause(&self) -> Duration {
         let now = self.begun.elapsed();
         let period = self.periods.iter().find(|period| (period.from..period.until).contains(&now));
-        let a_second = self.tenant.rate * USUAL * period.map_or(1.0, |period| period.times);
-        Duration::from_secs_f64(CONNECTIONS as f64 / a_second)
+        let requests_per_second =
+            self.tenant.rate * NORMAL_LOAD_SHARE * period.map_or(1.0, |period| period.times);
+        Duration::from_secs_f64(CONNECTIONS as f64 / requests_per_second)
     }
 
-    /// Sends until it is stopped.
+    /// Sends requests until `stop` is set, and returns all exchanges.
     pub fn run(&self, seed: u64, number: u64) -> Vec<Exchange> {
         let mut random = Random::new(seed, 300 + number);
         let mut kept: Vec<Option<HttpConnection>> = self.fronts.iter().map(|_| None).collect();
         let mut exchanges = Vec::new();
         let mut due = Instant::now() + self.pause().mul_f64(random.share());
         while !self.stop.load(Ordering::SeqCst) {
-            // Never longer than this at once, so that a period is noticed when it begins.
+            // Sleeps at most 50 ms at a time, so that the start of an overload period is noticed promptly.
             let wait = due.saturating_duration_since(Instant::now()).min(Duration::from_millis(50));
             std::thread::sleep(wait);
             due = due.min(Instant::now() + self.pause());
@@ -99,7 +100,8 @@
             due = Instant::now() + self.pause();
             let proxy = random.below(self.fronts.len());
             let quiet = kept[proxy].take().filter(HttpConnection::is_quiet);
-            let connection = quiet.or_else(|| HttpConnection::connect(self.fronts[proxy], CONNECT).ok());
+            let connection =
+                quiet.or_else(|| HttpConnection::connect(self.fronts[proxy], CONNECT_TIMEOUT).ok());
             if let Some(connection) = connection {
                 kept[proxy] = self.send(proxy, connection, &mut exchanges);
             }
@@ -107,7 +109,7 @@
         exchanges
     }
 
-    /// Sends one request and reads its answer; the connection, if it may be kept.
+    /// Sends one request and reads its answer. Returns the connection if an answer arrived.
     fn send(
         &self,
         proxy: usize,
@@ -123,7 +125,7 @@
         let prepared = [Prepared { id, kind: Kind::Read, text }];
         let sent = Instant::now();
         let _ = connection.send(prepared[0].text.as_bytes());
-        let outcomes = clients::read_answers(&prepared, &mut connection, sent + PATIENCE);
+        let outcomes = clients::read_answers(&prepared, &mut connection, sent + ANSWER_TIMEOUT);
         let outcome = outcomes.into_iter().next().unwrap_or(Outcome::Unanswered);
         let connection = matches!(outcome, Outcome::Answered(..)).then_some(connection);
         let [Prepared { id, kind, .. }] = prepared;
--- a/crates/local-cluster/tests/common/mod.rs
+++ b/crates/local-cluster/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests share: a system that serves, tries sent at proxies without a pause, and what the servers saw of them.
+//! Shared test setup: a running cluster with servers, clients that send tries continuously, and the servers' records.
 
 #![allow(dead_code, unreachable_pub)]
 
-use oatbank_local_cluster::client::{try_at, Ask, Try};
+use oatbank_local_cluster::client::{try_at, ClientRequest, Try};
 use oatbank_local_cluster::cluster::{LocalCluster, Plan};
 use oatbank_local_cluster::operator::{Operator, TestConfiguration};
 use oatbank_local_cluster::server::{ReceivedRequest, Server};
@@ -16,26 +16,26 @@
 pub const HOST: &str = "shop.example";
 pub const MS: Duration = Duration::from_millis(1);
 
-/// Few systems at once: their times are what is tested.
-static ROOM: (Mutex<usize>, Condvar) = (Mutex::new(3), Condvar::new());
+/// Limits the clusters that run at the same time to three, as the tests check response times.
+static FREE_CLUSTERS: (Mutex<usize>, Condvar) = (Mutex::new(3), Condvar::new());
 
-struct Room;
+struct ClusterPermit;
 
-impl Room {
-    fn take() -> Room {
-        let mut free = ROOM.0.lock().unwrap();
+impl ClusterPermit {
+    fn take() -> ClusterPermit {
+        let mut free = FREE_CLUSTERS.0.lock().unwrap();
         while *free == 0 {
-            free = ROOM.1.wait(free).unwrap();
+            free = FREE_CLUSTERS.1.wait(free).unwrap();
         }
         *free -= 1;
-        Room
+        ClusterPermit
     }
 }
 
-impl Drop for Room {
+impl Drop for ClusterPermit {
     fn drop(&mut self) {
-        *ROOM.0.lock().unwrap() += 1;
-        ROOM.1.notify_one();
+        *FREE_CLUSTERS.0.lock().unwrap() += 1;
+        FREE_CLUSTERS.1.notify_one();
     }
 }
 
@@ -44,18 +44,18 @@
     pub operator: Operator,
     pub configuration: TestConfiguration,
     pub cluster: LocalCluster,
-    _room: Room,
+    _permit: ClusterPermit,
 }
 
 impl System {
-    /// Serves by this configuration, with one server for each name of a service.
+    /// Starts a cluster with a configuration and one server per entry of `services`, each with a run time of 4 ms.
     pub fn serving(plan: Plan, configuration: TestConfiguration, services: &[&str]) -> System {
         System::with(plan, configuration, services, 4 * MS)
     }
 
-    /// The same; servers work so long on a request.
+    /// Starts a cluster with a configuration and one server per entry of `services`, each with the run time `work`.
     pub fn with(plan: Plan, configuration: TestConfiguration, services: &[&str], work: Duration) -> System {
-        let room = Room::take();
+        let permit = ClusterPermit::take();
         let cluster = LocalCluster::start(plan).unwrap();
         let operator = Operator::new(cluster.controls());
         operator.must_put(&configuration).unwrap();
@@ -64,56 +64,56 @@
         let servers: Vec<(String, Server)> = services.iter().enumerate().map(start).collect();
         servers.iter().for_each(|(_, server)| _ = server.register().unwrap());
         cluster.until_ready().unwrap();
-        System { servers, operator, configuration, cluster, _room: room }
+        System { servers, operator, configuration, cluster, _permit: permit }
     }
 
-    /// The servers of a service.
+    /// Returns the servers of a service.
     pub fn of(&self, service: &str) -> Vec<&Server> {
         self.servers.iter().filter(|(s, _)| s == service).map(|(_, server)| server).collect()
     }
 
-    /// The service of the server with this id.
+    /// Returns the service of the server with this id; panics if there is none.
     pub fn service_of(&self, id: &str) -> &str {
         &self.servers.iter().find(|(_, s)| s.id() == id).expect("a server of this test").0
     }
 
-    /// The service that a try was served by, if it was.
+    /// Returns the service whose server answered a try with a 2xx status, if any.
     pub fn served(&self, of: &Try) -> Option<&str> {
         of.served_by().map(|id| self.service_of(&id))
     }
 
-    /// What all servers saw.
+    /// Returns the records of all servers.
     pub fn seen(&self) -> Vec<ReceivedRequest> {
         self.servers.iter().flat_map(|(_, s)| s.seen()).collect()
     }
 
-    /// How often a try has run, as the servers saw it.
+    /// Returns how often servers ran a try, according to their records.
     pub fn runs(&self, of: &Try) -> usize {
         self.servers.iter().flat_map(|(_, s)| s.seen()).filter(|s| s.ran && s.try_id == of.id).count()
     }
 
-    /// Waits until a proxy serves this.
-    pub fn until_served(&self, front: SocketAddr, ask: &Ask) {
+    /// Waits until a proxy serves the request.
+    pub fn until_served(&self, front: SocketAddr, ask: &ClientRequest) {
         let served = || try_at(front, ask).served_by().is_some();
         holds(LONG, &format!("{front} serves {}", ask.path), served).unwrap();
     }
 }
 
-/// Tries sent at proxies one after the other, by one thread a proxy and request, until it is stopped.
-pub struct Hammer {
+/// Sends tries to proxies until it is stopped, with one thread per proxy and request.
+pub struct ContinuousTries {
     stop: Arc<AtomicBool>,
     attempts: Vec<Arc<Mutex<Vec<Try>>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Hammer {
-    pub fn start(fronts: &[SocketAddr], asks: &[Ask]) -> Hammer {
+impl ContinuousTries {
+    pub fn start(fronts: &[SocketAddr], asks: &[ClientRequest]) -> ContinuousTries {
         let stop = Arc::new(AtomicBool::new(false));
-        let mut hammer = Hammer { stop, attempts: Vec::new(), threads: Vec::new() };
+        let mut running_tries = ContinuousTries { stop, attempts: Vec::new(), threads: Vec::new() };
         for (front, ask) in fronts.iter().flat_map(|f| asks.iter().map(move |a| (*f, a.clone()))) {
-            let (stop, attempts) = (hammer.stop.clone(), Arc::<Mutex<Vec<Try>>>::default());
-            hammer.attempts.push(attempts.clone());
-            hammer.threads.push(std::thread::spawn(move || {
+            let (stop, attempts) = (running_tries.stop.clone(), Arc::<Mutex<Vec<Try>>>::default());
+            running_tries.attempts.push(attempts.clone());
+            running_tries.threads.push(std::thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     let one = try_at(front, &ask);
                     attempts.lock().unwrap().push(one);
@@ -121,18 +121,18 @@
                 }
             }));
         }
-        hammer
+        running_tries
     }
 
-    /// Waits until each thread has had some tries that were sent after this.
+    /// Waits until each thread has completed at least four tries that were sent after `at`.
     pub fn until_after(&self, at: Instant) {
         let enough =
             |attempts: &Mutex<Vec<Try>>| attempts.lock().unwrap().iter().filter(|t| t.sent > at).count() > 3;
         let left = at.saturating_duration_since(Instant::now()) + LONG;
-        holds(left, "tries are sent by each thread", || self.attempts.iter().all(|t| enough(t))).unwrap();
+        holds(left, "each thread has completed tries", || self.attempts.iter().all(|t| enough(t))).unwrap();
     }
 
-    /// All tries, by thread: proxies in their order, and for each the requests in theirs.
+    /// Stops and returns all tries by thread: in the order of the proxies, and for each proxy of the requests.
     pub fn stop(self) -> Vec<Vec<Try>> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|t| t.join().unwrap());
