--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,35 +1,36 @@
-//! The rules, by what callers saw. Nothing here knows how the control side works.
+//! Checks a history against the guarantees given to callers. It relies only on what callers observed and knows nothing
+//! of the implementation.
 
 use crate::history::{AppliedState, Content, Event, OperatorCommand, What};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A configuration acts at machines in touch within this of its acknowledgement, ms.
+/// Time from acknowledgement until connected followers apply a configuration, ms.
 const APPLY: f64 = 3000.0;
-/// No machine acts by an older one after this, in touch or not, ms.
+/// Time from acknowledgement until no follower acts on an older configuration, connected or not, ms.
 const REVOKE: f64 = 5000.0;
-/// In calm times an order is answered clearly within this of its first sending, ms.
+/// Time from the first request until a command has a definite answer in a calm period, ms.
 const ACK: f64 = 6000.0;
-/// A zone that is to be empty is sent nothing after this, ms.
+/// Time from acknowledgement until an evacuated zone gets no requests, ms.
 const EMPTY: f64 = 5000.0;
-/// A server that leaves is sent nothing after this, ms.
+/// Time from acknowledgement until a draining server gets no requests, ms.
 const DRAIN: f64 = 3000.0;
-/// So long after the last trouble machines are in touch, ms.
+/// Time after the last fault until all machines count as connected, ms.
 const IN_TOUCH: f64 = 5000.0;
-/// A server is known everywhere within this of its first acknowledgement, ms.
+/// Time from its first acknowledgement until every follower knows a server, ms.
 const KNOWN: f64 = 3000.0;
-/// A copy of a call that got no answer comes within this, ms.
+/// Longest delay of a duplicate of a call that was left unanswered, ms.
 const COPIES: f64 = 10_000.0;
-/// A server that has ended without a word is known to have, ms.
+/// Time until followers drop a server that ended without leaving, ms.
 const SILENT: f64 = 12_000.0;
 
-/// A rule that was broken.
+/// Broken describes one violated rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
-    /// When, ms.
+    /// Time since the start of the history, ms.
     pub at: f64,
-    /// Which.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// How.
+    /// Description of the violation.
     pub what: String,
 }
 
@@ -44,33 +45,33 @@
 #[derive(Default)]
 struct Server {
     first: Option<f64>,
-    /// It has said that it drains or leaves, and this was acknowledged.
+    /// Time at which draining or leaving was first acknowledged, ms.
     drains: Option<f64>,
-    /// It has begun to say so: from then on it need not be there.
+    /// The server has started to announce its departure; followers may omit it from then on.
     leaves: bool,
     ended: Option<f64>,
 }
 
-/// The orders of a zone.
+/// State of the evacuation commands of one zone.
 #[derive(Clone, Copy, Default)]
 struct Zone {
-    /// What was acknowledged last, and when.
+    /// State that was acknowledged last, and when, ms.
     empty: bool,
     since: f64,
-    /// One has been sent since.
+    /// A command has been sent since that acknowledgement.
     asked: bool,
-    /// When one was last left without a clear answer, by what it asked for.
+    /// Time of the last command without a definite answer, ms; index 1 for evacuating, 0 for ending it.
     unclear: [Option<f64>; 2],
 }
 
 impl Zone {
-    /// Whether no copy of another order may come after the one that was acknowledged.
+    /// Returns whether no delayed duplicate of the opposite command can still arrive.
     fn is_clear(&self) -> bool {
         !self.asked && self.unclear[usize::from(!self.empty)].is_none_or(|at| self.since - at > COPIES)
     }
 }
 
-/// Numbers that hold from a moment on.
+/// Increasing version numbers, each with the time from which it is a lower bound.
 #[derive(Default)]
 struct Floor(Vec<(f64, u64)>);
 
@@ -91,12 +92,12 @@
 struct Checker {
     now: f64,
     operator_command: Vec<(OperatorCommand, Standing)>,
-    /// By version: the order whose it is.
+    /// Command that produced each version.
     chain: BTreeMap<u64, usize>,
     acked: Floor,
     read: Floor,
     processes: BTreeMap<(usize, u64), u64>,
-    /// By follower: whether it acts, as it was seen last.
+    /// Whether each follower was active in its last sample.
     active: BTreeMap<usize, bool>,
     servers: BTreeMap<String, Server>,
     troubles: usize,
@@ -116,7 +117,7 @@
         self.troubles == 0 && self.now - self.troubled >= IN_TOUCH
     }
 
-    /// This order is in force, or was acknowledged.
+    /// Marks a command as taken effect and checks that no other one has its number or its base.
     fn is_taken(&mut self, at: usize) {
         let (order, standing) = &mut self.operator_command[at];
         standing.in_force = true;
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The routes of this version, by the orders.
+    /// Returns the route tags that a version should have, or `None` if a version it builds on is not known.
     fn routes(&self, number: u64) -> Option<BTreeSet<u64>> {
         if number == 0 {
             return Some(BTreeSet::new());
@@ -155,7 +156,7 @@
         Some(routes)
     }
 
-    /// A caller saw this in force.
+    /// Checks a configuration that a caller observed in force against the commands.
     fn sees(&mut self, content: &Content) {
         if content.number == 0 || self.chain.contains_key(&content.number) && self.fits(content) {
             return;
@@ -176,7 +177,7 @@
     }
 
     fn fits(&self, content: &Content) -> bool {
-        // What a change builds on may not have been seen by anyone.
+        // A change may build on a version that no caller has observed; its routes are then unknown.
         let routes = self.routes(content.number);
         routes.is_none_or(|routes| routes.iter().copied().eq(content.tags.iter().copied()))
     }
@@ -264,7 +265,7 @@
             if there && old(server.drains, DRAIN) {
                 wrong.push(format!("follower {who} still sends to {id}, which leaves"));
             }
-            // Who judges silence has to listen first, since the last trouble.
+            // A silent server is detected only by listening to it, which starts anew after the last fault.
             if there && old(server.ended.map(|at| at.max(self.troubled)), SILENT) {
                 wrong.push(format!("follower {who} still sends to {id}, which has ended"));
             }
@@ -275,7 +276,7 @@
         wrong.into_iter().for_each(|what| self.breaks("servers", what));
     }
 
-    /// In calm times a client is sent to all that act, and to nobody else.
+    /// In a calm period, lookups return exactly the active followers.
     fn sent(&mut self, machine: std::net::Ipv4Addr, status: u16, fronts: &[String]) {
         if !matches!(status, 200 | 500..) {
             self.breaks("answers", format!("a client got {status} of {machine}"));
@@ -355,12 +356,12 @@
     }
 }
 
-/// Where clients reach a follower.
+/// Returns the address at which a follower accepts client requests.
 pub fn front(who: usize) -> String {
     format!("10.0.2.{}:8686", who + 1)
 }
 
-/// All that was broken in this history, as far as twenty.
+/// Returns the violations found in a history, at most the first 20.
 pub fn check(history: &[(f64, Event)]) -> Vec<Broken> {
     let mut checker = Checker::default();
     for (at, event) in history {
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,4 +1,4 @@
-//! Operators, servers and readers. They see answers only, and say in the history what they saw.
+//! Simulated operators, readers and servers. They see only answers and record them in the history.
 
 use crate::history::{Content, Event, OperatorCommand, What};
 use crate::ms;
@@ -9,47 +9,50 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// The kind of frame that stands for a call from outside.
+/// Frame kind of a control API call.
 pub const OUTSIDE: u8 = 200;
-/// Servers speak up this often, ms, and wait so long for an answer.
+/// Interval between heartbeats of a server, ms.
 const BEAT: f64 = 1500.0;
+/// Time that a server waits for the answer to a heartbeat, ms.
 const BEAT_WITHIN: f64 = 1000.0;
-/// A server that leaves serves on for so long after its acknowledgement, ms, and ends without one after this.
+/// Time that a draining server keeps serving after the acknowledgement, ms.
 const DRAIN: f64 = 3000.0;
+/// Time after which a draining server leaves without an acknowledgement, ms.
 const ENDS_ANYWAY: f64 = 8000.0;
-/// An operator waits so long for an answer, ms, and gives an order up after so many tries.
+/// Time that an operator waits for an answer, ms.
 const ORDER_WITHIN: f64 = 1900.0;
+/// Number of attempts before an operator gives a command up.
 const TRIES: usize = 14;
 
-/// How an operator goes about it.
+/// Manner describes the load that an operator produces.
 #[derive(Clone, Copy, Debug)]
 pub struct Manner {
-    /// Between two orders, ms.
+    /// Mean pause between two rounds of commands, ms.
     pub every: f64,
-    /// So many orders at once on one base, under one number or several.
+    /// Number of concurrent commands on one base, under equal or different version numbers.
     pub rivals: usize,
-    /// Copies of an order that are sent to several machines at once.
+    /// Number of concurrent senders of each command.
     pub copies: usize,
-    /// Every so often, an order that was acknowledged is sent again.
+    /// Probability that a round resends an acknowledged command.
     pub repeats: f64,
-    /// Zones are emptied and taken back.
+    /// Whether rounds may evacuate zones and end the evacuation.
     pub zones: bool,
 }
 
-/// What the operators know together.
+/// Office holds the knowledge that all operators share.
 #[derive(Default)]
 pub struct Office {
-    /// The newest version that was acknowledged or read.
+    /// Newest version that was acknowledged or read.
     newest: Cell<u64>,
     tag: Cell<u64>,
-    /// Orders that were acknowledged, with their text.
+    /// Acknowledged commands with their indexes in the history.
     acked: RefCell<Vec<(usize, OperatorCommand)>>,
 }
 
 const COLUMNS: &str =
     r#"["name","hostName","pathStart","routeKind","giveUpMs","targetMs","rank","tries","service"]"#;
 
-/// An order's call and body.
+/// Returns the request line and the body of a command.
 fn text(order: &OperatorCommand) -> (String, String) {
     let (number, tag) = (order.number, order.tag);
     let base = if order.built_on == 0 { "0".to_owned() } else { format!("\"r{}\"", order.built_on) };
@@ -76,7 +79,9 @@
     Ipv4Addr::new(10, 0, 9, last)
 }
 
-/// Sends an order until it has a clear answer, or is given up; the answer. `first` is asked first.
+/// Sends a command to random core machines until one gives a definite answer (200, 400 or 412), which it returns.
+///
+/// Returns `None` after `attempts` attempts, or when the schedule is over.
 async fn order(
     world: &World,
     call_count: &Calls,
@@ -113,7 +118,7 @@
         (at, made)
     }
 
-    /// What comes of an order is remembered.
+    /// Sends a command and, if it is acknowledged, adds it to the shared knowledge.
     async fn send(
         &self,
         world: &World,
@@ -130,7 +135,7 @@
         status
     }
 
-    /// Reads the configuration at some machine.
+    /// Reads the configuration at one machine; returns the status, or `None` if no answer came in time.
     async fn read(&self, world: &World, call_count: &Calls, to: Ipv4Addr) -> Option<u16> {
         let began = world.history.now();
         let (status, text) = call_count.call(to, false, "GET /settings/read", "", ORDER_WITHIN).await?;
@@ -140,7 +145,7 @@
         Some(status)
     }
 
-    /// An operator, until it is over.
+    /// Starts an operator that runs rounds of commands until the schedule is over.
     pub fn operator(self: &Rc<Self>, world: &Rc<World>, nth: u8, manner: Manner) {
         let (office, world) = (self.clone(), world.clone());
         Process::start(&world.network.clone(), ip(nth), |_| async move {
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Reads at all machines in turn, until it is over.
+    /// Starts a reader that reads and looks up at random core machines until the schedule is over.
     pub fn reader(self: &Rc<Self>, world: &Rc<World>, nth: u8, every: f64) {
         let (office, world) = (self.clone(), world.clone());
         Process::start(&world.network.clone(), ip(nth), |_| async move {
@@ -218,8 +223,8 @@
         });
     }
 
-    /// What must hold some time after the last trouble: every core machine that runs takes an order and reads the newest,
-    /// and all of them vote.
+    /// Records the recovery checks after the last fault: every running core machine takes a command and reads it back
+    /// within `takes_within` ms, and all of them vote within `votes_within` ms after that.
     pub async fn recovers(self: &Rc<Self>, world: &Rc<World>, nth: u8, takes_within: f64, votes_within: f64) {
         let (office, of, done) = (self.clone(), world.clone(), Rc::new(Cell::new(false)));
         let ends = done.clone();
@@ -239,7 +244,7 @@
                 sleep(ms(300.0)).await;
             }
             of.history.record(Event::Recovered("all core machines vote".into(), vote));
-            // What was acknowledged is acted by everywhere, for some time.
+            // Leaves time for the last acknowledged version to be applied by all followers.
             sleep(ms(6000.0)).await;
             ends.set(true);
         });
@@ -249,7 +254,7 @@
         process.kill();
     }
 
-    /// Whether this one machine gives an order a clear answer in time, while others are away.
+    /// Records whether a machine gives a definite answer to a command within `within` ms while others are down.
     pub async fn goes_on(self: &Rc<Self>, world: &Rc<World>, to: Ipv4Addr, within: f64) {
         let (office, of, done) = (self.clone(), world.clone(), Rc::new(Cell::new(false)));
         let ends = done.clone();
@@ -265,7 +270,8 @@
         process.kill();
     }
 
-    /// Until this one machine has taken an order and reads it back; or, where any will do, gave a clear answer.
+    /// Sends commands to one machine until it acknowledges one and reads it back, or, if `any`, until it gives a
+    /// definite answer. Returns `false` if that has not happened by `until`.
     async fn takes(&self, world: &World, call_count: &Calls, to: Ipv4Addr, until: f64, any: bool) -> bool {
         let mut made: Option<(usize, OperatorCommand)> = None;
         while world.history.now() < until {
@@ -295,7 +301,7 @@
                         return true;
                     }
                 }
-                // An order that was left unclear before came first: another one, on what is read.
+                // An earlier command with an unknown outcome took effect first: builds a new one on a fresh read.
                 Some(400 | 412) => made = None,
                 _ => made = Some((at, order)),
             }
@@ -305,18 +311,18 @@
     }
 }
 
-/// How a server ends.
+/// Way in which a server ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ends {
-    /// It stays.
+    /// Runs to the end of the schedule.
     Never,
-    /// It drains and leaves.
+    /// Drains, then leaves.
     InOrder,
-    /// Without a word.
+    /// Ends without an announcement.
     Crash,
 }
 
-/// A server that ends so after this, ms.
+/// Starts a server that sends heartbeats and ends in the given way after `after` ms.
 pub fn server(world: &Rc<World>, nth: u8, ends: Ends, after: f64) {
     let world = world.clone();
     let at = Ipv4Addr::new(10, 0, 8, nth);
@@ -328,7 +334,7 @@
         let mut count = 0u64;
         let mut state = 0u32;
         let mut to = *world.random.borrow_mut().of(&world.controls());
-        // Since when it wants to leave, and when that was acknowledged.
+        // Times at which it started to leave and at which this was acknowledged, ms.
         let (mut leaves, mut acked): (Option<f64>, Option<f64>) = (None, None);
         loop {
             let now = world.history.now();
@@ -369,7 +375,7 @@
             if state == 2 && (heard || over(leaves, 2.0 * ENDS_ANYWAY)) {
                 break;
             }
-            // A draining server tells no more often; one that was not heard goes on at once.
+            // Draining does not change the interval; a heartbeat without an answer is retried at the next machine at once.
             let wait = if heard { BEAT * world.random.borrow_mut().within(0.9..1.1) } else { 20.0 };
             sleep(ms(wait)).await;
         }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,5 +1,5 @@
-//! A voter's disk. What a write has returned from is there after a loss of power; a write that was under way may be there
-//! or not. The form of the file itself is tested with the store.
+//! Simulated disk of a voter. A completed write survives a loss of power; an interrupted one may or may not. The file
+//! format itself is tested with the store.
 
 use crate::process::Process;
 use crate::{ms, Random};
@@ -10,7 +10,7 @@
 use std::rc::{Rc, Weak};
 use tokio::time::Instant;
 
-/// What is on it.
+/// Contents of the disk.
 #[derive(Clone, Debug, Default)]
 enum File {
     #[default]
@@ -19,22 +19,22 @@
     Whole(Box<(PersistentState, Option<Record>)>),
 }
 
-/// A disk.
+/// StateFile holds the single state file of a voter and the faults of its disk.
 pub struct StateFile {
     file: RefCell<File>,
     aside: Cell<bool>,
-    /// It refuses every write.
+    /// Every write fails for lack of space.
     pub full: Cell<bool>,
-    /// A write takes up to this, ms.
+    /// Upper bound of the time that a write takes, ms.
     pub slow: Cell<f64>,
-    /// At the next write the power goes.
+    /// The next write is interrupted by a loss of power.
     pub dooms: Cell<bool>,
     process: RefCell<Weak<Process>>,
     random: RefCell<Random>,
 }
 
 impl StateFile {
-    /// An empty one.
+    /// Creates an empty disk.
     pub fn new(seed: u64) -> Rc<StateFile> {
         Rc::new(StateFile {
             file: RefCell::default(),
@@ -47,18 +47,18 @@
         })
     }
 
-    /// This process uses it.
+    /// Sets the process that slow writes freeze and a loss of power ends.
     pub fn used_by(&self, process: &Rc<Process>) {
         *self.process.borrow_mut() = Rc::downgrade(process);
     }
 
-    /// All on it is lost.
+    /// Removes the file and the mark that one was set aside.
     pub fn wipe(&self) {
         *self.file.borrow_mut() = File::None;
         self.aside.set(false);
     }
 
-    /// What is on it cannot be read any more.
+    /// Makes an existing file unreadable.
     pub fn damage(&self) {
         let mut file = self.file.borrow_mut();
         if matches!(*file, File::Whole(_)) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A write; `Err` where it is refused, and then it may be there or not.
+    /// Writes the file. After an error the write may or may not have taken effect.
     fn put(&self, state: &PersistentState, record: Option<&Record>) -> Result<(), DiskError> {
         let full = self.full.get();
         let goes = self.dooms.replace(false);
@@ -93,15 +93,15 @@
     }
 }
 
-/// A disk as a voter has it.
+/// Storage location through which a voter opens the disk.
 #[derive(Clone)]
 pub struct Mounted(pub Rc<StateFile>);
 
 struct Open {
     disk: Rc<StateFile>,
-    /// The record that lies beside what is written without one.
+    /// Record that stays in the file when a write brings none.
     record: Option<Record>,
-    /// A write was refused: the next one makes the file anew.
+    /// The last write failed: the next one replaces the whole file.
     anew: bool,
 }
 
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers saw, in the order in which they saw it. The checker knows nothing else.
+//! Observations of the callers in the order in which they were made: the only input of the checker.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -6,41 +6,41 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// What an operator asks for.
+/// Kind of an operator command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum What {
-    /// A whole configuration.
+    /// Replaces the whole configuration.
     Replace,
-    /// One more route.
+    /// Adds one route to the configuration.
     Change,
-    /// The zone is to be empty, or is taken back.
+    /// Starts (`true`) or ends (`false`) the evacuation of a zone.
     Empty(String, bool),
 }
 
-/// An order of an operator.
+/// OperatorCommand holds one command, whichever number of times it is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorCommand {
-    /// Its version's number; 0 where it has none.
+    /// Number of the version it creates; 0 for zone commands.
     pub number: u64,
-    /// The number that it builds on.
+    /// Number of the version it builds on.
     pub built_on: u64,
-    /// Names the route that it brings: no other order has it.
+    /// Unique tag, which names the route that the command adds.
     pub tag: u64,
-    /// What it asks for.
+    /// Requested operation.
     pub what: What,
 }
 
-/// A configuration, as a caller sees it.
+/// Content holds the parts of a configuration that the checker compares.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Content {
-    /// Its version's number; 0: there is none.
+    /// Version number; 0 if there is no configuration.
     pub number: u64,
-    /// The routes that are there, by tag, sorted.
+    /// Tags of the routes, sorted.
     pub tags: Vec<u64>,
 }
 
 impl Content {
-    /// Reads a configuration's text.
+    /// Extracts the version number and the route tags from a configuration's JSON text.
     pub fn read(text: &str) -> Content {
         let numbers = |mark: &str| -> Vec<u64> {
             let parts = text.split(mark).skip(1);
@@ -53,45 +53,45 @@
     }
 }
 
-/// What a follower does now.
+/// AppliedState holds a sample of what a follower does.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedState {
-    /// It takes requests.
+    /// Whether it accepts requests.
     pub acts: bool,
-    /// By this.
+    /// Configuration that it applies.
     pub content: Rc<Content>,
-    /// Zones that it sends nothing to.
+    /// Evacuated zones.
     pub empty: Vec<String>,
-    /// Servers that it sends to, one for each row.
+    /// Identifiers of the ready servers, one for each row of its table, so that duplicates show.
     pub servers: Rc<Vec<String>>,
 }
 
-/// What was seen.
+/// Event is one observation.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An order is made; it is known by its place among the orders from now on.
+    /// A command was created; later events refer to it by its index among all commands.
     Ordered(OperatorCommand),
-    /// It is sent to this machine.
+    /// The command with this index was sent to a machine.
     Asked(usize, Ipv4Addr),
-    /// What came of that; `None`: no answer.
+    /// Status that a machine answered to the command; `None` if no answer came in time.
     OperatorAnswer(usize, Ipv4Addr, Option<u16>),
-    /// A reading that began then, ms, at this machine.
+    /// Result of a read: its start in ms, the machine, the status and the content.
     Read(f64, Ipv4Addr, u16, Content),
-    /// Where a client is sent by this machine: the addresses.
+    /// Result of a lookup: the machine, the status and the addresses returned to the client.
     Sent(Ipv4Addr, u16, Vec<String>),
-    /// What a follower does, with its life.
+    /// Sample of a follower: its index, the identifier of its process and its state.
     Acts(usize, u64, AppliedState),
-    /// A server begins.
+    /// A server has started.
     Begins(String),
-    /// It says for the first time that it leaves.
+    /// A server starts to announce that it leaves.
     Leaves(String),
-    /// What it said was acknowledged: 0 ready, 1 draining, 2 left.
+    /// A server's heartbeat was acknowledged in this state: 0 ready, 1 draining, 2 left.
     ReadAnswer(String, u32),
-    /// It has ended, in order or not.
+    /// A server has ended, in order or by a crash.
     Ended(String),
-    /// Trouble begins or ends.
+    /// A fault begins (`true`) or ends (`false`).
     Trouble(bool, String),
-    /// What must hold some time after the last trouble, and whether it does.
+    /// Outcome of a recovery check: its description and whether it holds.
     Recovered(String, bool),
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// All that was seen.
+/// History holds all events with their times.
 #[derive(Debug)]
 pub struct History {
     began: Instant,
@@ -139,27 +139,27 @@
 }
 
 impl History {
-    /// Begins now.
+    /// Creates an empty history that starts now.
     pub fn new() -> Rc<History> {
         Rc::new(History { began: Instant::now(), events: RefCell::default() })
     }
 
-    /// Now, ms.
+    /// Returns the time since the start, ms.
     pub fn now(&self) -> f64 {
         self.began.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// This was seen now.
+    /// Appends an event at the current time.
     pub fn record(&self, event: Event) {
         self.events.borrow_mut().push((self.now(), event));
     }
 
-    /// How many orders there are.
+    /// Returns the number of commands created so far.
     pub fn operator_command(&self) -> usize {
         self.events.borrow().iter().filter(|(_, event)| matches!(event, Event::Ordered(_))).count()
     }
 
-    /// All of it.
+    /// Takes all events out of the history.
     pub fn take(&self) -> Vec<(f64, Event)> {
         self.events.take()
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,5 +1,5 @@
-//! The network between the machines. Connections carry whole frames; each is delayed, and in bad times lost, doubled or
-//! late. A cut holds what is said across it until it heals or the connection is given up, as TCP does.
+//! Simulated network. Connections carry whole frames, each of which is delayed and may be lost, duplicated or reordered.
+//! Frames sent across a cut are held until it heals or the connection is given up, as with TCP.
 
 use crate::process::Process;
 use crate::{ms, Random};
@@ -17,37 +17,37 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
 
-/// A connection whose other side is not heard is given up after this, ms.
+/// Time until a connection across a cut, or to an unreachable process, is given up, ms.
 const GIVEN_UP: std::ops::Range<f64> = 1500.0..2600.0;
-/// After a cut heals, what was held comes after this, ms.
+/// Time from the healing of a cut until held frames arrive, as by a retransmission, ms.
 const SENT_AGAIN: std::ops::Range<f64> = 0.0..800.0;
-/// A frame that is late is so by this, ms.
+/// Extra delay of a reordered or duplicate frame, ms.
 const LATE: std::ops::Range<f64> = 100.0..3000.0;
-/// Frames of this kind are never doubled nor late: calls that carry nothing by which a copy could be told.
+/// Frame kind that is never duplicated or reordered: calls without anything by which a duplicate could be recognised.
 pub const PLAIN: u8 = 201;
 
-/// How bad the links are.
+/// Weather holds the fault probabilities and the extra delay of all links.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Weather {
-    /// A frame is lost, with its connection left as it is.
+    /// Probability that a frame is lost while its connection stays open.
     pub lose: f64,
-    /// A frame comes twice.
+    /// Probability that a frame is duplicated.
     pub double: f64,
-    /// A frame comes late, after others.
+    /// Probability that a frame is delayed behind later ones.
     pub late: f64,
-    /// A connection is reset at a frame.
+    /// Probability that a frame resets its connection.
     pub reset: f64,
-    /// A connection does not come up.
+    /// Probability that a connection attempt hangs.
     pub hang: f64,
-    /// Frames are delayed by up to this more, ms.
+    /// Upper bound of the extra delay of a frame, ms.
     pub slow: f64,
 }
 
 #[derive(Default)]
 struct Flow {
-    /// Frames on their way, the next one first.
+    /// Frames in flight, in order of arrival.
     frames: VecDeque<(Instant, Bytes)>,
-    /// Frames that a cut holds.
+    /// Frames held by a cut.
     held: VecDeque<Bytes>,
     last: Option<Instant>,
     ready: BytesMut,
@@ -57,11 +57,11 @@
 
 struct Conn {
     ips: [Ipv4Addr; 2],
-    /// What comes in at each side.
+    /// Incoming frames at each side.
     flows: [Flow; 2],
-    /// From then on each side knows the connection to be gone.
+    /// Time from which each side sees the connection as broken.
     gone: [Option<Instant>; 2],
-    /// Not only for as long as a cut lasts.
+    /// Whether the side stays broken after a cut heals.
     for_good: [bool; 2],
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// Where connections go to, and whose they are there.
+/// Queue of accepted connections and the process that listens.
 type Listener = (mpsc::UnboundedSender<(Reader, Writer)>, Rc<Process>);
 
 struct State {
@@ -99,13 +99,13 @@
     slow: BTreeMap<Ipv4Addr, f64>,
 }
 
-/// The network.
+/// SimulatedNetwork connects all processes of one schedule.
 pub struct SimulatedNetwork {
     state: RefCell<State>,
 }
 
 impl SimulatedNetwork {
-    /// All is well; draws follow from the seed.
+    /// Creates a network without faults; all random numbers follow from the seed.
     pub fn new(seed: u64) -> Rc<SimulatedNetwork> {
         let state = State {
             random: Random::new(seed),
@@ -119,17 +119,17 @@
         Rc::new(SimulatedNetwork { state: RefCell::new(state) })
     }
 
-    /// Other weather from now on.
+    /// Replaces the fault probabilities of all links.
     pub fn weather(&self, weather: Weather) {
         self.state.borrow_mut().weather = weather;
     }
 
-    /// All of a machine's links are slower by this, ms; 0 for no more.
+    /// Adds up to `by` ms to the delay of each frame from or to a machine; 0 ends it.
     pub fn slow(&self, ip: Ipv4Addr, by: f64) {
         self.state.borrow_mut().slow.insert(ip, by);
     }
 
-    /// The machine is off, or on again.
+    /// Powers a machine's network off or on; while off, it accepts no connections.
     pub fn off(&self, ip: Ipv4Addr, off: bool) {
         let mut state = self.state.borrow_mut();
         if off {
@@ -150,7 +150,7 @@
         .collect()
     }
 
-    /// Nothing gets from one to the other any more.
+    /// Cuts one direction between two machines; open connections will be given up.
     pub fn cut(&self, from: Ipv4Addr, to: Ipv4Addr) {
         if !self.state.borrow_mut().cuts.insert((from, to)) {
             return;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// It does again.
+    /// Heals one direction; held frames arrive, and connections not yet given up recover once both directions are open.
     pub fn heal(&self, from: Ipv4Addr, to: Ipv4Addr) {
         if !self.state.borrow_mut().cuts.remove(&(from, to)) {
             return;
@@ -194,7 +194,7 @@
         }
     }
 
-    /// All connections of this machine are reset.
+    /// Resets all connections of a machine.
     pub fn reset(&self, ip: Ipv4Addr) {
         let conns: Vec<_> = self.state.borrow().conns.iter().filter_map(Weak::upgrade).collect();
         for conn in conns {
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Whether a connection does not come up now.
+    /// Returns whether a connection attempt hangs: by a cut, a machine without power or at random.
     fn hangs(&self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
         let mut state = self.state.borrow_mut();
         let hang = state.weather.hang;
@@ -234,7 +234,7 @@
 
     fn way(&self, from: Ipv4Addr, to: Ipv4Addr) -> std::time::Duration {
         let mut state = self.state.borrow_mut();
-        // Each pair has its own distance.
+        // Each pair of machines has a fixed base delay of 0.3 to 15.3 ms.
         let pair = u64::from(u32::from(from) ^ u32::from(to)).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 60;
         let slow = |ip| state.slow.get(&ip).copied().unwrap_or(0.0);
         let more = slow(from) + slow(to) + state.weather.slow;
@@ -243,31 +243,31 @@
     }
 }
 
-/// The network as one process has it.
+/// Seat gives one process access to the network.
 pub struct Seat {
     network: Rc<SimulatedNetwork>,
     process: Rc<Process>,
 }
 
 impl Seat {
-    /// Of this process.
+    /// Creates the access of a process.
     pub fn new(network: Rc<SimulatedNetwork>, process: Rc<Process>) -> Self {
         Seat { network, process }
     }
 
-    /// The process.
+    /// Returns the process.
     pub fn process(&self) -> &Rc<Process> {
         &self.process
     }
 
-    /// Connections that come in here.
+    /// Listens at an address; replaces an earlier listener there.
     pub fn listen(&self, at: SocketAddr) -> mpsc::UnboundedReceiver<(Reader, Writer)> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.network.state.borrow_mut().listeners.insert(at, (sender, self.process.clone()));
         receiver
     }
 
-    /// Answers calls on every connection that comes in here, for the life of the process.
+    /// Answers calls on every connection to this address until the process ends.
     pub fn serve(
         &self,
         at: SocketAddr,
@@ -360,7 +360,7 @@
     process: Rc<Process>,
     conn: Rc<RefCell<Conn>>,
     side: usize,
-    /// Of a frame that is not whole yet.
+    /// Bytes of an incomplete frame.
     part: BytesMut,
 }
 
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong when. Each of the five points has a family of schedules; one schedule follows from its seed.
+//! Fault schedules: one family for each [`Point`]; a schedule follows from its seed alone.
 
 mod families;
 mod faults;
@@ -12,31 +12,33 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// After its start, or its return, a core machine counts again after this, ms.
+/// Time after its start or return until a core machine counts as available, ms.
 const CATCH_UP: f64 = 4000.0;
-/// The others go on without some of the core after this, and then take an order within that, ms.
+/// Time until the remaining core machines work without the failed ones, ms.
 const SETTLES: f64 = 5200.0;
+/// Time in which the remaining machines then answer a command, ms.
 const ACK: f64 = 6000.0;
-/// After the last trouble each core machine takes an order within this, and all vote within that, ms.
+/// Time after the last fault in which each core machine takes a command, ms.
 const TAKES: f64 = 10_000.0;
+/// Time after that in which all core machines vote, ms.
 const VOTES: f64 = 30_000.0;
 
-/// The five points.
+/// Point selects a family of schedules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
-    /// A machine is cut off, or stands still.
+    /// Machines are cut off or frozen.
     Cutoff,
-    /// Rivals under one number, and repeats.
+    /// Concurrent commands under one version number, and repeated commands.
     Numbers,
-    /// One loss after the other.
+    /// Successive losses of machines.
     Losses,
-    /// Hundreds of changes, and members that come and go.
+    /// Hundreds of changes while machines leave and join.
     Changes,
-    /// Answers lost, doubled, late.
+    /// Answers are lost, duplicated or delayed.
     Answers,
 }
 
-/// Each with its name.
+/// Names of the families.
 pub const POINTS: [(Point, &str); 5] = [
     (Point::Cutoff, "cutoff"),
     (Point::Numbers, "numbers"),
@@ -45,18 +47,18 @@
     (Point::Answers, "answers"),
 ];
 
-/// What came of a schedule.
+/// Played holds the outcome of a schedule.
 #[derive(Debug)]
 pub struct Played {
-    /// Its seed.
+    /// Seed of the schedule.
     pub seed: u64,
-    /// What was broken.
+    /// Violated rules.
     pub broken: Vec<Broken>,
-    /// What callers saw.
+    /// Events that callers observed.
     pub history: Vec<(f64, Event)>,
 }
 
-/// Plays the schedule of this seed.
+/// Runs the schedule of this seed in virtual time and checks its history.
 pub fn play(point: Point, seed: u64) -> Played {
     oatbank_node_runtime::random::seed(seed ^ 0x5eed_0001);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
@@ -71,7 +73,7 @@
     Played { seed, broken: check(&history), history }
 }
 
-/// Who leads through a schedule.
+/// Director runs the faults and the callers of one schedule.
 struct Director {
     point: Point,
     world: Rc<World>,
@@ -98,7 +100,7 @@
         self.random.of(&core).clone()
     }
 
-    /// How many machines may be lost.
+    /// Returns the number of core machines that may fail at once.
     fn tolerate(&self) -> usize {
         self.world.tolerate
     }
@@ -166,7 +168,8 @@
         }
     }
 
-    /// So much time passes while these are away. If it is long, the others go on meanwhile.
+    /// Lets `long` ms pass while the machines `away` are down. If that is long enough for the others to settle, one of
+    /// them must answer a command meanwhile.
     async fn passes(&mut self, long: f64, away: &[Ipv4Addr]) {
         let began = self.world.history.now();
         if long > SETTLES + ACK {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! Machines, and the programs that they run: the real ones, on seats of this network and on disks of this simulation.
+//! Simulated machines that run the real store, registry and follower code on the simulated network and disks.
 
 use crate::clients::OUTSIDE;
 use crate::disk::{Mounted, StateFile};
@@ -35,36 +35,36 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, Instant};
 
-/// Where a core machine is called from outside.
+/// Port of the control API on each core machine.
 const CONTROL: u16 = 8688;
-/// Between two looks at what a follower does.
+/// Interval at which a follower's applied state is sampled.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Between two notes of it where nothing changes.
+/// Longest interval between two recorded samples of an unchanged state, ms.
 const RECORD_INTERVAL: f64 = 250.0;
 
-/// A machine with its programs.
+/// Machine holds the settings, disk, clock rate and running processes of one simulated machine.
 pub struct Machine {
-    /// Its address.
+    /// IPv4 address of all processes of the machine.
     pub ip: Ipv4Addr,
-    /// What its programs are told.
+    /// Settings shared by the processes of the machine.
     pub settings: Rc<ReloadableSettings>,
-    /// Its disk.
+    /// Disk of the store process.
     pub disk: Rc<StateFile>,
-    /// What its clocks count for a second.
+    /// Clock rate relative to simulated time; 1.0 is exact.
     pub rate: Cell<f64>,
-    /// Its programs that run.
+    /// Running processes by slot: 0 store, 1 registry, 2 follower.
     processes: RefCell<BTreeMap<u8, Rc<Process>>>,
     voter: RefCell<Option<Rc<Voter>>>,
-    /// The voter's watch over the others.
+    /// Task that maintains the set of voters, aborted on shutdown.
     maintenance: RefCell<Option<AbortHandle>>,
 }
 
 impl Machine {
-    /// Its programs are told to end, and do so in order.
+    /// Shuts the machine down in order: its voter tries to leave for up to 1500 ms, then the processes end.
     pub async fn leave(&self, network: &Rc<SimulatedNetwork>) {
         let voter = self.voter.borrow().clone();
         if let Some(voter) = voter {
-            // As its own main does: it looks no more, and tries to be let go.
+            // As in the store's main: maintenance stops before the voter asks to be removed.
             if let Some(maintenance) = self.maintenance.take() {
                 maintenance.abort();
             }
@@ -82,23 +82,23 @@
         self.kill();
     }
 
-    /// Whether it runs.
+    /// Returns whether any process has been started and not ended by a kill or loss of power.
     pub fn runs(&self) -> bool {
         !self.processes.borrow().is_empty()
     }
 
-    /// Stands still for so long, ms.
+    /// Freezes all processes for `long` ms.
     pub fn freeze(&self, long: f64) {
         self.processes.borrow().values().for_each(|process| process.freeze(Instant::now() + ms(long)));
     }
 
-    /// Its processes are killed.
+    /// Kills all processes; the machine itself stays powered.
     pub fn kill(&self) {
         self.voter.take();
         self.processes.take().values().for_each(|process| process.kill());
     }
 
-    /// A program in this place, instead of the one that is there.
+    /// Puts a process into a slot and kills the one that held it.
     fn run_program(&self, place: u8, process: Rc<Process>) {
         if let Some(before) = self.processes.borrow_mut().insert(place, process) {
             before.kill();
@@ -106,27 +106,27 @@
     }
 }
 
-/// All there is.
+/// World holds the network, the machines and the history of one schedule.
 pub struct World {
-    /// The network.
+    /// Network between all machines and callers.
     pub network: Rc<SimulatedNetwork>,
-    /// What callers see.
+    /// Record of everything that callers observe.
     pub history: Rc<History>,
-    /// Core machines.
+    /// Core machines, which run a store and a registry.
     pub core: RefCell<Vec<Rc<Machine>>>,
-    /// Machines that follow them.
+    /// Follower machines.
     pub followers: RefCell<Vec<Rc<Machine>>>,
-    /// Draws.
+    /// Random numbers for callers and disks.
     pub random: RefCell<Random>,
-    /// Nobody begins anything new.
+    /// Set at the end of a schedule: callers start no new work.
     pub over: Cell<bool>,
-    /// Lives of followers.
+    /// Number of follower processes started so far, used as their identifiers.
     processes: Cell<u64>,
-    /// How many core machines may be lost at once.
+    /// Number of core machines that may fail at once.
     pub tolerate: usize,
 }
 
-/// The zones that there are.
+/// Zones of the simulated machines and servers.
 pub const ZONES: [&str; 4] = ["akl-eastt", "akl-penrose", "chc-hornby", "chc-sockburn"];
 
 fn settings(ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool, tolerate: usize) -> Settings {
@@ -145,7 +145,7 @@
 }
 
 impl World {
-    /// So many core machines and followers, not running yet.
+    /// Creates a world with `core` core machines and `followers` followers, none of them started.
     pub fn new(seed: u64, core: usize, followers: usize) -> Rc<World> {
         let mut random = Random::new(seed);
         let network = SimulatedNetwork::new(random.number());
@@ -183,19 +183,19 @@
         })
     }
 
-    /// One more core machine, not running yet.
+    /// Adds a core machine without starting it.
     pub fn add_core(&self, ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool) -> Rc<Machine> {
         let machine = self.machine(settings(ip, seeds, first_start, self.tolerate));
         self.core.borrow_mut().push(machine.clone());
         machine
     }
 
-    /// The core machines' addresses for callers.
+    /// Returns the addresses of the core machines.
     pub fn controls(&self) -> Vec<Ipv4Addr> {
         self.core.borrow().iter().map(|machine| machine.ip).collect()
     }
 
-    /// All core machines and followers are told of these seeds.
+    /// Sets the seeds of all core machines and followers, in their settings and in running voters.
     pub fn set_seeds(&self, seeds: &[Ipv4Addr]) {
         for machine in self.core.borrow().iter().chain(self.followers.borrow().iter()) {
             let mut settings = machine.settings.settings();
@@ -209,26 +209,26 @@
         }
     }
 
-    /// Starts a core machine's programs.
+    /// Powers a core machine on and starts its store and registry.
     pub fn start_core(self: &Rc<Self>, machine: &Rc<Machine>) {
         self.network.off(machine.ip, false);
         self.start_store(machine);
         self.start_registry(machine);
     }
 
-    /// Starts a core machine's store, anew if it runs.
+    /// Starts a core machine's store; a running one is killed.
     pub fn start_store(self: &Rc<Self>, machine: &Rc<Machine>) {
         let (of, at, settings) = (machine.clone(), machine.ip, machine.settings.settings());
         machine.voter.take();
         let store = Process::start(&self.network, at, |seat| async move { store(of, settings, seat).await });
         machine.disk.used_by(&store);
         machine.run_program(0, store);
-        // What it reads at its next start: the whole system starts for the first time only once.
+        // The next start must not found a new cluster: `first_start` holds only once.
         let again = Settings { first_start: false, ..machine.settings.settings() };
         machine.settings.replace(again);
     }
 
-    /// Starts a core machine's registry, anew if it runs.
+    /// Starts a core machine's registry; a running one is killed.
     pub fn start_registry(self: &Rc<Self>, machine: &Rc<Machine>) {
         let of = machine.clone();
         machine.run_program(
@@ -237,7 +237,7 @@
         );
     }
 
-    /// Starts a follower.
+    /// Powers a follower on and starts its process; a running one is killed.
     pub fn start_follower(self: &Rc<Self>, which: usize) {
         let machine = self.followers.borrow()[which].clone();
         self.network.off(machine.ip, false);
@@ -249,14 +249,14 @@
         machine.run_program(2, process);
     }
 
-    /// The machine loses its power.
+    /// Cuts the power of a machine: its processes end without closing their connections.
     pub fn lose_power(&self, machine: &Machine) {
         self.network.off(machine.ip, true);
         machine.voter.take();
         machine.processes.take().values().for_each(|process| process.lose_power());
     }
 
-    /// Both ways, or one, between a machine and these.
+    /// Cuts, or heals, the direction from `from` to each of `to`, except to itself.
     pub fn cut(&self, from: Ipv4Addr, to: &[Ipv4Addr], heal: bool) {
         for to in to.iter().filter(|to| **to != from) {
             if heal {
@@ -267,7 +267,10 @@
         }
     }
 
-    /// Asks the stores who votes, as an operator may; the voters' addresses where all that run agree and nothing changes.
+    /// Asks the stores of all running core machines for their voters, as an operator's tool does.
+    ///
+    /// Returns the sorted addresses of the voters, or `None` if a store does not answer, is not a voter itself,
+    /// is changing its configuration or disagrees with another one.
     pub async fn voters(&self, link_to: impl Fn(SocketAddr) -> Rc<RpcClient>) -> Option<Vec<String>> {
         let mut agreed: Option<Vec<String>> = None;
         let core: Vec<_> = self.core.borrow().iter().filter(|m| m.runs()).cloned().collect();
@@ -323,7 +326,7 @@
     seat.serve(SocketAddr::from((machine.ip, CONTROL)), api_handler(api));
 }
 
-/// Calls from outside, without their HTTP.
+/// Serves the control API over plain frames, without HTTP.
 fn api_handler(api: Rc<ControlApi>) -> Handler {
     Rc::new(move |kind, body: Bytes| {
         let api = api.clone();
@@ -395,12 +398,12 @@
     }
 }
 
-/// Links of one caller.
+/// RPC clients of one caller, by address.
 #[derive(Default)]
 pub struct Calls(RefCell<VecDeque<(SocketAddr, Rc<RpcClient>)>>);
 
 impl Calls {
-    /// The link to this address.
+    /// Returns the client for this address and creates it on first use.
     pub fn to(&self, at: SocketAddr) -> Rc<RpcClient> {
         let mut links = self.0.borrow_mut();
         if let Some((_, link)) = links.iter().find(|(to, _)| *to == at) {
@@ -411,7 +414,7 @@
         link
     }
 
-    /// Calls a core machine as callers from outside do; status and body.
+    /// Calls the control API of a core machine; returns status and body, or `None` if none came within `within` ms.
     pub async fn call(
         &self,
         to: Ipv4Addr,
@@ -422,7 +425,7 @@
     ) -> Option<(u16, String)> {
         let kind = if plain { PLAIN } else { OUTSIDE };
         let asked = format!("{head}\n{body}").into_bytes();
-        // A held call's waiting alone does not end a connection: callers give up by themselves.
+        // The RPC timeout of 10 s is longer than `within`: the caller gives up without closing the connection.
         let link = self.to(SocketAddr::from((to, CONTROL)));
         let answer =
             tokio::time::timeout(ms(within), link.call(kind, asked, ms(10_000.0))).await.ok()?.ok()?;
