--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays schedules by command, and says what broke.
+//! Runs fault schedules or mutants from the command line and prints the violated rules.
 
 use oatbank_simulation::mutants::{copy, try_out, TrialResult, MUTANTS};
 use oatbank_simulation::schedule::{play, Played, Point, POINTS};
@@ -73,7 +73,7 @@
     Ok(Some(asked))
 }
 
-/// Lines before a broken rule that are told.
+/// Number of events printed before the first violation.
 const BEFORE: usize = 40;
 
 fn tell(name: &str, played: &Played, whole: bool) {
--- a/crates/simulation/src/mutants.rs
+++ b/crates/simulation/src/mutants.rs
@@ -1,4 +1,4 @@
-//! Guards taken out, one at a time, on a copy of the sources: a checker that finds nothing then proves nothing.
+//! Mutants: copies of the sources with one guard removed. A checker that finds no violation in any of them proves nothing.
 
 mod trial;
 
@@ -6,18 +6,18 @@
 
 use crate::schedule::Point;
 
-/// A guard taken out.
+/// Mutant describes the removal of one guard.
 #[derive(Debug)]
 pub struct Mutant {
-    /// What it is called.
+    /// Unique name.
     pub name: &'static str,
-    /// The file, from the root of the sources.
+    /// Path of the file, relative to the workspace root.
     pub file: &'static str,
-    /// What stands there, exactly once.
+    /// Source text to replace; it occurs exactly once in the file.
     pub from: &'static str,
-    /// What is put there.
+    /// Replacement.
     pub to: &'static str,
-    /// The family that should catch it.
+    /// Family of schedules that should detect the removal.
     pub point: Point,
 }
 
@@ -49,7 +49,7 @@
 const REGISTRY_NODE: &str = "crates/registry/src/node.rs";
 const LEASE: &str = "crates/proxy/src/lease.rs";
 
-/// All of them.
+/// All mutants.
 pub const MUTANTS: &[Mutant] = &[
     mutant(
         "a half is a majority",
--- a/crates/simulation/src/mutants/trial.rs
+++ b/crates/simulation/src/mutants/trial.rs
@@ -1,4 +1,4 @@
-//! Tries a mutant on a copy of the sources: builds it, plays schedules, and says what noticed the missing guard.
+//! Tries a mutant on a copy of the sources: builds it, runs schedules and tests, and reports which of them detected it.
 
 use super::Mutant;
 use crate::schedule::POINTS;
@@ -9,14 +9,14 @@
 use std::process::{Command, Output};
 
 quick_error! {
-    /// Why a mutant could not be tried.
+    /// TrialError is the reason why a mutant could not be tried.
     #[derive(Debug)]
     pub enum TrialError {
-        /// A file cannot be read or written, or a program not be started.
+        /// A file cannot be read or written, or a program cannot be started.
         Io(subject: String, error: io::Error) {
             display("{}: {}", subject, error)
         }
-        /// The sources do not hold what is to be replaced exactly once.
+        /// The text to replace does not occur exactly once in the file.
         NotOnce(file: &'static str, text: &'static str, found: usize) {
             display("{}: {:?} is there {} times, not once", file, text, found)
         }
@@ -39,23 +39,25 @@
     }
 }
 
-/// What came of a mutant.
+/// TrialResult tells which check detected a mutant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrialResult {
-    /// Its family broke a rule: the first line on it.
+    /// A schedule of its own family broke a rule; holds the first lines of output.
     Caught(String),
-    /// Only another family did.
+    /// Only a schedule of another family broke a rule; holds the first lines of output.
     CaughtElsewhere(String),
-    /// No schedule did, but a scripted test or the store's own model fails: its name.
+    /// No schedule broke a rule, but a test of the changed package or of the registry failed; holds its name.
     CaughtByTest(String),
-    /// Nothing did.
+    /// No schedule and no test detected it.
     Missed,
 }
 
-/// Takes one guard out of the copy at `tree`, builds it, and plays so many schedules of its family, then of the others.
+/// Applies a mutant to the copy at `tree`, builds it, and runs `schedules` schedules of its family and an eighth as
+/// many of each other family, then the tests. The file is restored afterwards.
 ///
 /// # Errors
-/// Where the sources do not hold what is to be replaced exactly once, or the copy does not build.
+/// Fails if the text to replace does not occur exactly once, a file or program cannot be used, the copy does not build,
+/// or its tests cannot be run.
 pub fn try_out(tree: &Path, mutant: &Mutant, schedules: u64, jobs: u64) -> Result<TrialResult, TrialError> {
     let path = tree.join(mutant.file);
     let text = fs::read_to_string(&path).map_err(TrialError::at(mutant.file))?;
@@ -93,7 +95,7 @@
     Ok(failing_test(tree, mutant)?.map_or(TrialResult::Missed, TrialResult::CaughtByTest))
 }
 
-/// A test of the changed package, or of the registry above it, that fails in the copy.
+/// Returns the first failing test of the changed package or of the registry.
 fn failing_test(tree: &Path, mutant: &Mutant) -> Result<Option<String>, TrialError> {
     const REGISTRY: &str = "oatbank-registry";
     let own = format!("oatbank-{}", mutant.file.split('/').nth(1).unwrap_or_default());
@@ -112,7 +114,7 @@
     Ok(None)
 }
 
-/// What is built anew for a mutant.
+/// Packages compiled with less optimisation, since each mutant rebuilds them.
 const QUICK: [&str; 6] = [
     "oatbank-node-runtime",
     "oatbank-cluster-state",
@@ -122,11 +124,11 @@
     "oatbank-simulation",
 ];
 
-/// Runs a command on one package of the copy.
+/// Runs a cargo command on one package of the copy.
 fn cargo(tree: &Path, command: &str, krate: &str) -> Result<Output, TrialError> {
     Command::new("cargo")
         .args([command, "--locked", "-j", "2", "--profile", "tested", "-p", krate])
-        // Built often and run briefly.
+        // A low optimisation level: these packages are built often and run briefly.
         .args(QUICK.iter().flat_map(|krate| {
             let of = format!("profile.tested.package.{krate}");
             ["--config".into(), format!("{of}.opt-level=1"), "--config".into(), format!("{of}.debug=0")]
@@ -138,7 +140,7 @@
         .map_err(TrialError::at("cargo"))
 }
 
-/// Builds the copy.
+/// Builds the simulation in the copy.
 fn build(tree: &Path) -> Result<(), TrialError> {
     let built = cargo(tree, "build", "oatbank-simulation")?;
     if built.status.success() {
@@ -147,10 +149,10 @@
     Err(TrialError::DoesNotBuild(String::from_utf8_lossy(&built.stderr).into_owned()))
 }
 
-/// Copies the sources of the workspace at `from` to `to`, whatever was there before.
+/// Copies the sources of the workspace at `from` over those at `to`.
 ///
 /// # Errors
-/// When something cannot be read or written; the error names it.
+/// Fails if a file cannot be read or written; the error names it.
 pub fn copy(from: &Path, to: &Path) -> Result<(), TrialError> {
     fs::create_dir_all(to).map_err(TrialError::at(to.display()))?;
     for part in ["Cargo.toml", "Cargo.lock", "crates", "benches"] {
@@ -169,7 +171,7 @@
         return Ok(());
     }
     let new = fs::read(from).map_err(TrialError::at(from.display()))?;
-    // What is the same keeps its time, and is not built again.
+    // An unchanged file keeps its modification time, so that cargo does not rebuild it.
     if fs::read(to).is_ok_and(|old| old == new) {
         return Ok(());
     }
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,4 +1,4 @@
-//! A process: its tasks are polled while it runs, held while it is frozen, and dropped when it ends.
+//! Simulated process: its tasks are polled while it runs, held while it is frozen, and dropped when it ends.
 
 use crate::network::{Seat, SimulatedNetwork};
 use std::cell::{Cell, RefCell};
@@ -10,20 +10,20 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// One process, from its start to its end.
+/// Process holds the state of one simulated process.
 #[derive(Debug)]
 pub struct Process {
-    /// Its machine.
+    /// Address of its machine.
     pub ip: Ipv4Addr,
     frozen: Cell<Option<Instant>>,
     ended: Cell<bool>,
-    /// Nothing of it gets out any more, not even that it has ended.
+    /// No frame or end of connection from it reaches the network any more.
     unreachable: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl Process {
-    /// Starts a process on this machine.
+    /// Starts a process on a machine.
     pub fn start<F: Future<Output = ()> + 'static>(
         network: &Rc<SimulatedNetwork>,
         ip: Ipv4Addr,
@@ -54,41 +54,41 @@
         }
     }
 
-    /// Stands still until then. What comes for it waits.
+    /// Freezes the process until the given time, or longer if it is frozen already. Incoming frames wait.
     pub fn freeze(&self, until: Instant) {
         self.frozen.set(Some(self.frozen.get().map_or(until, |before| before.max(until))));
         self.wake();
     }
 
-    /// Ends at once; its connections are closed by its machine.
+    /// Ends the process at once; the operating system closes its connections.
     pub fn kill(&self) {
         self.ended.set(true);
         self.wake();
     }
 
-    /// Ends at once with its machine: nobody hears of it.
+    /// Ends the process at once without closing its connections.
     pub fn lose_power(&self) {
         self.unreachable.set(true);
         self.kill();
     }
 
-    /// Whether it has ended.
+    /// Returns whether the process has ended.
     pub fn is_over(&self) -> bool {
         self.ended.get()
     }
 
-    /// Whether nothing of it gets out any more.
+    /// Returns whether nothing from the process reaches the network any more.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable.get()
     }
 
-    /// When what it says now gets out: after the work that holds it.
+    /// Returns the time at which data written now is sent: after a freeze caused by the work in progress.
     pub fn speaks_at(&self) -> Instant {
         let now = Instant::now();
         self.frozen.get().map_or(now, |until| until.max(now))
     }
 
-    /// Whether it stands still now.
+    /// Returns whether the process is frozen now.
     pub fn is_frozen(&self) -> bool {
         self.frozen.get().is_some_and(|until| until > Instant::now())
     }
@@ -126,7 +126,7 @@
             return Poll::Ready(());
         }
         if gate.process.is_frozen() {
-            // It was held by its own work: it is looked at again when that is over.
+            // The poll itself froze the process, for example by a slow write: polls again to arm the timer.
             cx.waker().wake_by_ref();
         }
         Poll::Pending
--- a/crates/simulation/src/schedule/families.rs
+++ b/crates/simulation/src/schedule/families.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// All but a minority stand still, one after the other awake again.
+    /// Freezes just enough core machines that no majority runs; each wakes after its own time.
     pub(super) async fn freeze_majority(&mut self) {
         let core = self.world.core.borrow().clone();
         let many = self.tolerate() + 1;
@@ -80,7 +80,7 @@
             } else {
                 self.go(&lost, &lost, away).await;
             }
-            // From then on they count again.
+            // Lets the machines catch up before the next loss.
             self.waits(CATCH_UP..CATCH_UP + 3000.0).await;
             if self.random.chance(0.3) {
                 self.anything().await;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Some are away for hundreds of changes.
+    /// Keeps as many core machines as tolerated (or one of them) away for a long time.
     pub(super) async fn away_for_long(&mut self) {
         let mut core = self.world.core.borrow().clone();
         let mut lost = Vec::new();
@@ -125,7 +125,7 @@
             }
         }
         if self.random.chance(0.5) {
-            // Those that were awake go as soon as the others count again.
+            // As soon as the machines have caught up, others that saw the changes fail.
             self.waits(CATCH_UP..CATCH_UP + 500.0).await;
             let others = core[..self.tolerate().min(core.len())].to_vec();
             let away = self.random.within(100.0..3000.0);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// A machine is removed for good, and another one takes its place, sooner or later.
+    /// Removes a machine for good and adds another one before or after that.
     pub(super) async fn replace(&mut self) {
         let world = self.world.clone();
         let machine = self.a_machine();
@@ -168,7 +168,7 @@
         }
         sleep(ms(CATCH_UP)).await;
         if crash {
-            // One more goes while the old one may still count as a voter.
+            // Another machine fails while the removed one may still count as a voter.
             let core = world.core.borrow().clone();
             let one = self.random.of(&core).clone();
             let away = self.random.within(500.0..9000.0);
--- a/crates/simulation/src/schedule/faults.rs
+++ b/crates/simulation/src/schedule/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that a schedule injects: cuts, freezes, losses of power and of disks, bad weather on the network.
+//! Faults that a schedule injects: cuts, freezes, losses of power and of disks, and unreliable links.
 
 use super::Director;
 use crate::network::Weather;
@@ -19,7 +19,7 @@
             of.iter().copied().filter(|_| random.chance(0.5)).collect()
         };
         let mut others = match self.random.below(5) {
-            // From the other core machines, and from all else, or a part of it.
+            // Cut off from the core machines, or also from all or some of the followers and callers.
             0 | 1 => core.clone(),
             2 => [core, followers].concat(),
             3 => {
@@ -31,7 +31,7 @@
         others
     }
 
-    /// A machine is cut off, both ways or one.
+    /// Cuts a machine off from others, in both directions or one, for `long` ms.
     pub(super) async fn cut(&mut self, machine: &Rc<Machine>, long: f64) {
         let (world, others) = (self.world.clone(), self.others(machine));
         let (out, back) = *self.random.of(&[(true, true), (true, true), (true, false), (false, true)]);
@@ -65,7 +65,8 @@
         self.ends(what);
     }
 
-    /// Machines go at once, by a kill or by a loss of power, and come back; of these, some with empty disks.
+    /// Kills machines or cuts their power together and restarts them after `away` ms; the disks of `wiped` are emptied
+    /// or damaged meanwhile.
     pub(super) async fn go(&mut self, machines: &[Rc<Machine>], wiped: &[Rc<Machine>], away: f64) {
         let world = self.world.clone();
         let power = self.random.chance(0.5);
@@ -98,7 +99,7 @@
         self.ends(what);
     }
 
-    /// The power goes in the middle of a machine's next write.
+    /// Cuts the power of a machine in the middle of its next write, or after up to 1.5 s without one.
     pub(super) async fn doom(&mut self, machine: &Rc<Machine>) {
         let what = format!("{} loses power at a write", machine.ip);
         self.begins(what.clone());
@@ -126,7 +127,7 @@
         self.ends(what);
     }
 
-    /// Full disks, and then no power: what was refused must not have been confirmed.
+    /// Fills disks, then cuts their machines' power: a write that was refused must not have been confirmed.
     pub(super) async fn full_and_off(&mut self) {
         let world = self.world.clone();
         let core = world.core.borrow().clone();
@@ -162,7 +163,7 @@
         self.world.network.weather(weather);
         sleep(ms(long)).await;
         self.world.network.weather(Weather::default());
-        // What is late comes yet.
+        // Frames delayed before the links recovered arrive within this time.
         sleep(ms(3000.0)).await;
         self.ends(what);
     }
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Something else that may come on any day.
+    /// Injects one random fault of any kind.
     pub(super) async fn anything(&mut self) {
         let machine = self.a_machine();
         match self.random.below(10) {
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -1,4 +1,4 @@
-//! Histories that break one rule each, and the same ones made whole: the checker is not the control side's friend.
+//! Checks that each rule reports a history that violates it and accepts one that just keeps it.
 
 use oatbank_simulation::checker::check;
 use oatbank_simulation::history::{AppliedState, Content, Event, OperatorCommand, What};
@@ -28,7 +28,7 @@
     )
 }
 
-/// r1 and r2 are acknowledged at 100 and 200 ms; then comes this.
+/// Checks a history in which r1 and r2 are acknowledged at 100 and 200 ms, followed by `more`; returns the broken rules.
 fn after_two(more: Vec<(f64, Event)>) -> Vec<&'static str> {
     let mut history = vec![
         (0.0, order(1, 0, 1, What::Replace)),
@@ -94,12 +94,12 @@
         |process| vec![(300.0, acts(1, true, 2, &[1, 2], &[])), (400.0, acts(process, true, 1, &[1], &[]))];
     assert!(after_two(goes(2)).is_empty(), "another life");
     assert_eq!(after_two(goes(1)), ["goes back"]);
-    // In trouble, and long after: only who does not act may know less.
+    // During a fault, only an inactive follower may hold an old version after 5 s.
     let late = |at, does| vec![(0.0, Event::Trouble(true, String::new())), (at, acts(1, does, 1, &[1], &[]))];
     assert!(after_two(late(5100.0, true)).is_empty());
     assert!(after_two(late(5300.0, false)).is_empty());
     assert_eq!(after_two(late(5300.0, true)), ["old in force"]);
-    // In calm times sooner, and it has to act.
+    // In a calm period the limit is 3 s, and the follower has to be active.
     let calm = |acts| vec![(5190.0, acts)];
     assert!(after_two(calm(acts(1, true, 2, &[1, 2], &[]))).is_empty());
     assert_eq!(after_two(calm(acts(1, true, 1, &[1], &[]))), ["applies"]);
@@ -155,7 +155,7 @@
         check(history).into_iter().map(|broken| broken.rule).collect()
     };
     assert_eq!(rules(&history), ["servers"]);
-    // It was taken back, before a copy of the first could be gone.
+    // The opposite command follows while a duplicate of the first may still arrive.
     history.splice(2..2, call(0, 20.0, None));
     history.truncate(6);
     history.extend(call(1, 300.0, Some(200)));
--- a/crates/simulation/tests/mutants.rs
+++ b/crates/simulation/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! Each guard that is taken out by command is still where it is looked for.
+//! Checks that the source text replaced by each mutant occurs exactly once.
 
 use oatbank_simulation::mutants::MUTANTS;
 use std::collections::BTreeSet;
--- a/crates/simulation/tests/schedules.rs
+++ b/crates/simulation/tests/schedules.rs
@@ -1,8 +1,8 @@
-//! Some hundred schedules of each point; `oatbank-simulation --help` tells how to play more, or one of them again.
+//! Runs 60 or 70 schedules of each family; `oatbank-simulation --help` shows how to run more, or one of them again.
 
 use oatbank_simulation::schedule::{play, Point};
 
-/// Plays these, and tells the seeds of those that broke a rule.
+/// Runs the schedules of these seeds and reports the seeds that broke a rule.
 fn plays(point: Point, seeds: std::ops::Range<u64>) {
     oatbank_node_runtime::log::start("off").expect("a level");
     println!("{point:?}: seeds {seeds:?}");
