--- a/crates/tower/examples/axum_layer.rs
+++ b/crates/tower/examples/axum_layer.rs
@@ -1,4 +1,4 @@
-//! An axum application that serves quotes itself, behind the limiter's layer.
+//! An axum application that serves quotes itself behind a `LimitLayer`.
 //!
 //! `cargo run -p oatbank-tower --example axum_layer [COUNTER_ADDRESS:PORT]`; with a counter it shares the
 //! accounts' quotas with the daemons that use the same one.
@@ -27,7 +27,7 @@
 
 #[tokio::main(flavor = "multi_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
-    // Without a shared counter each limiter goes by what it sees itself.
+    // Without a shared counter each limiter counts only its own requests.
     let counter = std::env::args().nth(1).map_or("none".to_owned(), |a| format!("text://{a}"));
     let config = Config::parse(&format!("counter = \"{counter}\"\n{CONFIG}"))?;
     let limit = LimitLayer::start(config)?;
--- a/crates/tower/examples/portal.rs
+++ b/crates/tower/examples/portal.rs
@@ -1,4 +1,4 @@
-//! A portal that calls the quote engines through a limiter of its own.
+//! A portal that calls the quote engines through its own limiter.
 //!
 //! `cargo run -p oatbank-tower --example portal -- ENGINE_ADDRESS:PORT [COUNTER_ADDRESS:PORT]`
 
@@ -20,7 +20,7 @@
     burst = 100
 "#;
 
-/// What the portal knows already need not go through headers.
+/// Classifies by data that the portal already has, without headers.
 fn known(head: &http::request::Parts, setup: &Setup) -> Result<Request, Rejection> {
     let account = head.extensions.get::<u64>().ok_or(Rejection::bad("no account\n"))?;
     let class = setup.names.classes.iter().position(|c| c == "quote").ok_or(Rejection::bad("no class\n"))?;
--- a/crates/tower/src/client.rs
+++ b/crates/tower/src/client.rs
@@ -1,4 +1,4 @@
-//! The whole limiter in process: a service that calls the servers.
+//! Limiter inside a client application: a service that calls the servers.
 
 use crate::extract::{Extract, PlatformPath};
 use crate::start::{Builder, Place, StartError};
@@ -18,10 +18,10 @@
 use std::task::{ready, Context, Poll};
 use tower::Service;
 
-/// A limiter as a [`tower::Service`]: each request gets one response, as the daemon would give it. It is
-/// always ready: what is too much is refused at once, with when to come back.
+/// Client is a limiter as a [`tower::Service`]: each request gets one response, the same as from the daemon. The
+/// service is always ready: requests over the limit are refused at once with a `Retry-After` header.
 ///
-/// Dropping the response future is the client's leaving. When the last clone is dropped, the limiter ends.
+/// Dropping the response future cancels the request. Dropping the last clone ends the limiter.
 #[derive(Clone)]
 pub struct Client<E = PlatformPath> {
     handle: Handle<Forward, Body>,
@@ -30,42 +30,42 @@
 }
 
 impl Client {
-    /// Starts a limiter that goes by the platform's headers.
+    /// Starts a limiter that classifies requests by the platform's headers and path.
     ///
     /// # Errors
-    /// When the settings make no sense, or no thread can be had.
+    /// Fails if the settings are invalid or no thread can be started.
     pub fn start(config: Config) -> Result<Self, StartError> {
         Client::build(Builder::new(config), PlatformPath)
     }
 }
 
 impl<E: Extract> Client<E> {
-    /// Starts a limiter.
+    /// Starts a limiter from a builder, with its own classification.
     ///
     /// # Errors
-    /// When the settings make no sense, or no thread can be had.
+    /// Fails if the settings are invalid or no thread can be started.
     pub fn build(builder: Builder, extract: E) -> Result<Self, StartError> {
         Ok(Client { handle: builder.client(Place::Thread)?, extract, open: OpenIds::default() })
     }
 
-    /// Starts a limiter on the caller's thread, as a task of the [`tokio::task::LocalSet`] that this is called
-    /// in: for applications on a current-thread runtime, and for tests whose time stands. It ends with the set.
+    /// Starts a limiter as a task of the caller's [`tokio::task::LocalSet`], for applications on a current-thread
+    /// runtime and for tests with paused time. It ends with the set.
     ///
     /// # Errors
-    /// When the settings make no sense.
+    /// Fails if the settings are invalid.
     ///
     /// # Panics
-    /// Outside of a local set.
+    /// Panics outside of a local set.
     pub fn build_here(builder: Builder, extract: E) -> Result<Self, StartError> {
         Ok(Client { handle: builder.client(Place::Here)?, extract, open: OpenIds::default() })
     }
 
-    /// Tells the limiter which servers there are.
+    /// Updates the limiter's list of servers.
     pub fn tell(&self, news: News) {
         self.handle.update_members(news);
     }
 
-    /// Answers what was taken and ends; see [`Handle::shutdown`].
+    /// Refuses new requests, answers the accepted ones and ends; see [`Handle::shutdown`].
     pub async fn shutdown(&self) {
         self.handle.shutdown().await;
     }
@@ -113,7 +113,7 @@
     Rejected(Rejection),
 }
 
-/// A request's response to come.
+/// ClientFuture resolves to the response of one request.
 #[must_use = "a dropped request is a client that has left"]
 pub struct ClientFuture(State);
 
--- a/crates/tower/src/extract.rs
+++ b/crates/tower/src/extract.rs
@@ -1,20 +1,19 @@
-//! What a request is to the rules.
+//! Classification of requests: class, plan, account, units and deadline.
 
 use http::request::Parts;
 use oatbank_engine::classify::{self, Rejection};
 use oatbank_engine::engine::Setup;
 use oatbank_limiter_core::interface::Request;
 
-/// Reads class, plan, account, units and deadline from a request's head.
+/// Extract reads class, plan, account, units and deadline from a request's head.
 ///
-/// An implementation answers for two things: a request that it cannot classify is rejected (400), so that it
-/// touches no account; and the same account has the same number at every limiter. Closures of this form
-/// implement it.
+/// An implementation has to reject a request that it cannot classify (400), so that no account is charged, and has
+/// to give an account the same number at every limiter. Closures with this signature implement the trait.
 pub trait Extract: Clone + Send + Sync + 'static {
-    /// What the module is told; the id is set by the engine.
+    /// Returns the request as the limiter sees it; the engine sets the id.
     ///
     /// # Errors
-    /// The answer to a request that cannot be classified.
+    /// Returns the rejection that answers a request that cannot be classified.
     fn extract(&self, head: &Parts, setup: &Setup) -> Result<Request, Rejection>;
 }
 
@@ -27,7 +26,7 @@
     }
 }
 
-/// The platform's headers, with the class in the path as well: what the daemon goes by.
+/// Reads the platform's headers and requires the class in the path as well, as the daemon does.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformPath;
 
@@ -37,7 +36,7 @@
     }
 }
 
-/// The platform's headers, whatever the path: for applications with paths of their own.
+/// Reads the platform's headers and ignores the path, for applications with paths of their own.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformHeaders;
 
--- a/crates/tower/src/layer.rs
+++ b/crates/tower/src/layer.rs
@@ -1,4 +1,4 @@
-//! A layer for applications that serve requests themselves: their handler is the one server.
+//! Layer for applications that serve requests themselves: their handler is the only server.
 
 use crate::extract::{Extract, PlatformHeaders};
 use crate::start::{Builder, Place, StartError};
@@ -15,18 +15,18 @@
 use std::task::{Context, Poll};
 use tower::{Layer, Service, ServiceExt};
 
-/// Decides which requests reach the application's handler, and how many at once.
+/// LimitLayer decides which requests reach the application's handler, and how many run at once.
 ///
 /// | the handler | counts as | the client gets |
 /// | --- | --- | --- |
 /// | answers, status under 500 | served | that answer |
-/// | answers 503 with `X-Unprocessed: 1` | turned away, never ran | that answer |
+/// | answers 503 with `X-Unprocessed: 1` | refused without running | that answer |
 /// | answers any other status from 500 on | an error that may have run | that answer |
 /// | returns an error, or panics | an error that may have run | the error; 502 |
-/// | has no answer in time (the aim, where late answers are worth nothing) | timed out; its future is dropped | 504, or 429 where the class is safe |
+/// | gives no answer in time (by the aim, where a late answer is worthless) | timed out; its future is dropped | 504, or 429 if the class is safe |
 ///
-/// A client that leaves drops the handler's future, which counts as one that may have run. The handler runs on
-/// the application's own runtime: one that blocks it can be answered no sooner than it returns.
+/// A client that disconnects drops the handler's future, which counts as one that may have run. The handler runs on
+/// the application's runtime: if it blocks, no answer is given before it returns.
 #[derive(Clone, Debug)]
 pub struct LimitLayer<E = PlatformHeaders> {
     limiter: Direct,
@@ -34,37 +34,37 @@
 }
 
 impl LimitLayer {
-    /// Starts a limiter that goes by the platform's headers. The configuration's servers are not used.
+    /// Starts a limiter that classifies requests by the platform's headers. The configured servers are not used.
     ///
     /// # Errors
-    /// When the settings make no sense, or no thread can be had.
+    /// Fails if the settings are invalid or no thread can be started.
     pub fn start(config: Config) -> Result<Self, StartError> {
         LimitLayer::build(Builder::new(config), PlatformHeaders)
     }
 }
 
 impl<E: Extract> LimitLayer<E> {
-    /// Starts a limiter.
+    /// Starts a limiter from a builder, with its own classification.
     ///
     /// # Errors
-    /// When the settings make no sense, or no thread can be had.
+    /// Fails if the settings are invalid or no thread can be started.
     pub fn build(builder: Builder, extract: E) -> Result<Self, StartError> {
         Ok(LimitLayer { limiter: builder.layer(Place::Thread)?, extract })
     }
 
-    /// Starts a limiter on the caller's thread, as a task of the [`tokio::task::LocalSet`] that this is called
-    /// in: for applications on a current-thread runtime, and for tests whose time stands. It ends with the set.
+    /// Starts a limiter as a task of the caller's [`tokio::task::LocalSet`], for applications on a current-thread
+    /// runtime and for tests with paused time. It ends with the set.
     ///
     /// # Errors
-    /// When the settings make no sense.
+    /// Fails if the settings are invalid.
     ///
     /// # Panics
-    /// Outside of a local set.
+    /// Panics outside of a local set.
     pub fn build_here(builder: Builder, extract: E) -> Result<Self, StartError> {
         Ok(LimitLayer { limiter: builder.layer(Place::Here)?, extract })
     }
 
-    /// Takes no further request, answers what was taken and ends; see [`Direct::shutdown`].
+    /// Refuses new requests, answers the accepted ones and ends; see [`Direct::shutdown`].
     pub async fn shutdown(&self) {
         self.limiter.shutdown().await;
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/// A handler behind a [`LimitLayer`].
+/// Limit is a handler behind a [`LimitLayer`].
 #[derive(Clone, Debug)]
 pub struct Limit<S, E = PlatformHeaders> {
     inner: S,
@@ -101,7 +101,7 @@
     type Error = S::Error;
     type Future = Boxed<Result<Response<R>, S::Error>>;
 
-    /// Always: the handler's own readiness is waited for once a request is admitted, within its deadline.
+    /// Always ready: an admitted request waits for the handler's readiness within its deadline.
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), S::Error>> {
         Poll::Ready(Ok(()))
     }
@@ -125,7 +125,7 @@
     }
 }
 
-/// Waits until the handler may run; else the final answer comes back.
+/// Waits for the permit to run the handler; returns the final result if the request ends without one.
 async fn admitted(
     mut pending: Pin<&mut Admission>,
     permit: tokio::sync::oneshot::Receiver<Permit>,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Runs the handler until it ends or its time is up, and reports how it ended.
+/// Runs the handler until it ends or its deadline passes, and reports the outcome to the limiter.
 async fn run<S, B, R>(
     inner: S,
     request: Request<B>,
@@ -151,7 +151,7 @@
     let handled = tokio::select! {
         biased;
         handled = unpanicked(inner, request) => handled,
-        // The engine answers before the handler only when the time is up or it ends itself.
+        // Before the handler ends, the engine answers only when the deadline has passed or the engine shuts down.
         ended = pending => return Ok(respond::ended(ended, |()| unserved())),
     };
     match handled {
@@ -170,13 +170,13 @@
     }
 }
 
-/// The handler's result, or none if it panicked: in its call or in its future.
+/// Returns the handler's result, or `None` if its call or its future panicked.
 async fn unpanicked<S, B, R>(inner: S, request: Request<B>) -> Option<Result<Response<R>, S::Error>>
 where
     S: Service<Request<B>, Response = Response<R>>,
 {
     let mut handling = pin!(inner.oneshot(request));
-    // What a panic left half done is dropped with the future, and never polled again.
+    // Unwind-safe: after a panic the future is dropped and never polled again.
     poll_fn(|cx| match catch_unwind(AssertUnwindSafe(|| handling.as_mut().poll(cx))) {
         Ok(poll) => poll.map(Some),
         Err(_) => {
@@ -197,7 +197,8 @@
     }
 }
 
-/// The engine says that it was served though the handler has not: a defect, and in doubt it may have run.
+/// Response for a call that the engine reports as served although the handler was not: a defect. The handler may
+/// have run.
 fn unserved<R: From<&'static str>>() -> Response<R> {
     respond::ended(CallResult::Answered(Answer::<()>::Failed), |()| Response::new(R::from("")))
 }
--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -1,4 +1,4 @@
-//! The limiter inside an application, under the same rules and the same shared quota as the daemon.
+//! Limiter inside an application, with the same rules and the same shared quota as the daemon.
 //!
 //! ```
 //! use oatbank_tower::{Client, Config};
@@ -15,13 +15,13 @@
 //! # Ok(()) }
 //! ```
 //!
-//! | form | for | what is decided |
+//! | type | use | decides |
 //! | --- | --- | --- |
-//! | [`Client`] | a portal that calls the servers | admission, server, retries, the one final answer |
-//! | [`LimitLayer`] | an application that serves requests itself | admission and concurrency; its handler is the one server |
+//! | [`Client`] | a portal that calls the servers | admission, server, retries, the single final answer |
+//! | [`LimitLayer`] | an application that serves requests itself | admission and concurrency; its handler is the only server |
 //!
-//! Both run an engine on a thread of its own, so they may be used from any runtime. What a request is to the
-//! rules (class, plan, account, units, deadline) is read by an [`Extract`].
+//! Both run an engine on a thread of its own and work with any runtime. An [`Extract`] classifies each request (class,
+//! plan, account, units, deadline).
 
 mod client;
 mod extract;
--- a/crates/tower/src/start.rs
+++ b/crates/tower/src/start.rs
@@ -1,4 +1,4 @@
-//! Puts an engine together from a configuration and runs it on a thread of its own.
+//! Assembles an engine from a configuration and starts it on its own thread or in the caller's local set.
 
 use oatbank_engine::body::Body;
 use oatbank_engine::config::Config;
@@ -13,18 +13,18 @@
 use oatbank_engine::upstreams::http1::{Connections, Forward, Http1};
 use std::rc::Rc;
 
-/// Share of the descriptors that go to servers; the rest is the application's.
+/// Share of the file descriptors used for connections to servers; the rest is left to the application.
 const SERVER_SHARE: f64 = 0.5;
 
-/// Room for the bodies of answers, KiB: the application's own memory is not ours to divide.
+/// Limit on buffered response bodies, KiB. Fixed, because the application's memory budget is not known here.
 const BODIES_KIB: usize = 64 * 1024;
 
-/// Why a limiter did not start.
+/// StartError is the reason why a limiter did not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// The settings allow no request to be served.
+    /// The settings or the queue capacity are invalid.
     Settings(String),
-    /// There was no thread or runtime to be had.
+    /// The thread or its runtime could not be created.
     Thread(std::io::Error),
 }
 
@@ -39,7 +39,7 @@
 
 impl std::error::Error for StartError {}
 
-/// How a limiter within an application is started.
+/// Builder holds the options of a limiter inside an application.
 #[derive(Clone, Debug)]
 pub struct Builder {
     config: Config,
@@ -48,20 +48,20 @@
 }
 
 impl Builder {
-    /// Starts from a configuration.
+    /// Creates a builder from a configuration, with the default queue capacity.
     pub fn new(config: Config) -> Self {
         Builder { config, queue: DEFAULT_QUEUE_CAPACITY, numbers: Numbers::default() }
     }
 
-    /// So many requests may wait for a client's engine, or be in hand at a layer; one more is answered 503 at
-    /// once, with when to come back.
+    /// Sets the number of requests that may wait for a client's engine or be in progress at a layer. Further
+    /// requests are answered 503 with a `Retry-After` header at once.
     #[must_use]
     pub fn queue(mut self, most: usize) -> Self {
         self.queue = most;
         self
     }
 
-    /// Shares the numbers of `counter = "local"` with other limiters of this process.
+    /// Shares the counters of `counter = "local"` with other limiters of this process.
     #[must_use]
     pub fn numbers(mut self, numbers: Numbers) -> Self {
         self.numbers = numbers;
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    /// An engine that calls servers over HTTP/1.1.
+    /// Starts an engine that calls servers over HTTP/1.1. Fails if the settings are invalid or no thread can be started.
     pub(crate) fn client(self, place: Place) -> Result<Handle<Forward, Body>, StartError> {
         self.check()?;
         let Builder { config, queue, numbers } = self;
@@ -110,14 +110,14 @@
         place.run(setup, queue, build)
     }
 
-    /// A limiter whose one server is the application's handler.
+    /// Starts a limiter whose only server is the application's handler. Fails as [`Self::client`] does.
     pub(crate) fn layer(self, place: Place) -> Result<Direct, StartError> {
         self.check()?;
         let Builder { mut config, queue, numbers } = self;
         let setup = config.setup.clone();
         let settings = &mut config.setup.settings;
-        // A handler takes its request with it, so it is run once; and no other limiter sends to it, so all
-        // of its concurrency is this one's. Quotas go by each request's own number of limiters.
+        // The handler consumes its request, so there is one attempt. No other limiter sends to it, so all of its
+        // concurrency belongs to this one. Quotas still use the number of limiters given in each request.
         (settings.max_attempts, settings.parallel_tries, settings.gateways) = (1, false, 1.0);
         let (limiter, work) = direct::pair(setup, &config.setup, queue);
         let kind = config.counter;
@@ -130,10 +130,10 @@
     }
 }
 
-/// Where an engine runs.
+/// Place selects where an engine runs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Place {
-    /// On a thread of its own.
+    /// On a new thread.
     Thread,
     /// On the caller's thread, inside its [`tokio::task::LocalSet`].
     Here,
--- a/crates/tower/tests/client.rs
+++ b/crates/tower/tests/client.rs
@@ -1,4 +1,4 @@
-//! The limiter in process against stand-in servers on loopback.
+//! Tests of the client against test servers on loopback.
 
 use bytes::Bytes;
 use http::{Method, Request};
@@ -106,12 +106,12 @@
         _ => Act::Write(answer("200 OK", "", b"made")),
     });
     let (client, runtime) = (client(&[&server]), runtime());
-    // After it was sent.
+    // Dropped after the attempt was sent.
     let open = runtime.spawn(client.clone().oneshot(request("book")));
     eventually("the attempt", || server.count() == 1);
     open.abort();
     server.closed.recv_timeout(Duration::from_secs(10)).expect("a closed connection");
-    // Before: without any server it is held at most, and a server that comes finds nothing to do.
+    // Dropped before: without a server the request can only wait, and a server that joins later must not get it.
     client.tell(News::Complete(Vec::new()));
     let held = runtime.block_on(async {
         tokio::time::timeout(Duration::from_millis(1), client.clone().oneshot(request("book"))).await
@@ -127,13 +127,13 @@
     let slow = || Server::start(|_| Act::Late(Duration::from_millis(30), answer("200 OK", "", b"made")));
     let (one, two) = (slow(), slow());
     let (client, runtime) = (client(&[&one, &two]), runtime());
-    // At once, so that each engine has its part.
+    // Sent concurrently, so that each server gets some.
     let asked: Vec<_> = (0..8).map(|_| runtime.spawn(client.clone().oneshot(request("look")))).collect();
     asked.into_iter().for_each(|task| _ = runtime.block_on(task).expect("a task"));
     assert!(one.count() > 0 && two.count() > 0);
     let ask = || runtime.block_on(client.clone().oneshot(request("look"))).expect("an answer").status();
     client.tell(News::Complete(vec![Member::ready("s-00000001", one.address)]));
-    // What is told comes before what is asked afterwards.
+    // An update takes effect before requests that are made after it.
     let before = two.count();
     assert!((0..20).all(|_| ask() == 200));
     assert_eq!(two.count(), before);
@@ -195,7 +195,7 @@
     }
     let told = || numbers.book(0.0).iter().map(|(_, total)| total).sum::<f64>();
     eventually("all is told", || told() == 40.0);
-    // The first request of an account is answered by this limiter's own view and has it read.
+    // The first request of an account uses this limiter's own count and triggers a read of the shared one.
     eventually("the other limiter has heard of it", || ask(&other).status() == 429);
     assert!(server.count() < 60, "{} requests of a quota of 40", server.count());
 }
@@ -206,7 +206,7 @@
     let (client, runtime) = (client(&[&server]), runtime());
     let other = client.clone();
     assert_eq!(runtime.block_on(client.oneshot(request("look"))).expect("an answer").status(), 200);
-    // The clone that asked is gone; this one still works.
+    // The clone that sent the request is dropped; the other one still works.
     assert_eq!(runtime.block_on(other.clone().oneshot(request("look"))).expect("an answer").status(), 200);
     drop(other);
     let quiet = server.closed.recv_timeout(Duration::from_secs(10)).expect("a closed connection");
--- a/crates/tower/tests/layer.rs
+++ b/crates/tower/tests/layer.rs
@@ -1,5 +1,5 @@
-//! The layer round handlers that do all that handlers do. Time stands and moves on only when all wait, so
-//! nothing here depends on the machine; but where a runtime itself is blocked or torn down.
+//! Tests of the layer with handlers that answer, fail, panic, hang or block. Most run in paused time, so they do not
+//! depend on the speed of the machine; those that block or shut down a runtime run in real time.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
@@ -61,7 +61,7 @@
     response
 }
 
-/// Counts that it was dropped.
+/// Counts its drops.
 struct CountsDrop(Arc<AtomicUsize>);
 
 impl Drop for CountsDrop {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Runs a test on one thread whose time stands.
+/// Runs a test on one thread in paused time.
 fn in_virtual_time<F: Future<Output = ()> + 'static>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     let local = tokio::task::LocalSet::new();
@@ -199,11 +199,11 @@
                 Ok::<_, Infallible>(ok())
             }
         }));
-        // Before its first poll: nothing may run.
+        // Dropped before the first poll: no handler may run.
         drop(service.clone().call(request("once", "wide")));
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(runs.load(Ordering::Relaxed), 0, "a handler ran for a client that had left");
-        // While the handlers run, far more often than there are places.
+        // Dropped while the handler runs, more often than the concurrency limit.
         for n in 1..=40 {
             let asking = service.clone().oneshot(request("once", "wide"));
             assert!(tokio::time::timeout(Duration::from_millis(20), asking).await.is_err(), "too early");
@@ -251,7 +251,7 @@
         let builder = Builder::new(config()).queue(4);
         let layer = LimitLayer::build_here(builder, PlatformHeaders).expect("a layer");
         let mut service = layer.layer(service_fn(|_: Request<()>| async { Ok::<_, Infallible>(ok()) }));
-        // The engine has no turn while this task does not wait.
+        // The engine does not run until this task yields.
         let asked: Vec<_> = (0..6).map(|_| service.call(request("look", "wide"))).collect();
         let mut statuses = Vec::new();
         for answer in asked {
