--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -123,7 +123,10 @@
         standing.in_force = true;
         let (order, refused) = (order.clone(), standing.refused);
         if let Some(status) = refused {
-            self.breaks("refused", format!("#{at} r{} got {status} and is in force", order.number));
+            self.breaks(
+                "refused",
+                format!("#{at} r{} was refused with {status} and is in force", order.number),
+            );
         }
         if matches!(order.what, What::Empty(..)) {
             return;
@@ -165,7 +168,10 @@
             order.number == content.number && content.tags.binary_search(&order.tag).is_ok()
         };
         let Some(at) = self.operator_command.iter().position(is) else {
-            self.breaks("in force", format!("nobody ordered r{} with {:?}", content.number, content.tags));
+            self.breaks(
+                "in force",
+                format!("no command created r{} with {:?}", content.number, content.tags),
+            );
             return;
         };
         self.is_taken(at);
@@ -201,17 +207,26 @@
                 standing.refused = Some(status);
                 let (taken, base) = (standing.in_force, order.built_on);
                 if taken {
-                    self.breaks("refused", format!("#{at} r{number} is in force and got {status}"));
+                    self.breaks(
+                        "refused",
+                        format!("#{at} r{number} is in force and was refused with {status}"),
+                    );
                 }
                 let rival = |(n, (o, _)): (usize, &(OperatorCommand, Standing))| n != at && o.number > base;
                 if !self.operator_command.iter().enumerate().any(rival) {
-                    self.breaks("refused", format!("#{at} r{number} got {status} with nothing beside it"));
+                    self.breaks(
+                        "refused",
+                        format!("#{at} r{number} was refused with {status} without a concurrent command"),
+                    );
                 }
             }
             Some(500..) | None => {
                 let asked = standing.asked.unwrap_or(self.now);
                 if self.is_calm() && asked - self.troubled >= IN_TOUCH && self.now - asked > ACK {
-                    self.breaks("answers", format!("#{at} r{number} has no clear answer in calm times"));
+                    self.breaks(
+                        "answers",
+                        format!("#{at} r{number} has no definite answer in a calm period"),
+                    );
                 }
                 if let What::Empty(zone, begin) = what {
                     self.zones.entry(zone).or_default().unclear[usize::from(begin)] = Some(self.now);
@@ -229,13 +244,15 @@
             let last = self.processes.entry((who, process)).or_default();
             let before = std::mem::replace(last, number.max(*last));
             if number < before {
-                self.breaks("goes back", format!("follower {who} acts by r{number} after r{before}"));
+                self.breaks("goes back", format!("follower {who} applies r{number} after r{before}"));
             }
             let floor = self.acked.at(self.now - REVOKE);
             if number < floor {
                 self.breaks(
                     "old in force",
-                    format!("follower {who} acts by r{number}; r{floor} is long acknowledged"),
+                    format!(
+                        "follower {who} applies r{number}; r{floor} was acknowledged over {REVOKE:.0} ms ago"
+                    ),
                 );
             }
         }
@@ -244,33 +261,39 @@
         }
         let floor = self.acked.at(self.now - APPLY);
         if floor > 0 && !active.acts {
-            self.breaks("ready", format!("follower {who} does not act in calm times"));
+            self.breaks("ready", format!("follower {who} is inactive in a calm period"));
         }
         if active.acts && number < floor {
-            self.breaks("applies", format!("follower {who} acts by r{number}; r{floor} is acknowledged"));
+            self.breaks(
+                "applies",
+                format!("follower {who} applies r{number}; r{floor} was acknowledged over {APPLY:.0} ms ago"),
+            );
         }
         let mut wrong = Vec::new();
         for (name, zone) in &self.zones {
             let due = zone.is_clear() && self.now - zone.since > EMPTY;
             if due && active.acts && active.empty.contains(name) != zone.empty {
-                wrong.push(format!("follower {who}: zone {name} should be empty: {}", zone.empty));
+                wrong.push(format!(
+                    "follower {who}: expected evacuation state of zone {name}: {}",
+                    zone.empty
+                ));
             }
         }
         if !active.servers.windows(2).all(|pair| pair[0] < pair[1]) {
-            wrong.push(format!("follower {who} has a server twice: {:?}", active.servers));
+            wrong.push(format!("follower {who} has a duplicate server: {:?}", active.servers));
         }
         for (id, server) in &self.servers {
             let there = active.servers.binary_search(id).is_ok();
             let old = |since: Option<f64>, bound| since.is_some_and(|since| self.now - since > bound);
             if there && old(server.drains, DRAIN) {
-                wrong.push(format!("follower {who} still sends to {id}, which leaves"));
+                wrong.push(format!("follower {who} still lists {id}, which is draining"));
             }
             // A silent server is detected only by listening to it, which starts anew after the last fault.
             if there && old(server.ended.map(|at| at.max(self.troubled)), SILENT) {
-                wrong.push(format!("follower {who} still sends to {id}, which has ended"));
+                wrong.push(format!("follower {who} still lists {id}, which has ended"));
             }
             if !there && server.ended.is_none() && !server.leaves && old(server.first, KNOWN) {
-                wrong.push(format!("follower {who} has lost {id}"));
+                wrong.push(format!("follower {who} does not list {id}"));
             }
         }
         wrong.into_iter().for_each(|what| self.breaks("servers", what));
@@ -279,7 +302,7 @@
     /// In a calm period, lookups return exactly the active followers.
     fn sent(&mut self, machine: std::net::Ipv4Addr, status: u16, fronts: &[String]) {
         if !matches!(status, 200 | 500..) {
-            self.breaks("answers", format!("a client got {status} of {machine}"));
+            self.breaks("answers", format!("a lookup at {machine} got {status}"));
         }
         if !self.is_calm() || self.active.values().all(|acts| !acts) {
             return;
@@ -288,7 +311,7 @@
         let all: BTreeSet<String> = all.map(|(who, _)| front(*who)).collect();
         let settings: BTreeSet<String> = fronts.iter().cloned().collect();
         if status != 200 || settings != all || fronts.len() != settings.len() {
-            self.breaks("directory", format!("{machine} sends to {fronts:?} ({status}); {all:?} act"));
+            self.breaks("directory", format!("{machine} returns {fronts:?} ({status}); {all:?} are active"));
         }
     }
 
@@ -310,7 +333,7 @@
                         self.sees(content);
                         if content.number < floor {
                             let what =
-                                format!("{machine} says r{}; r{floor} was known before", content.number);
+                                format!("{machine} returns r{}; r{floor} was known before", content.number);
                             self.breaks("reads", what);
                         }
                         self.read.raise(at, content.number);
@@ -318,11 +341,11 @@
                     404 if floor > 0 => {
                         self.breaks(
                             "reads",
-                            format!("{machine} knows of no version; r{floor} was known before"),
+                            format!("{machine} returns no version; r{floor} was known before"),
                         );
                     }
                     404 | 500.. => {}
-                    _ => self.breaks("answers", format!("a reading got {status}")),
+                    _ => self.breaks("answers", format!("a read got {status}")),
                 }
             }
             Event::Sent(machine, status, fronts) => self.sent(*machine, *status, fronts),
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -235,7 +235,10 @@
             let until = of.history.now() + takes_within;
             for to in machines {
                 let takes = office.takes(&of, &call_count, to, until, false).await;
-                of.history.record(Event::Recovered(format!("{to} takes an order, and reads it back"), takes));
+                of.history.record(Event::Recovered(
+                    format!("{to} acknowledges a command and reads it back"),
+                    takes,
+                ));
             }
             let until = of.history.now() + votes_within;
             let mut vote = false;
@@ -261,7 +264,8 @@
         let process = Process::start(&world.network.clone(), ip(8), |_| async move {
             let until = of.history.now() + within;
             let takes = office.takes(&of, &Calls::default(), to, until, true).await;
-            of.history.record(Event::Recovered(format!("{to} goes on while others are away"), takes));
+            of.history
+                .record(Event::Recovered(format!("{to} answers a command while others are down"), takes));
             ends.set(true);
         });
         while !done.get() {
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -109,7 +109,7 @@
     fn open(&self) -> Result<Option<OpenedState>, DiskError> {
         match &*self.0.file.borrow() {
             File::None => Ok(None),
-            File::Damaged => Err(DiskError::Damaged("it was torn".into())),
+            File::Damaged => Err(DiskError::Damaged("damaged by the simulation".into())),
             File::Whole(held) => {
                 let (state, record) = &**held;
                 let open = Open { disk: self.0.clone(), record: record.clone(), anew: false };
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -99,34 +99,34 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Event::Ordered(o) => {
-                write!(f, "order tag-{} r{} on r{} {:?}", o.tag, o.number, o.built_on, o.what)
+                write!(f, "command tag-{} r{} on r{} {:?}", o.tag, o.number, o.built_on, o.what)
             }
-            Event::Asked(order, at) => write!(f, "order #{order} sent to {at}"),
+            Event::Asked(order, at) => write!(f, "command #{order} sent to {at}"),
             Event::OperatorAnswer(order, at, status) => {
-                write!(f, "order #{order} answered by {at}: {status:?}")
+                write!(f, "command #{order} answered by {at}: {status:?}")
             }
             Event::Read(began, at, status, c) => {
                 write!(f, "read at {at} from {began:.0}: {status} r{} {:?}", c.number, c.tags)
             }
-            Event::Sent(at, status, fronts) => write!(f, "{at} sends a client to {fronts:?}: {status}"),
+            Event::Sent(at, status, fronts) => write!(f, "lookup at {at}: {status} {fronts:?}"),
             Event::Acts(who, process, a) => write!(
                 f,
-                "follower {who} life {:x}: {} r{} {:?} empty {:?} servers {:?}",
+                "follower {who} process {:x}: {} r{} {:?} evacuated {:?} servers {:?}",
                 process & 0xffff,
-                if a.acts { "acts" } else { "does not act" },
+                if a.acts { "active" } else { "inactive" },
                 a.content.number,
                 a.content.tags,
                 a.empty,
                 a.servers
             ),
-            Event::Begins(id) => write!(f, "server {id} begins"),
-            Event::Leaves(id) => write!(f, "server {id} leaves"),
+            Event::Begins(id) => write!(f, "server {id} starts"),
+            Event::Leaves(id) => write!(f, "server {id} starts to leave"),
             Event::ReadAnswer(id, state) => write!(f, "server {id} acknowledged in state {state}"),
             Event::Ended(id) => write!(f, "server {id} has ended"),
             Event::Trouble(begins, what) => {
                 write!(f, "{} {what}", if *begins { "TROUBLE" } else { "mended" })
             }
-            Event::Recovered(what, holds) => write!(f, "at the end: {what}: {holds}"),
+            Event::Recovered(what, holds) => write!(f, "recovery check: {what}: {holds}"),
         }
     }
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -7,21 +7,21 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-const HELP: &str = "oatbank-simulation: the control side in virtual time, by seeded schedules
+const HELP: &str = "oatbank-simulation: runs seeded fault schedules against the control plane in virtual time
 
 Usage: oatbank-simulation [--point NAME] [--schedules N] [--seed N] [--jobs N] [--all] [--log LEVEL]
        oatbank-simulation mutants [--only WORDS] [--schedules N] [--jobs N]
 
-With `mutants`, at the root of the sources: takes one guard after the other out of a copy under target/mutants, and
-plays schedules until one breaks a rule; where none does, the tests of its package and of the registry are run.
-Fails where one is missed.
+With `mutants`, at the workspace root: removes one guard at a time from a copy under target/mutants and runs
+schedules until one breaks a rule. If none does, the tests of its package and of the registry are run.
+Fails if a removed guard is not detected.
 
-  --point NAME     cutoff, numbers, losses, changes, answers; without it all of them
-  --schedules N    so many of each point (100)
-  --seed N         the first seed; one schedule alone is told with its history
+  --point NAME     cutoff, numbers, losses, changes, answers; all of them by default
+  --schedules N    number of schedules of each point (100)
+  --seed N         the first seed; with --schedules 1 the whole history is printed
   --jobs N         threads (2)
-  --all            goes on after a broken rule, and counts them
-  --log LEVEL      the programs' own log: error, warn, info, debug (off)
+  --all            continue after a broken rule and count them
+  --log LEVEL      log level of the simulated processes: error, warn, info, debug (off)
 ";
 
 struct Asked {
@@ -54,7 +54,8 @@
                 let name = parser.value()?.string()?;
                 let point = POINTS.iter().find(|(_, known)| *known == name);
                 let names = POINTS.map(|(_, name)| name).join(", ");
-                asked.points = vec![*point.ok_or(format!("no point {name:?}; there are {names}"))?];
+                asked.points =
+                    vec![*point.ok_or(format!("unknown point {name:?}; expected one of {names}"))?];
             }
             Long("schedules") => asked.schedules = parser.value()?.parse()?,
             Long("seed") => asked.seed = parser.value()?.parse()?,
@@ -150,7 +151,7 @@
                         break;
                     }
                     let played = play(*point, seed);
-                    let mut sums = broken.lock().expect("nobody panics with it");
+                    let mut sums = broken.lock().expect("no thread panics while holding the lock");
                     sums.0 += 1;
                     if !played.broken.is_empty() {
                         sums.1 += 1;
@@ -166,7 +167,7 @@
                 });
             }
         });
-        let (played, broke) = broken.into_inner().expect("nobody panics with it");
+        let (played, broke) = broken.into_inner().expect("no thread panics while holding the lock");
         println!("{name}: {played} schedules from seed {}, {broke} with a broken rule", asked.seed);
         whole &= broke == 0;
     }
--- a/crates/simulation/src/mutants/trial.rs
+++ b/crates/simulation/src/mutants/trial.rs
@@ -18,7 +18,7 @@
         }
         /// The text to replace does not occur exactly once in the file.
         NotOnce(file: &'static str, text: &'static str, found: usize) {
-            display("{}: {:?} is there {} times, not once", file, text, found)
+            display("{}: {:?} occurs {} times instead of once", file, text, found)
         }
         /// The copy does not build.
         DoesNotBuild(output: String) {
@@ -26,7 +26,7 @@
         }
         /// The tests of a package cannot be built or run.
         TestsDoNotRun(package: String, output: String) {
-            display("the tests of {}: {}", package, output)
+            display("cannot run the tests of {}: {}", package, output)
         }
     }
 }
@@ -84,7 +84,7 @@
         if !played.status.success() {
             let output = String::from_utf8_lossy(&played.stdout).into_owned();
             let first: Vec<&str> = output.lines().take(2).map(str::trim).collect();
-            let first = if first.is_empty() { "it panics".to_owned() } else { first.join("; ") };
+            let first = if first.is_empty() { "the schedule panicked".to_owned() } else { first.join("; ") };
             return Ok(if nth == 0 {
                 TrialResult::Caught(first)
             } else {
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -107,7 +107,7 @@
 
     async fn direct(mut self) {
         let world = self.world.clone();
-        self.begins("the start");
+        self.begins("cluster start");
         let rates = self.random.chance(0.3);
         for machine in world.core.borrow().iter().chain(world.followers.borrow().iter()) {
             if rates {
@@ -134,7 +134,7 @@
         }
         self.office.reader(&world, 5, 400.0);
         sleep(ms(1500.0)).await;
-        self.ends("the start");
+        self.ends("cluster start");
         self.waits(500.0..7000.0).await;
         match self.point {
             Point::Cutoff => self.cutoff().await,
--- a/crates/simulation/src/schedule/families.rs
+++ b/crates/simulation/src/schedule/families.rs
@@ -32,7 +32,7 @@
     pub(super) async fn freeze_majority(&mut self) {
         let core = self.world.core.borrow().clone();
         let many = self.tolerate() + 1;
-        let what = format!("{many} core machines stand still");
+        let what = format!("{many} core machines are frozen");
         self.begins(what.clone());
         let mut longest = 0.0_f64;
         for machine in core.iter().take(many) {
@@ -140,8 +140,10 @@
         let new = Ipv4Addr::new(10, 0, 1, 20 + self.random.below(100) as u8);
         let (first, crash, in_order) =
             (self.random.chance(0.5), self.random.chance(0.5), self.random.chance(0.6));
-        let what =
-            format!("{} is replaced by {new}, the new one first: {first}, in order: {in_order}", machine.ip);
+        let what = format!(
+            "{} is replaced by {new}, new machine first: {first}, orderly shutdown: {in_order}",
+            machine.ip
+        );
         self.begins(what.clone());
         let seeds = |world: &World| -> Vec<Ipv4Addr> { world.controls().into_iter().take(3).collect() };
         let joins = |world: &Rc<World>| {
--- a/crates/simulation/src/schedule/faults.rs
+++ b/crates/simulation/src/schedule/faults.rs
@@ -54,7 +54,7 @@
     }
 
     pub(super) async fn freeze(&mut self, machine: &Rc<Machine>, long: f64) {
-        let what = format!("{} stands still for {long:.0} ms", machine.ip);
+        let what = format!("{} is frozen for {long:.0} ms", machine.ip);
         self.begins(what.clone());
         machine.freeze(long);
         if self.world.core.borrow().iter().any(|m| m.ip == machine.ip) {
@@ -101,7 +101,7 @@
 
     /// Cuts the power of a machine in the middle of its next write, or after up to 1.5 s without one.
     pub(super) async fn doom(&mut self, machine: &Rc<Machine>) {
-        let what = format!("{} loses power at a write", machine.ip);
+        let what = format!("{} loses power during a write", machine.ip);
         self.begins(what.clone());
         machine.disk.dooms.set(true);
         self.waits(300.0..1500.0).await;
@@ -133,7 +133,7 @@
         let core = world.core.borrow().clone();
         let all = self.random.chance(0.6);
         let some = if all { core.len() } else { 1 + self.random.below(core.len()) };
-        let what = format!("{some} disks are full, and then the power goes");
+        let what = format!("{some} disks are full, then their machines lose power");
         self.begins(what.clone());
         core[..some].iter().for_each(|machine| machine.disk.full.set(true));
         self.waits(500.0..3000.0).await;
@@ -175,7 +175,7 @@
         match self.random.below(4) {
             0 => self.freeze(&machine, long).await,
             1 | 2 => {
-                let what = format!("follower {which} starts anew");
+                let what = format!("follower {which} restarts");
                 self.begins(what.clone());
                 machine.kill();
                 self.waits(10.0..2000.0).await;
@@ -236,8 +236,7 @@
             8 => self.full_and_off().await,
             7 => {
                 let store = self.random.chance(0.5);
-                let what =
-                    format!("{}'s {} starts anew", machine.ip, if store { "store" } else { "registry" });
+                let what = format!("{}'s {} restarts", machine.ip, if store { "store" } else { "registry" });
                 self.begins(what.clone());
                 if store {
                     self.world.start_store(&machine);
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -131,7 +131,7 @@
 
 fn settings(ip: Ipv4Addr, seeds: &[Ipv4Addr], first_start: bool, tolerate: usize) -> Settings {
     let text = include_str!("../../node-runtime/tests/node.toml");
-    let mut settings = Settings::parse(text).expect("the example is in order");
+    let mut settings = Settings::parse(text).expect("the example settings are valid");
     settings.node_name = format!("n-{ip}");
     settings.ip = ip;
     settings.seeds = seeds.iter().map(|ip| SocketAddrV4::new(*ip, CONTROL)).collect();
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -45,7 +45,10 @@
 #[test]
 fn what_is_acknowledged_is_read_from_then_on() {
     assert!(after_two(vec![(300.0, read(250.0, 2, &[1, 2]))]).is_empty());
-    assert!(after_two(vec![(300.0, read(150.0, 1, &[1]))]).is_empty(), "it began before");
+    assert!(
+        after_two(vec![(300.0, read(150.0, 1, &[1]))]).is_empty(),
+        "the read began before the acknowledgement"
+    );
     assert_eq!(after_two(vec![(300.0, read(250.0, 1, &[1]))]), ["reads"]);
     assert_eq!(after_two(vec![(300.0, Event::Read(250.0, AT, 404, Content::default()))]), ["reads"]);
     assert!(after_two(vec![(300.0, Event::Read(250.0, AT, 504, Content::default()))]).is_empty());
@@ -54,7 +57,7 @@
         let reads = [(300.0, read(250.0, 3, &[3])), (400.0, read(later, 2, &[1, 2]))];
         after_two(newer.iter().cloned().chain(reads).collect())
     };
-    assert!(twice(290.0).is_empty(), "both were under way at once");
+    assert!(twice(290.0).is_empty(), "the reads overlap");
     assert_eq!(twice(310.0), ["reads"]);
 }
 
@@ -70,9 +73,13 @@
     assert!(after_two(rival(2, 1, 412)).is_empty());
     assert!(after_two(rival(3, 2, 200)).is_empty());
     assert!(after_two(rival(2, 1, 200)).contains(&"one change a number"));
-    assert!(after_two(rival(3, 1, 200)).contains(&"one change a number"), "on one base");
+    assert!(after_two(rival(3, 1, 200)).contains(&"one change a number"), "same base version");
     assert_eq!(after_two(vec![(300.0, read(250.0, 3, &[7]))]), ["in force"]);
-    assert_eq!(after_two(vec![(300.0, read(250.0, 2, &[2]))]), ["in force"], "what it builds on is gone");
+    assert_eq!(
+        after_two(vec![(300.0, read(250.0, 2, &[2]))]),
+        ["in force"],
+        "the routes of the base version are missing"
+    );
     let mut refused = rival(3, 2, 412);
     refused.push((300.0, read(250.0, 3, &[9])));
     assert!(after_two(refused).contains(&"refused"));
@@ -92,7 +99,7 @@
 fn followers_never_go_back_and_stop_in_time() {
     let goes =
         |process| vec![(300.0, acts(1, true, 2, &[1, 2], &[])), (400.0, acts(process, true, 1, &[1], &[]))];
-    assert!(after_two(goes(2)).is_empty(), "another life");
+    assert!(after_two(goes(2)).is_empty(), "restarted process");
     assert_eq!(after_two(goes(1)), ["goes back"]);
     // During a fault, only an inactive follower may hold an old version after 5 s.
     let late = |at, does| vec![(0.0, Event::Trouble(true, String::new())), (at, acts(1, does, 1, &[1], &[]))];
@@ -117,14 +124,17 @@
     };
     assert!(day(vec![], 5300.0, &["i-1"]).is_empty());
     assert_eq!(day(vec![], 5300.0, &[]), ["servers"], "lost");
-    assert_eq!(day(vec![], 5300.0, &["i-1", "i-1"]), ["servers"], "doubled");
-    assert!(day(vec![(5000.0, Event::Trouble(true, String::new()))], 5300.0, &[]).is_empty(), "in trouble");
+    assert_eq!(day(vec![], 5300.0, &["i-1", "i-1"]), ["servers"], "duplicated");
+    assert!(
+        day(vec![(5000.0, Event::Trouble(true, String::new()))], 5300.0, &[]).is_empty(),
+        "during a fault"
+    );
     let leaves = || vec![(1000.0, Event::Leaves(id())), (1100.0, Event::ReadAnswer(id(), 1))];
     assert!(day(leaves(), 5300.0, &[]).is_empty());
-    assert_eq!(day(leaves(), 5300.0, &["i-1"]), ["servers"], "kept");
+    assert_eq!(day(leaves(), 5300.0, &["i-1"]), ["servers"], "not removed");
     let crash = || vec![(1000.0, Event::Ended(id()))];
     assert!(day(crash(), 9000.0, &["i-1"]).is_empty());
-    assert_eq!(day(crash(), 14_000.0, &["i-1"]), ["servers"], "kept");
+    assert_eq!(day(crash(), 14_000.0, &["i-1"]), ["servers"], "not removed");
 }
 
 #[test]
@@ -134,7 +144,7 @@
         after_two(vec![(4000.0, acts(1, true, 2, &[1, 2], &[])), (at, Event::Sent(AT, status, fronts))])
     };
     assert!(sent(5100.0, 200, &["10.0.2.1:8686"]).is_empty());
-    assert!(sent(4900.0, 503, &[]).is_empty(), "it is not calm yet");
+    assert!(sent(4900.0, 503, &[]).is_empty(), "the calm period has not begun");
     assert_eq!(sent(5100.0, 503, &[]), ["directory"]);
     assert_eq!(sent(5100.0, 200, &["10.0.2.1:8686", "10.0.2.2:8686"]), ["directory"]);
     assert_eq!(sent(5100.0, 404, &[]), ["answers", "directory"]);
--- a/crates/simulation/tests/schedules.rs
+++ b/crates/simulation/tests/schedules.rs
@@ -4,7 +4,7 @@
 
 /// Runs the schedules of these seeds and reports the seeds that broke a rule.
 fn plays(point: Point, seeds: std::ops::Range<u64>) {
-    oatbank_node_runtime::log::start("off").expect("a level");
+    oatbank_node_runtime::log::start("off").expect("valid log level");
     println!("{point:?}: seeds {seeds:?}");
     let broken: Vec<String> = seeds
         .map(|seed| play(point, seed))
--- a/crates/tower/examples/portal.rs
+++ b/crates/tower/examples/portal.rs
@@ -37,7 +37,8 @@
 #[tokio::main(flavor = "multi_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut arguments = std::env::args().skip(1);
-    let engine = arguments.next().ok_or("which engine? ADDRESS:PORT")?.parse()?;
+    let engine =
+        arguments.next().ok_or("usage: portal ENGINE_ADDRESS:PORT [COUNTER_ADDRESS:PORT]")?.parse()?;
     let counter = arguments.next().map_or("none".to_owned(), |a| format!("text://{a}"));
     let mut config = Config::parse(&format!("counter = \"{counter}\"\n{CONFIG}"))?;
     config.members = vec![Member::ready("engine-1", engine)];
--- a/crates/tower/src/client.rs
+++ b/crates/tower/src/client.rs
@@ -109,12 +109,15 @@
 }
 
 enum State {
-    Taken(Pending<Forward, Body>, #[allow(dead_code, reason = "held until the answer")] Held),
+    Taken(
+        Pending<Forward, Body>,
+        #[allow(dead_code, reason = "keeps the id reserved until the answer")] Held,
+    ),
     Rejected(Rejection),
 }
 
 /// ClientFuture resolves to the response of one request.
-#[must_use = "a dropped request is a client that has left"]
+#[must_use = "dropping the future cancels the request"]
 pub struct ClientFuture(State);
 
 impl Future for ClientFuture {
--- a/crates/tower/src/start.rs
+++ b/crates/tower/src/start.rs
@@ -32,7 +32,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             StartError::Settings(why) => write!(f, "settings: {why}"),
-            StartError::Thread(e) => write!(f, "the limiter's thread: {e}"),
+            StartError::Thread(e) => write!(f, "cannot start the limiter's thread: {e}"),
         }
     }
 }
@@ -81,10 +81,10 @@
             return wrong("each plan needs one name");
         }
         if settings.gateways.is_nan() || settings.gateways < 1.0 {
-            return wrong("there is one limiter at least");
+            return wrong("at least one limiter is needed");
         }
         if self.queue == 0 {
-            return wrong("a queue of nothing takes no request");
+            return wrong("the queue capacity has to be at least 1");
         }
         Ok(())
     }
--- a/crates/tower/tests/client.rs
+++ b/crates/tower/tests/client.rs
@@ -93,7 +93,7 @@
     let (client, runtime) = (client(&[&one, &two]), runtime());
     let count = || one.count() + two.count();
     let brief = runtime.block_on(client.clone().oneshot(request("brief"))).expect("an answer");
-    assert_eq!((count(), brief.status().is_success()), (1, false), "its window had passed");
+    assert_eq!((count(), brief.status().is_success()), (1, false), "retried after its key window");
     let book = runtime.block_on(client.clone().oneshot(request("book"))).expect("an answer");
     assert!(count() >= 3, "{} attempts in all", count());
     assert!(!book.status().is_success());
@@ -194,9 +194,9 @@
         assert_eq!(ask(&one).status(), 200);
     }
     let told = || numbers.book(0.0).iter().map(|(_, total)| total).sum::<f64>();
-    eventually("all is told", || told() == 40.0);
+    eventually("the shared total reaches 40", || told() == 40.0);
     // The first request of an account uses this limiter's own count and triggers a read of the shared one.
-    eventually("the other limiter has heard of it", || ask(&other).status() == 429);
+    eventually("the other limiter refuses the account", || ask(&other).status() == 429);
     assert!(server.count() < 60, "{} requests of a quota of 40", server.count());
 }
 
--- a/crates/tower/tests/layer.rs
+++ b/crates/tower/tests/layer.rs
@@ -97,7 +97,7 @@
             let answer = service.clone().oneshot(request("look", "team")).await.expect("an answer");
             if answer.status() == 429 {
                 let wait = answer.headers()["retry-after"].to_str().expect("text").parse::<f64>();
-                assert!(wait.expect("seconds") > 0.0, "refused without when to come back");
+                assert!(wait.expect("seconds") > 0.0, "retry-after is not positive");
             }
             statuses.push(answer.status().as_u16());
         }
@@ -202,12 +202,15 @@
         // Dropped before the first poll: no handler may run.
         drop(service.clone().call(request("once", "wide")));
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert_eq!(runs.load(Ordering::Relaxed), 0, "a handler ran for a client that had left");
+        assert_eq!(runs.load(Ordering::Relaxed), 0, "a handler ran for a dropped request");
         // Dropped while the handler runs, more often than the concurrency limit.
         for n in 1..=40 {
             let asking = service.clone().oneshot(request("once", "wide"));
-            assert!(tokio::time::timeout(Duration::from_millis(20), asking).await.is_err(), "too early");
-            assert_eq!(runs.load(Ordering::Relaxed), n, "the places of those that left were not free again");
+            assert!(
+                tokio::time::timeout(Duration::from_millis(20), asking).await.is_err(),
+                "answered before the handler ended"
+            );
+            assert_eq!(runs.load(Ordering::Relaxed), n, "permits of dropped requests were not released");
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(dropped.load(Ordering::Relaxed), 40);
@@ -281,7 +284,7 @@
             statuses.push(answer.status().as_u16());
         }
         assert_eq!(statuses[..3], [200; 3], "within the quota");
-        assert_eq!(statuses[4..], [429; 2], "the quota holds by this limiter's own view");
+        assert_eq!(statuses[4..], [429; 2], "the quota holds by the limiter's own count");
     });
 }
 
@@ -314,7 +317,7 @@
         let ending = tokio::task::spawn_local(async move { layer.shutdown().await });
         tokio::time::sleep(Duration::from_millis(50)).await;
         let late = service.clone().oneshot(request("once", "wide")).await.expect("an answer");
-        assert_eq!(late.status(), 503, "what comes after the shutdown began");
+        assert_eq!(late.status(), 503, "request after the shutdown began");
         assert_eq!(open.await.expect("a task").expect("an answer").status(), 200);
         ending.await.expect("the end");
     });
