--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays schedules by command, and says what broke.
+//! Runs fault schedules or mutants from the command line and prints the violated rules.
 
 use oatbank_simulation::mutants::{copy, try_out, TrialResult, MUTANTS};
 use oatbank_simulation::schedule::{play, Played, Point, POINTS};
@@ -7,24 +7,24 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-const HELP: &str = "oatbank-simulation: the control side in virtual time, by seeded schedules
+const HELP: &str = "oatbank-simulation: runs seeded fault schedules against the control plane in virtual time
 
 Usage: oatbank-simulation [--point NAME] [--schedules N] [--seed N] [--jobs N] [--all] [--log LEVEL]
        oatbank-simulation mutants [--only WORDS] [--schedules N] [--jobs N]
 
-With `mutants`, at the root of the sources: takes one guard after the other out of a copy under target/mutants, and
-plays schedules until one breaks a rule; where none does, the tests of its package and of the registry are run.
-Fails where one is missed.
+With `mutants`, at the workspace root: removes one guard at a time from a copy under target/mutants and runs
+schedules until one breaks a rule. If none does, the tests of its package and of the registry are run.
+Fails if a removed guard is not detected.
 
-  --point NAME     cutoff, numbers, losses, changes, answers; without it all of them
-  --schedules N    so many of each point (100)
-  --seed N         the first seed; one schedule alone is told with its history
+  --point NAME     cutoff, numbers, losses, changes, answers; all of them by default
+  --schedules N    number of schedules of each point (100)
+  --seed N         the first seed; with --schedules 1 the whole history is printed
   --jobs N         threads (2)
-  --all            goes on after a broken rule, and counts them
-  --log LEVEL      the programs' own log: error, warn, info, debug (off)
+  --all            continue after a broken rule and count them
+  --log LEVEL      log level of the simulated processes: error, warn, info, debug (off)
 ";
 
-struct Asked {
+struct Arguments {
     points: Vec<(Point, &'static str)>,
     schedules: u64,
     seed: u64,
@@ -35,9 +35,9 @@
     only: String,
 }
 
-fn asked() -> Result<Option<Asked>, lexopt::Error> {
+fn parse_arguments() -> Result<Option<Arguments>, lexopt::Error> {
     use lexopt::prelude::*;
-    let mut asked = Asked {
+    let mut asked = Arguments {
         points: POINTS.to_vec(),
         schedules: 100,
         seed: 1,
@@ -54,7 +54,8 @@
                 let name = parser.value()?.string()?;
                 let point = POINTS.iter().find(|(_, known)| *known == name);
                 let names = POINTS.map(|(_, name)| name).join(", ");
-                asked.points = vec![*point.ok_or(format!("no point {name:?}; there are {names}"))?];
+                asked.points =
+                    vec![*point.ok_or(format!("unknown point {name:?}; expected one of {names}"))?];
             }
             Long("schedules") => asked.schedules = parser.value()?.parse()?,
             Long("seed") => asked.seed = parser.value()?.parse()?,
@@ -73,23 +74,23 @@
     Ok(Some(asked))
 }
 
-/// Lines before a broken rule that are told.
-const BEFORE: usize = 40;
+/// Number of events printed before the first violation.
+const EVENTS_BEFORE_VIOLATION: usize = 40;
 
-fn tell(name: &str, played: &Played, whole: bool) {
+fn print_history(name: &str, played: &Played, whole: bool) {
     println!("{name}, seed {}: {} broken", played.seed, played.broken.len());
     for broken in played.broken.iter().take(5) {
         println!("  {:8.0} ms  {}: {}", broken.at, broken.rule, broken.what);
     }
     let until = played.broken.first().map_or(f64::MAX, |broken| broken.at);
     let before: Vec<_> = played.history.iter().filter(|(at, _)| *at <= until).collect();
-    let many = if whole { before.len() } else { BEFORE };
+    let many = if whole { before.len() } else { EVENTS_BEFORE_VIOLATION };
     for (at, event) in before.iter().skip(before.len() - many.min(before.len())) {
         println!("  {at:8.0} ms  {event}");
     }
 }
 
-fn mutants(asked: &Asked) -> ExitCode {
+fn mutants(asked: &Arguments) -> ExitCode {
     let tree = Path::new("target/mutants");
     let (mut missed, mut wrong) = (Vec::new(), Vec::new());
     if let Err(e) = copy(Path::new("."), tree) {
@@ -123,7 +124,7 @@
 }
 
 fn main() -> ExitCode {
-    let asked = match asked() {
+    let asked = match parse_arguments() {
         Ok(Some(asked)) => asked,
         Ok(None) => return ExitCode::SUCCESS,
         Err(e) => {
@@ -150,23 +151,23 @@
                         break;
                     }
                     let played = play(*point, seed);
-                    let mut sums = broken.lock().expect("nobody panics with it");
+                    let mut sums = broken.lock().expect("no thread panics while holding the lock");
                     sums.0 += 1;
                     if !played.broken.is_empty() {
                         sums.1 += 1;
                         if sums.1 <= 5 {
-                            tell(name, &played, asked.schedules == 1);
+                            print_history(name, &played, asked.schedules == 1);
                         }
                         if !asked.all {
                             next.store(end, Ordering::Relaxed);
                         }
                     } else if asked.schedules == 1 {
-                        tell(name, &played, true);
+                        print_history(name, &played, true);
                     }
                 });
             }
         });
-        let (played, broke) = broken.into_inner().expect("nobody panics with it");
+        let (played, broke) = broken.into_inner().expect("no thread panics while holding the lock");
         println!("{name}: {played} schedules from seed {}, {broke} with a broken rule", asked.seed);
         whole &= broke == 0;
     }
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong when. Each of the five points has a family of schedules; one schedule follows from its seed.
+//! Fault schedules: one family for each [`Point`]; a schedule follows from its seed alone.
 
 mod families;
 mod faults;
@@ -12,31 +12,33 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// After its start, or its return, a core machine counts again after this, ms.
-const CATCH_UP: f64 = 4000.0;
-/// The others go on without some of the core after this, and then take an order within that, ms.
-const SETTLES: f64 = 5200.0;
-const ACK: f64 = 6000.0;
-/// After the last trouble each core machine takes an order within this, and all vote within that, ms.
-const TAKES: f64 = 10_000.0;
-const VOTES: f64 = 30_000.0;
-
-/// The five points.
+/// Time after its start or return until a core machine counts as available, ms.
+const CATCH_UP_TIME_MS: f64 = 4000.0;
+/// Time until the remaining core machines work without the failed ones, ms.
+const SETTLE_TIME_MS: f64 = 5200.0;
+/// Time in which the remaining machines then answer a command, ms.
+const ANSWER_LIMIT_MS: f64 = 6000.0;
+/// Time after the last fault in which each core machine takes a command, ms.
+const RECOVERY_LIMIT_MS: f64 = 10_000.0;
+/// Time after that in which all core machines vote, ms.
+const VOTING_LIMIT_MS: f64 = 30_000.0;
+
+/// Point selects a family of schedules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
-    /// A machine is cut off, or stands still.
+    /// Machines are cut off or frozen.
     Cutoff,
-    /// Rivals under one number, and repeats.
+    /// Concurrent commands under one version number, and repeated commands.
     Numbers,
-    /// One loss after the other.
+    /// Successive losses of machines.
     Losses,
-    /// Hundreds of changes, and members that come and go.
+    /// Hundreds of changes while machines leave and join.
     Changes,
-    /// Answers lost, doubled, late.
+    /// Answers are lost, duplicated or delayed.
     Answers,
 }
 
-/// Each with its name.
+/// Names of the families.
 pub const POINTS: [(Point, &str); 5] = [
     (Point::Cutoff, "cutoff"),
     (Point::Numbers, "numbers"),
@@ -45,18 +47,18 @@
     (Point::Answers, "answers"),
 ];
 
-/// What came of a schedule.
+/// Played holds the outcome of a schedule.
 #[derive(Debug)]
 pub struct Played {
-    /// Its seed.
+    /// Seed of the schedule.
     pub seed: u64,
-    /// What was broken.
+    /// Violated rules.
     pub broken: Vec<Broken>,
-    /// What callers saw.
+    /// Events that callers observed.
     pub history: Vec<(f64, Event)>,
 }
 
-/// Plays the schedule of this seed.
+/// Runs the schedule of this seed in virtual time and checks its history.
 pub fn play(point: Point, seed: u64) -> Played {
     oatbank_node_runtime::random::seed(seed ^ 0x5eed_0001);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
@@ -71,7 +73,7 @@
     Played { seed, broken: check(&history), history }
 }
 
-/// Who leads through a schedule.
+/// Director runs the faults and the callers of one schedule.
 struct Director {
     point: Point,
     world: Rc<World>,
@@ -98,14 +100,14 @@
         self.random.of(&core).clone()
     }
 
-    /// How many machines may be lost.
+    /// Returns the number of core machines that may fail at once.
     fn tolerate(&self) -> usize {
         self.world.tolerate
     }
 
     async fn direct(mut self) {
         let world = self.world.clone();
-        self.begins("the start");
+        self.begins("cluster start");
         let rates = self.random.chance(0.3);
         for machine in world.core.borrow().iter().chain(world.followers.borrow().iter()) {
             if rates {
@@ -132,7 +134,7 @@
         }
         self.office.reader(&world, 5, 400.0);
         sleep(ms(1500.0)).await;
-        self.ends("the start");
+        self.ends("cluster start");
         self.waits(500.0..7000.0).await;
         match self.point {
             Point::Cutoff => self.cutoff().await,
@@ -146,7 +148,7 @@
             self.waits(0.0..8000.0).await;
         }
         world.over.set(true);
-        self.office.recovers(&world, 9, TAKES, VOTES).await;
+        self.office.recovers(&world, 9, RECOVERY_LIMIT_MS, VOTING_LIMIT_MS).await;
     }
 
     fn manner(&mut self) -> Manner {
@@ -166,15 +168,16 @@
         }
     }
 
-    /// So much time passes while these are away. If it is long, the others go on meanwhile.
+    /// Lets `long` ms pass while the machines `away` are down. If that is long enough for the others to settle, one of
+    /// them must answer a command meanwhile.
     async fn passes(&mut self, long: f64, away: &[Ipv4Addr]) {
         let began = self.world.history.now();
-        if long > SETTLES + ACK {
-            sleep(ms(SETTLES)).await;
+        if long > SETTLE_TIME_MS + ANSWER_LIMIT_MS {
+            sleep(ms(SETTLE_TIME_MS)).await;
             let others: Vec<Ipv4Addr> =
                 self.world.controls().into_iter().filter(|ip| !away.contains(ip)).collect();
             let to = *self.random.of(&others);
-            self.office.goes_on(&self.world, to, ACK).await;
+            self.office.goes_on(&self.world, to, ANSWER_LIMIT_MS).await;
         }
         sleep(ms(long - (self.world.history.now() - began))).await;
     }
--- a/crates/simulation/src/schedule/families.rs
+++ b/crates/simulation/src/schedule/families.rs
@@ -1,6 +1,6 @@
 //! The five families of schedules, one for each [`Point`](super::Point).
 
-use super::{Director, CATCH_UP};
+use super::{Director, CATCH_UP_TIME_MS};
 use crate::ms;
 use crate::world::World;
 use std::net::Ipv4Addr;
@@ -28,11 +28,11 @@
         }
     }
 
-    /// All but a minority stand still, one after the other awake again.
+    /// Freezes just enough core machines that no majority runs; each wakes after its own time.
     pub(super) async fn freeze_majority(&mut self) {
         let core = self.world.core.borrow().clone();
         let many = self.tolerate() + 1;
-        let what = format!("{many} core machines stand still");
+        let what = format!("{many} core machines are frozen");
         self.begins(what.clone());
         let mut longest = 0.0_f64;
         for machine in core.iter().take(many) {
@@ -72,7 +72,7 @@
             }
             if self.random.chance(0.2) {
                 self.full_and_off().await;
-                self.waits(CATCH_UP..CATCH_UP + 1000.0).await;
+                self.waits(CATCH_UP_TIME_MS..CATCH_UP_TIME_MS + 1000.0).await;
             }
             if self.random.chance(0.3) {
                 let all = self.world.core.borrow().clone();
@@ -80,11 +80,11 @@
             } else {
                 self.go(&lost, &lost, away).await;
             }
-            // From then on they count again.
-            self.waits(CATCH_UP..CATCH_UP + 3000.0).await;
+            // Lets the machines catch up before the next loss.
+            self.waits(CATCH_UP_TIME_MS..CATCH_UP_TIME_MS + 3000.0).await;
             if self.random.chance(0.3) {
                 self.anything().await;
-                self.waits(CATCH_UP..CATCH_UP + 4000.0).await;
+                self.waits(CATCH_UP_TIME_MS..CATCH_UP_TIME_MS + 4000.0).await;
             }
         }
     }
@@ -95,17 +95,17 @@
             1 => self.away_for_long().await,
             _ => {
                 self.away_for_long().await;
-                self.waits(CATCH_UP..CATCH_UP + 2000.0).await;
+                self.waits(CATCH_UP_TIME_MS..CATCH_UP_TIME_MS + 2000.0).await;
                 self.replace().await;
             }
         }
         if self.random.chance(0.4) {
-            self.waits(CATCH_UP..CATCH_UP + 2000.0).await;
+            self.waits(CATCH_UP_TIME_MS..CATCH_UP_TIME_MS + 2000.0).await;
             self.anything().await;
         }
     }
 
-    /// Some are away for hundreds of changes.
+    /// Keeps as many core machines as tolerated (or one of them) away for a long time.
     pub(super) async fn away_for_long(&mut self) {
         let mut core = self.world.core.borrow().clone();
         let mut lost = Vec::new();
@@ -125,23 +125,25 @@
             }
         }
         if self.random.chance(0.5) {
-            // Those that were awake go as soon as the others count again.
-            self.waits(CATCH_UP..CATCH_UP + 500.0).await;
+            // As soon as the machines have caught up, others that saw the changes fail.
+            self.waits(CATCH_UP_TIME_MS..CATCH_UP_TIME_MS + 500.0).await;
             let others = core[..self.tolerate().min(core.len())].to_vec();
             let away = self.random.within(100.0..3000.0);
             self.go(&others, &[], away).await;
         }
     }
 
-    /// A machine is removed for good, and another one takes its place, sooner or later.
+    /// Removes a machine for good and adds another one before or after that.
     pub(super) async fn replace(&mut self) {
         let world = self.world.clone();
         let machine = self.a_machine();
         let new = Ipv4Addr::new(10, 0, 1, 20 + self.random.below(100) as u8);
         let (first, crash, in_order) =
             (self.random.chance(0.5), self.random.chance(0.5), self.random.chance(0.6));
-        let what =
-            format!("{} is replaced by {new}, the new one first: {first}, in order: {in_order}", machine.ip);
+        let what = format!(
+            "{} is replaced by {new}, new machine first: {first}, orderly shutdown: {in_order}",
+            machine.ip
+        );
         self.begins(what.clone());
         let seeds = |world: &World| -> Vec<Ipv4Addr> { world.controls().into_iter().take(3).collect() };
         let joins = |world: &Rc<World>| {
@@ -150,7 +152,7 @@
         };
         if first {
             joins(&world);
-            sleep(ms(CATCH_UP)).await;
+            sleep(ms(CATCH_UP_TIME_MS)).await;
         }
         world.core.borrow_mut().retain(|m| m.ip != machine.ip);
         if in_order {
@@ -166,9 +168,9 @@
         if self.random.chance(0.5) {
             world.set_seeds(&seeds(&world));
         }
-        sleep(ms(CATCH_UP)).await;
+        sleep(ms(CATCH_UP_TIME_MS)).await;
         if crash {
-            // One more goes while the old one may still count as a voter.
+            // Another machine fails while the removed one may still count as a voter.
             let core = world.core.borrow().clone();
             let one = self.random.of(&core).clone();
             let away = self.random.within(500.0..9000.0);
