--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -9,7 +9,7 @@
 
 use bytes::{Bytes, BytesMut};
 use http_body::{Body as HttpBody, Frame, SizeHint};
-use oatbank_operations::budget::{SMALL, STREAM_KIB};
+use oatbank_operations::budget::{SMALL_BODY_BYTES, STREAM_KIB};
 use std::cell::Cell;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -64,7 +64,7 @@
     /// Like [`BodyBudget::take`], for a body that is buffered up to `held` bytes.
     pub async fn acquire_buffered(&self, length: Option<u64>, held: usize) -> Option<BodyPermit> {
         let kib = match length {
-            Some(length) if length <= SMALL as u64 => return None,
+            Some(length) if length <= SMALL_BODY_BYTES as u64 => return None,
             Some(length) if length <= held as u64 => length as usize / 1024 + 1,
             Some(_) => STREAM_KIB,
             None => STREAM_KIB.max(held / 1024),
--- a/crates/operations/src/budget.rs
+++ b/crates/operations/src/budget.rs
@@ -17,7 +17,7 @@
 /// Share of the memory that is divided here.
 const MEMORY_SHARE: f64 = 0.6;
 /// What a connection takes without a body, KiB: its buffer as it is at first, its state and its task, and a body of
-/// [`SMALL`] bytes.
+/// [`SMALL_BODY_BYTES`] bytes.
 const CONNECTION_KIB: f64 = 24.0;
 /// Of the divided memory bodies have at least this share; connections are bounded by it where memory is scarce.
 const BODY_SHARE: f64 = 0.4;
@@ -26,7 +26,7 @@
 /// Fewer connections than this are no limiter.
 const LEAST_CONNECTIONS: usize = 16;
 /// A body up to this many bytes is covered by its connection's part.
-pub const SMALL: usize = 4 * 1024;
+pub const SMALL_BODY_BYTES: usize = 4 * 1024;
 /// What a stream takes, KiB, at most: what is held of it for another attempt, and a window on both sides.
 pub const STREAM_KIB: usize = 128;
 
