--- a/crates/engine/src/engine/fleet.rs
+++ b/crates/engine/src/engine/fleet.rs
@@ -83,7 +83,9 @@
     }
 
     fn is_out(&self, id: &str, entry: &ServerEntry) -> bool {
-        self.suspensions.is_out(id) || self.excluded.contains(id) || self.shares.excludes(id, entry.zone)
+        self.suspensions.is_suspended(id)
+            || self.excluded.contains(id)
+            || self.shares.excludes(id, entry.zone)
     }
 
     /// Excludes exactly these servers, listed or not. Returns the changed entries.
--- a/crates/operations/src/handover/tests.rs
+++ b/crates/operations/src/handover/tests.rs
@@ -116,7 +116,7 @@
     pair.serve(1);
     assert!(!pair.sides[1].accepts && pair.sides[0].accepts, "it knows its list, but not what is out");
     pair.deliver_all();
-    assert!(pair.sides[1].accepts && pair.sides[1].suspensions.is_out("a"));
+    assert!(pair.sides[1].accepts && pair.sides[1].suspensions.is_suspended("a"));
     assert!(!pair.sides[0].accepts && pair.sides[0].handover.has_yielded());
     assert_eq!((pair.sides[0].part, pair.sides[1].part), (0.5, 0.5));
     pair.die(0);
@@ -158,11 +158,11 @@
     let number = pair.say(0, true, "a");
     assert!(!pair.sides[0].held.contains(&number));
     pair.deliver_all();
-    assert!(pair.sides[0].held.contains(&number) && pair.sides[1].suspensions.is_out("a"));
+    assert!(pair.sides[0].held.contains(&number) && pair.sides[1].suspensions.is_suspended("a"));
     pair.pass(10.0);
     let number = pair.say(1, false, "a");
     pair.deliver_all();
-    assert!(pair.sides[1].held.contains(&number) && !pair.sides[0].suspensions.is_out("a"));
+    assert!(pair.sides[1].held.contains(&number) && !pair.sides[0].suspensions.is_suspended("a"));
     // One that hangs costs the caller no more than a while.
     pair.cut = true;
     let number = pair.say(0, true, "b");
--- a/crates/operations/src/suspension.rs
+++ b/crates/operations/src/suspension.rs
@@ -11,9 +11,9 @@
 pub type Millis = f64;
 
 /// Ids ever listed that are remembered; of more, those first listed are forgotten, but none that is out.
-pub const MOST_LISTED: usize = 65_536;
+pub const MAX_LISTED_IDS: usize = 65_536;
 /// Calls back that are remembered, the latest: each is of use for as long as its server is cold.
-pub const MOST_BACK: usize = 4_096;
+pub const MAX_RESUMED_MARKS: usize = 4_096;
 
 /// An id that was never listed: there is nothing to take out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 
 impl Mark {
     /// Which of two calls holds: the later one. Of two at one time the call out, as it does no harm.
-    fn holds_over(self, other: Mark) -> bool {
+    fn supersedes(self, other: Mark) -> bool {
         self.at > other.at || self.at == other.at && self.out && !other.out
     }
 }
@@ -62,7 +62,7 @@
         if self.listed.contains(id) {
             return;
         }
-        if self.order.len() >= MOST_LISTED {
+        if self.order.len() >= MAX_LISTED_IDS {
             if let Some(first) = self.order.pop_front() {
                 self.listed.remove(&first);
             }
@@ -76,12 +76,12 @@
     /// # Errors
     /// When it was never listed.
     pub fn suspend(&mut self, now: Millis, id: &str) -> Result<bool, NeverListed> {
-        self.known(id)?;
-        let was_out = self.is_out(id);
-        if !was_out {
-            self.mark(id, Mark { out: true, at: self.next(now, id) });
+        self.require_known(id)?;
+        let was_suspended = self.is_suspended(id);
+        if !was_suspended {
+            self.mark(id, Mark { out: true, at: self.next_time(now, id) });
         }
-        Ok(!was_out)
+        Ok(!was_suspended)
     }
 
     /// Puts a server in again; whether it was out.
@@ -89,21 +89,21 @@
     /// # Errors
     /// When it was never listed.
     pub fn resume(&mut self, now: Millis, id: &str) -> Result<bool, NeverListed> {
-        self.known(id)?;
-        let was_out = self.is_out(id);
-        if was_out {
-            self.mark(id, Mark { out: false, at: self.next(now, id) });
+        self.require_known(id)?;
+        let was_suspended = self.is_suspended(id);
+        if was_suspended {
+            self.mark(id, Mark { out: false, at: self.next_time(now, id) });
         }
-        Ok(was_out)
+        Ok(was_suspended)
     }
 
     /// When a call made now counts as made: after the one before, should that have come from a process whose clock
     /// is ahead. Else the earlier call would hold again where both meet.
-    fn next(&self, now: Millis, id: &str) -> Millis {
+    fn next_time(&self, now: Millis, id: &str) -> Millis {
         self.marks.get(id).map_or(now, |m| now.max(m.at + 0.001))
     }
 
-    fn known(&self, id: &str) -> Result<(), NeverListed> {
+    fn require_known(&self, id: &str) -> Result<(), NeverListed> {
         if self.listed.contains(id) || self.marks.contains_key(id) {
             return Ok(());
         }
@@ -112,9 +112,9 @@
 
     fn mark(&mut self, id: &str, mark: Mark) {
         self.marks.insert(id.to_owned(), mark);
-        let back = |m: &Mark| !m.out;
-        while self.marks.values().filter(|m| back(m)).count() > MOST_BACK {
-            let oldest = self.marks.iter().filter(|(_, m)| back(m));
+        let resumed = |m: &Mark| !m.out;
+        while self.marks.values().filter(|m| resumed(m)).count() > MAX_RESUMED_MARKS {
+            let oldest = self.marks.iter().filter(|(_, m)| resumed(m));
             let Some(id) = oldest.min_by(|a, b| a.1.at.total_cmp(&b.1.at)).map(|(id, _)| id.clone()) else {
                 return;
             };
@@ -123,7 +123,7 @@
     }
 
     /// Nothing new may go to this server.
-    pub fn is_out(&self, id: &str) -> bool {
+    pub fn is_suspended(&self, id: &str) -> bool {
         self.marks.get(id).is_some_and(|m| m.out)
     }
 
@@ -148,7 +148,7 @@
     pub fn merge(&mut self, marks: &Marks) -> Vec<String> {
         let mut changed = Vec::new();
         for (id, mark) in &marks.0 {
-            if !mark.at.is_finite() || self.marks.get(id).is_some_and(|mine| !mark.holds_over(*mine)) {
+            if !mark.at.is_finite() || self.marks.get(id).is_some_and(|mine| !mark.supersedes(*mine)) {
                 continue;
             }
             self.mark(id, *mark);
--- a/crates/operations/src/suspension/tests.rs
+++ b/crates/operations/src/suspension/tests.rs
@@ -15,10 +15,10 @@
     let mut s = knowing(&["a"]);
     assert_eq!(s.suspend(1.0, "a"), Ok(true));
     assert_eq!(s.suspend(2.0, "a"), Ok(false));
-    assert!(s.is_out("a"));
+    assert!(s.is_suspended("a"));
     assert_eq!(s.resume(3.0, "a"), Ok(true));
     assert_eq!(s.resume(4.0, "a"), Ok(false), "a second call back changes nothing");
-    assert!(!s.is_out("a"));
+    assert!(!s.is_suspended("a"));
     assert_eq!((s.started("a", 0.0), s.started("a", 9.0)), (3.0, 9.0), "cold from the call back at least");
 }
 
@@ -34,15 +34,15 @@
 fn ids_that_were_listed_are_remembered_within_a_bound_and_those_out_for_good() {
     let mut s = knowing(&["first"]);
     s.suspend(1.0, "first").expect("it was listed");
-    (0..MOST_LISTED).for_each(|i| s.listed(&format!("s-{i}")));
-    assert_eq!(s.listed.len(), MOST_LISTED);
+    (0..MAX_LISTED_IDS).for_each(|i| s.listed(&format!("s-{i}")));
+    assert_eq!(s.listed.len(), MAX_LISTED_IDS);
     assert_eq!(s.resume(2.0, "first"), Ok(true), "what is out can be put in again");
-    for i in 0..=MOST_BACK {
+    for i in 0..=MAX_RESUMED_MARKS {
         let id = format!("s-{i}");
         s.suspend(3.0 + i as f64, &id).expect("listed");
         s.resume(3.5 + i as f64, &id).expect("listed");
     }
-    assert_eq!(s.marks.len(), MOST_BACK);
+    assert_eq!(s.marks.len(), MAX_RESUMED_MARKS);
 }
 
 #[test]
@@ -83,5 +83,5 @@
     let read: Marks = serde_json::from_str(&text).expect("marks");
     assert_eq!(read, s.marks());
     let wild = Marks([("b".to_owned(), Mark { out: true, at: f64::NAN })].into());
-    assert!(s.merge(&wild).is_empty() && !s.is_out("b"));
+    assert!(s.merge(&wild).is_empty() && !s.is_suspended("b"));
 }
