--- a/crates/daemon/src/upgrade.rs
+++ b/crates/daemon/src/upgrade.rs
@@ -10,7 +10,7 @@
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::Http1;
 use oatbank_operations::budget::Budget;
-use oatbank_operations::handover::{Do, Handover, PeerId, Say, Ticket};
+use oatbank_operations::handover::{Action, ChangeId, Handover, Message, PeerId};
 use oatbank_operations::suspension::{Marks, Millis};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -96,10 +96,10 @@
     budget: Box<dyn Fn(f64) -> Budget>,
     handover: RefCell<Handover>,
     /// Ways to the other processes.
-    peers: RefCell<HashMap<PeerId, mpsc::Sender<Say>>>,
+    peers: RefCell<HashMap<PeerId, mpsc::Sender<Message>>>,
     next: Cell<PeerId>,
     /// Callers that wait until what they said holds everywhere.
-    callers: RefCell<HashMap<Ticket, oneshot::Sender<()>>>,
+    callers: RefCell<HashMap<ChangeId, oneshot::Sender<()>>>,
     sooner: Notify,
     /// Told when the name of the socket is a dead successor's.
     nameless: Notify,
@@ -163,7 +163,7 @@
         let held = {
             // Noted before anything is carried out: it may hold at once.
             let (tell, held) = oneshot::channel();
-            let ticket = self.handover.borrow_mut().said(self.engine.now(), &marks);
+            let ticket = self.handover.borrow_mut().publish(self.engine.now(), &marks);
             self.callers.borrow_mut().insert(ticket, tell);
             held
         };
@@ -180,7 +180,7 @@
     fn change(self: &Rc<Self>, how: impl FnOnce(&mut Handover, Millis)) {
         how(&mut self.handover.borrow_mut(), self.engine.now());
         loop {
-            let todo = self.handover.borrow_mut().take();
+            let todo = self.handover.borrow_mut().take_actions();
             if todo.is_empty() {
                 break;
             }
@@ -189,21 +189,21 @@
         self.sooner.notify_one();
     }
 
-    fn carry_out(self: &Rc<Self>, todo: Do) {
+    fn carry_out(self: &Rc<Self>, todo: Action) {
         match todo {
-            Do::Tell(id, say) => {
+            Action::Send(id, say) => {
                 let sent = self.peers.borrow().get(&id).map(|peer| peer.try_send(say));
                 if !matches!(sent, Some(Ok(()))) {
                     self.peers.borrow_mut().remove(&id);
-                    self.handover.borrow_mut().lost(id);
+                    self.handover.borrow_mut().peer_lost(id);
                 }
             }
-            Do::Merge(marks) => {
+            Action::Merge(marks) => {
                 self.engine.merge(&marks);
                 self.keep(&self.engine.marks());
             }
-            Do::Drop(id) => drop(self.peers.borrow_mut().remove(&id)),
-            Do::Accept(accepts) => {
+            Action::Disconnect(id) => drop(self.peers.borrow_mut().remove(&id)),
+            Action::Accept(accepts) => {
                 tracing::info!(
                     accepts,
                     "upgrade: {}",
@@ -212,13 +212,13 @@
                 self.front.set_accepting(accepts);
                 self.engine.hold_readiness(false);
             }
-            Do::Part(part) => {
+            Action::SetShare(part) => {
                 let budget = (self.budget)(part);
                 self.engine.set_budget_part(part, budget);
                 self.front.apply_budget(budget);
             }
-            Do::Settled => tracing::info!("upgrade: {} servers are out", self.out()),
-            Do::Held(ticket) => {
+            Action::SuspensionsReceived => tracing::info!("upgrade: {} servers are out", self.out()),
+            Action::Acknowledged(ticket) => {
                 if let Some(caller) = self.callers.borrow_mut().remove(&ticket) {
                     // A caller that has left need not be told.
                     let _ = caller.send(());
@@ -278,7 +278,7 @@
                     tracing::info!("upgrade: another process takes over");
                     self.join(id, stream);
                     let marks = self.engine.marks();
-                    self.change(|handover, _| handover.successor(id, &marks));
+                    self.change(|handover, _| handover.add_successor(id, &marks));
                 }
                 Err(e) => {
                     tracing::warn!("upgrade: accept: {e}");
@@ -301,7 +301,7 @@
             };
             tracing::info!("upgrade: the other process: {why}");
             upgrade.peers.borrow_mut().remove(&id);
-            upgrade.change(|handover, _| handover.lost(id));
+            upgrade.change(|handover, _| handover.peer_lost(id));
             if id > 0 && !upgrade.has_yielded() {
                 upgrade.nameless.notify_one();
             }
@@ -319,7 +319,7 @@
                 Ok(_) => {}
             }
             match serde_json::from_slice(&line) {
-                Ok(say) => self.change(|handover, _| handover.heard(id, say)),
+                Ok(say) => self.change(|handover, _| handover.receive(id, say)),
                 Err(e) => return format!("cannot be understood: {e}"),
             }
         }
@@ -327,7 +327,7 @@
 }
 
 /// Writes what is to be said. Ends when this process lets go of the other.
-async fn talk(mut messages: mpsc::Receiver<Say>, mut writer: OwnedWriteHalf) -> String {
+async fn talk(mut messages: mpsc::Receiver<Message>, mut writer: OwnedWriteHalf) -> String {
     while let Some(say) = messages.recv().await {
         let Ok(mut line) = serde_json::to_vec(&say) else { continue };
         line.push(b'\n');
--- a/crates/operations/src/budget.rs
+++ b/crates/operations/src/budget.rs
@@ -10,7 +10,7 @@
 
 /// Descriptors kept for all that is neither a client's nor a server's connection: the counter's (twice while it
 /// moves), discovery's, the listener and the runtime's own.
-const SPARE: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 /// Share of the rest that goes to clients; servers get what is left. Clients hold a third of all at most for
 /// requests, and each request may need a server's connection, and a second copy another.
 const CLIENT_SHARE: f64 = 0.5;
@@ -22,12 +22,12 @@
 /// Of the divided memory bodies have at least this share; connections are bounded by it where memory is scarce.
 const BODY_SHARE: f64 = 0.4;
 /// Connections of both kinds stay under this, however many descriptors there are.
-const MOST_CONNECTIONS: usize = 4096;
+const MAX_CONNECTIONS: usize = 4096;
 /// Fewer connections than this are no limiter.
-const LEAST_CONNECTIONS: usize = 16;
+const MIN_CONNECTIONS: usize = 16;
 /// A body up to this many bytes is covered by its connection's part.
 pub const SMALL_BODY_BYTES: usize = 4 * 1024;
-/// What a stream takes, KiB, at most: what is held of it for another attempt, and a window on both sides.
+/// What a stream takes, KiB, at most: what is affordable of it for another attempt, and a window on both sides.
 pub const STREAM_KIB: usize = 128;
 
 /// What a process may take.
@@ -74,15 +74,20 @@
     pub fn divide(limits: Limits, others: usize, part: f64) -> Budget {
         let part = part.clamp(0.0, 1.0);
         let memory = limits.memory_mb.max(0.0) * 1024.0 * MEMORY_SHARE * part;
-        let held = (memory * (1.0 - BODY_SHARE) / CONNECTION_KIB) as usize;
+        let affordable = (memory * (1.0 - BODY_SHARE) / CONNECTION_KIB) as usize;
         let sockets = (limits.sockets as f64 * part) as usize;
-        let connections = sockets.saturating_sub(SPARE + others);
-        let connections = connections.min(held).clamp(LEAST_CONNECTIONS, MOST_CONNECTIONS);
+        let connections = sockets.saturating_sub(RESERVED_DESCRIPTORS + others);
+        let connections = connections.min(affordable).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS);
         let clients = (connections as f64 * CLIENT_SHARE) as usize;
         let bodies = memory - connections as f64 * CONNECTION_KIB;
         // One stream each way at least, or none could ever pass.
-        let each = ((bodies / 2.0).max(0.0) as usize).max(STREAM_KIB);
-        Budget { clients, servers: connections - clients, uploads_kib: each, answers_kib: each }
+        let per_direction = ((bodies / 2.0).max(0.0) as usize).max(STREAM_KIB);
+        Budget {
+            clients,
+            servers: connections - clients,
+            uploads_kib: per_direction,
+            answers_kib: per_direction,
+        }
     }
 }
 
--- a/crates/operations/src/budget/tests.rs
+++ b/crates/operations/src/budget/tests.rs
@@ -17,7 +17,7 @@
         let limits = Limits { sockets, memory_mb };
         for (processes, part) in [(1, 1.0), (2, 0.5)] {
             let b = Budget::divide(limits, 36, part);
-            let descriptors = processes * (b.clients + b.servers + SPARE + 36);
+            let descriptors = processes * (b.clients + b.servers + RESERVED_DESCRIPTORS + 36);
             assert!(descriptors <= sockets, "{limits:?}: {b:?} for {processes}");
             let kib = processes as f64 * taken_kib(b);
             assert!(kib <= memory_mb * 1024.0 * MEMORY_SHARE + 1.0, "{limits:?}: {b:?} for {processes}");
--- a/crates/operations/src/handover/tests.rs
+++ b/crates/operations/src/handover/tests.rs
@@ -12,7 +12,7 @@
     suspensions: Suspensions,
     accepts: bool,
     part: f64,
-    held: BTreeSet<Ticket>,
+    held: BTreeSet<ChangeId>,
     alive: bool,
 }
 
@@ -21,7 +21,7 @@
     now: Millis,
     sides: [Process; 2],
     /// To 0, to 1.
-    wire: [VecDeque<Say>; 2],
+    wire: [VecDeque<Message>; 2],
     cut: bool,
 }
 
@@ -38,7 +38,7 @@
     fn new(marks: &Marks) -> Self {
         let mut sides = [process(0.0, None, marks), process(0.0, Some(1), &Marks::default())];
         sides[0].handover.serve();
-        sides[0].handover.successor(1, marks);
+        sides[0].handover.add_successor(1, marks);
         let mut pair = Pair { now: 0.0, sides, wire: [VecDeque::new(), VecDeque::new()], cut: false };
         pair.work_off(0);
         pair.work_off(1);
@@ -46,15 +46,15 @@
     }
 
     fn work_off(&mut self, side: usize) {
-        for todo in self.sides[side].handover.take() {
+        for todo in self.sides[side].handover.take_actions() {
             let this = &mut self.sides[side];
             match todo {
-                Do::Tell(_, say) if !self.cut => self.wire[1 - side].push_back(say),
-                Do::Tell(..) | Do::Drop(_) | Do::Settled => {}
-                Do::Merge(marks) => drop(this.suspensions.merge(&marks)),
-                Do::Accept(accepts) => this.accepts = accepts,
-                Do::Part(part) => this.part = part,
-                Do::Held(number) => _ = this.held.insert(number),
+                Action::Send(_, say) if !self.cut => self.wire[1 - side].push_back(say),
+                Action::Send(..) | Action::Disconnect(_) | Action::SuspensionsReceived => {}
+                Action::Merge(marks) => drop(this.suspensions.merge(&marks)),
+                Action::Accept(accepts) => this.accepts = accepts,
+                Action::SetShare(part) => this.part = part,
+                Action::Acknowledged(number) => _ = this.held.insert(number),
             }
         }
     }
@@ -63,7 +63,7 @@
         let Some(say) = self.wire[side].pop_front().filter(|_| self.sides[side].alive) else {
             return false;
         };
-        self.sides[side].handover.heard(1, say);
+        self.sides[side].handover.receive(1, say);
         self.work_off(side);
         true
     }
@@ -85,12 +85,12 @@
         }
     }
 
-    fn say(&mut self, side: usize, out: bool, id: &str) -> Ticket {
+    fn say(&mut self, side: usize, out: bool, id: &str) -> ChangeId {
         let (now, this) = (self.now, &mut self.sides[side]);
         let said = if out { this.suspensions.suspend(now, id) } else { this.suspensions.resume(now, id) };
         said.expect("a listed id");
         let marks = this.suspensions.marks();
-        let number = this.handover.said(now, &marks);
+        let number = this.handover.publish(now, &marks);
         self.work_off(side);
         number
     }
@@ -98,7 +98,7 @@
     fn die(&mut self, side: usize) {
         self.sides[side].alive = false;
         self.wire = Default::default();
-        self.sides[1 - side].handover.lost(1);
+        self.sides[1 - side].handover.peer_lost(1);
         self.work_off(1 - side);
     }
 }
@@ -138,16 +138,16 @@
     let mut pair = Pair::new(&Marks::default());
     pair.wire[1].clear();
     pair.serve(1);
-    pair.pass(PATIENCE - 1.0);
+    pair.pass(PREDECESSOR_TIMEOUT_MS - 1.0);
     assert!(!pair.sides[1].accepts);
     pair.pass(1.0);
     assert!(pair.sides[1].accepts, "not waited for for ever");
     let mut other = Handover::new(0.0, Some(1), &Marks::default());
     other.serve();
-    other.heard(1, Say::Hello { version: VERSION + 1, marks: out("a") });
-    let done = other.take();
-    assert!(done.contains(&Do::Drop(1)) && done.contains(&Do::Accept(true)), "{done:?}");
-    assert!(!done.iter().any(|d| matches!(d, Do::Merge(_))));
+    other.receive(1, Message::Hello { version: VERSION + 1, marks: out("a") });
+    let done = other.take_actions();
+    assert!(done.contains(&Action::Disconnect(1)) && done.contains(&Action::Accept(true)), "{done:?}");
+    assert!(!done.iter().any(|d| matches!(d, Action::Merge(_))));
 }
 
 #[test]
@@ -166,7 +166,7 @@
     // One that hangs costs the caller no more than a while.
     pair.cut = true;
     let number = pair.say(0, true, "b");
-    pair.pass(ACK_WITHIN);
+    pair.pass(ACK_TIMEOUT_MS);
     assert!(pair.sides[0].held.contains(&number));
     let number = pair.say(0, true, "a");
     pair.die(1);
@@ -197,7 +197,7 @@
         }
         pair.serve(1);
         pair.deliver_all();
-        pair.pass(PATIENCE);
+        pair.pass(PREDECESSOR_TIMEOUT_MS);
         assert!(
             pair.sides.iter().any(|s| s.alive && s.accepts),
             "seed {seed}: nobody takes clients in the end"
