--- a/crates/operations/src/budget.rs
+++ b/crates/operations/src/budget.rs
@@ -1,39 +1,39 @@
-//! What a process may take, divided by purpose before any of it is taken, so that the limits hold in sum.
+//! Division of a process's file descriptors and memory by purpose, fixed in advance so that the total stays in limits.
 //!
-//! Descriptors: what runs the limiter first (its own, the counter's, discovery's, the second address), then clients' and
-//! servers' connections by halves. Memory: a share stays for what grows with customers and for the allocator; of the rest
-//! each connection has a fixed part, and bodies have what is left, requests' and answers' by halves, so that neither can
-//! take the other's place. What gives way: at the limit of connections the client that has been silent for the longest;
-//! at the limit of bodies the next body waits, and its sender with it.
+//! Descriptors: a reserve for the limiter itself, the counter, discovery and the control address; the rest is split
+//! evenly between client and server connections. Memory: a share stays free for per-customer state and the allocator.
+//! Of the rest each connection has a fixed amount; bodies get the remainder, half for requests and half for responses,
+//! so that neither can starve the other. At the connection limit the client that has been idle longest is closed; at
+//! the body limit the next body waits, and its sender with it.
 
 use serde::Deserialize;
 
-/// Descriptors kept for all that is neither a client's nor a server's connection: the counter's (twice while it
-/// moves), discovery's, the listener and the runtime's own.
+/// Descriptors reserved for everything but client and server connections: the counter (two sets while it moves),
+/// discovery, the listener and the runtime.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Share of the rest that goes to clients; servers get what is left. Clients hold a third of all at most for
-/// requests, and each request may need a server's connection, and a second copy another.
+/// Share of the connections for clients; servers get the rest. Requests in progress use at most a third of all
+/// connections on the client side, and each may need one server connection, and another for a second copy.
 const CLIENT_SHARE: f64 = 0.5;
-/// Share of the memory that is divided here.
+/// Share of the memory limit for connections and bodies.
 const MEMORY_SHARE: f64 = 0.6;
-/// What a connection takes without a body, KiB: its buffer as it is at first, its state and its task, and a body of
+/// Memory of one connection, KiB: its initial buffer, its state and its task, and a body of up to
 /// [`SMALL_BODY_BYTES`] bytes.
 const CONNECTION_KIB: f64 = 24.0;
-/// Of the divided memory bodies have at least this share; connections are bounded by it where memory is scarce.
+/// Minimum share of the divided memory for bodies. It limits the number of connections where memory is scarce.
 const BODY_SHARE: f64 = 0.4;
-/// Connections of both kinds stay under this, however many descriptors there are.
+/// Upper limit of client and server connections together, however many descriptors there are.
 const MAX_CONNECTIONS: usize = 4096;
-/// Fewer connections than this are no limiter.
+/// Lower limit of client and server connections together; the limiter cannot work with fewer.
 const MIN_CONNECTIONS: usize = 16;
-/// A body up to this many bytes is covered by its connection's part.
+/// Bodies up to this many bytes are covered by the memory of their connection.
 pub const SMALL_BODY_BYTES: usize = 4 * 1024;
-/// What a stream takes, KiB, at most: what is affordable of it for another attempt, and a window on both sides.
+/// Maximum memory of one streamed body, KiB: the part kept for a retry, and a window on each side.
 pub const STREAM_KIB: usize = 128;
 
-/// What a process may take.
+/// Resource limits of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// File descriptors, sockets of all kinds among them.
+    /// File descriptors, including all sockets.
     #[serde(default = "usual_sockets")]
     pub sockets: usize,
     /// Memory, MB.
@@ -55,22 +55,22 @@
     }
 }
 
-/// The parts.
+/// Connections and body memory that a process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Clients' connections.
+    /// Client connections.
     pub clients: usize,
-    /// Connections to servers.
+    /// Server connections.
     pub servers: usize,
-    /// Bodies of requests, KiB.
+    /// Memory for request bodies, KiB.
     pub uploads_kib: usize,
-    /// Bodies of answers, KiB.
+    /// Memory for response bodies, KiB.
     pub answers_kib: usize,
 }
 
 impl Budget {
-    /// Divides the limits, of which `others` descriptors are taken by what else is switched on, and this process has
-    /// `part` while another runs beside it.
+    /// Divides the limits. `others` is the number of descriptors that optional features use; `part` is the share (0 to
+    /// 1) of the limits that this process has while another process runs.
     pub fn divide(limits: Limits, others: usize, part: f64) -> Budget {
         let part = part.clamp(0.0, 1.0);
         let memory = limits.memory_mb.max(0.0) * 1024.0 * MEMORY_SHARE * part;
@@ -80,7 +80,7 @@
         let connections = connections.min(affordable).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS);
         let clients = (connections as f64 * CLIENT_SHARE) as usize;
         let bodies = memory - connections as f64 * CONNECTION_KIB;
-        // One stream each way at least, or none could ever pass.
+        // At least one stream in each direction, or no streamed body could ever be forwarded.
         let per_direction = ((bodies / 2.0).max(0.0) as usize).max(STREAM_KIB);
         Budget {
             clients,
--- a/crates/operations/src/handover.rs
+++ b/crates/operations/src/handover.rs
@@ -1,90 +1,90 @@
-//! The upgrade: how a process and the one that follows it behave as one limiter while both run.
+//! Process upgrade: lets an old and a new process act as one limiter while both run.
 //!
-//! Each process keeps one [`Handover`]. It is told which other processes can be reached and what they say, and gives
-//! back what is to be done. It holds:
-//! - a successor takes no request before it knows what operators have taken out, unless its predecessor does not say so
-//!   within [`PREDECESSOR_TIMEOUT_MS`]: one that hangs must not keep the new version out;
-//! - a predecessor takes no new connection once a successor serves, and takes them again should that one die first;
-//! - while several run, each uses an equal part of what the limiter may use;
-//! - what an operator says at either holds at both before the caller is told, or after [`ACK_TIMEOUT_MS`] at the latest.
+//! Each process keeps one [`Handover`]. It receives connection events and messages of the other processes, and returns
+//! the [`Action`]s to carry out. It guarantees:
+//! - a successor accepts no request before it knows which servers are suspended, unless its predecessor sends nothing
+//!   within [`PREDECESSOR_TIMEOUT_MS`]: a predecessor that hangs must not block the new version;
+//! - a predecessor accepts no new connections once a successor serves, and accepts them again if the successor dies;
+//! - while several processes run, each uses an equal share of the limits;
+//! - a suspend or resume call is acknowledged by every process before its caller gets a response, which is delayed by
+//!   [`ACK_TIMEOUT_MS`] at most.
 
 use crate::suspension::{Marks, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What this version says. Another version's messages are not read: it is as if it did not answer.
+/// Protocol version. A process with another version is disconnected, as if it did not answer.
 pub const VERSION: u32 = 1;
-/// A predecessor that has not said what it knows by then is not waited for, ms. Well under the 6 s that a platform
-/// gives a new version.
+/// How long to wait for a predecessor's suspensions, ms. Well under the 6 s that a platform gives a new version to start.
 pub const PREDECESSOR_TIMEOUT_MS: Millis = 1500.0;
-/// A caller waits this long, ms, for the other processes to take over what it said.
+/// How long a suspend or resume call waits for the other processes' acknowledgements, ms.
 pub const ACK_TIMEOUT_MS: Millis = 500.0;
 
-/// Names one connection to another process.
+/// Identifies a connection to another process.
 pub type PeerId = u64;
-/// Names one thing that an operator said.
+/// Identifies a suspend or resume call, or marks that are forwarded.
 pub type ChangeId = u64;
 
-/// What processes say to each other.
+/// Messages between processes, written as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum Message {
-    /// The first word of either side: which version it speaks, and what it was told of servers.
+    /// First message of either side: its protocol version and its marks.
     Hello {
         /// Must be [`VERSION`].
         version: u32,
-        /// What operators have said so far.
+        /// All marks of the sender.
         marks: Marks,
     },
-    /// What operators have said since.
+    /// Marks set since the greeting.
     Marks {
-        /// To be acknowledged under this number.
+        /// Identifies the change in the acknowledgement.
         number: ChangeId,
-        /// The servers concerned.
+        /// Marks to merge.
         marks: Marks,
     },
-    /// What came under this number holds here too.
+    /// The sender has merged the marks sent under this number.
     Ack {
-        /// The number.
+        /// The number of the acknowledged [`Message::Marks`].
         number: ChangeId,
     },
-    /// The sender, a successor, serves.
+    /// The sender, a successor, accepts requests.
     Ready,
 }
 
-/// Which of the two was there first.
+/// Role of the other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The other was there before this process.
+    /// The other process started first.
     Predecessor,
-    /// The other came after this process.
+    /// The other process started later.
     Successor,
 }
 
-/// What is to be done, in this order.
+/// Actions to carry out, in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Message this to that process.
+    /// Send the message to that process.
     Send(PeerId, Message),
-    /// Take in what was said of servers; done before anything that comes after.
+    /// Merge the marks, before any later action.
     Merge(Marks),
-    /// Let the connection to that process go.
+    /// Close the connection to that process.
     Disconnect(PeerId),
-    /// Take new connections of clients, or take none.
+    /// Start or stop accepting client connections.
     Accept(bool),
-    /// Use this part of what the limiter may use.
+    /// Use this share (0 to 1) of the limits.
     SetShare(f64),
-    /// Suspensions are taken over: the process may say that it is ready.
-    SuspensionsReceived,
-    /// What was said under this number holds everywhere, or has been waited for long enough.
+    /// The suspensions are known, or the wait for them is over: the process may report that it is ready.
+    TakeoverDone,
+    /// Every process has acknowledged the change, or the wait for acknowledgements has timed out.
     Acknowledged(ChangeId),
 }
 
 struct Peer {
     role: Role,
-    /// It has said what it knows.
+    /// Whether its greeting has arrived.
     greeted: bool,
-    /// It serves.
+    /// Whether it accepts requests.
     ready: bool,
 }
 
@@ -93,13 +93,13 @@
     deadline: Millis,
 }
 
-/// One process's side of the upgrade.
+/// Upgrade state of one process.
 pub struct Handover {
     peers: BTreeMap<PeerId, Peer>,
     pending: BTreeMap<ChangeId, PendingChange>,
     last_change_id: ChangeId,
     takeover_done: bool,
-    /// When a silent predecessor is not waited for any more.
+    /// When the wait for the predecessor's greeting ends.
     takeover_deadline: Millis,
     serves: bool,
     accepts: bool,
@@ -108,7 +108,7 @@
 }
 
 impl Handover {
-    /// A process that has just started; `predecessor` if one could be reached.
+    /// Creates the state of a process that has just started; `predecessor` is set if one could be reached.
     pub fn new(now: Millis, predecessor: Option<PeerId>, marks: &Marks) -> Self {
         let mut handover = Handover {
             peers: BTreeMap::new(),
@@ -128,29 +128,29 @@
         handover
     }
 
-    /// What is to be done now; to be asked after every call.
+    /// Returns the actions to carry out now. Must be called after every other call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Suspensions are taken over.
+    /// Returns whether the predecessor's suspensions are known, or no longer waited for.
     pub fn is_takeover_done(&self) -> bool {
         self.takeover_done
     }
 
-    /// A successor serves, and this process only finishes what it has.
+    /// Returns whether a successor serves, so that this process only finishes its open requests.
     pub fn has_yielded(&self) -> bool {
         self.peers.values().any(|p| p.role == Role::Successor && p.ready)
     }
 
-    /// When [`Handover::tick`] is to be called at the latest.
+    /// Returns when [`Handover::tick`] must be called, if a timeout is pending.
     pub fn next_due(&self) -> Option<Millis> {
         let takeover = Some(self.takeover_deadline).filter(|_| !self.takeover_done);
         let calls = self.pending.values().map(|w| w.deadline);
         calls.chain(takeover).min_by(f64::total_cmp)
     }
 
-    /// A process that came after this one has connected.
+    /// Handles the connection of a process that started later.
     pub fn add_successor(&mut self, id: PeerId, marks: &Marks) {
         self.add_peer(id, Role::Successor, marks);
     }
@@ -161,7 +161,7 @@
         self.update_share();
     }
 
-    /// Another process has said something. `marks` are this process's own.
+    /// Handles a message of another process.
     pub fn receive(&mut self, id: PeerId, message: Message) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         match message {
@@ -177,7 +177,7 @@
                     }
                 }
             }
-            // Not a process to come to terms with; it goes its own way.
+            // Another protocol version: the processes run independently.
             Message::Hello { .. } => {
                 self.actions.push(Action::Disconnect(id));
                 self.peer_lost(id);
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Of three that run at once, each hears what each of the others was told.
+    /// Forwards marks to all other processes, so that with three processes each gets the marks of both others.
     fn forward(&mut self, from: PeerId, marks: Marks) {
         if marks.0.is_empty() {
             return;
@@ -206,7 +206,7 @@
         }
     }
 
-    /// A process is gone or cannot be reached any more.
+    /// Handles the loss of a process, or of the connection to it.
     pub fn peer_lost(&mut self, id: PeerId) {
         let Some(peer) = self.peers.remove(&id) else { return };
         let waiting: Vec<ChangeId> = self.pending.keys().copied().collect();
@@ -218,7 +218,7 @@
         self.decide_accepting();
     }
 
-    /// This process has its list of servers and can serve, as soon as suspensions are taken over.
+    /// Records that this process has its list of servers. It serves once the suspensions are known too.
     pub fn serve(&mut self) {
         if !self.serves {
             self.serves = true;
@@ -229,12 +229,12 @@
     fn finish_takeover(&mut self) {
         if !self.takeover_done {
             self.takeover_done = true;
-            self.actions.push(Action::SuspensionsReceived);
+            self.actions.push(Action::TakeoverDone);
             self.start_serving();
         }
     }
 
-    /// Once both hold, takes clients and says so.
+    /// Accepts clients and tells the predecessors, once the server list and the suspensions are both known.
     fn start_serving(&mut self) {
         if !(self.takeover_done && self.serves) {
             return;
@@ -266,7 +266,8 @@
         self.last_change_id
     }
 
-    /// An operator has said something here. Its ticket comes back by [`Action::Acknowledged`].
+    /// Sends the marks of an operator's call to all other processes. The returned id comes back in
+    /// [`Action::Acknowledged`].
     pub fn publish(&mut self, now: Millis, marks: &Marks) -> ChangeId {
         let number = self.next_change_id();
         let on: BTreeSet<PeerId> = self.peers.keys().copied().collect();
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Gives up what has been waited for long enough.
+    /// Handles the timeouts that are due at `now`.
     pub fn tick(&mut self, now: Millis) {
         if now >= self.takeover_deadline {
             self.finish_takeover();
--- a/crates/operations/src/lib.rs
+++ b/crates/operations/src/lib.rs
@@ -1,11 +1,11 @@
-//! What operating a limiter must decide, as pure state: time is handed in, nothing is read, written or waited for.
+//! Operational state machines of a limiter: callers pass in the time, and nothing here does I/O or blocks.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`budget`] | descriptors and memory, divided by purpose |
-//! | [`handover`] | a process and the one that follows it, as one limiter while both run |
-//! | [`places`] | where names stand while lists of them change |
-//! | [`suspension`] | which servers operators have taken out, beside what discovery says |
+//! | [`budget`] | division of file descriptors and memory by purpose |
+//! | [`handover`] | coordination of an old and a new process during an upgrade |
+//! | [`places`] | stable positions for names while the list of names changes |
+//! | [`suspension`] | servers that operators have suspended, independent of discovery |
 
 pub mod budget;
 pub mod handover;
--- a/crates/operations/src/places.rs
+++ b/crates/operations/src/places.rs
@@ -1,10 +1,10 @@
-//! Where names stand while lists of them change: whatever refers to a name by its place goes on meaning it.
+//! Stable positions for names while the list of names changes, so that an index keeps referring to the same name.
 
-/// The name of a place that stands empty: no HTTP message can hold it.
+/// Name of an empty position. It holds a NUL, which no HTTP message can contain.
 pub const EMPTY: &str = "\0";
 
-/// Names by place. A name keeps its place for as long as it is listed, and gets it back if it is listed again
-/// before another has taken it.
+/// Names by position. A name keeps its position while it is listed, and gets it back if it is listed again before the
+/// position is reused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Places {
     places: Vec<Place>,
@@ -17,8 +17,9 @@
 }
 
 impl Places {
-    /// Takes the list as it is now, and gives each name's place. A place that falls empty by this list is given
-    /// away by a later one at the earliest, so that what is still open does not mix with what is new at once.
+    /// Applies the current list and returns the position of each name, in the order of the list. A position that this
+    /// list empties is reused by a later list at the earliest, so that open requests of the old name and requests of a
+    /// new one do not share it at once.
     pub fn settle<'a>(&mut self, names: impl IntoIterator<Item = &'a str> + Clone) -> Vec<usize> {
         let free: Vec<usize> = (0..self.places.len()).filter(|i| !self.places[*i].listed).collect();
         let mut free =
@@ -45,24 +46,24 @@
         settled
     }
 
-    /// The names by place; [`EMPTY`] where none is listed.
+    /// Returns the name at each position, and [`EMPTY`] where none is listed.
     pub fn names(&self) -> Vec<String> {
         let shown = |p: &Place| if p.listed { p.name.clone() } else { EMPTY.to_owned() };
         self.places.iter().map(shown).collect()
     }
 
-    /// How many places there are, empty ones among them.
+    /// Returns the number of positions, including empty ones.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// There is no place yet.
+    /// Returns whether there are no positions at all.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// Puts items, in the order of the names that were settled, where they stand; `empty` tells what stands
-    /// elsewhere.
+    /// Moves `items` to the positions in `settled`, as returned by [`Places::settle`]; `empty` makes the item for every
+    /// other position.
     pub fn arrange<T>(&self, settled: &[usize], items: Vec<T>, empty: impl Fn(usize) -> T) -> Vec<T> {
         let mut arranged: Vec<T> = (0..self.places.len()).map(empty).collect();
         for (place, item) in settled.iter().zip(items) {
--- a/crates/operations/src/suspension.rs
+++ b/crates/operations/src/suspension.rs
@@ -1,8 +1,8 @@
-//! Which servers operators have taken out. A state of a server beside what discovery says of it, held by id.
+//! Servers that operators have suspended, keyed by id and independent of discovery.
 //!
-//! A call out may be repeated, and one call back ends it. In between nothing that discovery says matters: the server may
-//! be listed as ready, gone, listed again, at another address, or not heard of at all. After the call back it
-//! counts as started then: it has been restarted meanwhile, whatever its list says.
+//! Suspending is idempotent, and one resume ends it. A suspended server stays suspended whatever discovery reports:
+//! ready, gone, listed again, at another address, or not listed at all. A resumed server counts as started at the time
+//! of the resume, because it is assumed to have been restarted while it was suspended, whatever discovery reports.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -10,12 +10,12 @@
 /// A point in time, Unix ms.
 pub type Millis = f64;
 
-/// Ids ever listed that are remembered; of more, those first listed are forgotten, but none that is out.
+/// Listed ids that are remembered. Beyond this the ids first listed are forgotten; suspended servers stay suspended.
 pub const MAX_LISTED_IDS: usize = 65_536;
-/// Calls back that are remembered, the latest: each is of use for as long as its server is cold.
+/// Resume marks that are kept, the latest ones. A mark is needed only while its server warms up.
 pub const MAX_RESUMED_MARKS: usize = 4_096;
 
-/// An id that was never listed: there is nothing to take out.
+/// Error for an id that discovery has never listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NeverListed;
 
@@ -27,37 +27,38 @@
 
 impl std::error::Error for NeverListed {}
 
-/// The last call for a server.
+/// The latest suspend or resume call for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Mark {
-    /// The server is out.
+    /// Whether the server is suspended.
     pub out: bool,
-    /// When that was said.
+    /// When the call was made.
     pub at: Millis,
 }
 
 impl Mark {
-    /// Which of two calls holds: the later one. Of two at one time the call out, as it does no harm.
+    /// Returns whether this call overrides `other`: the later call wins. At equal times the suspension wins, as it is the
+    /// harmless choice.
     fn supersedes(self, other: Mark) -> bool {
         self.at > other.at || self.at == other.at && self.out && !other.out
     }
 }
 
-/// All that operators have said of servers, as it is stored and handed to another process.
+/// The latest call for each server, as stored on disk and sent to another process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Marks(pub BTreeMap<String, Mark>);
 
-/// The servers that are out, and the ids that may be named.
+/// Suspended servers, and the ids that calls may name.
 #[derive(Clone, Debug, Default)]
 pub struct Suspensions {
     marks: BTreeMap<String, Mark>,
     listed: HashSet<String>,
-    /// The ids listed, by when each first was.
+    /// Listed ids, oldest first.
     order: VecDeque<String>,
 }
 
 impl Suspensions {
-    /// Discovery has named this server.
+    /// Records that discovery has listed this server.
     pub fn listed(&mut self, id: &str) {
         if self.listed.contains(id) {
             return;
@@ -71,10 +72,10 @@
         self.order.push_back(id.to_owned());
     }
 
-    /// Takes a server out from now on; whether it was in.
+    /// Suspends a server. Returns whether that changed its state.
     ///
     /// # Errors
-    /// When it was never listed.
+    /// If the id was never listed.
     pub fn suspend(&mut self, now: Millis, id: &str) -> Result<bool, NeverListed> {
         self.require_known(id)?;
         let was_suspended = self.is_suspended(id);
@@ -84,10 +85,10 @@
         Ok(!was_suspended)
     }
 
-    /// Puts a server in again; whether it was out.
+    /// Resumes a server. Returns whether that changed its state.
     ///
     /// # Errors
-    /// When it was never listed.
+    /// If the id was never listed.
     pub fn resume(&mut self, now: Millis, id: &str) -> Result<bool, NeverListed> {
         self.require_known(id)?;
         let was_suspended = self.is_suspended(id);
@@ -97,8 +98,8 @@
         Ok(was_suspended)
     }
 
-    /// When a call made now counts as made: after the one before, should that have come from a process whose clock
-    /// is ahead. Else the earlier call would hold again where both meet.
+    /// Returns the timestamp for a call made now. It is later than the previous call's even if that one came from a
+    /// process whose clock is ahead; otherwise the earlier call would win again when the marks are merged.
     fn next_time(&self, now: Millis, id: &str) -> Millis {
         self.marks.get(id).map_or(now, |m| now.max(m.at + 0.001))
     }
@@ -122,29 +123,29 @@
         }
     }
 
-    /// Nothing new may go to this server.
+    /// Returns whether the server is suspended and must get no new requests.
     pub fn is_suspended(&self, id: &str) -> bool {
         self.marks.get(id).is_some_and(|m| m.out)
     }
 
-    /// When this server counts as started, of which its list says `listed` (0: long ago): not before it was put in
-    /// again.
+    /// Returns the server's start time: `listed`, the time from discovery (0: long ago), or the time of the last resume
+    /// if that is later.
     pub fn started(&self, id: &str, listed: Millis) -> Millis {
         self.marks.get(id).filter(|m| !m.out).map_or(listed, |m| listed.max(m.at))
     }
 
-    /// The servers that are out.
+    /// Returns the ids of the suspended servers.
     pub fn out(&self) -> impl Iterator<Item = &str> {
         self.marks.iter().filter(|(_, m)| m.out).map(|(id, _)| id.as_str())
     }
 
-    /// All that was said, for another process.
+    /// Returns all marks, to be stored or sent to another process.
     pub fn marks(&self) -> Marks {
         Marks(self.marks.clone())
     }
 
-    /// Takes in what another process was told; of two calls for one server the later holds, so that both come to
-    /// the same whatever the order. The ids whose state that changes.
+    /// Merges another process's marks. The later call for a server wins, so both processes converge in any order of
+    /// delivery. Returns the ids whose marks were replaced; marks with a time that is not finite are ignored.
     pub fn merge(&mut self, marks: &Marks) -> Vec<String> {
         let mut changed = Vec::new();
         for (id, mark) in &marks.0 {
