--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -183,7 +183,7 @@
             Ok(()) => {
                 tracing::info!(server = %id, call, "control: {call} {id}");
                 if let Some(upgrade) = self.upgrade.get() {
-                    upgrade.said().await;
+                    upgrade.publish().await;
                 }
                 told(StatusCode::OK, format!("{id} is {state}\n"))
             }
--- a/crates/daemon/src/upgrade.rs
+++ b/crates/daemon/src/upgrade.rs
@@ -1,9 +1,9 @@
-//! The way between a process and the one that follows it: a Unix socket and a file in `$TMPDIR`.
+//! Communication between an old and a new process during an upgrade: a Unix socket and a file in `$TMPDIR`.
 //!
-//! What is decided is [`Handover`]'s. Here lines of JSON are carried, one message each, and what operators have said is
-//! kept in a file, renamed into place, for a successor whose predecessor was killed. Both are found by their names in
-//! the folder that the platform gives to both processes. A socket beside the file, as a file alone says nothing of who
-//! has read it, and a caller's yes has to wait for that.
+//! [`Handover`] makes the decisions. This module carries its messages as lines of JSON, and stores suspensions in a
+//! file, renamed into place, for a successor whose predecessor was killed. Both have fixed names in the folder that the
+//! platform gives to both processes. The file alone is not enough: it does not tell who has read it, and a suspend or
+//! resume call is answered only after the other process has acknowledged it.
 
 use crate::front::Front;
 use oatbank_engine::engine::Engine;
@@ -25,22 +25,22 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, oneshot, Notify};
 
-/// Where processes meet.
+/// Name of the Unix socket.
 const SOCKET: &str = "oatbank.sock";
-/// What operators have said.
+/// Name of the file with the suspensions.
 const MARKS: &str = "oatbank-suspensions.json";
-/// Descriptors that meeting other processes takes: the folder, the listener, and two that are met at once.
+/// File descriptors for an upgrade: the folder, the listener, and the connections of two other processes.
 pub const DESCRIPTORS: usize = 6;
-/// Longest message and longest file that are read: far above what all marks take.
-const MOST_BYTES: u64 = 16 * 1024 * 1024;
-/// Messages that may wait for another process; one that takes none is let go.
-const MOST_WAITING: usize = 256;
+/// Maximum size of a message and of the file, in bytes: far above the size of all marks.
+const MAX_BYTES: u64 = 16 * 1024 * 1024;
+/// Messages that may be queued for another process; beyond that it is disconnected.
+const MAX_QUEUED_MESSAGES: usize = 256;
 /// Pause after a failed accept.
-const PAUSE: Duration = Duration::from_millis(20);
-/// How often a start looks whether its list has come.
-const LOOK: Duration = Duration::from_millis(5);
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which a starting process checks for its server list.
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The folder that both processes are given.
+/// The folder shared by both processes.
 struct Folder {
     handle: File,
     path: PathBuf,
@@ -52,7 +52,8 @@
         Ok(Folder { handle: File::open(&path)?, path })
     }
 
-    /// A socket's path by the open folder: its own may be longer than a socket's name can be.
+    /// Returns a socket's path through the open folder's descriptor: the plain path may exceed the length limit of socket
+    /// addresses.
     fn socket(&self, name: &str) -> PathBuf {
         PathBuf::from(format!("/proc/self/fd/{}/{name}", self.handle.as_raw_fd()))
     }
@@ -64,20 +65,20 @@
             Err(e) => return Err(e.to_string()),
         };
         let mut text = String::new();
-        file.take(MOST_BYTES).read_to_string(&mut text).map_err(|e| e.to_string())?;
+        file.take(MAX_BYTES).read_to_string(&mut text).map_err(|e| e.to_string())?;
         serde_json::from_str(&text).map_err(|e| e.to_string())
     }
 
-    /// Whole or not at all: what is there stays until the new one stands beside it.
+    /// Replaces the file atomically: writes a temporary file and renames it.
     fn write(&self, marks: &Marks) -> Result<(), String> {
         let text = serde_json::to_vec(marks).map_err(|e| e.to_string())?;
-        let beside = self.path.join(format!("{MARKS}.{}", std::process::id()));
-        let write =
-            std::fs::write(&beside, text).and_then(|()| std::fs::rename(&beside, self.path.join(MARKS)));
+        let temporary = self.path.join(format!("{MARKS}.{}", std::process::id()));
+        let write = std::fs::write(&temporary, text)
+            .and_then(|()| std::fs::rename(&temporary, self.path.join(MARKS)));
         write.map_err(|e| e.to_string())
     }
 
-    /// Listens beside the name, then takes the name over: at no time is there none to be reached.
+    /// Listens at a temporary name and renames it to [`SOCKET`], so that a process can be reached at every moment.
     fn listen(&self) -> std::io::Result<UnixListener> {
         let own = format!("{SOCKET}.{}", std::process::id());
         let _ = std::fs::remove_file(self.path.join(&own));
@@ -87,29 +88,30 @@
     }
 }
 
-/// This process's side of an upgrade.
+/// Upgrade connections and state of this process.
 pub struct Upgrade {
     engine: Rc<Engine<Http1>>,
     front: Rc<Front>,
     folder: Folder,
-    /// What a part of the limiter may take.
+    /// Computes the budget for a share of the limits.
     budget: Box<dyn Fn(f64) -> Budget>,
     handover: RefCell<Handover>,
-    /// Ways to the other processes.
+    /// Message queues of the other processes.
     peers: RefCell<HashMap<PeerId, mpsc::Sender<Message>>>,
     next: Cell<PeerId>,
-    /// Callers that wait until what they said holds everywhere.
+    /// Callers waiting for their change to be acknowledged by every process.
     callers: RefCell<HashMap<ChangeId, oneshot::Sender<()>>>,
-    sooner: Notify,
-    /// Told when the name of the socket is a dead successor's.
-    nameless: Notify,
+    deadline_changed: Notify,
+    /// Notified when a successor that took over the socket's name has died.
+    socket_name_lost: Notify,
 }
 
 impl Upgrade {
-    /// Looks for a predecessor, and from now on for successors. The front takes clients once [`Handover`] says so.
+    /// Connects to a predecessor, if there is one, and listens for successors. The front accepts clients once
+    /// [`Handover`] allows it.
     ///
     /// # Errors
-    /// When `$TMPDIR` cannot be used; the process is then a limiter of its own.
+    /// If `$TMPDIR` cannot be used; the process then runs without upgrade coordination.
     pub async fn start(
         engine: Rc<Engine<Http1>>,
         front: Rc<Front>,
@@ -118,7 +120,7 @@
         let folder = Folder::open()?;
         match folder.read() {
             Ok(marks) => engine.merge(&marks),
-            Err(e) => tracing::error!("upgrade: {MARKS} is passed over: {e}"),
+            Err(e) => tracing::error!("upgrade: ignoring {MARKS}: {e}"),
         }
         let before = UnixStream::connect(folder.socket(SOCKET)).await.ok();
         let listener = Cell::new(Some(folder.listen()?));
@@ -133,11 +135,11 @@
             peers: RefCell::default(),
             next: Cell::new(1),
             callers: RefCell::default(),
-            sooner: Notify::new(),
-            nameless: Notify::new(),
+            deadline_changed: Notify::new(),
+            socket_name_lost: Notify::new(),
         });
         if let Some(stream) = before {
-            tracing::info!("upgrade: another process serves; taking over from it");
+            tracing::info!("upgrade: another process is running; taking over from it");
             upgrade.join(0, stream);
         }
         let accepting = upgrade.clone();
@@ -150,49 +152,49 @@
         Ok(upgrade)
     }
 
-    /// A successor serves: what is left here is to finish.
+    /// Returns whether a successor serves, so that this process only finishes its open requests.
     pub fn has_yielded(&self) -> bool {
         self.handover.borrow().has_yielded()
     }
 
-    /// An operator has said something here; completes once it holds at the other processes too, or has been waited
-    /// for long enough.
-    pub async fn said(self: &Rc<Self>) {
+    /// Stores an operator's change and sends it to the other processes; completes once they have acknowledged it or the
+    /// wait has timed out.
+    pub async fn publish(self: &Rc<Self>) {
         let marks = self.engine.marks();
-        self.keep(&marks);
-        let held = {
-            // Noted before anything is carried out: it may hold at once.
-            let (tell, held) = oneshot::channel();
-            let ticket = self.handover.borrow_mut().publish(self.engine.now(), &marks);
-            self.callers.borrow_mut().insert(ticket, tell);
-            held
+        self.store(&marks);
+        let acknowledged = {
+            // Registered before any action is carried out: the change may be acknowledged at once.
+            let (tell, acknowledged) = oneshot::channel();
+            let change = self.handover.borrow_mut().publish(self.engine.now(), &marks);
+            self.callers.borrow_mut().insert(change, tell);
+            acknowledged
         };
         self.change(|_, _| ());
-        let _ = held.await;
+        let _ = acknowledged.await;
     }
 
-    fn keep(&self, marks: &Marks) {
+    fn store(&self, marks: &Marks) {
         if let Err(e) = self.folder.write(marks) {
             tracing::error!("upgrade: {MARKS} cannot be written: {e}");
         }
     }
 
-    fn change(self: &Rc<Self>, how: impl FnOnce(&mut Handover, Millis)) {
-        how(&mut self.handover.borrow_mut(), self.engine.now());
+    fn change(self: &Rc<Self>, update: impl FnOnce(&mut Handover, Millis)) {
+        update(&mut self.handover.borrow_mut(), self.engine.now());
         loop {
-            let todo = self.handover.borrow_mut().take_actions();
-            if todo.is_empty() {
+            let actions = self.handover.borrow_mut().take_actions();
+            if actions.is_empty() {
                 break;
             }
-            todo.into_iter().for_each(|todo| self.carry_out(todo));
+            actions.into_iter().for_each(|action| self.carry_out(action));
         }
-        self.sooner.notify_one();
+        self.deadline_changed.notify_one();
     }
 
-    fn carry_out(self: &Rc<Self>, todo: Action) {
-        match todo {
-            Action::Send(id, say) => {
-                let sent = self.peers.borrow().get(&id).map(|peer| peer.try_send(say));
+    fn carry_out(self: &Rc<Self>, action: Action) {
+        match action {
+            Action::Send(id, message) => {
+                let sent = self.peers.borrow().get(&id).map(|peer| peer.try_send(message));
                 if !matches!(sent, Some(Ok(()))) {
                     self.peers.borrow_mut().remove(&id);
                     self.handover.borrow_mut().peer_lost(id);
@@ -200,41 +202,43 @@
             }
             Action::Merge(marks) => {
                 self.engine.merge(&marks);
-                self.keep(&self.engine.marks());
+                self.store(&self.engine.marks());
             }
             Action::Disconnect(id) => drop(self.peers.borrow_mut().remove(&id)),
             Action::Accept(accepts) => {
                 tracing::info!(
                     accepts,
                     "upgrade: {}",
-                    if accepts { "takes clients" } else { "yields to another" }
+                    if accepts { "accepting clients" } else { "not accepting clients, a successor serves" }
                 );
                 self.front.set_accepting(accepts);
                 self.engine.hold_readiness(false);
             }
-            Action::SetShare(part) => {
-                let budget = (self.budget)(part);
-                self.engine.set_budget_part(part, budget);
+            Action::SetShare(share) => {
+                let budget = (self.budget)(share);
+                self.engine.set_budget_part(share, budget);
                 self.front.apply_budget(budget);
             }
-            Action::SuspensionsReceived => tracing::info!("upgrade: {} servers are out", self.out()),
-            Action::Acknowledged(ticket) => {
-                if let Some(caller) = self.callers.borrow_mut().remove(&ticket) {
-                    // A caller that has left need not be told.
+            Action::TakeoverDone => {
+                tracing::info!("upgrade: {} servers are suspended", self.suspended())
+            }
+            Action::Acknowledged(change) => {
+                if let Some(caller) = self.callers.borrow_mut().remove(&change) {
+                    // The caller may have disconnected.
                     let _ = caller.send(());
                 }
             }
         }
     }
 
-    fn out(&self) -> usize {
+    fn suspended(&self) -> usize {
         self.engine.marks().0.values().filter(|m| m.out).count()
     }
 
-    /// Tells that the limiter can serve, once it can.
+    /// Waits for the server list, then reports that this process can serve.
     async fn serve(self: Rc<Self>) {
         while !self.engine.has_list() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(LIST_POLL_INTERVAL).await;
         }
         self.change(|handover, _| handover.serve());
     }
@@ -243,31 +247,31 @@
         loop {
             let due = self.handover.borrow().next_due();
             match due {
-                None => self.sooner.notified().await,
+                None => self.deadline_changed.notified().await,
                 Some(at) => {
                     let wait = Duration::from_secs_f64((at - self.engine.now()).max(0.0) / 1000.0);
                     tokio::select! {
                         () = tokio::time::sleep(wait) => self.change(Handover::tick),
-                        () = self.sooner.notified() => {}
+                        () = self.deadline_changed.notified() => {}
                     }
                 }
             }
         }
     }
 
-    /// Waits for successors. A successor takes over the socket's name; if it dies first, the name is taken back.
+    /// Accepts successors. A successor takes over the socket's name; if it dies first, this process takes the name back.
     async fn accept(self: Rc<Self>, mut listener: Option<UnixListener>) {
         loop {
             let Some(listening) = &listener else {
                 listener = self.folder.listen().map_err(|e| tracing::error!("upgrade: {SOCKET}: {e}")).ok();
                 if listener.is_none() {
-                    self.nameless.notified().await;
+                    self.socket_name_lost.notified().await;
                 }
                 continue;
             };
             let accepted = tokio::select! {
                 accepted = listening.accept() => accepted,
-                () = self.nameless.notified() => {
+                () = self.socket_name_lost.notified() => {
                     listener = None;
                     continue;
                 }
@@ -275,65 +279,65 @@
             match accepted {
                 Ok((stream, _)) => {
                     let id = self.next.replace(self.next.get() + 1);
-                    tracing::info!("upgrade: another process takes over");
+                    tracing::info!("upgrade: another process is taking over");
                     self.join(id, stream);
                     let marks = self.engine.marks();
                     self.change(|handover, _| handover.add_successor(id, &marks));
                 }
                 Err(e) => {
                     tracing::warn!("upgrade: accept: {e}");
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Carries what is said to and by another process, until one of them ends.
+    /// Sends and receives the messages of another process until the connection ends.
     fn join(self: &Rc<Self>, id: PeerId, stream: UnixStream) {
         let (reader, writer) = stream.into_split();
-        let (sender, messages) = mpsc::channel(MOST_WAITING);
+        let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         self.peers.borrow_mut().insert(id, sender);
         let upgrade = self.clone();
         tokio::task::spawn_local(async move {
-            let why = tokio::select! {
-                why = upgrade.listen_to(id, reader) => why,
-                why = talk(messages, writer) => why,
+            let reason = tokio::select! {
+                reason = upgrade.receive_from(id, reader) => reason,
+                reason = send_messages(messages, writer) => reason,
             };
-            tracing::info!("upgrade: the other process: {why}");
+            tracing::info!("upgrade: disconnected from the other process: {reason}");
             upgrade.peers.borrow_mut().remove(&id);
             upgrade.change(|handover, _| handover.peer_lost(id));
             if id > 0 && !upgrade.has_yielded() {
-                upgrade.nameless.notify_one();
+                upgrade.socket_name_lost.notify_one();
             }
         });
     }
 
-    async fn listen_to(self: &Rc<Self>, id: PeerId, reader: OwnedReadHalf) -> String {
+    async fn receive_from(self: &Rc<Self>, id: PeerId, reader: OwnedReadHalf) -> String {
         let mut reader = BufReader::new(reader);
         let mut line = Vec::new();
         loop {
             line.clear();
-            match (&mut reader).take(MOST_BYTES).read_until(b'\n', &mut line).await {
+            match (&mut reader).take(MAX_BYTES).read_until(b'\n', &mut line).await {
                 Err(e) => return e.to_string(),
-                Ok(_) if line.last() != Some(&b'\n') => return "has ended".into(),
+                Ok(_) if line.last() != Some(&b'\n') => return "connection closed".into(),
                 Ok(_) => {}
             }
             match serde_json::from_slice(&line) {
-                Ok(say) => self.change(|handover, _| handover.receive(id, say)),
-                Err(e) => return format!("cannot be understood: {e}"),
+                Ok(message) => self.change(|handover, _| handover.receive(id, message)),
+                Err(e) => return format!("invalid message: {e}"),
             }
         }
     }
 }
 
-/// Writes what is to be said. Ends when this process lets go of the other.
-async fn talk(mut messages: mpsc::Receiver<Message>, mut writer: OwnedWriteHalf) -> String {
-    while let Some(say) = messages.recv().await {
-        let Ok(mut line) = serde_json::to_vec(&say) else { continue };
+/// Writes queued messages to another process. Returns the reason when a write fails or the queue is closed.
+async fn send_messages(mut messages: mpsc::Receiver<Message>, mut writer: OwnedWriteHalf) -> String {
+    while let Some(message) = messages.recv().await {
+        let Ok(mut line) = serde_json::to_vec(&message) else { continue };
         line.push(b'\n');
         if let Err(e) = writer.write_all(&line).await {
             return e.to_string();
         }
     }
-    "is let go".into()
+    "closed by this process".into()
 }
--- a/crates/operations/src/budget/tests.rs
+++ b/crates/operations/src/budget/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_parts_stay_within_the_limits_in_sum_also_for_two_processes() {
+fn budget_stays_within_limits_for_one_and_two_processes() {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     for _ in 0..10_000 {
         let sockets = 200 + rng.next_u32() as usize % 4000;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn however_little_there_is_somebody_is_served() {
+fn zero_limits_still_leave_a_minimal_budget() {
     let b = Budget::divide(Limits { sockets: 0, memory_mb: 0.0 }, 36, 0.5);
     assert!(b.clients > 0 && b.servers > 0 && b.uploads_kib >= STREAM_KIB);
 }
--- a/crates/operations/src/places/tests.rs
+++ b/crates/operations/src/places/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_name_keeps_its_place_whatever_comes_and_goes_before_it() {
+fn a_name_keeps_its_position_while_others_are_added_and_removed() {
     let mut places = Places::default();
     assert_eq!(places.settle(["a", "b"]), [0, 1]);
     assert_eq!(places.settle(["new", "b", "a"]), [2, 1, 0]);
@@ -12,16 +12,16 @@
 }
 
 #[test]
-fn an_emptied_place_is_not_given_away_by_the_list_that_empties_it() {
+fn an_emptied_position_is_not_reused_by_the_same_list() {
     let mut places = Places::default();
     places.settle(["a", "b"]);
-    assert_eq!(places.settle(["b", "c"]), [1, 2], "what is open of a does not meet c");
-    assert_eq!(places.settle(["b", "c", "d"]), [1, 2, 0], "later it may");
+    assert_eq!(places.settle(["b", "c"]), [1, 2], "open requests of a must not be counted as c");
+    assert_eq!(places.settle(["b", "c", "d"]), [1, 2, 0], "a later list may reuse it");
     assert_eq!(places.len(), 3);
 }
 
 #[test]
-fn one_that_is_back_before_another_took_its_place_has_it_again() {
+fn a_relisted_name_gets_its_unused_position_back() {
     let mut places = Places::default();
     places.settle(["a", "b"]);
     places.settle(["b"]);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn items_stand_where_their_names_do() {
+fn items_are_arranged_at_the_positions_of_their_names() {
     let mut places = Places::default();
     places.settle(["a", "b"]);
     let settled = places.settle(["c", "b"]);
