--- a/crates/daemon/src/upgrade.rs
+++ b/crates/daemon/src/upgrade.rs
@@ -219,9 +219,7 @@
                 self.engine.set_budget_part(share, budget);
                 self.front.apply_budget(budget);
             }
-            Action::TakeoverDone => {
-                tracing::info!("upgrade: {} servers are suspended", self.suspended())
-            }
+            Action::TakeoverDone => tracing::info!("upgrade: {} servers suspended", self.suspended()),
             Action::Acknowledged(change) => {
                 if let Some(caller) = self.callers.borrow_mut().remove(&change) {
                     // The caller may have disconnected.
