--- a/crates/zookeeper/src/lib.rs
+++ b/crates/zookeeper/src/lib.rs
@@ -19,15 +19,15 @@
 use zookeeper_client::{Client, Connector, Error, EventType, SessionState};
 
 /// First pause after no session could be had; doubles up to the other.
-const PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
 /// A read that is not answered in this time has failed.
-const PATIENCE: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A session that has brought no good answer for this long, ms, since its connection was lost or a read failed, is
 /// given up for a new one. It owns nothing, so nothing is lost; and a client library may hold on to a dead
 /// connection for the whole session time-out (seen after a frame that could not be read).
-const GIVE_UP: Millis = 500.0;
+const GIVE_UP_MS: Millis = 500.0;
 
 /// Where the members are.
 #[derive(Clone, Debug)]
@@ -63,34 +63,34 @@
 }
 
 /// Follows the folder for the life of the process, inside a [`tokio::task::LocalSet`].
-pub async fn follow(config: Config, clock: Rc<dyn Clock>, told: MembershipSink, state: Shared) {
-    let mut pause = PAUSE;
+pub async fn follow(config: Config, clock: Rc<dyn Clock>, sink: MembershipSink, state: Shared) {
+    let mut delay = MIN_RECONNECT_DELAY;
     loop {
-        match tokio::time::timeout(PATIENCE, config.connector().connect(&config.cluster)).await {
+        match tokio::time::timeout(REQUEST_TIMEOUT, config.connector().connect(&config.cluster)).await {
             Ok(Ok(client)) => {
-                pause = PAUSE;
-                let source = Source::new(&config, client, clock.clone(), told.clone(), state.clone());
+                delay = MIN_RECONNECT_DELAY;
+                let source = Source::new(&config, client, clock.clone(), sink.clone(), state.clone());
                 let span = tracing::info_span!("session", path = config.path);
                 let ended = source.run().instrument(span).await;
                 tracing::warn!("members: the session has ended: {ended:?}; the list holds");
             }
-            Ok(Err(e)) => tracing::warn!("members: no session: {e}; again in {} ms", pause.as_millis()),
-            Err(_) => tracing::warn!("members: no session in time; again in {} ms", pause.as_millis()),
+            Ok(Err(e)) => tracing::warn!("members: no session: {e}; again in {} ms", delay.as_millis()),
+            Err(_) => tracing::warn!("members: no session in time; again in {} ms", delay.as_millis()),
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(MAX_RECONNECT_DELAY);
     }
 }
 
 /// An event, and the connection that it belongs to.
-type Heard = (u64, Event);
+type ConnectionEvent = (u64, Event);
 
 /// One session.
 struct Source {
     clock: Rc<dyn Clock>,
-    told: MembershipSink,
+    sink: MembershipSink,
     state: Shared,
-    heard: UnboundedReceiver<Heard>,
+    events: UnboundedReceiver<ConnectionEvent>,
     reader: Reader,
     reads: JoinSet<()>,
     due: Option<Millis>,
@@ -104,9 +104,9 @@
     client: Client,
     path: String,
     connection: u64,
-    tell: UnboundedSender<Heard>,
+    events_tx: UnboundedSender<ConnectionEvent>,
     /// The newest state of the folder that was read: a missing folder has no transaction of its own.
-    newest: Rc<Cell<i64>>,
+    newest_zxid: Rc<Cell<i64>>,
 }
 
 impl Source {
@@ -114,14 +114,14 @@
         config: &Config,
         client: Client,
         clock: Rc<dyn Clock>,
-        told: MembershipSink,
+        sink: MembershipSink,
         state: Shared,
     ) -> Self {
-        let (tell, heard) = unbounded_channel();
+        let (events_tx, events) = unbounded_channel();
         let path = config.path.trim_end_matches('/').to_owned();
-        let newest = Rc::new(Cell::new(0));
-        let reader = Reader { client, path, connection: 0, tell, newest };
-        Source { clock, told, state, heard, reader, reads: JoinSet::new(), due: None, give_up_at: None }
+        let newest_zxid = Rc::new(Cell::new(0));
+        let reader = Reader { client, path, connection: 0, events_tx, newest_zxid };
+        Source { clock, sink, state, events, reader, reads: JoinSet::new(), due: None, give_up_at: None }
     }
 
     /// Runs until the session is over.
@@ -140,15 +140,15 @@
                 state = states.changed() => match state {
                     SessionState::SyncConnected => self.connected(),
                     SessionState::Disconnected => self.handle(Event::Lost),
-                    over => {
+                    ended => {
                         self.handle(Event::Lost);
-                        return over;
+                        return ended;
                     }
                 },
-                Some((connection, event)) = self.heard.recv() => {
+                Some((connection, event)) = self.events.recv() => {
                     // An answer of an earlier connection may be older than what is read on this one.
-                    let old = connection != self.reader.connection;
-                    if !old || matches!(event, Event::Fired(_)) {
+                    let stale = connection != self.reader.connection;
+                    if !stale || matches!(event, Event::Fired(_)) {
                         self.handle(event);
                     }
                 }
@@ -171,54 +171,56 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Lost | Event::Failed(_) => _ = self.give_up_at.get_or_insert(self.clock.now() + GIVE_UP),
+            Event::Lost | Event::Failed(_) => {
+                _ = self.give_up_at.get_or_insert(self.clock.now() + GIVE_UP_MS)
+            }
             Event::Children { .. } | Event::Data { .. } | Event::NoNode { .. } => self.give_up_at = None,
             Event::Connected | Event::Fired(_) | Event::Due => {}
         }
         let step = self.state.borrow_mut().handle(self.clock.now(), event);
         if let Some(news) = step.news {
-            (self.told)(news);
+            (self.sink)(news);
         }
-        for want in step.reads {
-            self.reads.spawn_local(self.reader.clone().read(want));
+        for request in step.reads {
+            self.reads.spawn_local(self.reader.clone().read(request));
         }
         self.due = step.due;
     }
 }
 
 impl Reader {
-    fn say(&self, event: Event) {
+    fn send(&self, event: Event) {
         // A source that has ended needs no news.
-        let _ = self.tell.send((self.connection, event));
+        let _ = self.events_tx.send((self.connection, event));
     }
 
     /// Makes a read, which must be answered in time, and then waits for its watch, however long.
-    async fn read(self, want: ReadRequest) {
-        let done = match &want {
+    async fn read(self, request: ReadRequest) {
+        let result = match &request {
             ReadRequest::Children => self.children().await,
             ReadRequest::Data(name) => self.data(name).await,
         };
-        if let Err(e) = done {
-            tracing::debug!("members: {want:?}: {e}");
-            self.say(Event::Failed(want));
+        if let Err(e) = result {
+            tracing::debug!("members: {request:?}: {e}");
+            self.send(Event::Failed(request));
         }
     }
 
     async fn children(&self) -> Result<(), Error> {
         let read = self.client.get_and_watch_children(&self.path);
-        match within(read).await {
+        match with_timeout(read).await {
             Ok((names, stat, watcher)) => {
-                self.newest.set(self.newest.get().max(stat.pzxid));
-                self.say(Event::Children { zxid: stat.pzxid, names });
-                self.fired(watcher.changed().await.event_type, ReadRequest::Children);
+                self.newest_zxid.set(self.newest_zxid.get().max(stat.pzxid));
+                self.send(Event::Children { zxid: stat.pzxid, names });
+                self.watch_fired(watcher.changed().await.event_type, ReadRequest::Children);
             }
             Err(Error::NoNode) => {
-                let (found, watcher) = within(self.client.check_and_watch_stat(&self.path)).await?;
+                let (found, watcher) = with_timeout(self.client.check_and_watch_stat(&self.path)).await?;
                 if found.is_none() {
-                    self.say(Event::Children { zxid: self.newest.get(), names: Vec::new() });
-                    self.fired(watcher.changed().await.event_type, ReadRequest::Children);
+                    self.send(Event::Children { zxid: self.newest_zxid.get(), names: Vec::new() });
+                    self.watch_fired(watcher.changed().await.event_type, ReadRequest::Children);
                 } else {
-                    self.say(Event::Failed(ReadRequest::Children));
+                    self.send(Event::Failed(ReadRequest::Children));
                 }
             }
             Err(e) => return Err(e),
@@ -228,27 +230,27 @@
 
     async fn data(&self, name: &str) -> Result<(), Error> {
         let path = format!("{}/{name}", self.path);
-        match within(self.client.get_and_watch_data(&path)).await {
+        match with_timeout(self.client.get_and_watch_data(&path)).await {
             Ok((bytes, stat, watcher)) => {
                 let (zxid, created) = (stat.mzxid, stat.czxid);
-                self.say(Event::Data { name: name.to_owned(), zxid, created, bytes });
-                self.fired(watcher.changed().await.event_type, ReadRequest::Data(name.to_owned()));
+                self.send(Event::Data { name: name.to_owned(), zxid, created, bytes });
+                self.watch_fired(watcher.changed().await.event_type, ReadRequest::Data(name.to_owned()));
             }
             // The client never goes back to an address that has seen less than it has, so this is the newest.
-            Err(Error::NoNode) => self.say(Event::NoNode { name: name.to_owned(), zxid: i64::MAX }),
+            Err(Error::NoNode) => self.send(Event::NoNode { name: name.to_owned(), zxid: i64::MAX }),
             Err(e) => return Err(e),
         }
         Ok(())
     }
 
     /// A watch has fired; one that ended with its session tells nothing.
-    fn fired(&self, kind: EventType, want: ReadRequest) {
+    fn watch_fired(&self, kind: EventType, request: ReadRequest) {
         if kind != EventType::Session {
-            self.say(Event::Fired(want));
+            self.send(Event::Fired(request));
         }
     }
 }
 
-async fn within<T>(read: impl std::future::Future<Output = Result<T, Error>>) -> Result<T, Error> {
-    tokio::time::timeout(PATIENCE, read).await.unwrap_or(Err(Error::Timeout))
+async fn with_timeout<T>(read: impl std::future::Future<Output = Result<T, Error>>) -> Result<T, Error> {
+    tokio::time::timeout(REQUEST_TIMEOUT, read).await.unwrap_or(Err(Error::Timeout))
 }
--- a/crates/zookeeper/src/register.rs
+++ b/crates/zookeeper/src/register.rs
@@ -4,7 +4,7 @@
 //! The session is apart from the one that reads the servers: that one is given up for a new one as soon as it seems
 //! dead, and this one's end is what tells others that the limiter has gone.
 
-use crate::{within, Config, LONGEST_PAUSE, PATIENCE, PAUSE};
+use crate::{with_timeout, Config, MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY, REQUEST_TIMEOUT};
 use oatbank_engine::ports::clock::Clock;
 use oatbank_engine::ports::LocalFuture;
 use oatbank_limiter_core::interface::Millis;
@@ -19,7 +19,7 @@
 use zookeeper_client::{Acls, Client, CreateMode, Error, EventType, SessionState};
 
 /// The end of a limiter waits so long at most for its node to be removed; after that the session's time-out does it.
-const LEAVE_WITHIN: Duration = Duration::from_millis(500);
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A limiter's registration. Shared on one thread.
 pub struct Registrar {
@@ -27,20 +27,20 @@
     node: String,
     clock: Rc<dyn Clock>,
     registration: RefCell<Registration>,
-    placed: Box<dyn Fn(Place)>,
+    on_place: Box<dyn Fn(Place)>,
     leave: Notify,
     left: Notify,
 }
 
 impl Registrar {
-    /// Of the limiter `name`, below the folder at `config.path`; `placed` is told its number and how many there are, at
+    /// Of the limiter `name`, below the folder at `config.path`; `on_place` is told its number and how many there are, at
     /// first and whenever that changes.
     pub fn new(
         config: Config,
         name: &str,
         life: Incarnation,
         clock: Rc<dyn Clock>,
-        placed: impl Fn(Place) + 'static,
+        on_place: impl Fn(Place) + 'static,
     ) -> Rc<Self> {
         let settle = config.session_timeout.as_secs_f64() * 1000.0;
         Rc::new(Registrar {
@@ -48,7 +48,7 @@
             config,
             clock,
             registration: RefCell::new(Registration::new(Settings { settle }, name, life)),
-            placed: Box::new(placed),
+            on_place: Box::new(on_place),
             leave: Notify::new(),
             left: Notify::new(),
         })
@@ -61,20 +61,21 @@
 
     /// Keeps the node for the life of the process, inside a [`tokio::task::LocalSet`]; completes once it has left.
     pub async fn run(self: Rc<Self>) {
-        let mut pause = PAUSE;
+        let mut delay = MIN_RECONNECT_DELAY;
         while self.state() != State::Left {
-            match tokio::time::timeout(PATIENCE, self.config.connector().connect(&self.config.cluster)).await
+            match tokio::time::timeout(REQUEST_TIMEOUT, self.config.connector().connect(&self.config.cluster))
+                .await
             {
                 Ok(Ok(client)) => {
-                    pause = PAUSE;
+                    delay = MIN_RECONNECT_DELAY;
                     Session::new(self.clone(), client).run().await;
                 }
                 Ok(Err(e)) => tracing::warn!(reason = %e, "register: no session: {e}"),
                 Err(_) => tracing::warn!("register: no session in time"),
             }
             if self.state() != State::Left {
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                tokio::time::sleep(delay).await;
+                delay = (delay * 2).min(MAX_RECONNECT_DELAY);
             }
         }
         self.left.notify_one();
@@ -83,29 +84,29 @@
     /// Removes the node, within half a second; where that fails the session's time-out does it.
     pub async fn leave(&self) {
         self.leave.notify_one();
-        if tokio::time::timeout(LEAVE_WITHIN, self.left.notified()).await.is_err() {
+        if tokio::time::timeout(LEAVE_TIMEOUT, self.left.notified()).await.is_err() {
             tracing::warn!("register: the node is left to its session's time-out");
         }
     }
 }
 
 /// An event, and the connection that it belongs to.
-type Heard = (u64, Event);
+type ConnectionEvent = (u64, Event);
 
 struct Session {
     registrar: Rc<Registrar>,
     client: Client,
     connection: u64,
-    tell: UnboundedSender<Heard>,
-    heard: UnboundedReceiver<Heard>,
-    work: JoinSet<()>,
+    events_tx: UnboundedSender<ConnectionEvent>,
+    events: UnboundedReceiver<ConnectionEvent>,
+    operations: JoinSet<()>,
     due: Option<Millis>,
 }
 
 impl Session {
     fn new(registrar: Rc<Registrar>, client: Client) -> Self {
-        let (tell, heard) = unbounded_channel();
-        Session { registrar, client, connection: 0, tell, heard, work: JoinSet::new(), due: None }
+        let (events_tx, events) = unbounded_channel();
+        Session { registrar, client, connection: 0, events_tx, events, operations: JoinSet::new(), due: None }
     }
 
     /// Runs until the session is over or the limiter has left.
@@ -123,17 +124,17 @@
                 state = states.changed() => match state {
                     SessionState::SyncConnected => self.connected(),
                     SessionState::Disconnected => self.handle(Event::Lost),
-                    over => {
-                        tracing::warn!("register: the session has ended: {over:?}");
+                    ended => {
+                        tracing::warn!("register: the session has ended: {ended:?}");
                         return self.handle(Event::Lost);
                     }
                 },
-                Some((connection, event)) = self.heard.recv() => {
+                Some((connection, event)) = self.events.recv() => {
                     if connection == self.connection || matches!(event, Event::Fired(_)) {
                         self.handle(event);
                     }
                 }
-                Some(_) = self.work.join_next() => {}
+                Some(_) = self.operations.join_next() => {}
                 () = registrar.leave.notified() => self.handle(Event::Leave),
                 () = due => self.handle(Event::Due),
             }
@@ -157,93 +158,93 @@
             (_, new) => tracing::info!("register: {}: {new:?}", registrar.node),
         }
         if let Some(place) = step.place {
-            (registrar.placed)(place);
+            (registrar.on_place)(place);
         }
-        for want in step.actions {
-            let work = Work {
+        for action in step.actions {
+            let operation = Operation {
                 client: self.client.clone(),
                 registrar: registrar.clone(),
                 connection: self.connection,
-                tell: self.tell.clone(),
+                events_tx: self.events_tx.clone(),
             };
-            self.work.spawn_local(work.carry_out(want));
+            self.operations.spawn_local(operation.carry_out(action));
         }
         self.due = step.due;
     }
 }
 
-struct Work {
+struct Operation {
     client: Client,
     registrar: Rc<Registrar>,
     connection: u64,
-    tell: UnboundedSender<Heard>,
+    events_tx: UnboundedSender<ConnectionEvent>,
 }
 
-impl Work {
-    fn say(&self, event: Event) {
+impl Operation {
+    fn send(&self, event: Event) {
         // A session that has ended needs no news.
-        let _ = self.tell.send((self.connection, event));
+        let _ = self.events_tx.send((self.connection, event));
     }
 
-    async fn carry_out(self, want: Action) {
-        if let Err(e) = self.attempt(want).await {
-            tracing::debug!(reason = %e, "register: {want:?}: {e}");
-            self.say(Event::Failed(want));
+    async fn carry_out(self, action: Action) {
+        if let Err(e) = self.attempt(action).await {
+            tracing::debug!(reason = %e, "register: {action:?}: {e}");
+            self.send(Event::Failed(action));
         }
     }
 
-    async fn attempt(&self, want: Action) -> Result<(), Error> {
+    async fn attempt(&self, action: Action) -> Result<(), Error> {
         let (client, node) = (&self.client, self.registrar.node.as_str());
         let ephemeral = CreateMode::Ephemeral.with_acls(Acls::anyone_all());
         let payload = self.registrar.registration.borrow().payload();
-        let done = match want {
+        let result = match action {
             Action::Folder => {
                 let persistent = CreateMode::Persistent.with_acls(Acls::anyone_all());
-                within(client.mkdir(&self.registrar.config.path, &persistent)).await
+                with_timeout(client.mkdir(&self.registrar.config.path, &persistent)).await
             }
-            Action::Create => within(client.create(node, &payload, &ephemeral)).await.map(drop),
+            Action::Create => with_timeout(client.create(node, &payload, &ephemeral)).await.map(drop),
             Action::Replace { version } => {
-                let mut both = client.new_multi_writer();
-                both.add_delete(node, Some(version))?;
-                both.add_create(node, &payload, &ephemeral)?;
-                let both = tokio::time::timeout(PATIENCE, both.commit()).await;
-                both.map_err(|_| Error::Timeout)?.map(drop).map_err(|_| Error::BadVersion)
+                let mut transaction = client.new_multi_writer();
+                transaction.add_delete(node, Some(version))?;
+                transaction.add_create(node, &payload, &ephemeral)?;
+                let result = tokio::time::timeout(REQUEST_TIMEOUT, transaction.commit()).await;
+                result.map_err(|_| Error::Timeout)?.map(drop).map_err(|_| Error::BadVersion)
             }
-            Action::Remove { version } => within(client.delete(node, Some(version))).await,
+            Action::Remove { version } => with_timeout(client.delete(node, Some(version))).await,
             Action::Read => return self.read(node).await,
             Action::Names => return self.names().await,
         };
-        match (want, done) {
-            (_, Ok(())) | (Action::Folder, Err(Error::NodeExists)) => self.say(Event::Done(want)),
-            (Action::Remove { .. }, Err(Error::NoNode)) => self.say(Event::Done(want)),
-            (_, Err(Error::NodeExists)) => self.say(Event::Taken),
-            (Action::Create, Err(Error::NoNode)) => self.say(Event::NoFolder),
+        match (action, result) {
+            (_, Ok(())) | (Action::Folder, Err(Error::NodeExists)) => self.send(Event::Done(action)),
+            (Action::Remove { .. }, Err(Error::NoNode)) => self.send(Event::Done(action)),
+            (_, Err(Error::NodeExists)) => self.send(Event::Taken),
+            (Action::Create, Err(Error::NoNode)) => self.send(Event::NoFolder),
             (_, Err(e)) => return Err(e),
         }
         Ok(())
     }
 
     async fn read(&self, node: &str) -> Result<(), Error> {
-        let watcher = match within(self.client.get_and_watch_data(node)).await {
+        let watcher = match with_timeout(self.client.get_and_watch_data(node)).await {
             Ok((bytes, stat, watcher)) => {
-                self.say(Event::Node { owner: stat.ephemeral_owner, version: stat.version, bytes });
+                self.send(Event::Node { owner: stat.ephemeral_owner, version: stat.version, bytes });
                 watcher
             }
             Err(Error::NoNode) => {
-                self.say(Event::NoNode);
+                self.send(Event::NoNode);
                 return Ok(());
             }
             Err(e) => return Err(e),
         };
-        self.fired(watcher.changed().await.event_type, Action::Read);
+        self.watch_fired(watcher.changed().await.event_type, Action::Read);
         Ok(())
     }
 
     async fn names(&self) -> Result<(), Error> {
-        match within(self.client.get_and_watch_children(&self.registrar.config.path)).await {
+        match with_timeout(self.client.get_and_watch_children(&self.registrar.config.path)).await {
             Ok((names, _, watcher)) => {
-                self.say(Event::Names(names));
-                self.fired(watcher.changed().await.event_type, Action::Names);
+                self.send(Event::Names(names));
+                self.watch_fired(watcher.changed().await.event_type, Action::Names);
                 Ok(())
             }
             // Whoever makes the node makes the folder too, and asks again then.
@@ -253,9 +254,9 @@
     }
 
     /// A watch has fired; one that ended with its session tells nothing.
-    fn fired(&self, kind: EventType, want: Action) {
+    fn watch_fired(&self, kind: EventType, action: Action) {
         if kind != EventType::Session {
-            self.say(Event::Fired(want));
+            self.send(Event::Fired(action));
         }
     }
 }
