--- a/crates/zookeeper/src/lib.rs
+++ b/crates/zookeeper/src/lib.rs
@@ -1,5 +1,5 @@
 //! Membership from ZooKeeper-style ephemeral nodes: keeps a session, makes the reads that
-//! [`oatbank_membership::reconcile`] asks for, and hands its news on. It decides nothing of the list.
+//! [`oatbank_membership::reconcile`] requests, and forwards the resulting updates. The reconciler decides what is listed.
 
 pub mod register;
 pub mod registers;
@@ -18,28 +18,29 @@
 use tracing::Instrument;
 use zookeeper_client::{Client, Connector, Error, EventType, SessionState};
 
-/// First pause after no session could be had; doubles up to the other.
+/// Delay after the first failure to open a session. It doubles up to [`MAX_RECONNECT_DELAY`].
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Upper limit of the delay between attempts to open a session.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
-/// A read that is not answered in this time has failed.
+/// A request or connection attempt fails if it is not answered within this time.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A session that has brought no good answer for this long, ms, since its connection was lost or a read failed, is
-/// given up for a new one. It owns nothing, so nothing is lost; and a client library may hold on to a dead
-/// connection for the whole session time-out (seen after a frame that could not be read).
-const GIVE_UP_MS: Millis = 500.0;
+/// A session without a successful read for this long, ms, after its connection was lost or a read failed, is replaced.
+/// It owns no ephemeral nodes, so nothing is lost. The client library may keep a dead connection for the whole session
+/// timeout, as happened after a frame that could not be decoded.
+const GIVE_UP: Millis = 500.0;
 
-/// Where the members are.
+/// Connection settings and the folder of the members.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The service's addresses, `HOST:PORT,…`, with a chroot behind them if wanted.
+    /// Addresses of the ensemble, `HOST:PORT,…`, with an optional chroot at the end.
     pub cluster: String,
     /// The folder whose nodes are the members.
     pub path: String,
-    /// The session time-out that is asked for. Also how long members may take to come back after the service was
-    /// away for longer than that.
+    /// Requested session timeout. Also how long members have to register again after an outage of the service that
+    /// was longer than this.
     pub session_timeout: Duration,
-    /// Scheme and credentials, if the folder's permissions want any.
+    /// Scheme and credentials, if the folder's permissions require them.
     pub auth: Option<(String, Vec<u8>)>,
 }
 
@@ -53,16 +54,16 @@
     }
 }
 
-/// The state of a source, for whoever shows it.
+/// State of a source, shared with the code that displays it.
 pub type Shared = Rc<RefCell<Reconciler>>;
 
-/// A source's state before its start.
+/// Creates the initial state of a source.
 pub fn state(config: &Config) -> Shared {
     let settle = config.session_timeout.as_secs_f64() * 1000.0;
     Rc::new(RefCell::new(Reconciler::new(Settings { settle })))
 }
 
-/// Follows the folder for the life of the process, inside a [`tokio::task::LocalSet`].
+/// Follows the folder and reports changes to `sink`. Never returns; must run inside a [`tokio::task::LocalSet`].
 pub async fn follow(config: Config, clock: Rc<dyn Clock>, sink: MembershipSink, state: Shared) {
     let mut delay = MIN_RECONNECT_DELAY;
     loop {
@@ -72,20 +73,20 @@
                 let source = Source::new(&config, client, clock.clone(), sink.clone(), state.clone());
                 let span = tracing::info_span!("session", path = config.path);
                 let ended = source.run().instrument(span).await;
-                tracing::warn!("members: the session has ended: {ended:?}; the list holds");
+                tracing::warn!("members: the session has ended: {ended:?}; keeping the last list");
             }
-            Ok(Err(e)) => tracing::warn!("members: no session: {e}; again in {} ms", delay.as_millis()),
-            Err(_) => tracing::warn!("members: no session in time; again in {} ms", delay.as_millis()),
+            Ok(Err(e)) => tracing::warn!("members: no session: {e}; retrying in {} ms", delay.as_millis()),
+            Err(_) => tracing::warn!("members: connecting timed out; retrying in {} ms", delay.as_millis()),
         }
         tokio::time::sleep(delay).await;
         delay = (delay * 2).min(MAX_RECONNECT_DELAY);
     }
 }
 
-/// An event, and the connection that it belongs to.
+/// Number of a connection, and an event that occurred on it.
 type ConnectionEvent = (u64, Event);
 
-/// One session.
+/// One ZooKeeper session that follows the folder.
 struct Source {
     clock: Rc<dyn Clock>,
     sink: MembershipSink,
@@ -94,18 +95,18 @@
     reader: Reader,
     reads: JoinSet<()>,
     due: Option<Millis>,
-    /// When this session is given up.
+    /// When this session is replaced, unless a read succeeds first.
     give_up_at: Option<Millis>,
 }
 
-/// What a read needs.
+/// Client and state that a read needs.
 #[derive(Clone)]
 struct Reader {
     client: Client,
     path: String,
     connection: u64,
     events_tx: UnboundedSender<ConnectionEvent>,
-    /// The newest state of the folder that was read: a missing folder has no transaction of its own.
+    /// Highest `pzxid` read of the folder. It stands in for the zxid of a missing folder, which has none.
     newest_zxid: Rc<Cell<i64>>,
 }
 
@@ -124,7 +125,7 @@
         Source { clock, sink, state, events, reader, reads: JoinSet::new(), due: None, give_up_at: None }
     }
 
-    /// Runs until the session is over.
+    /// Runs until the session ends or is given up, and returns its last state.
     async fn run(mut self) -> SessionState {
         tracing::info!("members: following {}", self.reader.path);
         let mut states = self.reader.client.state_watcher();
@@ -146,7 +147,7 @@
                     }
                 },
                 Some((connection, event)) = self.events.recv() => {
-                    // An answer of an earlier connection may be older than what is read on this one.
+                    // A response from an earlier connection may be older than reads on this one.
                     let stale = connection != self.reader.connection;
                     if !stale || matches!(event, Event::Fired(_)) {
                         self.handle(event);
@@ -171,9 +172,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Lost | Event::Failed(_) => {
-                _ = self.give_up_at.get_or_insert(self.clock.now() + GIVE_UP_MS)
-            }
+            Event::Lost | Event::Failed(_) => _ = self.give_up_at.get_or_insert(self.clock.now() + GIVE_UP),
             Event::Children { .. } | Event::Data { .. } | Event::NoNode { .. } => self.give_up_at = None,
             Event::Connected | Event::Fired(_) | Event::Due => {}
         }
@@ -190,11 +189,11 @@
 
 impl Reader {
     fn send(&self, event: Event) {
-        // A source that has ended needs no news.
+        // The receiver is closed once the source has ended.
         let _ = self.events_tx.send((self.connection, event));
     }
 
-    /// Makes a read, which must be answered in time, and then waits for its watch, however long.
+    /// Makes a read, subject to [`REQUEST_TIMEOUT`], and then waits for its watch without a limit.
     async fn read(self, request: ReadRequest) {
         let result = match &request {
             ReadRequest::Children => self.children().await,
@@ -236,14 +235,14 @@
                 self.send(Event::Data { name: name.to_owned(), zxid, created, bytes });
                 self.watch_fired(watcher.changed().await.event_type, ReadRequest::Data(name.to_owned()));
             }
-            // The client never goes back to an address that has seen less than it has, so this is the newest.
+            // The client never reconnects to a server that is behind it, so a missing node is the newest state.
             Err(Error::NoNode) => self.send(Event::NoNode { name: name.to_owned(), zxid: i64::MAX }),
             Err(e) => return Err(e),
         }
         Ok(())
     }
 
-    /// A watch has fired; one that ended with its session tells nothing.
+    /// Reports a watch that has fired. A watch that ended with its session reports nothing.
     fn watch_fired(&self, kind: EventType, request: ReadRequest) {
         if kind != EventType::Session {
             self.send(Event::Fired(request));
--- a/crates/zookeeper/src/register.rs
+++ b/crates/zookeeper/src/register.rs
@@ -1,8 +1,8 @@
-//! Registers this limiter as an ephemeral node: keeps a session of its own and does what
-//! [`oatbank_membership::register`] asks for.
+//! Registers this limiter as an ephemeral node: keeps a session of its own and carries out the
+//! actions of [`oatbank_membership::register`].
 //!
-//! The session is apart from the one that reads the servers: that one is given up for a new one as soon as it seems
-//! dead, and this one's end is what tells others that the limiter has gone.
+//! It does not share the session that reads the server list: that session is replaced as soon as it seems dead, while
+//! the end of this one tells other limiters that this limiter has gone.
 
 use crate::{with_timeout, Config, MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY, REQUEST_TIMEOUT};
 use oatbank_engine::ports::clock::Clock;
@@ -18,10 +18,10 @@
 use tokio::task::JoinSet;
 use zookeeper_client::{Acls, Client, CreateMode, Error, EventType, SessionState};
 
-/// The end of a limiter waits so long at most for its node to be removed; after that the session's time-out does it.
+/// How long a shutdown waits for the node to be removed; after that the session timeout removes it.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A limiter's registration. Shared on one thread.
+/// Registration of a limiter. Shared within one thread.
 pub struct Registrar {
     config: Config,
     node: String,
@@ -33,8 +33,8 @@
 }
 
 impl Registrar {
-    /// Of the limiter `name`, below the folder at `config.path`; `on_place` is told its number and how many there are, at
-    /// first and whenever that changes.
+    /// Creates the registration of the limiter `name` in the folder `config.path`. `on_place` gets the limiter's number
+    /// and the number of limiters, at first and on every change.
     pub fn new(
         config: Config,
         name: &str,
@@ -54,12 +54,13 @@
         })
     }
 
-    /// Where it stands.
+    /// Returns the state of the registration.
     pub fn state(&self) -> State {
         self.registration.borrow().state()
     }
 
-    /// Keeps the node for the life of the process, inside a [`tokio::task::LocalSet`]; completes once it has left.
+    /// Keeps the node registered; completes once it has been removed by [`Registrar::leave`]. Must run inside a
+    /// [`tokio::task::LocalSet`].
     pub async fn run(self: Rc<Self>) {
         let mut delay = MIN_RECONNECT_DELAY;
         while self.state() != State::Left {
@@ -71,7 +72,7 @@
                     Session::new(self.clone(), client).run().await;
                 }
                 Ok(Err(e)) => tracing::warn!(reason = %e, "register: no session: {e}"),
-                Err(_) => tracing::warn!("register: no session in time"),
+                Err(_) => tracing::warn!("register: connecting timed out"),
             }
             if self.state() != State::Left {
                 tokio::time::sleep(delay).await;
@@ -81,16 +82,16 @@
         self.left.notify_one();
     }
 
-    /// Removes the node, within half a second; where that fails the session's time-out does it.
+    /// Removes the node. After 500 ms it gives up, and the session timeout removes the node.
     pub async fn leave(&self) {
         self.leave.notify_one();
         if tokio::time::timeout(LEAVE_TIMEOUT, self.left.notified()).await.is_err() {
-            tracing::warn!("register: the node is left to its session's time-out");
+            tracing::warn!("register: the node was not removed in time; it expires with its session");
         }
     }
 }
 
-/// An event, and the connection that it belongs to.
+/// Number of a connection, and an event that occurred on it.
 type ConnectionEvent = (u64, Event);
 
 struct Session {
@@ -109,7 +110,7 @@
         Session { registrar, client, connection: 0, events_tx, events, operations: JoinSet::new(), due: None }
     }
 
-    /// Runs until the session is over or the limiter has left.
+    /// Runs until the session ends or the node has been removed.
     async fn run(mut self) {
         let registrar = self.registrar.clone();
         let mut states = self.client.state_watcher();
@@ -153,7 +154,10 @@
         match (before, registrar.state()) {
             (old, new) if old == new => {}
             (_, State::Superseded(life)) => {
-                tracing::error!("register: another process has this name, started at {} ms", life.started_ms);
+                tracing::error!(
+                    "register: another process with this name has replaced this one, started at {} ms",
+                    life.started_ms
+                );
             }
             (_, new) => tracing::info!("register: {}: {new:?}", registrar.node),
         }
@@ -182,7 +186,7 @@
 
 impl Operation {
     fn send(&self, event: Event) {
-        // A session that has ended needs no news.
+        // The receiver is closed once the session has ended.
         let _ = self.events_tx.send((self.connection, event));
     }
 
@@ -247,13 +251,13 @@
                 self.watch_fired(watcher.changed().await.event_type, Action::Names);
                 Ok(())
             }
-            // Whoever makes the node makes the folder too, and asks again then.
+            // The folder is created together with the node, and the names are read again then.
             Err(Error::NoNode) => Ok(()),
             Err(e) => Err(e),
         }
     }
 
-    /// A watch has fired; one that ended with its session tells nothing.
+    /// Reports a watch that has fired. A watch that ended with its session reports nothing.
     fn watch_fired(&self, kind: EventType, action: Action) {
         if kind != EventType::Session {
             self.send(Event::Fired(action));
--- a/crates/zookeeper/src/registers.rs
+++ b/crates/zookeeper/src/registers.rs
@@ -1,4 +1,4 @@
-//! A fleet's two registers as nodes of the tree: carries out what [`oatbank_fleet::election`] asks for, and decides nothing.
+//! The two registers of a fleet, stored as ZooKeeper nodes: carries out the requests of [`oatbank_fleet::election`].
 
 use crate::{Config, MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY, REQUEST_TIMEOUT};
 use oatbank_fleet::election::{Register, RegisterRequest, RegisterResponse};
@@ -8,14 +8,14 @@
 use tokio::sync::Notify;
 use zookeeper_client::{Acls, Client, CreateMode, Error, SessionState};
 
-/// After so many asks in a row without an answer the session is given up for a new one: it owns nothing, and a client
-/// may hold on to a dead connection for the whole session time-out.
+/// After this many failed requests in a row the session is replaced. It owns no ephemeral nodes, and the client may keep
+/// a dead connection for the whole session timeout.
 const MAX_UNANSWERED: u32 = 2;
 
-/// The registers of one fleet. Shared on one thread.
+/// Registers of one fleet. Shared within one thread.
 pub struct Registers {
     config: Config,
-    /// An request that has no answer by then is lost.
+    /// Time limit of a request.
     timeout: Duration,
     client: RefCell<Option<Client>>,
     unanswered: Cell<u32>,
@@ -23,13 +23,13 @@
 }
 
 impl Registers {
-    /// Below the folder at `config.path`.
+    /// Creates access to the registers in the folder `config.path`.
     pub fn new(config: Config, timeout: Duration) -> Rc<Self> {
         let (client, unanswered) = Default::default();
         Rc::new(Registers { config, timeout, client, unanswered, give_up: Notify::new() })
     }
 
-    /// Keeps a session for the life of the process, inside a [`tokio::task::LocalSet`].
+    /// Keeps a session open. Never returns; must run inside a [`tokio::task::LocalSet`].
     pub async fn run(self: Rc<Self>) {
         let mut delay = MIN_RECONNECT_DELAY;
         loop {
@@ -52,18 +52,18 @@
                     *self.client.borrow_mut() = None;
                 }
                 Ok(Err(e)) => tracing::warn!("fleet: no session with the coordinator: {e}"),
-                Err(_) => tracing::warn!("fleet: no session with the coordinator in time"),
+                Err(_) => tracing::warn!("fleet: connecting to the coordinator timed out"),
             }
             tokio::time::sleep(delay).await;
             delay = (delay * 2).min(MAX_RECONNECT_DELAY);
         }
     }
 
-    /// Asks, and waits for what comes of it.
+    /// Carries out a request. Returns [`RegisterResponse::Unknown`] if there is no session, no answer in time, or an error.
     pub async fn carry_out(&self, register: Register, request: RegisterRequest) -> RegisterResponse {
         let client = self.client.borrow().clone();
         let Some(client) = client else {
-            // Nobody is to ask again at once.
+            // Delays the response, so that callers do not retry at once.
             tokio::time::sleep(self.timeout).await;
             return RegisterResponse::Unknown;
         };
--- a/crates/zookeeper/tests/follow.rs
+++ b/crates/zookeeper/tests/follow.rs
@@ -1,4 +1,4 @@
-//! The source against the stand-in coordinator.
+//! Tests of the membership source against the coordinator of the test kit.
 
 use oatbank_engine::ports::clock::{Clock, SystemClock};
 use oatbank_engine::supervise::keep_running;
@@ -37,7 +37,7 @@
 fn the_list_follows_the_folder() {
     let coordinator = Coordinator::start(1);
     on_local_set(async move {
-        // Also from before there is a folder.
+        // The source starts before the folder exists.
         let (seen, state) = start(&coordinator, Duration::from_secs(10));
         seen.ready(&[]).await;
         members(&coordinator, &["a", "b", "c"]);
@@ -50,13 +50,13 @@
         coordinator.put("/services/quotes/odd", b"{");
         coordinator.put("/services/quotes/d", &node(9010));
         seen.ready(&["c", "d"]).await;
-        // Its read may be answered after the other's.
-        until("the one that cannot be read is left out", || state.borrow().left_out().len() == 1).await;
+        // The read of the invalid node may be answered after that of d.
+        until("the invalid node is left out", || state.borrow().left_out().len() == 1).await;
     });
 }
 
 #[test]
-fn an_engine_whose_session_expires_is_gone() {
+fn an_engine_is_removed_when_its_session_expires() {
     use zookeeper_client::{Acls, Client, CreateMode};
     let coordinator = Coordinator::start(1);
     on_local_set(async move {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_sources_own_session_may_expire_and_its_connections_be_cut() {
+fn the_list_stays_current_across_expired_sessions_and_lost_connections() {
     let coordinator = Coordinator::start(3);
     on_local_set(async move {
         members(&coordinator, &["a", "b"]);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_list_holds_while_the_service_is_away_and_after_it_came_back_empty() {
+fn the_list_is_kept_during_an_outage_and_after_an_empty_restart() {
     let coordinator = Coordinator::start(2);
     on_local_set(async move {
         members(&coordinator, &["a", "b"]);
@@ -104,15 +104,18 @@
         let known_at = state.borrow().current_at().expect("a time");
         coordinator.endpoints.iter().for_each(|e| e.refuse(true));
         coordinator.lose_tree();
-        // Longer than all sessions; what holds is looked at all the while.
+        // The outage outlasts every session; the list is checked throughout.
         let clock = SystemClock::new();
         while clock.now() < known_at + 2000.0 {
-            assert_eq!(state.borrow().list().len(), 2, "the list holds");
+            assert_eq!(state.borrow().list().len(), 2, "the list is kept during the outage");
             clock.until(clock.now() + 20.0).await;
         }
-        assert!(state.borrow().current_at().expect("a time") < clock.now() - 1000.0, "its age shows");
+        assert!(
+            state.borrow().current_at().expect("a time") < clock.now() - 1000.0,
+            "the age of the list is reported"
+        );
         coordinator.endpoints.iter().for_each(|e| e.refuse(false));
-        // One comes back in time; the other never does.
+        // Server a registers again in time; b never does.
         members(&coordinator, &["a"]);
         seen.ready(&["a"]).await;
     });
--- a/crates/zookeeper/tests/register.rs
+++ b/crates/zookeeper/tests/register.rs
@@ -1,4 +1,4 @@
-//! Registration against the stand-in coordinator.
+//! Tests of the registration against the coordinator of the test kit.
 
 use oatbank_engine::ports::clock::{Clock, SystemClock};
 use oatbank_membership::register::{Incarnation, Place, State};
@@ -32,32 +32,35 @@
     Limiter { registrar, place }
 }
 
-fn is(limiter: &Limiter, number: usize, count: usize) -> bool {
+fn is_registered_as(limiter: &Limiter, number: usize, count: usize) -> bool {
     limiter.registrar.state() == State::Registered && limiter.place.get() == Some(Place { number, count })
 }
 
 #[test]
-fn limiters_know_their_number_and_how_many_there_are() {
+fn limiters_learn_their_number_and_the_number_of_limiters() {
     let coordinator = Coordinator::start(1);
     on_local_set(async move {
-        // Also from before there is a folder.
+        // The limiters start before the folder exists.
         let (b, a) = (start(&coordinator, "b", 1), start(&coordinator, "a", 1));
-        until("two", || is(&a, 0, 2) && is(&b, 1, 2)).await;
+        until("two", || is_registered_as(&a, 0, 2) && is_registered_as(&b, 1, 2)).await;
         let c = start(&coordinator, "c", 1);
-        until("three", || is(&a, 0, 3) && is(&b, 1, 3) && is(&c, 2, 3)).await;
+        until("three", || {
+            is_registered_as(&a, 0, 3) && is_registered_as(&b, 1, 3) && is_registered_as(&c, 2, 3)
+        })
+        .await;
         a.registrar.leave().await;
         assert_eq!(a.registrar.state(), State::Left);
         assert_eq!(coordinator.children(FOLDER), ["b", "c"], "removed before its session has ended");
-        until("two again", || is(&b, 0, 2) && is(&c, 1, 2)).await;
+        until("two again", || is_registered_as(&b, 0, 2) && is_registered_as(&c, 1, 2)).await;
     });
 }
 
 #[test]
-fn a_node_is_made_anew_after_its_session_expired_or_it_was_deleted() {
+fn a_node_is_created_again_after_session_expiry_or_deletion() {
     let coordinator = Coordinator::start(2);
     on_local_set(async move {
         let (a, b) = (start(&coordinator, "a", 1), start(&coordinator, "b", 1));
-        until("two", || is(&a, 0, 2) && is(&b, 1, 2)).await;
+        until("two", || is_registered_as(&a, 0, 2) && is_registered_as(&b, 1, 2)).await;
         for round in 0..6 {
             let owned = coordinator.sessions();
             match round % 3 {
@@ -66,23 +69,24 @@
                 _ => _ = coordinator.delete(&format!("{FOLDER}/a")),
             }
             until("both again", || coordinator.children(FOLDER) == ["a", "b"]).await;
-            until("both know", || is(&a, 0, 2) && is(&b, 1, 2)).await;
+            until("both have their numbers", || is_registered_as(&a, 0, 2) && is_registered_as(&b, 1, 2))
+                .await;
         }
     });
 }
 
 #[test]
-fn what_an_earlier_life_left_behind_is_replaced() {
+fn a_restarted_limiter_replaces_the_node_of_its_predecessor() {
     let coordinator = Coordinator::start(1);
     on_local_set(async move {
         let old = start(&coordinator, "a", 1);
-        until("the old one", || is(&old, 0, 1)).await;
-        let left = coordinator.get(&format!("{FOLDER}/a"));
-        // The new process comes while the old one's node is still there; the old one is not heard any more.
+        until("the old one", || is_registered_as(&old, 0, 1)).await;
+        let old_node = coordinator.get(&format!("{FOLDER}/a"));
+        // The new process starts while the old one's node still exists; the old process is superseded.
         let new = start(&coordinator, "a", 2);
-        until("the new one", || is(&new, 0, 1)).await;
-        assert_ne!(coordinator.get(&format!("{FOLDER}/a")), left);
+        until("the new one", || is_registered_as(&new, 0, 1)).await;
+        assert_ne!(coordinator.get(&format!("{FOLDER}/a")), old_node);
         assert_eq!(coordinator.children(FOLDER), ["a"]);
-        until("the old one knows", || matches!(old.registrar.state(), State::Superseded(_))).await;
+        until("the old one is superseded", || matches!(old.registrar.state(), State::Superseded(_))).await;
     });
 }
