--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,10 +1,10 @@
-//! The second address, where operators call: HTTP/1.1, one call to a connection.
+//! HTTP API for operators on the control address: HTTP/1.1, one call per connection.
 //!
-//! | call | answer |
+//! | call | response |
 //! | --- | --- |
 //! | `GET /v1/readyz` | 200 if this process is ready to serve, else 503 |
-//! | `POST /v1/servers/ID/suspend` | 200 once nothing new goes to that server; 404 for one that was never listed |
-//! | `POST /v1/servers/ID/resume` | 200 once that server is used again; 404 likewise |
+//! | `POST /v1/servers/ID/suspend` | 200 once the server gets no new requests; 404 if it was never listed |
+//! | `POST /v1/servers/ID/resume` | 200 once the server is used again; 404 if it was never listed |
 
 use crate::fleet::Fleet;
 use crate::upgrade::Upgrade;
@@ -30,26 +30,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Connections that may be open; of more, the one that has said nothing whole for the longest gives way. What the
-/// limits of descriptors are to spare for this address.
+/// Maximum number of open connections, for which file descriptors are reserved. Beyond it the oldest connection without
+/// a complete request is closed.
 pub const MOST_CALLERS: usize = 32;
-/// A caller that has not made its call by then is let go.
+/// A connection without a response after this time is closed.
 const PATIENCE: Duration = Duration::from_secs(5);
-/// And one whose call concerns the fleet, after this.
+/// Additional time for calls about the fleet, whose longest proposal takes 60 s.
 const LONGEST_CALL: Duration = Duration::from_secs(65);
-/// Buffer of a caller's connection.
+/// Maximum size of a connection's buffer, bytes.
 const BUFFER: usize = 8 * 1024;
-/// Pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A caller that has made no whole call yet.
+/// Open connection of an operator.
 struct Caller {
-    /// Its call is being answered: it gives way to nobody.
+    /// Whether its request is complete and being answered, so that it is not closed for another connection.
     heard: Cell<bool>,
     leave: Notify,
 }
 
-/// The second address.
+/// Server of the control address.
 pub struct Control {
     engine: Rc<Engine<Http1>>,
     upgrade: OnceCell<Rc<Upgrade>>,
@@ -58,10 +58,10 @@
 }
 
 impl Control {
-    /// Listens at `address` from now on.
+    /// Listens at `address` and starts to accept calls.
     ///
     /// # Errors
-    /// When the address cannot be had; names the key.
+    /// If the address cannot be bound; the message names the key.
     pub fn start(address: SocketAddr, engine: Rc<Engine<Http1>>) -> std::io::Result<Rc<Self>> {
         let named = |e: std::io::Error| std::io::Error::new(e.kind(), format!("control {address}: {e}"));
         let listener = Rc::new(crate::serve::bind(address).map_err(named)?);
@@ -77,12 +77,12 @@
         Ok(control)
     }
 
-    /// From now on what is said here holds at other processes too, before a caller is told so.
+    /// Sends suspend and resume calls to the other processes of an upgrade before they are answered.
     pub fn tell_others(&self, upgrade: Rc<Upgrade>) {
         let _ = self.upgrade.set(upgrade);
     }
 
-    /// From now on calls about the fleet are answered.
+    /// Enables calls about the fleet.
     pub fn answer_for(&self, fleet: Rc<Fleet>) {
         let _ = self.fleet.set(fleet);
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Lets go of the oldest caller that has said nothing whole, if there are too many.
+    /// Closes the oldest connection without a complete request if there are too many.
     fn make_room(&self) {
         let mut callers = self.callers.borrow_mut();
         if callers.len() >= MOST_CALLERS {
@@ -116,7 +116,7 @@
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream, caller: Rc<Caller>) {
-        // An answer is one small write, and is wanted now.
+        // A response is one small write and must not be delayed.
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| {
             caller.heard.set(true);
@@ -157,8 +157,8 @@
         }
     }
 
-    /// How long a caller is waited for. One whose call is heard, where calls may take their time, is not let go: each of
-    /// these ends by itself.
+    /// Completes when the connection has to be closed. Calls of a fleet limiter get [`LONGEST_CALL`] more once their
+    /// request is complete, as each of them has a timeout of its own.
     async fn patience(&self, caller: &Caller) {
         tokio::time::sleep(PATIENCE).await;
         if self.fleet.get().is_some() && caller.heard.get() {
@@ -176,7 +176,7 @@
 
     async fn operate(&self, id: &str, out: bool) -> Response<Full<Bytes>> {
         let Ok(id) = percent_decode_str(id).decode_utf8() else {
-            return told(StatusCode::BAD_REQUEST, "the id is no UTF-8\n".into());
+            return told(StatusCode::BAD_REQUEST, "the id is not UTF-8\n".into());
         };
         let (call, state) = if out { ("suspend", "out") } else { ("resume", "in") };
         match self.engine.set_suspended(&id, out) {
--- a/crates/daemon/src/fleet/command.rs
+++ b/crates/daemon/src/fleet/command.rs
@@ -1,4 +1,4 @@
-//! `oatbank fleet`: what operators do with a fleet's rules, by calls to a limiter's `fleet.control`.
+//! `oatbank fleet`: shows and changes a fleet's rules through the HTTP API at a limiter's `fleet.control` address.
 
 use crate::serve::on_one_thread;
 use bytes::Bytes;
@@ -17,123 +17,124 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A call without an answer by then has none: the longest patience of a proposal and some more.
+/// Time limit of a call: the longest timeout of a proposal (60 s) and a margin.
 const WAIT: Duration = Duration::from_secs(65);
-/// After an answer was lost: how often it is looked whether the change stands, and with which pause.
+/// Number of checks whether a change is in force after its response was lost.
 const LOOKS: u32 = 20;
+/// Interval between these checks, and between attempts of `suspend` and `resume`.
 const LOOK: Duration = Duration::from_millis(250);
 
-/// How often a change of one key is made again on what is current meanwhile.
+/// Number of retries of `suspend` and `resume` when another revision has become current meanwhile.
 const TRIES: u32 = 20;
 
-/// Exit codes beside 0 and 1, in the order of the help.
+/// Exit codes besides 0 and 1, in the order of the help text.
 const VETOED: u8 = 2;
 const OTHER_CURRENT: u8 = 3;
 const NO_DECIDER: u8 = 4;
 const TIMED_OUT: u8 = 5;
 const DECIDED_ANSWER_LOST: u8 = 6;
 
-/// Which limiter is asked.
+/// Limiter addresses and output format of a command.
 #[derive(Args)]
 pub struct At {
-    /// The limiter's fleet.control; changes and the history are the decider's. Of several, behind commas, the decider's is
-    /// taken.
+    /// Address of a limiter's fleet.control. Changes and the history need the decider; of several addresses, separated by
+    /// commas, the decider's is used.
     #[arg(long, value_name = "ADDRESS", value_delimiter = ',', required = true)]
     at: Vec<SocketAddr>,
-    /// Print what was answered, JSON.
+    /// Print the response as JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// What is asked for.
+/// Subcommands of `oatbank fleet`.
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// What a limiter acts by; at the decider, also what it knows of each other one.
+    /// Show the rules a limiter applies; at the decider, also the state of every limiter.
     #[command(after_help = "Example:\n  oatbank fleet status --at 127.0.0.1:7100")]
     Status {
         #[command(flatten)]
         at: At,
     },
-    /// Propose a file's text as the rules of all limiters, and wait for what becomes of it.
+    /// Propose a file as the rules of all limiters, and wait for the decision.
     #[command(
         after_help = "Exit codes: 0 decided, 2 vetoed, 3 another revision is current or being decided, \
         4 no decider, 5 timed out and nothing has changed, 6 decided though the answer was lost.\n\n\
         Example:\n  oatbank fleet apply rules.toml --at 127.0.0.1:7100 --expect 4"
     )]
     Apply {
-        /// The file (TOML): attempts, classes, cold, left, max_units, plans, servers, suspended, zones.
+        /// Rules file (TOML) with the keys attempts, classes, cold, left, max_units, plans, servers, suspended, zones.
         file: String,
-        /// The number of the revision that it is to follow.
+        /// Apply only if this is the number of the current revision.
         #[arg(long)]
         expect: Option<u64>,
-        /// Only whether all could take it.
+        /// Only check whether all limiters accept the rules.
         #[arg(long)]
         dry_run: bool,
-        /// Limiters that are gone for good, behind commas: they are not waited for.
+        /// Limiters that are gone for good and are not waited for, separated by commas.
         #[arg(long, value_name = "NAMES")]
         without: Option<String>,
         #[command(flatten)]
         at: At,
     },
-    /// Take servers out of use at all limiters: a change of the rules' `suspended`.
+    /// Suspend servers at all limiters, by changing `suspended` in the rules.
     #[command(after_help = "Example:\n  oatbank fleet suspend engine-3 engine-4 --at 127.0.0.1:7100")]
     Suspend {
-        /// Their ids, listed or not.
+        /// Server ids; they need not be listed.
         #[arg(required = true)]
         servers: Vec<String>,
         #[command(flatten)]
         at: At,
     },
-    /// Put servers in again that `suspend` has taken out.
+    /// Resume suspended servers.
     #[command(after_help = "Example:\n  oatbank fleet resume engine-3 --at 127.0.0.1:7100")]
     Resume {
-        /// Their ids.
+        /// Server ids.
         #[arg(required = true)]
         servers: Vec<String>,
         #[command(flatten)]
         at: At,
     },
-    /// The revisions that were in force, the current one last.
+    /// List the revisions that were in force, the current one last.
     #[command(after_help = "Example:\n  oatbank fleet history --at 127.0.0.1:7100")]
     History {
         #[command(flatten)]
         at: At,
     },
-    /// Propose an earlier revision's text again.
+    /// Propose the text of an earlier revision again.
     #[command(after_help = "Example:\n  oatbank fleet rollback 3 --at 127.0.0.1:7100")]
     Rollback {
-        /// Its number.
+        /// Number of the revision.
         number: u64,
         #[command(flatten)]
         at: At,
     },
-    /// The lines in which two revisions differ; without the second, the first and the current one.
+    /// Show the lines that differ between two revisions, or between a revision and the current one.
     #[command(after_help = "Example:\n  oatbank fleet diff 3 4 --at 127.0.0.1:7100")]
     Diff {
-        /// The one.
+        /// Number of the first revision.
         one: u64,
-        /// The other.
+        /// Number of the second revision; the current one by default.
         other: Option<u64>,
         #[command(flatten)]
         at: At,
     },
 }
 
-/// Why a command does not end well: its exit code and what to say.
+/// Failure of a command: its exit code and message.
 pub(super) struct End(pub(super) u8, pub(super) String);
 
-/// Runs a command.
+/// Runs a command and returns its exit code.
 ///
 /// # Errors
-/// When there is no runtime.
+/// If the runtime cannot be started.
 pub fn run(command: FleetCommand) -> Result<ExitCode, String> {
     ended(carry_out(command))
 }
 
-/// Waits for a command's end, says why it did not end well, and gives its exit code.
+/// Runs a command, prints the reason of a failure to standard error, and returns the exit code.
 ///
 /// # Errors
-/// When there is no runtime.
+/// If the runtime cannot be started.
 pub(super) fn ended(command: impl Future<Output = Result<(), End>> + 'static) -> Result<ExitCode, String> {
     let ended = Rc::new(std::cell::Cell::new(0));
     let code = ended.clone();
@@ -180,7 +181,7 @@
     Ok(())
 }
 
-/// Another change meanwhile is no harm to this one: it is made again on what is current then.
+/// Changes the suspended servers. If another revision becomes current meanwhile, the change is applied to that one.
 async fn suspend(at: &At, servers: &[String], out: bool) -> Result<(), End> {
     let mut tries = 0;
     loop {
@@ -231,27 +232,27 @@
     Err(End(code, say))
 }
 
-/// The answer was lost: the change may be decided all the same.
+/// Checks whether a change whose response was lost is in force, and returns the resulting failure.
 async fn look(at: &At, digest: Digest, dry_run: bool, why: String) -> End {
     for _ in 0..if dry_run { 0 } else { LOOKS } {
         let status = get(at, "status").await.unwrap_or(Value::Null);
         if status["holds"]["hash"] == digest.to_string() {
             return End(
                 DECIDED_ANSWER_LOST,
-                format!("{why}; yet it is decided, as {}", status["holds"]["revision"]),
+                format!("{why}; the change was decided nevertheless, as {}", status["holds"]["revision"]),
             );
         }
         tokio::time::sleep(LOOK).await;
     }
     End(
         TIMED_OUT,
-        format!("{why}; it is not in force, and may be decided yet: look at `oatbank fleet status`"),
+        format!("{why}; the change is not in force but may still be decided: see `oatbank fleet status`"),
     )
 }
 
-/// The one to be asked: of several the decider, or the first that answers.
+/// Returns the address to call: of several the decider's, or else the first that responds.
 async fn asked(at: &At) -> Result<SocketAddr, End> {
-    let [first, more @ ..] = &at.at[..] else { return Err(End(NO_DECIDER, "--at names nobody".into())) };
+    let [first, more @ ..] = &at.at[..] else { return Err(End(NO_DECIDER, "--at has no address".into())) };
     if more.is_empty() {
         return Ok(*first);
     }
@@ -284,7 +285,7 @@
     let status = get(at, "status").await?;
     status["holds"]["number"]
         .as_u64()
-        .ok_or_else(|| End(NO_DECIDER, "no rules are in force there yet".into()))
+        .ok_or_else(|| End(NO_DECIDER, "the limiter has no rules in force yet".into()))
 }
 
 async fn fetch(at: &At, path: &str) -> Result<String, End> {
@@ -296,19 +297,19 @@
     }
 }
 
-/// A call that orders something: its status and text.
+/// Makes a call that changes something and returns its status and body.
 pub(super) async fn call_at(at: &At, method: Method, path: &str) -> Result<(u16, String), End> {
     match call(asked(at).await?, method, path, String::new()).await {
         Ok((421 | 503, body)) => Err(End(NO_DECIDER, body)),
         Ok(answer) => Ok(answer),
         Err(Lost::Before(why)) => Err(End(NO_DECIDER, why)),
         Err(Lost::After(why)) => {
-            Err(End(TIMED_OUT, format!("{why}; it may have been taken: look at `oatbank zone status`")))
+            Err(End(TIMED_OUT, format!("{why}; the order may have been accepted: see `oatbank zone status`")))
         }
     }
 }
 
-/// No answer came, and the call can or cannot have been made.
+/// Call without a response: it failed before or after the request may have been sent.
 enum Lost {
     Before(String),
     After(String),
@@ -318,7 +319,7 @@
     let before = |e: &dyn std::fmt::Display| Lost::Before(format!("{at}: {e}"));
     let stream = TcpStream::connect(at).await.map_err(|e| before(&e))?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| before(&e))?;
-    // It ends with its call.
+    // The connection ends with its call.
     tokio::task::spawn_local(async move { drop(connection.await) });
     let request =
         Request::builder().method(method).uri(format!("/v1/fleet/{path}")).header("host", at.to_string());
@@ -332,7 +333,7 @@
     match tokio::time::timeout(WAIT, answer).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(e)) => Err(Lost::After(format!("{at}: {e}"))),
-        Err(_) => Err(Lost::After(format!("{at}: no answer"))),
+        Err(_) => Err(Lost::After(format!("{at}: no response in time"))),
     }
 }
 
@@ -377,7 +378,7 @@
         lines.push(format!("cannot take {}: {}", word(&veto["revision"]), word(&veto["why"])));
     }
     if status["recovering"] == true {
-        lines.push("has just started, and waits for the others".into());
+        lines.push("has just started and is waiting for the other limiters".into());
     }
     if let Some(limiters) = status["limiters"].as_array() {
         lines.push(format!(
@@ -409,7 +410,7 @@
     )
 }
 
-/// Lines that only one has.
+/// Returns the lines that only one of the texts has, marked with `-` and `+`.
 fn difference(a: &str, b: &str) -> Vec<String> {
     let diff = similar::TextDiff::from_lines(a, b);
     let changes = diff.iter_all_changes().filter(|c| c.tag() != similar::ChangeTag::Equal);
@@ -421,7 +422,7 @@
     use super::difference;
 
     #[test]
-    fn only_what_differs_is_shown() {
+    fn difference_returns_only_changed_lines() {
         assert_eq!(difference("a\nb\nc\n", "a\nx\nc\nd\n"), ["- b", "+ x", "+ d"]);
         assert!(difference("a\n", "a\n").is_empty());
     }
--- a/crates/daemon/src/fleet/zone_command.rs
+++ b/crates/daemon/src/fleet/zone_command.rs
@@ -1,4 +1,4 @@
-//! `oatbank zone`: what operators do with a fleet's zones, by calls to the decider's `fleet.control`.
+//! `oatbank zone`: shows and controls a fleet's zones through the HTTP API at the decider's `fleet.control` address.
 
 use super::command::{call_at, ended, get, print, word, At, End};
 use clap::Subcommand;
@@ -6,67 +6,67 @@
 use serde_json::Value;
 use std::process::ExitCode;
 
-/// There is no such zone, or it is the last.
+/// Exit code if the zone is unknown or is the last one in full use.
 const NOT_POSSIBLE: u8 = 3;
 
-/// What is asked for.
+/// Subcommands of `oatbank zone`.
 #[derive(Subcommand)]
 pub enum ZoneCommand {
-    /// All zones: how much of each is used and why, what is seen of it, by which limiter.
+    /// Show all zones: the share in use and why, failures, and the limiters that see them.
     #[command(after_help = "Example:\n  oatbank zone status --at 127.0.0.1:7100")]
     Status {
         #[command(flatten)]
         at: At,
     },
-    /// Whether the others would bear it if this zone were left now; nothing changes.
+    /// Show whether the other zones could take the load of this zone now; changes nothing.
     #[command(after_help = "Example:\n  oatbank zone plan a --at 127.0.0.1:7100")]
     Plan {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
         #[command(flatten)]
         at: At,
     },
-    /// Leave a zone, whatever is seen, until `return` or `end`.
+    /// Stop using a zone, regardless of its health, until `return` or `end`.
     #[command(after_help = "Example:\n  oatbank zone leave a --over 30 --at 127.0.0.1:7100")]
     Leave {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Evenly over this, seconds; without, at once.
+        /// Period over which the zone is evenly drained, in seconds; 0 drains it at once.
         #[arg(long, value_name = "SECONDS", default_value_t = 0)]
         over: u64,
         #[command(flatten)]
         at: At,
     },
-    /// Use a zone again, step by step, whatever is seen; once it is whole, what is seen counts again.
+    /// Use a zone again step by step, regardless of its health; automatic failover resumes once it is in full use.
     #[command(after_help = "Example:\n  oatbank zone return a --at 127.0.0.1:7100")]
     Return {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
         #[command(flatten)]
         at: At,
     },
-    /// Use as much of a zone as now, whatever is seen, until `end`.
+    /// Keep a zone's current share, regardless of its health, until `end`.
     #[command(after_help = "Example:\n  oatbank zone hold a --at 127.0.0.1:7100")]
     Hold {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
         #[command(flatten)]
         at: At,
     },
-    /// End what was ordered: what is seen counts again.
+    /// End an order and resume automatic failover.
     #[command(after_help = "Example:\n  oatbank zone end a --at 127.0.0.1:7100")]
     End {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
         #[command(flatten)]
         at: At,
     },
 }
 
-/// Runs a command.
+/// Runs a command and returns its exit code.
 ///
 /// # Errors
-/// When there is no runtime.
+/// If the runtime cannot be started.
 pub fn run(command: ZoneCommand) -> Result<ExitCode, String> {
     ended(carry_out(command))
 }
@@ -115,7 +115,7 @@
     let (name, rate) = (word(&zone["zone"]), zone["rate"].as_f64().unwrap_or(0.0));
     match zone["stays"].as_f64() {
         Some(stays) if stays <= 0.0 => {
-            format!("{name}: the others would bear its {rate:.0} attempts a second")
+            format!("{name}: the other zones could take its {rate:.0} attempts per second")
         }
         stays => format!(
             "{name}: of its {rate:.0} attempts a second the others would bear {:.0}% for a start",
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The limiter as a daemon: `oatbank` alone serves on the platform; see `oatbank --help` for the rest.
+//! The limiter daemon. `oatbank` without a command serves on the platform; `oatbank --help` lists the commands.
 
 mod control;
 mod demo;
@@ -18,9 +18,9 @@
 use std::process::ExitCode;
 use tracing_subscriber::filter::Targets;
 
-/// A rate limiter: quotas over many gateways, choice of server, retries, one answer to every request.
+/// A rate limiter: quotas across gateways, load balancing, retries, and exactly one response to each request.
 ///
-/// Without a command it serves on the platform, by the file that PROXY_CONFIG names.
+/// Without a command it serves on the platform, with the configuration file named by PROXY_CONFIG.
 #[derive(Parser)]
 #[command(
     name = "oatbank",
@@ -34,48 +34,48 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve without a platform, from a configuration file.
+    /// Serve from a configuration file, without a platform.
     #[command(after_help = "Example:\n  oatbank serve --config deploy/standalone.toml --log-format json \
         --log-level info,oatbank_zookeeper=debug")]
     Serve {
-        /// The file (TOML). Variables as OATBANK__LIMITS__SOCKETS=512 override its keys.
+        /// Configuration file (TOML). Environment variables such as OATBANK__LIMITS__SOCKETS=512 override its keys.
         #[arg(long)]
         config: String,
         #[command(flatten)]
         log: LogArguments,
     },
-    /// Check a configuration file: tell what it says, or all that is wrong in it.
+    /// Check a configuration file: print a summary, or all errors in it.
     #[command(after_help = "Example:\n  oatbank check deploy/standalone.toml")]
     Check {
-        /// The file (TOML).
+        /// Configuration file (TOML).
         file: String,
     },
-    /// What there is to know of configurations.
+    /// Show information about the configuration format.
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Print the list of servers as a limiter would have it.
+    /// Print the list of servers that a limiter would use.
     #[command(after_help = "Example:\n  oatbank members --config deploy/standalone.toml")]
     Members {
-        /// The file (TOML).
+        /// Configuration file (TOML).
         #[arg(long)]
         config: String,
-        /// Go on, and print what changes.
+        /// Keep running and print changes.
         #[arg(long)]
         follow: bool,
     },
-    /// The rules that all limiters of a fleet act by: look at them and change them.
+    /// Show and change the rules shared by all limiters of a fleet.
     #[command(subcommand)]
     Fleet(fleet::command::FleetCommand),
-    /// Zones that the fleet leaves and comes back to: look at them, order what is to be.
+    /// Show the zones of a fleet and control zone failover.
     #[command(subcommand)]
     Zone(fleet::zone_command::ZoneCommand),
-    /// Start engines and a limiter on loopback, let some fail, and print what happens.
+    /// Start servers and a limiter on loopback, simulate failures, and print what happens.
     #[command(after_help = "Example:\n  oatbank demo")]
     Demo,
-    /// Print a shell's completions for this program.
+    /// Print shell completions.
     #[command(after_help = "Example:\n  oatbank completions bash > /etc/bash_completion.d/oatbank")]
     Completions {
-        /// The shell.
+        /// Shell to print completions for.
         shell: clap_complete::Shell,
     },
 }
@@ -89,10 +89,11 @@
 
 #[derive(Args)]
 struct LogArguments {
-    /// What a line of the log looks like.
+    /// Format of log lines.
     #[arg(long, value_enum, default_value = "text")]
     log_format: logging::Format,
-    /// The least level that is logged: off, error, warn, info, debug, trace; also by module, behind commas.
+    /// Lowest level that is logged: off, error, warn, info, debug or trace; MODULE=LEVEL sets a module's, separated by
+    /// commas.
     #[arg(long, default_value = "info", value_parser = logging::levels)]
     log_level: Targets,
 }
@@ -126,7 +127,7 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        // Commands that keep no log have no other place for it.
+        // Errors go to the log if there is one, otherwise to standard error.
         Err(e) if logging::is_on() => {
             e.lines().for_each(|line| tracing::error!("{line}"));
             ExitCode::FAILURE
@@ -150,7 +151,7 @@
     println!("  {} would listen on {}, counter {:?}", config.name, config.listen, config.counter);
     println!("  {} servers, classes {:?}, plans {:?}", config.members.len(), names.classes, names.plans);
     if config.members.is_empty() {
-        println!("  note: without servers every request is refused");
+        println!("  note: without servers every request is rejected");
     }
     Ok(())
 }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -1,4 +1,4 @@
-//! The life of a serving process: from its listener to the last answer.
+//! Lifecycle of a serving process, from its listener to the last response.
 
 use crate::front::{Front, PlatformDesk};
 use oatbank_engine::engine::{shutdown_timeout, Engine, Setup};
@@ -19,46 +19,47 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::AbortHandle;
 
-/// Connections that may wait to be accepted.
+/// Maximum length of the listener's queue of pending connections.
 const BACKLOG: u32 = 1024;
-/// After SIGTERM new connections still come for up to 0.4 s.
+/// New connections arrive for up to 0.4 s after SIGTERM and are accepted for this long.
 const KEEP_ACCEPTING: Duration = Duration::from_millis(450);
-/// Of the time that a shutdown has, what is left for closing the connections that were kept open.
+/// Part of the shutdown timeout that is reserved for closing idle connections.
 const CLOSING: Duration = Duration::from_millis(150);
-/// How often the end of a shutdown looks whether all is done, and how long it waits for last bytes.
+/// Interval at which a shutdown checks for open connections.
 const LOOK: Duration = Duration::from_millis(10);
+/// How long the last responses may take to be written at the end of a shutdown.
 const LAST_BYTES: Duration = Duration::from_millis(60);
 
-/// What a serving process is started with, wherever that came from.
+/// Parameters of a serving process, from either kind of configuration.
 pub struct Plan {
     /// The limiter's name, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// Address where clients connect.
     pub listen: SocketAddr,
-    /// What the engine is told.
+    /// Configuration of the engine.
     pub setup: Setup,
-    /// What the process may take.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// A server closes a connection that stood idle this long, ms.
+    /// Idle time after which servers close a connection, ms.
     pub conn_idle: Millis,
-    /// A connection that is not up within this, ms, has failed.
+    /// Timeout for opening a connection to a server, ms.
     pub connect_timeout: Millis,
-    /// How refusals say when to come back.
+    /// Format of the retry time in rejections.
     pub come_back: ComeBack,
-    /// A listening socket that was handed over, in place of one at `listen`.
+    /// Inherited listening socket, used in place of a new one at `listen`.
     pub passed: Option<RawFd>,
-    /// Descriptors that what else is switched on may take.
+    /// File descriptors reserved for optional features.
     pub others: usize,
 }
 
 impl Plan {
-    /// What this process may take, by purpose, while it is this part of the limiter.
+    /// Returns the budget of this process while it has this share (0 to 1) of the limits.
     pub fn budget(&self, part: f64) -> Budget {
         Budget::divide(self.limits, self.others, part)
     }
 }
 
-/// The signals that a serving process follows.
+/// Signals that a serving process handles.
 pub struct Signals {
     hangup: Signal,
     term: Signal,
@@ -66,10 +67,10 @@
 }
 
 impl Signals {
-    /// To be called before anything else: until there is a handler each of them ends the process.
+    /// Installs the handlers. Must be called first: without a handler each of these signals ends the process.
     ///
     /// # Errors
-    /// When the system refuses a handler.
+    /// If a handler cannot be installed.
     pub fn new() -> std::io::Result<Self> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
@@ -78,7 +79,7 @@
         })
     }
 
-    /// Calls `reload` at each SIGHUP, and completes when the process is to end.
+    /// Calls `reload` on each SIGHUP, and completes on SIGTERM or SIGINT.
     pub async fn until_stop(&mut self, mut reload: impl FnMut()) {
         loop {
             tokio::select! {
@@ -90,7 +91,7 @@
     }
 }
 
-/// A process that takes requests.
+/// Running front end and engine of a process.
 pub struct Serving {
     name: String,
     engine: Rc<Engine<Http1>>,
@@ -100,7 +101,7 @@
 }
 
 impl Serving {
-    /// Builds the engine and starts it; it takes no request yet.
+    /// Creates and starts the engine, without a listener.
     pub fn engine(plan: &Plan, clock: Rc<dyn Clock>) -> Rc<Engine<Http1>> {
         let budget = plan.budget(1.0);
         let connections = Connections {
@@ -115,10 +116,10 @@
         engine
     }
 
-    /// Opens the listener.
+    /// Opens the listener and starts to accept connections.
     ///
     /// # Errors
-    /// When the address cannot be had.
+    /// If the address cannot be bound or the inherited socket cannot be used.
     pub fn start(plan: &Plan, engine: Rc<Engine<Http1>>) -> std::io::Result<Self> {
         let front = Front::new(
             PlatformDesk::new(engine.clone(), plan.come_back),
@@ -138,25 +139,30 @@
         Ok(Serving { name: plan.name.clone(), engine, address, front, accepting })
     }
 
-    /// The clients' side.
+    /// Returns the front end that holds the client connections.
     pub fn front(&self) -> Rc<Front> {
         self.front.clone()
     }
 
-    /// Where clients connect.
+    /// Returns the address where clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Answers all that was taken, and ends: new connections are taken for 0.45 s, and what is left is
-    /// answered by 0.55 s after the longest deadline (3 s at most).
+    /// Shuts down gracefully: accepts new connections for 0.45 s, and fails requests that are still open 0.55 s after the
+    /// longest deadline (3 s at most).
     ///
-    /// Where a successor has taken over (`yielded`), connections between two requests are kept until the end of that
-    /// time: each one's next answer moves its client on, while a close might cross a request.
+    /// If a successor has taken over (`yielded`), idle connections are kept until near the end of that time: the next
+    /// response on each of them tells the client to reconnect, while closing it could race with a request.
     pub async fn stop(self, yielded: bool) {
         let (engine, front) = (&self.engine, &self.front);
         let stopped = Instant::now();
-        tracing::info!("{} stops: {} connections, {} owed", self.name, front.open(), engine.unanswered());
+        tracing::info!(
+            "{} stops: {} connections, {} unanswered requests",
+            self.name,
+            front.open(),
+            engine.unanswered()
+        );
         let end = stopped + shutdown_timeout(engine.revision().settings());
         front.stop();
         if yielded {
@@ -173,10 +179,10 @@
     }
 }
 
-/// Runs one thread's work to its end.
+/// Runs `work` to its end on a single-threaded runtime.
 ///
 /// # Errors
-/// What the work ended with, or why there is no runtime.
+/// The error of `work`, or the reason why the runtime could not be started.
 pub fn on_one_thread<F>(work: F) -> Result<(), String>
 where
     F: Future<Output = Result<(), String>> + 'static,
@@ -184,12 +190,12 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let local = tokio::task::LocalSet::new();
-    // As a task of its own: the outermost future is polled on every turn of the event loop.
+    // Spawned as a task, because the outermost future is polled on every turn of the event loop.
     let serving = local.spawn_local(work);
     local.block_on(&runtime, serving).map_err(|e| e.to_string())?
 }
 
-/// Answers what was taken, and fails what is left at `end`.
+/// Waits for open requests until `end`, then fails those that are left.
 async fn finish(engine: &Rc<Engine<Http1>>, front: &Rc<Front>, end: Instant) {
     front.close_idle();
     while front.open() > 0 && Instant::now() < end {
@@ -202,7 +208,10 @@
     }
 }
 
-/// Takes over a listening socket that this process was started with.
+/// Adopts an inherited listening socket.
+///
+/// # Errors
+/// If the descriptor is not a listening TCP socket.
 fn adopt(descriptor: RawFd) -> std::io::Result<TcpListener> {
     let wrong = |why: String| {
         std::io::Error::new(
@@ -210,21 +219,21 @@
             format!("PROXY_PASSED_SOCKET {descriptor}: {why}"),
         )
     };
-    // The crate goes by the names of systemd's protocol, and forgets them again.
+    // listenfd reads the variables of systemd's protocol and removes them afterwards.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     std::env::remove_var("LISTEN_PID");
     let taken = listenfd::ListenFd::from_env().take_tcp_listener(0);
     let listener =
-        taken.map_err(|e| wrong(e.to_string()))?.ok_or_else(|| wrong("nothing is there".into()))?;
+        taken.map_err(|e| wrong(e.to_string()))?.ok_or_else(|| wrong("no socket is open there".into()))?;
     if !SockRef::from(&listener).is_listener()? {
-        return Err(wrong("a socket that does not listen".into()));
+        return Err(wrong("the socket is not listening".into()));
     }
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
 
-/// Listens at once also where the process before left connections behind.
+/// Binds a listener with SO_REUSEADDR, so that connections left by an earlier process do not block the address.
 pub fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
