--- a/crates/daemon/src/bin/limiter-simulator-adapter.rs
+++ b/crates/daemon/src/bin/limiter-simulator-adapter.rs
@@ -1,4 +1,4 @@
-//! Serves the decision module on the bench's wire: frames on standard input, replies on standard output.
+//! Runs the limiter core for the simulator: reads frames from standard input and writes replies to standard output.
 
 use oatbank_limiter_core::wire::Host;
 use std::io::{stdin, stdout, BufWriter};
--- a/crates/daemon/src/demo.rs
+++ b/crates/daemon/src/demo.rs
@@ -1,5 +1,5 @@
-//! `oatbank demo`: a limiter in front of small engines, all on loopback, with one engine that fails for a
-//! while and one that drains, and customers within and beyond their quota.
+//! `oatbank demo`: a limiter in front of small engines on loopback. One engine fails for a while and one drains, and
+//! customers send within and beyond their quotas.
 
 mod engines;
 mod traffic;
@@ -32,16 +32,16 @@
     rate = 5
     burst = 5
 "#;
-/// The engines fail, recover and drain at these times after the start.
+// Times of the events after the start.
 const FAILS_AT: Duration = Duration::from_millis(1000);
 const RECOVERS_AT: Duration = Duration::from_millis(2000);
 const DRAINS_AT: Duration = Duration::from_millis(2500);
 const ENDS_AT: Duration = Duration::from_millis(4000);
 
-/// Runs the demo and prints what happened.
+/// Runs the demo and prints the results.
 ///
 /// # Errors
-/// When a loopback address cannot be had.
+/// If a loopback address cannot be bound.
 pub fn run() -> Result<(), String> {
     on_one_thread(async { play().await })
 }
--- a/crates/daemon/src/demo/engines.rs
+++ b/crates/daemon/src/demo/engines.rs
@@ -1,4 +1,4 @@
-//! A small engine on loopback.
+//! Engine of the demo: an HTTP server on loopback.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -14,22 +14,25 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// How long a quote takes it.
+/// Processing time of a request.
 const WORK: Duration = Duration::from_millis(8);
 
-/// One engine and what it has seen.
+/// Engine and its request counts.
 pub struct SmallEngine {
     pub name: String,
     pub address: SocketAddr,
     pub failing: Cell<bool>,
     pub seen: Cell<u32>,
     pub failed: Cell<u32>,
-    /// When the last request came.
+    /// Time of the last request.
     pub last: Cell<Option<Instant>>,
 }
 
 impl SmallEngine {
-    /// Listens on a free port, as a task of the local set.
+    /// Starts an engine on a free port, as a task of the local set.
+    ///
+    /// # Errors
+    /// If no loopback port can be bound.
     pub async fn start(name: String) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let engine = Rc::new(SmallEngine {
@@ -46,7 +49,7 @@
                 let engine = serving.clone();
                 tokio::task::spawn_local(async move {
                     let service = service_fn(|_| async { Ok::<_, Infallible>(engine.quote().await) });
-                    // A connection's end is the limiter's matter.
+                    // Connection errors are handled by the limiter.
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
             }
--- a/crates/daemon/src/demo/traffic.rs
+++ b/crates/daemon/src/demo/traffic.rs
@@ -1,4 +1,4 @@
-//! A customer that asks at a steady rate.
+//! Customer of the demo that sends requests at a constant rate.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// A customer and what it was answered.
+/// Customer and the number of responses by status.
 pub struct Customer {
     who: &'static str,
     statuses: Rc<RefCell<BTreeMap<u16, u32>>>,
@@ -22,7 +22,7 @@
 }
 
 impl Customer {
-    /// Begins to ask, `rate` times a second.
+    /// Starts to send `rate` requests per second.
     pub fn start(who: &'static str, limiter: SocketAddr, plan: &'static str, number: u64, rate: u32) -> Self {
         let statuses = Rc::new(RefCell::new(BTreeMap::new()));
         let counted = statuses.clone();
@@ -32,7 +32,7 @@
                 ticks.tick().await;
                 let counted = counted.clone();
                 tokio::task::spawn_local(async move {
-                    // One without an answer counts under 0.
+                    // Requests without a response are counted under status 0.
                     let status = ask(limiter, plan, number, request).await.unwrap_or(0);
                     *counted.borrow_mut().entry(status).or_insert(0) += 1;
                 });
@@ -41,7 +41,7 @@
         Customer { who, statuses, task: task.abort_handle() }
     }
 
-    /// Stops asking, and tells what was answered.
+    /// Stops sending and returns a summary of the responses.
     pub fn finish(self) -> String {
         self.task.abort();
         let told = |status: &u16| match status {
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -1,4 +1,4 @@
-//! Carries several sources' news through [`Intake`] to the engine.
+//! Passes the updates of several membership sources through [`Intake`] to the engine.
 
 use oatbank_engine::ports::clock::Clock;
 use oatbank_engine::ports::membership::{MembershipSink, News};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// One list of servers, fed by sources of different rank.
+/// One list of servers, merged from sources of different rank.
 pub struct Feed {
     intake: RefCell<Intake>,
     told: MembershipSink,
@@ -17,7 +17,7 @@
 }
 
 impl Feed {
-    /// Tells `told` what passes `intake`, from now on for the life of the process.
+    /// Starts to send the updates that result from `intake` to `told`, for the life of the process.
     pub fn start(intake: Intake, told: MembershipSink, clock: Rc<dyn Clock>) -> Rc<Self> {
         let feed = Rc::new(Feed { intake: RefCell::new(intake), told, clock, sooner: Notify::new() });
         let letting_in = feed.clone();
@@ -25,7 +25,7 @@
         feed
     }
 
-    /// Where the source of this rank tells its news. What passes is told before this returns.
+    /// Returns the sink for the source of this rank. A call of it forwards the resulting update before it returns.
     pub fn source(self: &Rc<Self>, rank: usize) -> MembershipSink {
         let feed = self.clone();
         Rc::new(move |news| {
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Looks at the whole of it.
+    /// Calls `how` with the intake, for inspection.
     pub fn look<T>(&self, how: impl FnOnce(&Intake) -> T) -> T {
         how(&self.intake.borrow())
     }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Lets in the servers that have been held back for long enough.
+    /// Releases servers whose hold-down time has passed.
     async fn let_in(self: Rc<Self>) {
         loop {
             let next = self.intake.borrow().next_due();
--- a/crates/daemon/src/fleet/apply.rs
+++ b/crates/daemon/src/fleet/apply.rs
@@ -1,4 +1,4 @@
-//! The rules of a revision, laid over this limiter's own file and given to the engine.
+//! Application of a revision's rules: merges them with this limiter's own file and passes the result to the engine.
 
 use oatbank_engine::config::{Base, Config};
 use oatbank_engine::engine::{Engine, Shares};
@@ -13,18 +13,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Checked revisions that are kept: what is held, what is staged, and some that may come back.
+/// Number of checked revisions that are kept: the held one, the staged one, and some that may be used again.
 const MOST_CHECKED: usize = 8;
 
-/// What the engine acts by.
+/// Rules that the engine applies.
 pub(super) struct Applied {
     base: Base,
     engine: Rc<Engine<Http1>>,
     servers: MembershipSink,
-    /// This limiter's place among all, from 0 to below 1.
+    /// Relative position of this limiter among all, from 0 to below 1.
     place: f64,
     active_rules: ActiveRules,
-    /// Revisions that this limiter can act by.
+    /// Revisions that this limiter has checked and can apply.
     checked: BTreeMap<Id, Config>,
 }
 
@@ -33,12 +33,12 @@
         Applied { base, engine, servers, place, active_rules: ActiveRules::Reject, checked: BTreeMap::new() }
     }
 
-    /// The zones of which a revision uses less than all.
+    /// Returns the zones that a revision reduces.
     pub(super) fn left(&mut self, revision: &Revision) -> Vec<ReducedZone> {
         self.config(revision).map(|config| config.left.clone()).unwrap_or_default()
     }
 
-    /// What a revision spares cold servers.
+    /// Returns a revision's cold-start settings.
     pub(super) fn cold(&mut self, revision: &Revision) -> ColdStart {
         let settings = self.config(revision).map(|config| &config.setup.settings);
         settings.map_or(ColdStart { share: 1.0, warm_after: 0 }, |s| ColdStart {
@@ -47,22 +47,25 @@
         })
     }
 
-    /// The zone that this limiter stands in.
+    /// Returns the zone of this limiter.
     pub(super) fn own_zone(&self) -> Option<String> {
         self.base.zone()
     }
 
-    /// The engine acts by this already.
+    /// Returns whether the engine already applies these rules.
     pub(super) fn is(&self, active_rules: ActiveRules) -> bool {
         self.active_rules == active_rules
     }
 
-    /// It acts by rules that were known to be current.
+    /// Returns whether the rules in use were applied as current ones.
     pub(super) fn is_current(&self) -> bool {
         matches!(self.active_rules, ActiveRules::Current(_))
     }
 
-    /// Whether this limiter could act by a revision, whole.
+    /// Checks a whole revision and keeps the result.
+    ///
+    /// # Errors
+    /// If this limiter cannot apply the revision.
     pub(super) fn check(&mut self, revision: &Revision) -> Result<(), String> {
         let config = self.base.with(&revision.text).map_err(|e| e.lines("revision").join("; "))?;
         self.checked.insert(revision.id(), config);
@@ -72,7 +75,7 @@
         Ok(())
     }
 
-    /// Gives the engine what it is to act by from now on.
+    /// Applies the rules to the engine.
     pub(super) fn act(
         &mut self,
         active_rules: ActiveRules,
@@ -96,7 +99,7 @@
 
     fn config(&mut self, revision: &Revision) -> Option<&Config> {
         if !self.checked.contains_key(&revision.id()) {
-            // The decider's first revision is its own file's, which was checked when it was read.
+            // The decider's first revision comes from its own file, which was checked when it was read.
             if let Err(e) = self.check(revision) {
                 tracing::error!("fleet: {}: {e}", revision.id());
             }
@@ -106,7 +109,7 @@
 
     fn give(&self, config: Config) {
         self.engine.exclude_servers(&config.suspended);
-        // The zones' places among the names, as they are from now on.
+        // Zone indexes refer to the new names.
         self.engine.apply_settings(&config.setup.names, &config.setup.settings);
         let place = |zone: &str| config.setup.names.zones.iter().position(|z| z == zone);
         let parts = config.left.iter().filter_map(|l| Some((place(&l.zone)? as u16, l.share)));
@@ -117,7 +120,7 @@
     }
 }
 
-/// What contradicts neither of two.
+/// Returns a configuration that satisfies both revisions, by the stricter rule of each.
 fn strict(mut config: Config, other: &Config) -> Config {
     let both = stricter(&rules(&config), &rules(other));
     let setup = &mut config.setup;
--- a/crates/daemon/src/fleet/edit.rs
+++ b/crates/daemon/src/fleet/edit.rs
@@ -1,4 +1,4 @@
-//! Changes to a revision's text that touch one key, so that an operator need not send the whole.
+//! Edits of a single key in a revision's text, so that operators need not send the whole text.
 
 use oatbank_zones::ReducedZone;
 use toml::{Table, Value};
@@ -6,7 +6,7 @@
 const SUSPENDED: &str = "suspended";
 const LEFT: &str = "left";
 
-/// The text with these servers taken out, or put in again; nothing else in it changes.
+/// Returns the text with these servers suspended or resumed. Nothing else changes.
 ///
 /// # Errors
 /// As [`with_line`].
@@ -21,7 +21,7 @@
     with_line(text, SUSPENDED, Value::Array(suspended.into_iter().map(Value::from).collect()))
 }
 
-/// The text with these zones left, and no others; nothing else in it changes.
+/// Returns the text with exactly these zones reduced. Nothing else changes.
 ///
 /// # Errors
 /// As [`with_line`].
@@ -30,10 +30,10 @@
     with_line(text, LEFT, Value::Array(rows.map_err(|e| e.to_string())?))
 }
 
-/// The text with this value of a key, on a line of its own at the beginning.
+/// Returns the text with `key` set to `value`, on a line of its own at the beginning.
 ///
 /// # Errors
-/// When the key was written by hand in a way that is not one line at the beginning, or the text cannot be read.
+/// If the key stands elsewhere or spans several lines, or if the text cannot be parsed.
 fn with_line(text: &str, key: &str, value: Value) -> Result<String, String> {
     let mut wanted = read(text)?;
     let line = format!("{key} = {value}\n");
@@ -44,7 +44,7 @@
         tables || !ours(row)
     });
     let changed = line + &rest.collect::<String>();
-    // The proof: read again, it differs in this key only.
+    // Parses the result again to verify that only this key differs.
     wanted.insert(key.into(), value);
     if read(&changed).as_ref() != Ok(&wanted) {
         return Err(format!(
--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! This limiter as one of a fleet: carries what `oatbank_fleet` decides to the sockets and to the engine.
+//! Fleet membership: connects the state machine of `oatbank_fleet` to the sockets and the engine.
 
 mod apply;
 pub mod command;
@@ -32,10 +32,10 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{oneshot, Notify};
 
-/// How long a change may take to be confirmed, ms, if its asker says nothing else.
+/// Default timeout of a proposal, ms.
 pub const PATIENCE: Millis = 4000;
 
-/// What has come and gone over the socket.
+/// Frames and bytes sent and received on the socket.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 struct Traffic {
     sent: u64,
@@ -44,13 +44,13 @@
     received_bytes: u64,
 }
 
-/// A limiter as one of its fleet.
+/// Member of a fleet.
 pub struct Fleet {
     node: RefCell<Node>,
     settings: Settings,
     codec: FrameCodec,
     socket: UdpSocket,
-    /// Where the decider is elected.
+    /// Registers in which the decider is elected, if it is not fixed.
     tree: Option<Rc<Registers>>,
     clock: Rc<dyn Clock>,
     engine: Rc<Engine<Http1>>,
@@ -58,23 +58,23 @@
     waiting: RefCell<HashMap<u64, oneshot::Sender<ProposalOutcome>>>,
     next_ticket: Cell<u64>,
     traffic: Cell<Traffic>,
-    /// Frames of strangers, other fleets or other versions, and damaged ones.
+    /// Dropped frames by reason: unknown peers, other fleets or versions, and damaged frames.
     drops: RefCell<BTreeMap<FrameError, u64>>,
-    /// How often a lease has ended without another.
+    /// Number of leases that expired without renewal.
     lapses: Cell<u64>,
-    /// Tells this process from others of its name.
+    /// Random id that distinguishes this process from others of its name.
     life: u64,
     led: zones::Led,
-    /// Told when the node may be due sooner than was known.
+    /// Notified when the node's next timer may have become earlier.
     sooner: Notify,
 }
 
 impl Fleet {
-    /// Joins the fleet: from now on the engine acts by its rules only, and by none until they are known. `servers` is
-    /// where those of the rules are told.
+    /// Joins the fleet. From then on the engine applies the fleet's rules only, and rejects requests until they are
+    /// known. `servers` receives the servers of the rules.
     ///
     /// # Errors
-    /// When the socket cannot be had; names the key.
+    /// If the socket cannot be bound; the message names the key.
     pub fn join(
         settings: &Settings,
         base: Base,
@@ -94,7 +94,7 @@
             peers: settings.peers.len() as u16,
             decider: settings.decider,
             incarnation: now,
-            // The standard library's seed of hash maps, which is random.
+            // Random: taken from the seed of the standard library's hash maps.
             seed: RandomState::new().build_hasher().finish(),
             first: base.rules().into(),
         };
@@ -139,12 +139,12 @@
         Ok(fleet)
     }
 
-    /// A limiter's name.
+    /// Returns a limiter's name, or `?` for an unknown one.
     fn name(&self, peer: Peer) -> &str {
         self.peer(peer).map_or("?", |p| p.name.as_str())
     }
 
-    /// The name of the one that decides, as far as is known.
+    /// Returns the name of the decider, as far as it is known.
     fn decider(&self) -> &str {
         let (decider, _) = self.node.borrow().decider();
         decider.map_or("nobody that is known of", |peer| self.name(peer))
@@ -158,22 +158,22 @@
         self.clock.now() as Millis
     }
 
-    /// Asks for a change, and waits for what becomes of it.
+    /// Proposes a change and waits for its outcome.
     pub async fn propose(self: &Rc<Self>, ask: Proposal) -> ProposalOutcome {
         let ticket = self.next_ticket.replace(self.next_ticket.get() + 1);
         let (tell, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, tell);
         self.feed(Event::Propose(Proposal { ticket, ..ask }));
-        // Each proposal has one answer; without, the process is ending.
+        // Each proposal gets one outcome, unless the process is ending.
         told.await.unwrap_or(ProposalOutcome::TimedOut(Vec::new()))
     }
 
-    /// The file's own rules have changed: where this limiter decides they are proposed, elsewhere they are a hint for
-    /// the next start.
+    /// Handles changed rules in the configuration file: the decider proposes them; other limiters only log a warning and
+    /// use them at the next start.
     pub fn reloaded(self: &Rc<Self>, rules: String) {
         if self.node.borrow().as_decider().is_none() {
             let decider = self.decider();
-            tracing::warn!("fleet: the file's rules are not taken here; {decider} decides on changes");
+            tracing::warn!("fleet: ignoring the file's rules; changes are decided by {decider}");
             return;
         }
         let fleet = self.clone();
@@ -185,12 +185,12 @@
         });
     }
 
-    /// Brings the rules up to those of the moment; where there are none, how long (ms) to stay away. No request and no
-    /// attempt goes on without it, so that a process that stood still acts by nothing that is over.
+    /// Applies the rules that are valid now. If there are none, returns how long clients should wait, ms. Runs before every
+    /// request and attempt, so that a process that was suspended does not act on expired rules.
     fn up_to_date(self: &Rc<Self>) -> Option<f64> {
         let now = self.now();
         if self.node.borrow().next_due(now) <= now {
-            // This process stood still, or was busy: what is due comes before what it acts by.
+            // The process was suspended or busy: overdue timers run before the rules are used.
             self.turn(Event::Tick);
         }
         let active_rules = self.node.borrow().active_rules(now);
@@ -257,11 +257,11 @@
                     fleet.feed(Event::Register(register, serial, outcome));
                 });
             }
-            // What it may act by is looked at after every event.
+            // The active rules are checked after every event.
             Output::Activate(_) | Output::Deactivate => {}
             Output::ProposalFinished(ticket, answer) => {
                 if let Some(tell) = self.waiting.borrow_mut().remove(&ticket) {
-                    // Who asked may have left.
+                    // The caller may have disconnected.
                     let _ = tell.send(answer);
                 }
             }
@@ -272,7 +272,7 @@
         match self.applied.borrow_mut().check(revision) {
             Ok(()) => Verdict::Confirmed,
             Err(reason) => {
-                tracing::warn!("fleet: cannot take {}: {reason}", revision.id());
+                tracing::warn!("fleet: cannot apply {}: {reason}", revision.id());
                 Verdict::Vetoed(reason)
             }
         }
@@ -281,7 +281,7 @@
     fn send(&self, to: Peer, message: &Message) {
         let Some(peer) = self.peer(to) else { return };
         let frame = self.codec.frame(self.settings.me, to, message);
-        // Lost is lost: all that matters is asked for again.
+        // Lost frames are not retried here: the protocol requests everything that matters again.
         if self.socket.try_send_to(&frame, peer.address).is_ok() {
             let traffic = self.traffic.get();
             let (sent, sent_bytes) = (traffic.sent + 1, traffic.sent_bytes + frame.len() as u64);
@@ -293,7 +293,7 @@
         let mut buffer = [0; MAX_FRAME_BYTES + 1];
         loop {
             let Ok((len, _)) = self.socket.recv_from(&mut buffer).await else {
-                // A link that refused what was sent to it before says so here. An error that stays is not to spin.
+                // Reports errors of earlier sends, such as a refused port. The delay keeps a persistent error from spinning.
                 self.clock.until(self.clock.now() + 1.0).await;
                 continue;
             };
@@ -319,7 +319,7 @@
             let due = self.node.borrow().next_due(now);
             if due <= now {
                 self.feed(Event::Tick);
-                // Also where the node says that it is due still: others are to have their turn.
+                // Yields even if the node is still due, so that other tasks can run.
                 tokio::task::yield_now().await;
                 if self.node.borrow().next_due(now) <= now {
                     self.clock.until(self.clock.now() + 1.0).await;
@@ -337,7 +337,7 @@
     }
 }
 
-/// An ask without an answer in half a lease is lost: there is time for another then.
+/// Creates the registers. A request times out after half a lease, which leaves time for another one.
 fn registers(tree: &FleetTree, lease: Millis) -> Rc<Registers> {
     let config = oatbank_zookeeper::Config {
         cluster: tree.cluster.clone(),
--- a/crates/daemon/src/fleet/told.rs
+++ b/crates/daemon/src/fleet/told.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the fleet, and what they may ask for, over HTTP.
+//! HTTP API of the fleet for operators.
 
 use super::{Fleet, PATIENCE};
 use bytes::Bytes;
@@ -16,11 +16,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// An answer: its status and text, JSON but for a revision's text.
+/// Response: status and body. The body is JSON, except for the text of a revision.
 pub(crate) type Told = (StatusCode, String);
 
 impl Fleet {
-    /// Answers a call below `/v1/fleet/`; nothing where there is none of this name.
+    /// Answers a call below `/v1/fleet/`. Returns `None` if there is no such call.
     pub(crate) async fn answer(self: &Rc<Self>, request: Request<Incoming>, call: &[&str]) -> Option<Told> {
         let get = request.method() == Method::GET;
         Some(match call {
@@ -64,7 +64,7 @@
         self.worded(&answer)
     }
 
-    /// `expect=N&author=NAME&without=A,B&dry_run=1&patience_ms=4000`.
+    /// Parses the query of a proposal, such as `expect=N&author=NAME&without=A,B&dry_run=1&patience_ms=4000`.
     fn parameters(&self, query: &str) -> Result<Proposal, String> {
         let mut ask = Proposal { author: "operator".into(), timeout: PATIENCE, ..Proposal::default() };
         for pair in query.split('&').filter(|p| !p.is_empty()) {
@@ -96,7 +96,7 @@
         names.split(',').filter(|n| !n.is_empty()).map(place).collect()
     }
 
-    /// What became of a proposal, with the status that stands for it.
+    /// Returns the response for the outcome of a proposal.
     pub(crate) fn worded(&self, answer: &ProposalOutcome) -> Told {
         let names = |peers: &[Peer]| peers.iter().map(|p| self.name(*p)).collect::<Vec<_>>().join(", ");
         let (status, result, say) = match answer {
@@ -165,7 +165,7 @@
         Some(node.as_decider()?.history().map(row).collect())
     }
 
-    /// What this limiter acts by and knows of the others.
+    /// Returns the rules that this limiter applies, and at the decider the state of the other limiters.
     pub(crate) fn status(&self) -> Value {
         let (now, node) = (self.now(), self.node.borrow());
         let active_rules = match node.active_rules(now) {
--- a/crates/daemon/src/fleet/zones.rs
+++ b/crates/daemon/src/fleet/zones.rs
@@ -1,5 +1,5 @@
-//! Zones of the fleet: this limiter's counts told to the one that decides, and there what `oatbank_zones` wants put before
-//! the fleet as a change of its rules.
+//! Zone failover in a fleet: limiters report their counts to the decider, which proposes the zone shares computed by
+//! `oatbank_zones` as changes of the rules.
 
 use super::told::Told as Answered;
 use super::{edit, Fleet};
@@ -16,26 +16,26 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Between two reports, ms.
+/// Interval between reports, ms.
 const REPORT: f64 = 250.0;
-/// A change of a zone's share is given up after this, ms: by then more is seen.
+/// Timeout of a proposed share, ms: after this newer reports are available.
 const PATIENCE: Millis = 1500;
-/// Bytes of a report in one message.
+/// Maximum size of a report, in bytes, so that it fits into one message.
 const MOST_REPORT: usize = 1200;
 
-/// What a limiter keeps for its fleet's zones.
+/// Zone state of a limiter.
 #[derive(Default)]
 pub(super) struct Led {
-    /// Where this limiter decides.
+    /// Zone evaluation, while this limiter is the decider.
     zones: RefCell<Option<Zones>>,
-    /// What the revision in force leaves.
+    /// Revision in force and the zones that it reduces.
     left: RefCell<(Id, Vec<ReducedZone>)>,
-    /// A change is being decided.
+    /// Whether a change is being decided.
     busy: Cell<bool>,
 }
 
 impl Fleet {
-    /// Reports, and leads where this limiter decides, for the life of the process.
+    /// Reports this limiter's counts, and evaluates the zones while it is the decider. Never returns.
     pub(super) async fn lead_zones(self: Rc<Self>) {
         loop {
             self.clock.until(self.clock.now() + REPORT).await;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What another limiter says beside the agreement.
+    /// Handles a zone report of another limiter.
     pub(super) fn beside(&self, from: Peer, bytes: &[u8]) {
         let Ok(report) = postcard::from_bytes::<Report>(bytes) else { return };
         if let Some(zones) = self.led.zones.borrow_mut().as_mut() {
@@ -153,7 +153,7 @@
     }
 }
 
-/// `over_ms=30000`; without, at once.
+/// Parses `over_ms=30000`. An empty query means 0, at once.
 fn over(query: &str) -> Result<Millis, String> {
     match query.split_once('=') {
         None if query.is_empty() => Ok(0),
@@ -164,7 +164,7 @@
     }
 }
 
-/// A report that fits into one message: those zones first in which most has failed.
+/// Encodes a report. Drops the zones with the fewest failures until it fits into one message.
 fn bytes(mut report: Report) -> Vec<u8> {
     let bad = |row: &oatbank_zones::evidence::Row| {
         let c = row.counts;
@@ -172,7 +172,7 @@
     };
     report.rows.sort_by_key(bad);
     loop {
-        // Plain data without maps or floats has no way to fail.
+        // Encoding plain data without maps or floats cannot fail.
         let bytes = postcard::to_stdvec(&report).unwrap_or_default();
         if bytes.len() <= MOST_REPORT || report.rows.pop().is_none() {
             return bytes;
--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -1,4 +1,4 @@
-//! What comes of the platform's requests.
+//! Handling of HTTP requests with the platform's headers.
 
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::request::Parts;
@@ -13,10 +13,10 @@
 use oatbank_limiter_core::interface::{Millis, Request};
 use std::rc::Rc;
 
-/// All client connections.
+/// Front end with all client connections.
 pub type Front = front::Front<PlatformDesk>;
 
-/// Judges by the platform's headers and asks one engine.
+/// Handler that classifies requests by the platform's headers and submits them to one engine.
 pub struct PlatformDesk {
     engine: Rc<Engine<Http1>>,
     come_back: ComeBack,
@@ -24,16 +24,16 @@
 }
 
 impl PlatformDesk {
-    /// A desk with no request open.
+    /// Creates a handler without open requests.
     pub fn new(engine: Rc<Engine<Http1>>, come_back: ComeBack) -> Self {
         PlatformDesk { engine, come_back, ids: OpenIds::default() }
     }
 }
 
-/// What the platform's headers say of a request.
+/// Classified request and the headers to forward.
 pub struct Ticket {
     request: Request,
-    /// Those that go on.
+    /// Headers that are forwarded to the server.
     headers: HeaderMap,
 }
 
@@ -62,7 +62,7 @@
         }
         let revision = self.engine.revision();
         let mut request = classify::by_path(head, revision.names(), revision.settings())?;
-        // Its body may take seconds, and the settings may change meanwhile.
+        // The rules are fixed now, as the settings may change during the seconds that the body may take.
         request.rules = revision.rules(request.class);
         Ok(HeadDecision::Accept(Ticket { request, headers: classify::headers_on(&head.headers) }))
     }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error, a bounded number a second. A log must not outgrow the troubles told in it.
+//! Logging to standard error with a limit of lines per second, so that logging does not add to an overload.
 
 use clap::ValueEnum;
 use std::fmt::Debug;
@@ -15,28 +15,28 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// Lines that are written in one second; what comes beyond is counted.
+/// Maximum number of lines per second. Further lines are dropped and counted.
 const LINES_A_SECOND: u32 = 20;
-/// Events of this target tell of the log itself, and always pass.
+/// Target of events about the log itself, which are never dropped.
 const OF_THE_LOG: &str = "oatbank::log";
 
-/// What a line of the log looks like.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// Time, level, module, what happened, and its fields.
+    /// Time, level, module, message and fields.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The start of the present second, the lines written in it, and what was left out since that was last told, by level.
+/// Start of the current second, lines counted in it, and lines dropped since the last report, by level.
 struct Second {
     began: Instant,
     written: u32,
     left_out: [u64; 5],
 }
 
-/// Lets so many lines a second pass.
+/// Filter that limits the number of lines per second.
 struct Bound(Mutex<Second>);
 
 static BOUND: OnceLock<Bound> = OnceLock::new();
@@ -49,7 +49,7 @@
 
 impl Bound {
     fn admit(&self, level: Level, now: Instant) -> bool {
-        // A thread that panicked here left whole numbers behind.
+        // The counters are valid even if another thread panicked while it held the lock.
         let mut second = self.0.lock().unwrap_or_else(|broken| broken.into_inner());
         if now.duration_since(second.began) > Duration::from_secs(1) {
             (second.began, second.written) = (now, 0);
@@ -64,7 +64,7 @@
         false
     }
 
-    /// How many lines were left out since this was last asked, by level from errors down.
+    /// Returns and resets the number of dropped lines, by level from errors down.
     fn take_left_out(&self) -> [u64; 5] {
         let mut second = self.0.lock().unwrap_or_else(|broken| broken.into_inner());
         std::mem::take(&mut second.left_out)
@@ -82,7 +82,7 @@
     }
 }
 
-/// The platform's lines: level and message.
+/// Line format of the platform: level and message.
 struct Platform;
 
 struct Message<'w, 'f>(&'w mut Writer<'f>);
@@ -90,7 +90,7 @@
 impl Visit for Message<'_, '_> {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
         if field.name() == "message" {
-            // There is nowhere to tell of a log that cannot be written.
+            // A failure to write the log cannot be reported anywhere.
             let _ = write!(self.0, "{value:?}");
         }
     }
@@ -113,13 +113,13 @@
     }
 }
 
-/// Logs as the platform reads it, from the level of information up.
+/// Starts logging in the platform's format, at level info and above.
 pub fn start_platform() {
     let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).event_format(Platform);
     install(lines.with_filter(bound()).with_filter(LevelFilter::INFO));
 }
 
-/// Logs in a format, at levels by module.
+/// Starts logging in the given format, at levels by module.
 pub fn start(format: Format, levels: Targets) {
     let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
     match format {
@@ -128,29 +128,29 @@
     }
 }
 
-/// Reads `info,oatbank_zookeeper=debug`.
+/// Parses levels such as `info,oatbank_zookeeper=debug`.
 ///
 /// # Errors
-/// When a word is no level: alone it would be taken for a module, of which all is logged.
+/// If a single word is not a level; the parser would take it for a module and log everything of it.
 pub fn levels(text: &str) -> Result<Targets, String> {
-    let allowed = "allowed are off, error, warn, info, debug and trace, also as MODULE=LEVEL behind commas";
+    let allowed = "expected off, error, warn, info, debug or trace, or MODULE=LEVEL, separated by commas";
     if let Some(word) = text.split(',').find(|w| !w.contains('=') && w.parse::<LevelFilter>().is_err()) {
-        return Err(format!("{word:?} is no level; {allowed}"));
+        return Err(format!("{word:?} is not a level; {allowed}"));
     }
     text.parse().map_err(|e| format!("{e}; {allowed}"))
 }
 
 fn install(lines: impl Layer<tracing_subscriber::Registry> + Send + Sync) {
-    // A second start in one process is a defect of no consequence: the first one's log goes on.
+    // Starting twice in one process has no effect: the first log stays in use.
     let _ = tracing_subscriber::registry().with(lines).try_init();
 }
 
-/// Whether there is a log to tell an error to.
+/// Returns whether logging has been started.
 pub fn is_on() -> bool {
     BOUND.get().is_some()
 }
 
-/// Tells once a second, for the life of the process, how many lines were left out.
+/// Reports once per second how many lines were dropped, if any. Never returns.
 pub async fn tell_what_was_left_out() {
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -1,4 +1,4 @@
-//! `oatbank members`: prints the list of servers as a limiter would have it.
+//! `oatbank members`: prints the list of servers that a limiter would use.
 
 use crate::feed::Feed;
 use crate::serve::on_one_thread;
@@ -14,10 +14,10 @@
 use std::time::Duration;
 use tokio::sync::mpsc::unbounded_channel;
 
-/// Without a list in this time the command gives up.
+/// How long the command waits for a list.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-/// The source's parameters from a configuration.
+/// Returns the parameters of the ZooKeeper source.
 pub fn source(folder: &ZooKeeper) -> oatbank_zookeeper::Config {
     oatbank_zookeeper::Config {
         cluster: folder.zookeeper.clone(),
@@ -27,24 +27,25 @@
     }
 }
 
-/// "SCHEME:CREDENTIALS", as a coordinator wants them.
+/// Splits `SCHEME:CREDENTIALS` for the coordinator.
 pub fn credentials(auth: Option<&str>) -> Option<(String, Vec<u8>)> {
     let (scheme, credentials) = auth?.split_once(':')?;
     Some((scheme.to_owned(), credentials.as_bytes().to_vec()))
 }
 
-/// Ranks of the sources.
+/// Rank of the ZooKeeper source.
 pub const TREE: usize = 0;
-/// See [`TREE`].
+/// Rank of the configuration file as a source.
 pub const FILE: usize = 1;
 
-/// The way from the sources of a configuration to one list.
+/// Creates the intake that merges the sources of a configuration into one list.
 pub fn intake(config: &Config) -> Intake {
     let hold_down = config.zookeeper.as_ref().is_some_and(|z| z.hold_down);
     Intake::new(&["zookeeper", "file"], hold_down.then(damping::Settings::default))
 }
 
-/// What the file's servers are told as: beside a folder they count until that is read, unless wanted otherwise.
+/// Returns the update for the servers of the file. With a ZooKeeper folder and `UntilRead` they are used only until the
+/// folder has been read.
 pub fn of_file(config: &Config) -> News {
     let members = config.members.clone();
     match &config.zookeeper {
@@ -53,10 +54,10 @@
     }
 }
 
-/// Prints the list; with `follow`, what changes in it until the process is ended.
+/// Prints the list; with `follow`, also its changes until the process ends.
 ///
 /// # Errors
-/// When the configuration cannot be used, or no list comes.
+/// If the configuration is invalid, or no list arrives within 10 s.
 pub fn run(path: &str, follow: bool) -> Result<(), String> {
     let config = Config::load(path, std::env::vars()).map_err(|e| e.lines(path).join("\n"))?;
     on_one_thread(show(config, follow))
@@ -65,7 +66,7 @@
 async fn show(config: Config, follow: bool) -> Result<(), String> {
     let clock: Rc<dyn Clock> = Rc::new(SystemClock::new());
     let (tell, mut heard) = unbounded_channel();
-    // This command ends with its process, so somebody reads to the end.
+    // The receiver lives as long as the process.
     let told: MembershipSink = Rc::new(move |news| _ = tell.send(news));
     let feed = Feed::start(intake(&config), told, clock.clone());
     feed.source(FILE)(of_file(&config));
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: the file that `PROXY_CONFIG` names.
+//! Serving on the platform, with the configuration file named by `PROXY_CONFIG`.
 
 use crate::control::{self, Control};
 use crate::reload;
@@ -24,14 +24,14 @@
 use tokio::task::AbortHandle;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Why the limiter cannot start from its configuration.
+/// Errors of reading the platform's configuration.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// `PROXY_CONFIG` names no file that can be read.
+    /// The file cannot be read.
     Unreadable(String, std::io::Error),
-    /// The file is not JSON of the agreed form.
+    /// The file is not valid JSON or lacks required keys.
     Malformed(serde_json::Error),
-    /// The settings lack something or hold what cannot be read.
+    /// The settings are incomplete or invalid.
     Settings(WireError),
 }
 
@@ -47,7 +47,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// The part of the file that is read as it stands.
+/// Top-level keys of the file. The settings are parsed separately.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -63,22 +63,22 @@
     settings: Value,
 }
 
-/// Without a word from discovery the limiter serves from its last list after this.
+/// How long to wait for discovery before serving from the last known list.
 const LIST_WAIT: Duration = Duration::from_millis(500);
 
-/// Everything the limiter is told at its start.
+/// Parsed configuration of the platform.
 pub struct Config {
-    /// What any serving process is told.
+    /// Parameters of the serving process.
     pub plan: Plan,
-    /// The discovery agent.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The counter service, if there is one.
+    /// Address of the counter service, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The list of servers as this limiter last had it.
+    /// Last list of servers that this limiter had.
     pub known: Option<ServerList>,
-    /// Where operators call, if they do.
+    /// Control address for operators, if there is one.
     pub control: Option<SocketAddr>,
-    /// The file as it stands.
+    /// Complete contents of the file.
     pub form: Value,
 }
 
@@ -86,16 +86,16 @@
     /// Reads the file at `path`.
     ///
     /// # Errors
-    /// When the file cannot be read or does not hold what a limiter needs.
+    /// If the file cannot be read or is not a valid configuration.
     pub fn load(path: &str) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Unreadable(path.into(), e))?;
         Config::parse(&text)
     }
 
-    /// Reads the text of a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// When it does not hold what a limiter needs.
+    /// If the text is not a valid configuration.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let form: Value = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let file = File::deserialize(&form).map_err(ConfigError::Malformed)?;
@@ -131,10 +131,10 @@
     }
 }
 
-/// Serves on the platform until a signal ends it.
+/// Serves on the platform until a signal ends the process.
 ///
 /// # Errors
-/// Why it cannot start.
+/// The reason why the limiter cannot start.
 pub fn run(path: String) -> Result<(), String> {
     let mut config = Config::load(&path).map_err(|e| e.to_string())?;
     config.plan.passed = passed()?;
@@ -175,11 +175,11 @@
     Ok(())
 }
 
-/// Follows the discovery agent that the configuration names, and moves to another when that changes.
+/// Follows the configured discovery agent, and switches agents when the configuration changes.
 struct Following {
     told: MembershipSink,
     agent: Agent,
-    /// Of its pauses.
+    /// Seed of the retry delays.
     seed: u64,
     task: AbortHandle,
 }
@@ -191,8 +191,8 @@
         Following { told, agent, seed, task }
     }
 
-    /// The old list holds until the new agent has told its own. Versions of two agents need not count
-    /// alike, so the whole of it is asked for.
+    /// Switches to another agent. The old list is kept until the new agent sends its own. Versions of two agents are not
+    /// comparable, so the complete list is requested.
     fn move_to(&mut self, agent: Agent) {
         if self.agent != agent {
             self.task.abort();
@@ -201,16 +201,16 @@
     }
 }
 
-/// The clients' listening socket, if the platform holds it.
+/// Returns the descriptor of the listening socket inherited from the platform, if there is one.
 fn passed() -> Result<Option<RawFd>, String> {
     let Ok(named) = std::env::var("PROXY_PASSED_SOCKET") else { return Ok(None) };
     let descriptor = named.trim().parse::<RawFd>().ok().filter(|d| *d > 2);
-    let wrong = || format!("PROXY_PASSED_SOCKET {named:?}: a descriptor above 2 is wanted, as 3");
+    let wrong = || format!("PROXY_PASSED_SOCKET {named:?}: expected a descriptor above 2, such as 3");
     descriptor.map(Some).ok_or_else(wrong)
 }
 
-/// Makes this process one limiter with the one before it and the one after it. Without `$TMPDIR` it is a limiter of
-/// its own.
+/// Coordinates this process with its predecessor and successor. If `$TMPDIR` cannot be used, the process runs without
+/// coordination.
 async fn hand_over(
     engine: &Rc<Engine<Http1>>,
     serving: &Serving,
@@ -227,7 +227,10 @@
             Some(upgrade)
         }
         Err(e) => {
-            tracing::error!("upgrade: TMPDIR {:?}: {e}; other processes are not met", std::env::temp_dir());
+            tracing::error!(
+                "upgrade: TMPDIR {:?}: {e}; running without upgrade coordination",
+                std::env::temp_dir()
+            );
             engine.hold_readiness(false);
             serving.front().set_accepting(true);
             None
@@ -235,19 +238,19 @@
     }
 }
 
-/// Where operators call: what the environment names, else what the file does.
+/// Returns the control address: from `PROXY_CONTROL` if set, otherwise from the file.
 fn control_address(config: &Config) -> std::io::Result<Option<SocketAddr>> {
     let Ok(named) = std::env::var("PROXY_CONTROL") else { return Ok(config.control) };
     let unreadable = |e| {
         let why =
-            format!("PROXY_CONTROL {named:?}: {e}; an address with a port is wanted, as 127.0.0.1:9901");
+            format!("PROXY_CONTROL {named:?}: {e}; expected an address with a port, such as 127.0.0.1:9901");
         std::io::Error::new(std::io::ErrorKind::InvalidInput, why)
     };
     named.parse().map(Some).map_err(unreadable)
 }
 
-/// Takes over the file: where discovery and the counter are, and the settings. It is checked whole first, and
-/// one that does not pass changes nothing.
+/// Reloads the file and applies the addresses of discovery and the counter, and the settings. The whole file is checked
+/// first; an invalid one changes nothing.
 fn reload(
     path: &str,
     taken: &mut Value,
@@ -270,7 +273,7 @@
     let number = engine.revision().number();
     tracing::info!(number, "configuration: settings {number}, discovery {discovery}, counter {at:?}");
     for key in reload::only_at_a_start(taken, &config.form) {
-        tracing::warn!(key, "configuration: {key} has changed, which counts after a restart only");
+        tracing::warn!(key, "configuration: {key} has changed; this takes effect after a restart only");
     }
     following.move_to(config.agent());
     counter.move_to(config.counter);
@@ -289,7 +292,7 @@
         .unwrap_or_default()
 }
 
-/// Brings nested settings to the `path=value` lines of the simulator's wire, so that one parser serves both.
+/// Converts nested settings to the `path=value` lines of the simulator's protocol, so that one parser serves both.
 pub fn flatten(settings: &Value) -> String {
     let mut lines = String::new();
     put(&mut lines, "", settings);
@@ -315,7 +318,7 @@
     }
 }
 
-/// A plain value as it stands on a line, where blanks and commas would be taken for ends.
+/// Formats a scalar for a line. Whitespace and commas would end the value and are replaced by underscores.
 fn scalar(value: &Value) -> String {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
     text.replace(|c: char| c.is_whitespace() || c == ',', "_")
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,28 +1,28 @@
-//! Whether a configuration that came by SIGHUP may be taken: checked whole, against the form of the one in force.
+//! Validation of a configuration reloaded by SIGHUP against the one in force.
 //!
-//! A start takes a file that leaves something out, as there is a usual value. A reload does not: what stood in the
-//! file before and is missing now is far likelier a file that was cut short than a wish.
+//! At a start missing keys get defaults. A reload rejects a file that lacks a key of the previous one, because it is far
+//! more likely to be truncated than to be meant that way.
 
 use serde_json::Value;
 
-/// Objects whose keys, once there, must all be there again.
+/// Objects whose keys must all be present again once they were present.
 const WHOLE: [&str; 5] = ["", "settings", "settings.ceilings", "settings.family_info", "settings.safety"];
-/// Keys of the file that may come and go: they count at a start, or not at all.
+/// Top-level keys that may be added and removed: they are read at a start only, or not at all.
 const FREE: [&str; 5] = ["known", "control", "seed", "limits", "name"];
-/// What each class must have.
+/// Keys that each class must have.
 const CLASS: [&str; 4] = ["name", "deadline", "idempotency", "importance"];
-/// Keys that count at a start only.
+/// Keys that take effect at a start only.
 const AT_START: [&str; 5] = ["name", "listen", "control", "limits", "settings.ceilings.conn_idle"];
 
-/// Checks a file that is to follow one in force.
+/// Checks the new configuration `now` against the one in force, `before`.
 ///
 /// # Errors
-/// The key that is wrong, and what is allowed.
+/// Names the first invalid key and what is allowed.
 pub fn check(before: &Value, now: &Value) -> Result<(), String> {
     for path in WHOLE {
         let (Some(was), Some(is)) = (at(before, path).as_object(), at(now, path).as_object()) else {
             if at(before, path).is_object() {
-                return Err(format!("{path}: missing, or no object; it was one before"));
+                return Err(format!("{path}: missing or not an object; it was one before"));
             }
             continue;
         };
@@ -33,7 +33,7 @@
     }
     let (classes, plans) = (at(now, "settings.classes"), at(now, "settings.plans"));
     let classes = classes.as_array().filter(|c| !c.is_empty());
-    let classes = classes.ok_or("settings.classes: a list of one class at least is wanted")?;
+    let classes = classes.ok_or("settings.classes: expected a list of at least one class")?;
     names("settings.classes", classes)?;
     for (i, class) in classes.iter().enumerate() {
         let key = |name: &str| format!("settings.classes.{i}.{name}");
@@ -48,20 +48,20 @@
         }
     }
     if !at(before, "settings.plans").is_null() {
-        let plans = plans.as_array().ok_or("settings.plans: missing, or no list")?;
+        let plans = plans.as_array().ok_or("settings.plans: missing or not a list")?;
         names("settings.plans", plans)?;
     }
     let attempts = at(now, "settings.ceilings.max_attempts");
     if !attempts.is_null() || !at(before, "settings.ceilings.max_attempts").is_null() {
         positive("settings.ceilings.max_attempts", attempts)?;
         if attempts.as_f64().is_some_and(|n| n.fract() != 0.0) {
-            return Err(format!("settings.ceilings.max_attempts: {attempts}; a whole number is wanted"));
+            return Err(format!("settings.ceilings.max_attempts: {attempts}; expected a whole number"));
         }
     }
     Ok(())
 }
 
-/// The keys whose change has no effect before a restart.
+/// Returns the changed keys that take effect after a restart only.
 pub fn only_at_a_start<'a>(before: &'a Value, now: &'a Value) -> impl Iterator<Item = &'static str> + 'a {
     AT_START.into_iter().filter(|key| at(before, key) != at(now, key))
 }
@@ -85,18 +85,18 @@
 fn positive(key: &str, value: &Value) -> Result<(), String> {
     match value.as_f64() {
         Some(number) if number.is_finite() && number > 0.0 => Ok(()),
-        _ => Err(format!("{key}: {value}; a number above 0 is wanted")),
+        _ => Err(format!("{key}: {value}; expected a number above 0")),
     }
 }
 
-/// Each has a name of its own.
+/// Checks that each entry has a unique, non-empty name.
 fn names(key: &str, list: &[Value]) -> Result<(), String> {
     let mut seen = std::collections::HashSet::new();
     for (i, entry) in list.iter().enumerate() {
         let name = entry["name"].as_str().filter(|n| !n.is_empty());
-        let name = name.ok_or_else(|| format!("{key}.{i}.name: missing, or no text"))?;
+        let name = name.ok_or_else(|| format!("{key}.{i}.name: missing or not a string"))?;
         if !seen.insert(name) {
-            return Err(format!("{key}.{i}.name: {name:?} stands twice"));
+            return Err(format!("{key}.{i}.name: duplicate name {name:?}"));
         }
     }
     Ok(())
--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -1,4 +1,4 @@
-//! Serving without a platform: servers, counter and all else from a file of oatbank's own.
+//! Serving without a platform, with servers, counter and settings from a configuration file.
 
 use crate::control::Control;
 use crate::feed::Feed;
@@ -20,22 +20,22 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A limiter that serves, and what is to be told to it or ended with it.
+/// Running limiter and the services that stop with it.
 pub struct Running {
-    /// Its engine.
+    /// Engine of the limiter.
     pub engine: Rc<Engine<Http1>>,
     serving: Serving,
-    /// Where the servers of the file are told.
+    /// Sink for the servers of the file.
     from_file: MembershipSink,
     fleet: Option<Rc<Fleet>>,
     registrar: Option<Rc<Registrar>>,
 }
 
-/// Serves from the file at `path` until a signal ends it. SIGHUP takes over the file's list of servers; a file
-/// that cannot be read changes nothing.
+/// Serves with the file at `path` until a signal ends the process. SIGHUP reloads the file's list of servers, or
+/// proposes its rules in a fleet; an invalid file changes nothing.
 ///
 /// # Errors
-/// Why it cannot start.
+/// The reason why the limiter cannot start.
 pub fn run(path: String) -> Result<(), String> {
     let loaded = Config::load_with_base(&path, std::env::vars());
     let (config, base) = loaded.map_err(|e| e.lines(&path).join("\n"))?;
@@ -50,10 +50,10 @@
 }
 
 impl Running {
-    /// Starts a limiter from a configuration, on the present thread's local set.
+    /// Starts a limiter on the current thread's local set.
     ///
     /// # Errors
-    /// When its address cannot be had.
+    /// If an address cannot be bound.
     pub fn start(config: &Config, base: Base) -> Result<Self, String> {
         let clock: Rc<dyn Clock> = Rc::new(SystemClock::new());
         let plan = plan(config);
@@ -70,7 +70,7 @@
         if let Some(folder) = &config.zookeeper {
             follow(folder, clock.clone(), feed.source(members::TREE));
         }
-        // Before the first client: one of a fleet serves by the fleet's rules only.
+        // Joins before the first client is accepted: a member of a fleet serves by the fleet's rules only.
         let fleet = match &config.fleet {
             Some(fleet) => Some(join(fleet, base, engine.clone(), from_file.clone(), clock.clone())?),
             None => None,
@@ -80,12 +80,12 @@
         Ok(Running { engine, serving, from_file, fleet, registrar })
     }
 
-    /// Where clients connect.
+    /// Returns the address where clients connect.
     pub fn address(&self) -> SocketAddr {
         self.serving.address()
     }
 
-    /// Answers what it has, lets the other limiters know, and ends.
+    /// Finishes open requests, removes the registration, and stops.
     pub async fn stop(self) {
         let leaving = async {
             if let Some(registrar) = &self.registrar {
@@ -107,7 +107,7 @@
 fn register(name: &str, folder: &ZooKeeper, clock: Rc<dyn Clock>) -> Option<Rc<Registrar>> {
     let path = folder.register.clone()?;
     let config = oatbank_zookeeper::Config { path, ..members::source(folder) };
-    // The standard library's seed of hash maps, which is random.
+    // Random: taken from the seed of the standard library's hash maps.
     let instance = RandomState::new().build_hasher().finish();
     let life = Incarnation { started_ms: clock.now() as u64, instance };
     let placed = |place: Place| {
@@ -120,7 +120,7 @@
     Some(registrar)
 }
 
-/// Becomes one of a fleet: from now on the rules are the fleet's.
+/// Joins the fleet and serves its control address. From then on the fleet's rules apply.
 fn join(
     settings: &config::Fleet,
     base: Base,
