--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -32,21 +32,21 @@
 
 /// Maximum number of open connections, for which file descriptors are reserved. Beyond it the oldest connection without
 /// a complete request is closed.
-pub const MOST_CALLERS: usize = 32;
+pub const MAX_CALLERS: usize = 32;
 /// A connection without a response after this time is closed.
-const PATIENCE: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Additional time for calls about the fleet, whose longest proposal takes 60 s.
-const LONGEST_CALL: Duration = Duration::from_secs(65);
+const FLEET_CALL_TIMEOUT: Duration = Duration::from_secs(65);
 /// Maximum size of a connection's buffer, bytes.
-const BUFFER: usize = 8 * 1024;
+const MAX_BUFFER_BYTES: usize = 8 * 1024;
 /// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Open connection of an operator.
 struct Caller {
     /// Whether its request is complete and being answered, so that it is not closed for another connection.
-    heard: Cell<bool>,
-    leave: Notify,
+    has_request: Cell<bool>,
+    close: Notify,
 }
 
 /// Server of the control address.
@@ -78,12 +78,12 @@
     }
 
     /// Sends suspend and resume calls to the other processes of an upgrade before they are answered.
-    pub fn tell_others(&self, upgrade: Rc<Upgrade>) {
+    pub fn set_upgrade(&self, upgrade: Rc<Upgrade>) {
         let _ = self.upgrade.set(upgrade);
     }
 
     /// Enables calls about the fleet.
-    pub fn answer_for(&self, fleet: Rc<Fleet>) {
+    pub fn set_fleet(&self, fleet: Rc<Fleet>) {
         let _ = self.fleet.set(fleet);
     }
 
@@ -91,8 +91,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    self.make_room();
-                    let caller = Rc::new(Caller { heard: Cell::new(false), leave: Notify::new() });
+                    self.close_oldest_idle_caller();
+                    let caller = Rc::new(Caller { has_request: Cell::new(false), close: Notify::new() });
                     self.callers.borrow_mut().push_back(caller.clone());
                     tokio::task::spawn_local(self.clone().serve(stream, caller));
                 }
@@ -105,12 +105,12 @@
     }
 
     /// Closes the oldest connection without a complete request if there are too many.
-    fn make_room(&self) {
+    fn close_oldest_idle_caller(&self) {
         let mut callers = self.callers.borrow_mut();
-        if callers.len() >= MOST_CALLERS {
-            let silent = callers.iter().position(|c| !c.heard.get());
+        if callers.len() >= MAX_CALLERS {
+            let silent = callers.iter().position(|c| !c.has_request.get());
             if let Some(caller) = silent.and_then(|i| callers.remove(i)) {
-                caller.leave.notify_one();
+                caller.close.notify_one();
             }
         }
     }
@@ -119,18 +119,18 @@
         // A response is one small write and must not be delayed.
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| {
-            caller.heard.set(true);
+            caller.has_request.set(true);
             let control = self.clone();
             async move { Ok::<_, Infallible>(control.answer(request).await) }
         });
         let mut builder = http1::Builder::new();
-        builder.keep_alive(false).max_buf_size(BUFFER);
+        builder.keep_alive(false).max_buf_size(MAX_BUFFER_BYTES);
         {
             let connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
             tokio::select! {
                 _ = connection => {}
-                () = caller.leave.notified() => {}
-                () = self.patience(&caller) => {}
+                () = caller.close.notified() => {}
+                () = self.call_timeout(&caller) => {}
             }
         }
         self.callers.borrow_mut().retain(|c| !Rc::ptr_eq(c, &caller));
@@ -142,7 +142,7 @@
         if let (["v1", "fleet", call @ ..], Some(fleet)) = (parts.as_slice(), self.fleet.get()) {
             let answer = fleet.answer(request, call).await;
             let (status, text) = answer.unwrap_or((StatusCode::NOT_FOUND, "no such call\n".into()));
-            return told(status, text);
+            return text_response(status, text);
         }
         match parts.as_slice() {
             ["v1", "readyz"] => match *request.method() {
@@ -150,33 +150,33 @@
                 _ => not_allowed("GET, HEAD"),
             },
             ["v1", "servers", id, call @ ("suspend" | "resume")] => match *request.method() {
-                Method::POST => self.operate(id, *call == "suspend").await,
+                Method::POST => self.set_suspended_state(id, *call == "suspend").await,
                 _ => not_allowed("POST"),
             },
-            _ => told(StatusCode::NOT_FOUND, "no such call\n".into()),
+            _ => text_response(StatusCode::NOT_FOUND, "no such call\n".into()),
         }
     }
 
-    /// Completes when the connection has to be closed. Calls of a fleet limiter get [`LONGEST_CALL`] more once their
+    /// Completes when the connection has to be closed. Calls of a fleet limiter get [`FLEET_CALL_TIMEOUT`] more once their
     /// request is complete, as each of them has a timeout of its own.
-    async fn patience(&self, caller: &Caller) {
-        tokio::time::sleep(PATIENCE).await;
-        if self.fleet.get().is_some() && caller.heard.get() {
-            tokio::time::sleep(LONGEST_CALL).await;
+    async fn call_timeout(&self, caller: &Caller) {
+        tokio::time::sleep(CALL_TIMEOUT).await;
+        if self.fleet.get().is_some() && caller.has_request.get() {
+            tokio::time::sleep(FLEET_CALL_TIMEOUT).await;
         }
     }
 
     fn ready(&self) -> Response<Full<Bytes>> {
         if self.engine.is_ready() {
-            told(StatusCode::OK, "ready\n".into())
+            text_response(StatusCode::OK, "ready\n".into())
         } else {
-            told(StatusCode::SERVICE_UNAVAILABLE, "starting\n".into())
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "starting\n".into())
         }
     }
 
-    async fn operate(&self, id: &str, out: bool) -> Response<Full<Bytes>> {
+    async fn set_suspended_state(&self, id: &str, out: bool) -> Response<Full<Bytes>> {
         let Ok(id) = percent_decode_str(id).decode_utf8() else {
-            return told(StatusCode::BAD_REQUEST, "the id is not UTF-8\n".into());
+            return text_response(StatusCode::BAD_REQUEST, "the id is not UTF-8\n".into());
         };
         let (call, state) = if out { ("suspend", "out") } else { ("resume", "in") };
         match self.engine.set_suspended(&id, out) {
@@ -185,17 +185,17 @@
                 if let Some(upgrade) = self.upgrade.get() {
                     upgrade.publish().await;
                 }
-                told(StatusCode::OK, format!("{id} is {state}\n"))
+                text_response(StatusCode::OK, format!("{id} is {state}\n"))
             }
             Err(e) => {
                 tracing::warn!(server = %id, call, "control: {call} {id}: {e}");
-                told(StatusCode::NOT_FOUND, format!("{id}: {e}\n"))
+                text_response(StatusCode::NOT_FOUND, format!("{id}: {e}\n"))
             }
         }
     }
 }
 
-fn told(status: StatusCode, text: String) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
@@ -203,7 +203,7 @@
 }
 
 fn not_allowed(allowed: &'static str) -> Response<Full<Bytes>> {
-    let mut response = told(StatusCode::METHOD_NOT_ALLOWED, format!("allowed: {allowed}\n"));
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, format!("allowed: {allowed}\n"));
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -11,17 +11,18 @@
 /// One list of servers, merged from sources of different rank.
 pub struct Feed {
     intake: RefCell<Intake>,
-    told: MembershipSink,
+    sink: MembershipSink,
     clock: Rc<dyn Clock>,
-    sooner: Notify,
+    deadline_changed: Notify,
 }
 
 impl Feed {
-    /// Starts to send the updates that result from `intake` to `told`, for the life of the process.
-    pub fn start(intake: Intake, told: MembershipSink, clock: Rc<dyn Clock>) -> Rc<Self> {
-        let feed = Rc::new(Feed { intake: RefCell::new(intake), told, clock, sooner: Notify::new() });
-        let letting_in = feed.clone();
-        keep_running("members held back", move || letting_in.clone().let_in());
+    /// Starts to send the updates that result from `intake` to `sink`, for the life of the process.
+    pub fn start(intake: Intake, sink: MembershipSink, clock: Rc<dyn Clock>) -> Rc<Self> {
+        let feed =
+            Rc::new(Feed { intake: RefCell::new(intake), sink, clock, deadline_changed: Notify::new() });
+        let releasing = feed.clone();
+        keep_running("members held back", move || releasing.clone().release_held_servers());
         feed
     }
 
@@ -30,33 +31,33 @@
         let feed = self.clone();
         Rc::new(move |news| {
             let news = feed.intake.borrow_mut().update(feed.clock.now(), rank, news);
-            feed.pass(news);
-            feed.sooner.notify_one();
+            feed.forward(news);
+            feed.deadline_changed.notify_one();
         })
     }
 
-    /// Calls `how` with the intake, for inspection.
-    pub fn look<T>(&self, how: impl FnOnce(&Intake) -> T) -> T {
-        how(&self.intake.borrow())
+    /// Calls `inspector` with the intake, for inspection.
+    pub fn inspect<T>(&self, inspector: impl FnOnce(&Intake) -> T) -> T {
+        inspector(&self.intake.borrow())
     }
 
-    fn pass(&self, news: Option<News>) {
+    fn forward(&self, news: Option<News>) {
         if let Some(news) = news {
-            (self.told)(news);
+            (self.sink)(news);
         }
     }
 
     /// Releases servers whose hold-down time has passed.
-    async fn let_in(self: Rc<Self>) {
+    async fn release_held_servers(self: Rc<Self>) {
         loop {
             let next = self.intake.borrow().next_due();
             match next {
-                None => self.sooner.notified().await,
+                None => self.deadline_changed.notified().await,
                 Some(at) => tokio::select! {
-                    () = self.sooner.notified() => {}
+                    () = self.deadline_changed.notified() => {}
                     () = self.clock.until(at) => {
                         let news = self.intake.borrow_mut().release_due(self.clock.now());
-                        self.pass(news);
+                        self.forward(news);
                     }
                 },
             }
--- a/crates/daemon/src/fleet/told.rs
+++ b/crates/daemon/src/fleet/api.rs
@@ -1,6 +1,6 @@
 //! HTTP API of the fleet for operators.
 
-use super::{Fleet, PATIENCE};
+use super::{Fleet, DEFAULT_PROPOSAL_TIMEOUT_MS};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -17,24 +17,24 @@
 use std::sync::Arc;
 
 /// Response: status and body. The body is JSON, except for the text of a revision.
-pub(crate) type Told = (StatusCode, String);
+pub(crate) type Reply = (StatusCode, String);
 
 impl Fleet {
     /// Answers a call below `/v1/fleet/`. Returns `None` if there is no such call.
-    pub(crate) async fn answer(self: &Rc<Self>, request: Request<Incoming>, call: &[&str]) -> Option<Told> {
+    pub(crate) async fn answer(self: &Rc<Self>, request: Request<Incoming>, call: &[&str]) -> Option<Reply> {
         let get = request.method() == Method::GET;
         Some(match call {
             ["status"] if get => (StatusCode::OK, format!("{:#}\n", self.status())),
             ["history"] if get => match self.history() {
                 Some(history) => (StatusCode::OK, format!("{history:#}\n")),
-                None => self.elsewhere(),
+                None => self.not_decider_reply(),
             },
             ["revisions", number] if get => self.text(number),
             ["zones", call @ ..] => {
                 let query = request.uri().query().unwrap_or_default();
                 return self.zone_call(request.method(), query, call);
             }
-            ["propose"] if request.method() == Method::POST => self.asked(request).await,
+            ["propose"] if request.method() == Method::POST => self.handle_proposal(request).await,
             ["propose"] | ["status"] | ["history"] => (
                 StatusCode::METHOD_NOT_ALLOWED,
                 "GET status, GET history and POST propose are allowed\n".into(),
@@ -43,12 +43,12 @@
         })
     }
 
-    pub(super) fn elsewhere(&self) -> Told {
+    pub(super) fn not_decider_reply(&self) -> Reply {
         let (decider, _) = self.node.borrow().decider();
-        self.worded(&ProposalOutcome::NotDecider(decider))
+        self.outcome_reply(&ProposalOutcome::NotDecider(decider))
     }
 
-    async fn asked(self: &Rc<Self>, request: Request<Incoming>) -> Told {
+    async fn handle_proposal(self: &Rc<Self>, request: Request<Incoming>) -> Reply {
         let query = request.uri().query().unwrap_or_default().to_owned();
         let ask = match self.parameters(&query) {
             Ok(ask) => ask,
@@ -61,12 +61,16 @@
             return (StatusCode::BAD_REQUEST, json!({"error": why}).to_string() + "\n");
         };
         let answer = self.propose(Proposal { text: text.into(), ..ask }).await;
-        self.worded(&answer)
+        self.outcome_reply(&answer)
     }
 
     /// Parses the query of a proposal, such as `expect=N&author=NAME&without=A,B&dry_run=1&patience_ms=4000`.
     fn parameters(&self, query: &str) -> Result<Proposal, String> {
-        let mut ask = Proposal { author: "operator".into(), timeout: PATIENCE, ..Proposal::default() };
+        let mut ask = Proposal {
+            author: "operator".into(),
+            timeout: DEFAULT_PROPOSAL_TIMEOUT_MS,
+            ..Proposal::default()
+        };
         for pair in query.split('&').filter(|p| !p.is_empty()) {
             let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
             let value = percent_decode_str(value).decode_utf8_lossy().into_owned();
@@ -77,7 +81,7 @@
                 "patience_ms" => ask.timeout = number()?.min(60_000),
                 "author" => ask.author = value,
                 "dry_run" => ask.dry_run = value != "0",
-                "without" => ask.excluded = self.named(&value)?,
+                "without" => ask.excluded = self.parse_peers(&value)?,
                 _ => {
                     return Err(format!(
                         "{key}: no such parameter; expect, author, without, dry_run, patience_ms are"
@@ -88,7 +92,7 @@
         Ok(ask)
     }
 
-    fn named(&self, names: &str) -> Result<BTreeSet<Peer>, String> {
+    fn parse_peers(&self, names: &str) -> Result<BTreeSet<Peer>, String> {
         let place = |name: &str| {
             let place = self.settings.peers.iter().position(|p| p.name == name);
             place.map(|n| Peer(n as u16)).ok_or_else(|| format!("without: {name:?} is not among fleet.peers"))
@@ -97,7 +101,7 @@
     }
 
     /// Returns the response for the outcome of a proposal.
-    pub(crate) fn worded(&self, answer: &ProposalOutcome) -> Told {
+    pub(crate) fn outcome_reply(&self, answer: &ProposalOutcome) -> Reply {
         let names = |peers: &[Peer]| peers.iter().map(|p| self.name(*p)).collect::<Vec<_>>().join(", ");
         let (status, result, say) = match answer {
             ProposalOutcome::Decided(id, left) => {
@@ -149,7 +153,7 @@
         (status, json!({"result": result, "say": say}).to_string() + "\n")
     }
 
-    fn text(&self, number: &str) -> Told {
+    fn text(&self, number: &str) -> Reply {
         let node = self.node.borrow();
         let decider = node.as_decider();
         let history = decider.into_iter().flat_map(|d| d.history()).chain(node.held());
--- a/crates/daemon/src/fleet/apply.rs
+++ b/crates/daemon/src/fleet/apply.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 /// Number of checked revisions that are kept: the held one, the staged one, and some that may be used again.
-const MOST_CHECKED: usize = 8;
+const MAX_CHECKED: usize = 8;
 
 /// Rules that the engine applies.
 pub(super) struct Applied {
@@ -69,14 +69,14 @@
     pub(super) fn check(&mut self, revision: &Revision) -> Result<(), String> {
         let config = self.base.with(&revision.text).map_err(|e| e.lines("revision").join("; "))?;
         self.checked.insert(revision.id(), config);
-        while self.checked.len() > MOST_CHECKED {
+        while self.checked.len() > MAX_CHECKED {
             self.checked.pop_first();
         }
         Ok(())
     }
 
     /// Applies the rules to the engine.
-    pub(super) fn act(
+    pub(super) fn apply_rules(
         &mut self,
         active_rules: ActiveRules,
         held: Option<&Revision>,
@@ -86,11 +86,11 @@
         let Some(held) = held else { return };
         let Some(config) = self.config(held).cloned() else { return };
         match active_rules {
-            ActiveRules::Current(_) | ActiveRules::Strict(_, None) => self.give(config),
+            ActiveRules::Current(_) | ActiveRules::Strict(_, None) => self.apply_config(config),
             ActiveRules::Strict(_, Some(_)) => {
                 if let Some(other) = other.and_then(|r| self.config(r)) {
                     let both = strict(config, other);
-                    self.give(both);
+                    self.apply_config(both);
                 }
             }
             ActiveRules::Reject => {}
@@ -107,7 +107,7 @@
         self.checked.get(&revision.id())
     }
 
-    fn give(&self, config: Config) {
+    fn apply_config(&self, config: Config) {
         self.engine.exclude_servers(&config.suspended);
         // Zone indexes refer to the new names.
         self.engine.apply_settings(&config.setup.names, &config.setup.settings);
--- a/crates/daemon/src/fleet/command.rs
+++ b/crates/daemon/src/fleet/command.rs
@@ -18,14 +18,14 @@
 use tokio::net::TcpStream;
 
 /// Time limit of a call: the longest timeout of a proposal (60 s) and a margin.
-const WAIT: Duration = Duration::from_secs(65);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(65);
 /// Number of checks whether a change is in force after its response was lost.
-const LOOKS: u32 = 20;
+const CONFIRM_CHECKS: u32 = 20;
 /// Interval between these checks, and between attempts of `suspend` and `resume`.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Number of retries of `suspend` and `resume` when another revision has become current meanwhile.
-const TRIES: u32 = 20;
+const MAX_RETRIES: u32 = 20;
 
 /// Exit codes besides 0 and 1, in the order of the help text.
 const VETOED: u8 = 2;
@@ -121,25 +121,27 @@
 }
 
 /// Failure of a command: its exit code and message.
-pub(super) struct End(pub(super) u8, pub(super) String);
+pub(super) struct Failure(pub(super) u8, pub(super) String);
 
 /// Runs a command and returns its exit code.
 ///
 /// # Errors
 /// If the runtime cannot be started.
 pub fn run(command: FleetCommand) -> Result<ExitCode, String> {
-    ended(carry_out(command))
+    run_to_exit_code(carry_out(command))
 }
 
 /// Runs a command, prints the reason of a failure to standard error, and returns the exit code.
 ///
 /// # Errors
 /// If the runtime cannot be started.
-pub(super) fn ended(command: impl Future<Output = Result<(), End>> + 'static) -> Result<ExitCode, String> {
+pub(super) fn run_to_exit_code(
+    command: impl Future<Output = Result<(), Failure>> + 'static,
+) -> Result<ExitCode, String> {
     let ended = Rc::new(std::cell::Cell::new(0));
     let code = ended.clone();
     on_one_thread(async move {
-        if let Err(End(n, say)) = command.await {
+        if let Err(Failure(n, say)) = command.await {
             eprintln!("oatbank: {}", say.trim_end());
             code.set(n);
         }
@@ -148,7 +150,7 @@
     Ok(ExitCode::from(ended.get()))
 }
 
-async fn carry_out(command: FleetCommand) -> Result<(), End> {
+async fn carry_out(command: FleetCommand) -> Result<(), Failure> {
     match command {
         FleetCommand::Status { at } => {
             let status = get(&at, "status").await?;
@@ -174,7 +176,7 @@
         FleetCommand::Suspend { servers, at } => suspend(&at, &servers, true).await?,
         FleetCommand::Resume { servers, at } => suspend(&at, &servers, false).await?,
         FleetCommand::Apply { file, expect, dry_run, without, at } => {
-            let text = std::fs::read_to_string(&file).map_err(|e| End(1, format!("{file}: {e}")))?;
+            let text = std::fs::read_to_string(&file).map_err(|e| Failure(1, format!("{file}: {e}")))?;
             apply(&at, text, expect, dry_run, without).await?;
         }
     }
@@ -182,17 +184,17 @@
 }
 
 /// Changes the suspended servers. If another revision becomes current meanwhile, the change is applied to that one.
-async fn suspend(at: &At, servers: &[String], out: bool) -> Result<(), End> {
+async fn suspend(at: &At, servers: &[String], out: bool) -> Result<(), Failure> {
     let mut tries = 0;
     loop {
         let number = current(at).await?;
         let changed = super::edit::suspend(&text(at, number).await?, servers, out);
-        let changed = changed.map_err(|why| End(1, why))?;
+        let changed = changed.map_err(|why| Failure(1, why))?;
         match apply(at, changed, Some(number), false, None).await {
-            Err(End(OTHER_CURRENT, _)) if tries < TRIES => tries += 1,
+            Err(Failure(OTHER_CURRENT, _)) if tries < MAX_RETRIES => tries += 1,
             done => return done,
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
@@ -202,7 +204,7 @@
     expect: Option<u64>,
     dry_run: bool,
     without: Option<String>,
-) -> Result<(), End> {
+) -> Result<(), Failure> {
     let author = std::env::var("USER").unwrap_or_else(|_| "operator".into());
     let encoded = |text: &str| utf8_percent_encode(text, NON_ALPHANUMERIC).to_string();
     let mut path = format!("propose?author={}", encoded(&author));
@@ -210,10 +212,10 @@
     path.extend(dry_run.then_some("&dry_run=1".to_owned()));
     path.extend(without.map(|names| format!("&without={}", encoded(&names))));
     let digest = Digest::of(&text);
-    let (status, body) = match call(asked(at).await?, Method::POST, &path, text).await {
+    let (status, body) = match call(target_address(at).await?, Method::POST, &path, text).await {
         Ok(answer) => answer,
-        Err(Lost::Before(why)) => return Err(End(NO_DECIDER, why)),
-        Err(Lost::After(why)) => return Err(look(at, digest, dry_run, why).await),
+        Err(CallError::NotSent(why)) => return Err(Failure(NO_DECIDER, why)),
+        Err(CallError::NoResponse(why)) => return Err(confirm_decided(at, digest, dry_run, why).await),
     };
     let answer: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
     let say = answer["say"].as_str().or(answer["error"].as_str()).unwrap_or(&body).to_owned();
@@ -225,34 +227,36 @@
         Some("vetoed") => VETOED,
         Some("conflict" | "busy") => OTHER_CURRENT,
         Some("recovering" | "not decider" | "no decider" | "no coordinator") => NO_DECIDER,
-        Some("unsure") => return Err(look(at, digest, dry_run, say).await),
+        Some("unsure") => return Err(confirm_decided(at, digest, dry_run, say).await),
         Some("timed out") => TIMED_OUT,
         _ => 1,
     };
-    Err(End(code, say))
+    Err(Failure(code, say))
 }
 
 /// Checks whether a change whose response was lost is in force, and returns the resulting failure.
-async fn look(at: &At, digest: Digest, dry_run: bool, why: String) -> End {
-    for _ in 0..if dry_run { 0 } else { LOOKS } {
+async fn confirm_decided(at: &At, digest: Digest, dry_run: bool, why: String) -> Failure {
+    for _ in 0..if dry_run { 0 } else { CONFIRM_CHECKS } {
         let status = get(at, "status").await.unwrap_or(Value::Null);
         if status["holds"]["hash"] == digest.to_string() {
-            return End(
+            return Failure(
                 DECIDED_ANSWER_LOST,
                 format!("{why}; the change was decided nevertheless, as {}", status["holds"]["revision"]),
             );
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    End(
+    Failure(
         TIMED_OUT,
         format!("{why}; the change is not in force but may still be decided: see `oatbank fleet status`"),
     )
 }
 
 /// Returns the address to call: of several the decider's, or else the first that responds.
-async fn asked(at: &At) -> Result<SocketAddr, End> {
-    let [first, more @ ..] = &at.at[..] else { return Err(End(NO_DECIDER, "--at has no address".into())) };
+async fn target_address(at: &At) -> Result<SocketAddr, Failure> {
+    let [first, more @ ..] = &at.at[..] else {
+        return Err(Failure(NO_DECIDER, "--at has no address".into()));
+    };
     if more.is_empty() {
         return Ok(*first);
     }
@@ -266,74 +270,75 @@
                 }
                 answers = answers.or(Some(*address));
             }
-            Err(Lost::Before(why) | Lost::After(why)) => last = why,
+            Err(CallError::NotSent(why) | CallError::NoResponse(why)) => last = why,
         }
     }
-    answers.ok_or(End(NO_DECIDER, last))
+    answers.ok_or(Failure(NO_DECIDER, last))
 }
 
-pub(super) async fn get(at: &At, path: &str) -> Result<Value, End> {
+pub(super) async fn get(at: &At, path: &str) -> Result<Value, Failure> {
     let body = fetch(at, path).await?;
-    serde_json::from_str(&body).map_err(|e| End(1, format!("{path}: {e}")))
+    serde_json::from_str(&body).map_err(|e| Failure(1, format!("{path}: {e}")))
 }
 
-async fn text(at: &At, number: u64) -> Result<String, End> {
+async fn text(at: &At, number: u64) -> Result<String, Failure> {
     fetch(at, &format!("revisions/{number}")).await
 }
 
-async fn current(at: &At) -> Result<u64, End> {
+async fn current(at: &At) -> Result<u64, Failure> {
     let status = get(at, "status").await?;
     status["holds"]["number"]
         .as_u64()
-        .ok_or_else(|| End(NO_DECIDER, "the limiter has no rules in force yet".into()))
+        .ok_or_else(|| Failure(NO_DECIDER, "the limiter has no rules in force yet".into()))
 }
 
-async fn fetch(at: &At, path: &str) -> Result<String, End> {
-    match call(asked(at).await?, Method::GET, path, String::new()).await {
+async fn fetch(at: &At, path: &str) -> Result<String, Failure> {
+    match call(target_address(at).await?, Method::GET, path, String::new()).await {
         Ok((200, body)) => Ok(body),
-        Ok((421, body)) => Err(End(NO_DECIDER, body)),
-        Ok((_, body)) => Err(End(1, body)),
-        Err(Lost::Before(why) | Lost::After(why)) => Err(End(NO_DECIDER, why)),
+        Ok((421, body)) => Err(Failure(NO_DECIDER, body)),
+        Ok((_, body)) => Err(Failure(1, body)),
+        Err(CallError::NotSent(why) | CallError::NoResponse(why)) => Err(Failure(NO_DECIDER, why)),
     }
 }
 
 /// Makes a call that changes something and returns its status and body.
-pub(super) async fn call_at(at: &At, method: Method, path: &str) -> Result<(u16, String), End> {
-    match call(asked(at).await?, method, path, String::new()).await {
-        Ok((421 | 503, body)) => Err(End(NO_DECIDER, body)),
+pub(super) async fn call_at(at: &At, method: Method, path: &str) -> Result<(u16, String), Failure> {
+    match call(target_address(at).await?, method, path, String::new()).await {
+        Ok((421 | 503, body)) => Err(Failure(NO_DECIDER, body)),
         Ok(answer) => Ok(answer),
-        Err(Lost::Before(why)) => Err(End(NO_DECIDER, why)),
-        Err(Lost::After(why)) => {
-            Err(End(TIMED_OUT, format!("{why}; the order may have been accepted: see `oatbank zone status`")))
-        }
+        Err(CallError::NotSent(why)) => Err(Failure(NO_DECIDER, why)),
+        Err(CallError::NoResponse(why)) => Err(Failure(
+            TIMED_OUT,
+            format!("{why}; the order may have been accepted: see `oatbank zone status`"),
+        )),
     }
 }
 
 /// Call without a response: it failed before or after the request may have been sent.
-enum Lost {
-    Before(String),
-    After(String),
+enum CallError {
+    NotSent(String),
+    NoResponse(String),
 }
 
-async fn call(at: SocketAddr, method: Method, path: &str, body: String) -> Result<(u16, String), Lost> {
-    let before = |e: &dyn std::fmt::Display| Lost::Before(format!("{at}: {e}"));
-    let stream = TcpStream::connect(at).await.map_err(|e| before(&e))?;
-    let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| before(&e))?;
+async fn call(at: SocketAddr, method: Method, path: &str, body: String) -> Result<(u16, String), CallError> {
+    let not_sent = |e: &dyn std::fmt::Display| CallError::NotSent(format!("{at}: {e}"));
+    let stream = TcpStream::connect(at).await.map_err(|e| not_sent(&e))?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| not_sent(&e))?;
     // The connection ends with its call.
     tokio::task::spawn_local(async move { drop(connection.await) });
     let request =
         Request::builder().method(method).uri(format!("/v1/fleet/{path}")).header("host", at.to_string());
-    let request = request.body(Full::new(Bytes::from(body))).map_err(|e| before(&e))?;
+    let request = request.body(Full::new(Bytes::from(body))).map_err(|e| not_sent(&e))?;
     let answer = async {
         let response = sender.send_request(request).await?;
         let status = response.status().as_u16();
         let body = response.into_body().collect().await?.to_bytes();
         Ok::<_, hyper::Error>((status, String::from_utf8_lossy(&body).into_owned()))
     };
-    match tokio::time::timeout(WAIT, answer).await {
+    match tokio::time::timeout(RESPONSE_TIMEOUT, answer).await {
         Ok(Ok(answer)) => Ok(answer),
-        Ok(Err(e)) => Err(Lost::After(format!("{at}: {e}"))),
-        Err(_) => Err(Lost::After(format!("{at}: no response in time"))),
+        Ok(Err(e)) => Err(CallError::NoResponse(format!("{at}: {e}"))),
+        Err(_) => Err(CallError::NoResponse(format!("{at}: no response in time"))),
     }
 }
 
@@ -345,7 +350,7 @@
     }
 }
 
-pub(super) fn word(value: &Value) -> String {
+pub(super) fn text_of(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
         Value::String(text) => text.clone(),
@@ -357,25 +362,25 @@
     let mut lines = vec![
         format!(
             "{} acts by {} ({}), lease {} ms; {} decides",
-            word(&status["limiter"]),
-            word(&status["holds"]["revision"]),
-            word(&status["acting"]),
-            word(&status["lease_left_ms"]),
-            word(&status["decider"])
+            text_of(&status["limiter"]),
+            text_of(&status["holds"]["revision"]),
+            text_of(&status["acting"]),
+            text_of(&status["lease_left_ms"]),
+            text_of(&status["decider"])
         ),
         format!(
             "two may differ for {} ms at most, of {} allowed; {} lapses so far",
-            word(&status["bound_ms"]),
-            word(&status["within_ms"]),
-            word(&status["lapses"])
+            text_of(&status["bound_ms"]),
+            text_of(&status["within_ms"]),
+            text_of(&status["lapses"])
         ),
     ];
     if let Some(term) = status["term"].as_u64() {
-        let heard = word(&status["coordinator_heard_ms_ago"]);
+        let heard = text_of(&status["coordinator_heard_ms_ago"]);
         lines.push(format!("term {term}; the coordinator was heard {heard} ms ago"));
     }
     if let Some(veto) = status["veto"].as_object() {
-        lines.push(format!("cannot take {}: {}", word(&veto["revision"]), word(&veto["why"])));
+        lines.push(format!("cannot take {}: {}", text_of(&veto["revision"]), text_of(&veto["why"])));
     }
     if status["recovering"] == true {
         lines.push("has just started and is waiting for the other limiters".into());
@@ -388,11 +393,11 @@
         lines.extend(limiters.iter().map(|l| {
             format!(
                 "{:<16} {:<24} {:>12} {:>10}  {}",
-                word(&l["limiter"]),
-                word(&l["holds"]) + if l["current"] == true { "" } else { " (not current)" },
-                word(&l["heard_ms_ago"]),
-                word(&l["leased_ms"]),
-                word(&l["veto"])
+                text_of(&l["limiter"]),
+                text_of(&l["holds"]) + if l["current"] == true { "" } else { " (not current)" },
+                text_of(&l["heard_ms_ago"]),
+                text_of(&l["leased_ms"]),
+                text_of(&l["veto"])
             )
         }));
     }
@@ -402,11 +407,11 @@
 fn history_line(row: &Value) -> String {
     format!(
         "{:<24} {} follows {:<24} {:>7} bytes by {}",
-        word(&row["revision"]),
-        word(&row["hash"]),
-        word(&row["parent"]),
-        word(&row["bytes"]),
-        word(&row["author"])
+        text_of(&row["revision"]),
+        text_of(&row["hash"]),
+        text_of(&row["parent"]),
+        text_of(&row["bytes"]),
+        text_of(&row["author"])
     )
 }
 
--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -1,9 +1,9 @@
 //! Fleet membership: connects the state machine of `oatbank_fleet` to the sockets and the engine.
 
+mod api;
 mod apply;
 pub mod command;
 mod edit;
-mod told;
 pub mod zone_command;
 mod zones;
 
@@ -33,7 +33,7 @@
 use tokio::sync::{oneshot, Notify};
 
 /// Default timeout of a proposal, ms.
-pub const PATIENCE: Millis = 4000;
+pub const DEFAULT_PROPOSAL_TIMEOUT_MS: Millis = 4000;
 
 /// Frames and bytes sent and received on the socket.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
@@ -64,9 +64,9 @@
     lapses: Cell<u64>,
     /// Random id that distinguishes this process from others of its name.
     life: u64,
-    led: zones::Led,
+    zone_state: zones::ZoneState,
     /// Notified when the node's next timer may have become earlier.
-    sooner: Notify,
+    deadline_changed: Notify,
 }
 
 impl Fleet {
@@ -104,7 +104,7 @@
             settings: settings.clone(),
             codec: FrameCodec::new(&settings.key),
             socket,
-            tree: settings.tree.as_ref().map(|tree| registers(tree, settings.timing.lease)),
+            tree: settings.tree.as_ref().map(|tree| open_registers(tree, settings.timing.lease)),
             clock,
             engine: engine.clone(),
             applied: RefCell::new(Applied::new(base, engine.clone(), servers, place)),
@@ -114,14 +114,14 @@
             drops: RefCell::default(),
             lapses: Cell::new(0),
             life: options.seed,
-            led: zones::Led::default(),
-            sooner: Notify::new(),
+            zone_state: zones::ZoneState::default(),
+            deadline_changed: Notify::new(),
         });
         engine.hold_readiness(true);
         let guard = Rc::downgrade(&fleet);
-        engine.set_guard(Rc::new(move || guard.upgrade().and_then(|fleet| fleet.up_to_date())));
-        let hearing = fleet.clone();
-        keep_running("fleet", move || hearing.clone().hear());
+        engine.set_guard(Rc::new(move || guard.upgrade().and_then(|fleet| fleet.refresh_rules())));
+        let receiving = fleet.clone();
+        keep_running("fleet", move || receiving.clone().receive_frames());
         let ticking = fleet.clone();
         keep_running("fleet's timers", move || ticking.clone().tick());
         if let Some(tree) = fleet.tree.clone() {
@@ -130,7 +130,7 @@
         if settings.zones {
             engine.count_zones();
             let leading = fleet.clone();
-            keep_running("fleet's zones", move || leading.clone().lead_zones());
+            keep_running("fleet's zones", move || leading.clone().run_zones());
         }
         let decider = settings.decider.map_or("whom the coordinator elects", |peer| fleet.name(peer));
         let me = fleet.name(settings.me);
@@ -161,11 +161,11 @@
     /// Proposes a change and waits for its outcome.
     pub async fn propose(self: &Rc<Self>, ask: Proposal) -> ProposalOutcome {
         let ticket = self.next_ticket.replace(self.next_ticket.get() + 1);
-        let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, tell);
+        let (outcome_tx, outcome_rx) = oneshot::channel();
+        self.waiting.borrow_mut().insert(ticket, outcome_tx);
         self.feed(Event::Propose(Proposal { ticket, ..ask }));
         // Each proposal gets one outcome, unless the process is ending.
-        told.await.unwrap_or(ProposalOutcome::TimedOut(Vec::new()))
+        outcome_rx.await.unwrap_or(ProposalOutcome::TimedOut(Vec::new()))
     }
 
     /// Handles changed rules in the configuration file: the decider proposes them; other limiters only log a warning and
@@ -179,28 +179,33 @@
         let fleet = self.clone();
         tokio::task::spawn_local(async move {
             let author = "SIGHUP".to_owned();
-            let ask = Proposal { author, text: rules.into(), timeout: PATIENCE, ..Proposal::default() };
+            let ask = Proposal {
+                author,
+                text: rules.into(),
+                timeout: DEFAULT_PROPOSAL_TIMEOUT_MS,
+                ..Proposal::default()
+            };
             let answer = fleet.propose(ask).await;
-            tracing::info!("fleet: the file's rules: {}", fleet.worded(&answer).1);
+            tracing::info!("fleet: the file's rules: {}", fleet.outcome_reply(&answer).1);
         });
     }
 
     /// Applies the rules that are valid now. If there are none, returns how long clients should wait, ms. Runs before every
     /// request and attempt, so that a process that was suspended does not act on expired rules.
-    fn up_to_date(self: &Rc<Self>) -> Option<f64> {
+    fn refresh_rules(self: &Rc<Self>) -> Option<f64> {
         let now = self.now();
         if self.node.borrow().next_due(now) <= now {
             // The process was suspended or busy: overdue timers run before the rules are used.
-            self.turn(Event::Tick);
+            self.handle_event(Event::Tick);
         }
         let active_rules = self.node.borrow().active_rules(now);
         if !self.applied.borrow().is(active_rules) {
-            self.act(active_rules);
+            self.apply_rules(active_rules);
         }
         (active_rules == ActiveRules::Reject).then_some(self.settings.timing.lease as f64)
     }
 
-    fn act(&self, active_rules: ActiveRules) {
+    fn apply_rules(&self, active_rules: ActiveRules) {
         let (held, other) = {
             let node = self.node.borrow();
             (node.held().cloned(), node.confirmed().cloned())
@@ -219,16 +224,16 @@
             self.lapses.set(self.lapses.get() + 1);
         }
         self.engine.hold_readiness(active_rules == ActiveRules::Reject);
-        self.applied.borrow_mut().act(active_rules, held.as_deref(), other.as_deref());
+        self.applied.borrow_mut().apply_rules(active_rules, held.as_deref(), other.as_deref());
     }
 
     fn feed(self: &Rc<Self>, event: Event) {
-        self.turn(event);
-        self.up_to_date();
-        self.sooner.notify_one();
+        self.handle_event(event);
+        self.refresh_rules();
+        self.deadline_changed.notify_one();
     }
 
-    fn turn(self: &Rc<Self>, event: Event) {
+    fn handle_event(self: &Rc<Self>, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let now = self.now();
@@ -260,9 +265,9 @@
             // The active rules are checked after every event.
             Output::Activate(_) | Output::Deactivate => {}
             Output::ProposalFinished(ticket, answer) => {
-                if let Some(tell) = self.waiting.borrow_mut().remove(&ticket) {
+                if let Some(outcome_tx) = self.waiting.borrow_mut().remove(&ticket) {
                     // The caller may have disconnected.
-                    let _ = tell.send(answer);
+                    let _ = outcome_tx.send(answer);
                 }
             }
         }
@@ -289,7 +294,7 @@
         }
     }
 
-    async fn hear(self: Rc<Self>) {
+    async fn receive_frames(self: Rc<Self>) {
         let mut buffer = [0; MAX_FRAME_BYTES + 1];
         loop {
             let Ok((len, _)) = self.socket.recv_from(&mut buffer).await else {
@@ -302,7 +307,7 @@
             self.traffic.set(Traffic { received, received_bytes, ..traffic });
             match self.codec.read(self.settings.me, &buffer[..len]) {
                 Ok((from, _)) if self.peer(from).is_none() => self.drop_frame(FrameError::Malformed),
-                Ok((from, Message::Attachment(bytes))) => self.beside(from, &bytes),
+                Ok((from, Message::Attachment(bytes))) => self.receive_zone_report(from, &bytes),
                 Ok((from, message)) => self.feed(Event::Message(from, message)),
                 Err(why) => self.drop_frame(why),
             }
@@ -328,7 +333,7 @@
             }
             tokio::select! {
                 () = self.clock.until(due as f64) => {}
-                () = self.sooner.notified() => {}
+                () = self.deadline_changed.notified() => {}
             }
             if self.now() >= due {
                 self.feed(Event::Tick);
@@ -338,7 +343,7 @@
 }
 
 /// Creates the registers. A request times out after half a lease, which leaves time for another one.
-fn registers(tree: &FleetTree, lease: Millis) -> Rc<Registers> {
+fn open_registers(tree: &FleetTree, lease: Millis) -> Rc<Registers> {
     let config = oatbank_zookeeper::Config {
         cluster: tree.cluster.clone(),
         path: tree.path.clone(),
--- a/crates/daemon/src/fleet/zone_command.rs
+++ b/crates/daemon/src/fleet/zone_command.rs
@@ -1,6 +1,6 @@
 //! `oatbank zone`: shows and controls a fleet's zones through the HTTP API at the decider's `fleet.control` address.
 
-use super::command::{call_at, ended, get, print, word, At, End};
+use super::command::{call_at, get, print, run_to_exit_code, text_of, At, Failure};
 use clap::Subcommand;
 use hyper::Method;
 use serde_json::Value;
@@ -68,10 +68,10 @@
 /// # Errors
 /// If the runtime cannot be started.
 pub fn run(command: ZoneCommand) -> Result<ExitCode, String> {
-    ended(carry_out(command))
+    run_to_exit_code(carry_out(command))
 }
 
-async fn carry_out(command: ZoneCommand) -> Result<(), End> {
+async fn carry_out(command: ZoneCommand) -> Result<(), Failure> {
     match command {
         ZoneCommand::Status { at } => {
             let zones = get(&at, "zones").await?;
@@ -80,7 +80,9 @@
         ZoneCommand::Plan { zone, at } => {
             let zones = get(&at, "zones").await?;
             let found = zones.as_array().into_iter().flatten().find(|z| z["zone"] == zone.as_str());
-            let Some(found) = found else { return Err(End(NOT_POSSIBLE, format!("{zone:?} is not known"))) };
+            let Some(found) = found else {
+                return Err(Failure(NOT_POSSIBLE, format!("{zone:?} is not known")));
+            };
             print(&at, found, || vec![plan(found)]);
         }
         ZoneCommand::Leave { zone, over, at } => {
@@ -93,7 +95,7 @@
     Ok(())
 }
 
-async fn order(at: &At, zone: &str, what: &str) -> Result<(), End> {
+async fn order(at: &At, zone: &str, what: &str) -> Result<(), Failure> {
     let (status, body) = call_at(at, Method::POST, &format!("zones/{zone}/{what}")).await?;
     let answer: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
     let say = answer["say"].as_str().or(answer["error"].as_str()).unwrap_or(&body).to_owned();
@@ -102,8 +104,8 @@
             print(at, &answer, || vec![say]);
             Ok(())
         }
-        404 | 409 => Err(End(NOT_POSSIBLE, say)),
-        _ => Err(End(1, say)),
+        404 | 409 => Err(Failure(NOT_POSSIBLE, say)),
+        _ => Err(Failure(1, say)),
     }
 }
 
@@ -112,7 +114,7 @@
 }
 
 fn plan(zone: &Value) -> String {
-    let (name, rate) = (word(&zone["zone"]), zone["rate"].as_f64().unwrap_or(0.0));
+    let (name, rate) = (text_of(&zone["zone"]), zone["rate"].as_f64().unwrap_or(0.0));
     match zone["stays"].as_f64() {
         Some(stays) if stays <= 0.0 => {
             format!("{name}: the other zones could take its {rate:.0} attempts per second")
@@ -131,19 +133,19 @@
     );
     let name = |value: &Value| match value {
         Value::Object(map) => map.keys().next().cloned().unwrap_or_default(),
-        other => word(other),
+        other => text_of(other),
     };
     let row = |zone: &Value| {
         let seen = zone["limiters"].as_array().into_iter().flatten();
         let seen = seen.filter(|l| l["failed"].as_f64().is_some_and(|n| n >= 1.0));
-        let seen: Vec<String> = seen.map(|l| word(&l["limiter"])).collect();
+        let seen: Vec<String> = seen.map(|l| text_of(&l["limiter"])).collect();
         let order = match &zone["order"] {
             Value::Null => String::new(),
             order => format!(" (ordered: {})", name(order)),
         };
         format!(
             "{:<16} {:>5} {:<10} {:<10} {:>9.0} {:>8} {:>9}  {}{order}",
-            word(&zone["zone"]),
+            text_of(&zone["zone"]),
             percent(&zone["share"]),
             name(&zone["phase"]),
             name(&zone["verdict"]),
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -16,9 +16,9 @@
 use tracing_subscriber::Layer;
 
 /// Maximum number of lines per second. Further lines are dropped and counted.
-const LINES_A_SECOND: u32 = 20;
+const MAX_LINES_PER_SECOND: u32 = 20;
 /// Target of events about the log itself, which are never dropped.
-const OF_THE_LOG: &str = "oatbank::log";
+const LOG_TARGET: &str = "oatbank::log";
 
 /// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -31,54 +31,55 @@
 
 /// Start of the current second, lines counted in it, and lines dropped since the last report, by level.
 struct Second {
-    began: Instant,
+    start: Instant,
     written: u32,
-    left_out: [u64; 5],
+    dropped: [u64; 5],
 }
 
 /// Filter that limits the number of lines per second.
-struct Bound(Mutex<Second>);
+struct LineLimit(Mutex<Second>);
 
-static BOUND: OnceLock<Bound> = OnceLock::new();
+static LINE_LIMIT: OnceLock<LineLimit> = OnceLock::new();
 
-fn bound() -> &'static Bound {
-    BOUND.get_or_init(|| Bound(Mutex::new(Second { began: Instant::now(), written: 0, left_out: [0; 5] })))
+fn line_limit() -> &'static LineLimit {
+    LINE_LIMIT
+        .get_or_init(|| LineLimit(Mutex::new(Second { start: Instant::now(), written: 0, dropped: [0; 5] })))
 }
 
 const LEVELS: [Level; 5] = [Level::ERROR, Level::WARN, Level::INFO, Level::DEBUG, Level::TRACE];
 
-impl Bound {
+impl LineLimit {
     fn admit(&self, level: Level, now: Instant) -> bool {
         // The counters are valid even if another thread panicked while it held the lock.
         let mut second = self.0.lock().unwrap_or_else(|broken| broken.into_inner());
-        if now.duration_since(second.began) > Duration::from_secs(1) {
-            (second.began, second.written) = (now, 0);
+        if now.duration_since(second.start) > Duration::from_secs(1) {
+            (second.start, second.written) = (now, 0);
         }
         second.written += 1;
-        if second.written <= LINES_A_SECOND {
+        if second.written <= MAX_LINES_PER_SECOND {
             return true;
         }
         if let Some(place) = LEVELS.iter().position(|l| *l == level) {
-            second.left_out[place] += 1;
+            second.dropped[place] += 1;
         }
         false
     }
 
     /// Returns and resets the number of dropped lines, by level from errors down.
-    fn take_left_out(&self) -> [u64; 5] {
+    fn take_dropped(&self) -> [u64; 5] {
         let mut second = self.0.lock().unwrap_or_else(|broken| broken.into_inner());
-        std::mem::take(&mut second.left_out)
+        std::mem::take(&mut second.dropped)
     }
 }
 
-impl<S: Subscriber> Filter<S> for &'static Bound {
+impl<S: Subscriber> Filter<S> for &'static LineLimit {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
         let metadata = event.metadata();
-        metadata.target() == OF_THE_LOG || self.admit(*metadata.level(), Instant::now())
+        metadata.target() == LOG_TARGET || self.admit(*metadata.level(), Instant::now())
     }
 }
 
@@ -116,15 +117,15 @@
 /// Starts logging in the platform's format, at level info and above.
 pub fn start_platform() {
     let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).event_format(Platform);
-    install(lines.with_filter(bound()).with_filter(LevelFilter::INFO));
+    install(lines.with_filter(line_limit()).with_filter(LevelFilter::INFO));
 }
 
 /// Starts logging in the given format, at levels by module.
 pub fn start(format: Format, levels: Targets) {
     let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
     match format {
-        Format::Text => install(lines.with_filter(bound()).with_filter(levels)),
-        Format::Json => install(lines.json().with_filter(bound()).with_filter(levels)),
+        Format::Text => install(lines.with_filter(line_limit()).with_filter(levels)),
+        Format::Json => install(lines.json().with_filter(line_limit()).with_filter(levels)),
     }
 }
 
@@ -147,23 +148,23 @@
 
 /// Returns whether logging has been started.
 pub fn is_on() -> bool {
-    BOUND.get().is_some()
+    LINE_LIMIT.get().is_some()
 }
 
 /// Reports once per second how many lines were dropped, if any. Never returns.
-pub async fn tell_what_was_left_out() {
+pub async fn report_dropped_lines() {
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let [errors, warnings, infos, debugs, traces] = bound().take_left_out();
+        let [errors, warnings, infos, debugs, traces] = line_limit().take_dropped();
         if errors + warnings + infos + debugs + traces > 0 {
             tracing::warn!(
-                target: OF_THE_LOG,
+                target: LOG_TARGET,
                 errors,
                 warnings,
                 infos,
                 debugs,
                 traces,
-                "lines were left out of the log: {LINES_A_SECOND} a second are written"
+                "lines were left out of the log: {MAX_LINES_PER_SECOND} a second are written"
             );
         }
     }
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -15,10 +15,10 @@
 use tokio::sync::mpsc::unbounded_channel;
 
 /// How long the command waits for a list.
-const PATIENCE: Duration = Duration::from_secs(10);
+const LIST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Returns the parameters of the ZooKeeper source.
-pub fn source(folder: &ZooKeeper) -> oatbank_zookeeper::Config {
+pub fn source_config(folder: &ZooKeeper) -> oatbank_zookeeper::Config {
     oatbank_zookeeper::Config {
         cluster: folder.zookeeper.clone(),
         path: folder.path.clone(),
@@ -34,9 +34,9 @@
 }
 
 /// Rank of the ZooKeeper source.
-pub const TREE: usize = 0;
+pub const ZOOKEEPER_RANK: usize = 0;
 /// Rank of the configuration file as a source.
-pub const FILE: usize = 1;
+pub const FILE_RANK: usize = 1;
 
 /// Creates the intake that merges the sources of a configuration into one list.
 pub fn intake(config: &Config) -> Intake {
@@ -46,7 +46,7 @@
 
 /// Returns the update for the servers of the file. With a ZooKeeper folder and `UntilRead` they are used only until the
 /// folder has been read.
-pub fn of_file(config: &Config) -> News {
+pub fn file_news(config: &Config) -> News {
     let members = config.members.clone();
     match &config.zookeeper {
         Some(folder) if folder.servers == FileServers::UntilRead => News::Remembered(members),
@@ -69,12 +69,12 @@
     // The receiver lives as long as the process.
     let told: MembershipSink = Rc::new(move |news| _ = tell.send(news));
     let feed = Feed::start(intake(&config), told, clock.clone());
-    feed.source(FILE)(of_file(&config));
+    feed.source(FILE_RANK)(file_news(&config));
     let mut tree = None;
     if let Some(folder) = &config.zookeeper {
-        let source = source(folder);
+        let source = source_config(folder);
         let state = oatbank_zookeeper::state(&source);
-        let (beside, told, there) = (clock.clone(), feed.source(TREE), state.clone());
+        let (beside, told, there) = (clock.clone(), feed.source(ZOOKEEPER_RANK), state.clone());
         keep_running("members", move || {
             oatbank_zookeeper::follow(source.clone(), beside.clone(), told.clone(), there.clone())
         });
@@ -85,7 +85,7 @@
                 }
             }
         };
-        let read = tokio::time::timeout(PATIENCE, read).await;
+        let read = tokio::time::timeout(LIST_TIMEOUT, read).await;
         read.map_err(|_| format!("{}: no list from {} in 10 s", folder.path, folder.zookeeper))?;
         tree = Some(state);
     }
@@ -101,7 +101,7 @@
 }
 
 fn print(feed: &Feed, tree: Option<&Shared>, now: Millis) {
-    let rows = feed.look(Intake::rows);
+    let rows = feed.inspect(Intake::rows);
     for (row, standing) in &rows {
         let standing = match standing {
             Standing::Announced => String::new(),
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -64,7 +64,7 @@
 }
 
 /// How long to wait for discovery before serving from the last known list.
-const LIST_WAIT: Duration = Duration::from_millis(500);
+const LIST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Parsed configuration of the platform.
 pub struct Config {
@@ -137,10 +137,10 @@
 /// The reason why the limiter cannot start.
 pub fn run(path: String) -> Result<(), String> {
     let mut config = Config::load(&path).map_err(|e| e.to_string())?;
-    config.plan.passed = passed()?;
+    config.plan.passed = passed_socket()?;
     config.plan.others = if config.plan.passed.is_some() { upgrade::DESCRIPTORS } else { 0 };
     config.control = control_address(&config).map_err(|e| e.to_string())?;
-    config.plan.others += if config.control.is_some() { control::MOST_CALLERS + 1 } else { 0 };
+    config.plan.others += if config.control.is_some() { control::MAX_CALLERS + 1 } else { 0 };
     on_one_thread(async move { serve(config, path).await.map_err(|e| e.to_string()) })
 }
 
@@ -148,17 +148,17 @@
     let mut signals = Signals::new()?;
     let clock: Rc<dyn Clock> = Rc::new(SystemClock::new());
     let engine = Serving::engine(&config.plan, clock.clone());
-    let told = engine.membership_sink();
+    let sink = engine.membership_sink();
     if let Some(known) = &config.known {
-        told(News::Remembered(known.members()));
+        sink(News::Remembered(known.members()));
     }
     let counter = TextCounter::start(config.counter, clock, engine.call_end_sink());
     engine.use_counter(Some(counter.clone()));
     let known = config.known.as_ref().map_or(0, |k| k.revision);
-    let mut following = Following::start(told, config.agent(), Some(known), config.plan.setup.seed);
+    let mut following = DiscoveryFollower::start(sink, config.agent(), Some(known), config.plan.setup.seed);
     let waiting = engine.clone();
     tokio::task::spawn_local(async move {
-        tokio::time::sleep(LIST_WAIT).await;
+        tokio::time::sleep(LIST_TIMEOUT).await;
         waiting.set_ready();
     });
     let upgrades = config.plan.passed.is_some();
@@ -168,7 +168,7 @@
         None => None,
     };
     let serving = Serving::start(&config.plan, engine.clone())?;
-    let upgrade = if upgrades { hand_over(&engine, &serving, control, config.plan).await } else { None };
+    let upgrade = if upgrades { start_upgrade(&engine, &serving, control, config.plan).await } else { None };
     let mut taken = config.form;
     signals.until_stop(|| reload(&path, &mut taken, &engine, &counter, &mut following)).await;
     serving.stop(upgrade.is_some_and(|u| u.has_yielded())).await;
@@ -176,19 +176,19 @@
 }
 
 /// Follows the configured discovery agent, and switches agents when the configuration changes.
-struct Following {
-    told: MembershipSink,
+struct DiscoveryFollower {
+    sink: MembershipSink,
     agent: Agent,
     /// Seed of the retry delays.
     seed: u64,
     task: AbortHandle,
 }
 
-impl Following {
-    fn start(told: MembershipSink, agent: Agent, known: Option<u64>, seed: u64) -> Self {
-        let telling = told.clone();
+impl DiscoveryFollower {
+    fn start(sink: MembershipSink, agent: Agent, known: Option<u64>, seed: u64) -> Self {
+        let telling = sink.clone();
         let task = keep_running("discovery", move || agent::follow(telling.clone(), agent, known, seed));
-        Following { told, agent, seed, task }
+        DiscoveryFollower { sink, agent, seed, task }
     }
 
     /// Switches to another agent. The old list is kept until the new agent sends its own. Versions of two agents are not
@@ -196,13 +196,13 @@
     fn move_to(&mut self, agent: Agent) {
         if self.agent != agent {
             self.task.abort();
-            *self = Following::start(self.told.clone(), agent, None, self.seed);
+            *self = DiscoveryFollower::start(self.sink.clone(), agent, None, self.seed);
         }
     }
 }
 
 /// Returns the descriptor of the listening socket inherited from the platform, if there is one.
-fn passed() -> Result<Option<RawFd>, String> {
+fn passed_socket() -> Result<Option<RawFd>, String> {
     let Ok(named) = std::env::var("PROXY_PASSED_SOCKET") else { return Ok(None) };
     let descriptor = named.trim().parse::<RawFd>().ok().filter(|d| *d > 2);
     let wrong = || format!("PROXY_PASSED_SOCKET {named:?}: expected a descriptor above 2, such as 3");
@@ -211,7 +211,7 @@
 
 /// Coordinates this process with its predecessor and successor. If `$TMPDIR` cannot be used, the process runs without
 /// coordination.
-async fn hand_over(
+async fn start_upgrade(
     engine: &Rc<Engine<Http1>>,
     serving: &Serving,
     control: Option<Rc<Control>>,
@@ -222,7 +222,7 @@
     match Upgrade::start(engine.clone(), serving.front(), budget).await {
         Ok(upgrade) => {
             if let Some(control) = control {
-                control.tell_others(upgrade.clone());
+                control.set_upgrade(upgrade.clone());
             }
             Some(upgrade)
         }
@@ -256,7 +256,7 @@
     taken: &mut Value,
     engine: &Rc<Engine<Http1>>,
     counter: &TextCounter,
-    following: &mut Following,
+    following: &mut DiscoveryFollower,
 ) {
     let checked = Config::load(path).map_err(|e| e.to_string()).and_then(|config| {
         reload::check(taken, &config.form).map_err(|e| format!("configuration {path:?}: {e}"))?;
@@ -272,7 +272,7 @@
     }
     let number = engine.revision().number();
     tracing::info!(number, "configuration: settings {number}, discovery {discovery}, counter {at:?}");
-    for key in reload::only_at_a_start(taken, &config.form) {
+    for key in reload::restart_only_changes(taken, &config.form) {
         tracing::warn!(key, "configuration: {key} has changed; this takes effect after a restart only");
     }
     following.move_to(config.agent());
--- a/crates/daemon/src/reload/tests.rs
+++ b/crates/daemon/src/reload/tests.rs
@@ -87,5 +87,5 @@
     let mut now = file();
     now["limits"] = json!({"sockets": 2});
     now["settings"]["ceilings"]["max_attempts"] = json!(2);
-    assert_eq!(only_at_a_start(&file(), &now).collect::<Vec<_>>(), ["limits"]);
+    assert_eq!(restart_only_changes(&file(), &now).collect::<Vec<_>>(), ["limits"]);
 }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -22,13 +22,13 @@
 /// Maximum length of the listener's queue of pending connections.
 const BACKLOG: u32 = 1024;
 /// New connections arrive for up to 0.4 s after SIGTERM and are accepted for this long.
-const KEEP_ACCEPTING: Duration = Duration::from_millis(450);
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(450);
 /// Part of the shutdown timeout that is reserved for closing idle connections.
-const CLOSING: Duration = Duration::from_millis(150);
+const CLOSE_RESERVE: Duration = Duration::from_millis(150);
 /// Interval at which a shutdown checks for open connections.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long the last responses may take to be written at the end of a shutdown.
-const LAST_BYTES: Duration = Duration::from_millis(60);
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Parameters of a serving process, from either kind of configuration.
 pub struct Plan {
@@ -127,7 +127,7 @@
             FrontLimits::default(),
         );
         let listener = Rc::new(match plan.passed {
-            Some(descriptor) => adopt(descriptor)?,
+            Some(descriptor) => adopt_listener(descriptor)?,
             None => bind(plan.listen)?,
         });
         let address = listener.local_addr()?;
@@ -166,12 +166,12 @@
         let end = stopped + shutdown_timeout(engine.revision().settings());
         front.stop();
         if yielded {
-            let last = end - CLOSING;
+            let last = end - CLOSE_RESERVE;
             while front.open() > 0 && Instant::now() < last {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         } else {
-            tokio::time::sleep(KEEP_ACCEPTING).await;
+            tokio::time::sleep(ACCEPT_AFTER_SIGTERM).await;
         }
         self.accepting.abort();
         finish(engine, front, end).await;
@@ -199,12 +199,12 @@
 async fn finish(engine: &Rc<Engine<Http1>>, front: &Rc<Front>, end: Instant) {
     front.close_idle();
     while front.open() > 0 && Instant::now() < end {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     engine.fail_all();
-    let last = Instant::now() + LAST_BYTES;
+    let last = Instant::now() + FINAL_WRITE_TIMEOUT;
     while front.open() > 0 && Instant::now() < last {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -212,7 +212,7 @@
 ///
 /// # Errors
 /// If the descriptor is not a listening TCP socket.
-fn adopt(descriptor: RawFd) -> std::io::Result<TcpListener> {
+fn adopt_listener(descriptor: RawFd) -> std::io::Result<TcpListener> {
     let wrong = |why: String| {
         std::io::Error::new(
             std::io::ErrorKind::InvalidInput,
--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -41,7 +41,7 @@
     let (config, base) = loaded.map_err(|e| e.lines(&path).join("\n"))?;
     on_one_thread(async move {
         let mut signals = Signals::new().map_err(|e| e.to_string())?;
-        keep_running("log", logging::tell_what_was_left_out);
+        keep_running("log", logging::report_dropped_lines);
         let running = Running::start(&config, base)?;
         signals.until_stop(|| reload(&path, &running)).await;
         running.stop().await;
@@ -65,10 +65,10 @@
             engine.call_end_sink(),
         ));
         let feed = Feed::start(members::intake(config), engine.membership_sink(), clock.clone());
-        let from_file = feed.source(members::FILE);
-        from_file(members::of_file(config));
+        let from_file = feed.source(members::FILE_RANK);
+        from_file(members::file_news(config));
         if let Some(folder) = &config.zookeeper {
-            follow(folder, clock.clone(), feed.source(members::TREE));
+            follow(folder, clock.clone(), feed.source(members::ZOOKEEPER_RANK));
         }
         // Joins before the first client is accepted: a member of a fleet serves by the fleet's rules only.
         let fleet = match &config.fleet {
@@ -97,7 +97,7 @@
 }
 
 fn follow(folder: &ZooKeeper, clock: Rc<dyn Clock>, told: MembershipSink) {
-    let source = members::source(folder);
+    let source = members::source_config(folder);
     let state = oatbank_zookeeper::state(&source);
     keep_running("members", move || {
         oatbank_zookeeper::follow(source.clone(), clock.clone(), told.clone(), state.clone())
@@ -106,7 +106,7 @@
 
 fn register(name: &str, folder: &ZooKeeper, clock: Rc<dyn Clock>) -> Option<Rc<Registrar>> {
     let path = folder.register.clone()?;
-    let config = oatbank_zookeeper::Config { path, ..members::source(folder) };
+    let config = oatbank_zookeeper::Config { path, ..members::source_config(folder) };
     // Random: taken from the seed of the standard library's hash maps.
     let instance = RandomState::new().build_hasher().finish();
     let life = Incarnation { started_ms: clock.now() as u64, instance };
@@ -130,7 +130,7 @@
 ) -> Result<Rc<Fleet>, String> {
     let fleet = Fleet::join(settings, base, engine.clone(), servers, clock)?;
     let control = Control::start(settings.control, engine).map_err(|e| format!("fleet.{e}"))?;
-    control.answer_for(fleet.clone());
+    control.set_fleet(fleet.clone());
     Ok(fleet)
 }
 
@@ -154,7 +154,7 @@
         (Ok((_, base)), Some(fleet)) => fleet.reloaded(base.rules()),
         (Ok((config, _)), None) => {
             tracing::info!("configuration: {} servers", config.members.len());
-            (running.from_file)(members::of_file(&config));
+            (running.from_file)(members::file_news(&config));
         }
         (Err(e), _) => tracing::error!("the configuration is kept as it was: {path}: {e}"),
     }
--- a/crates/daemon/src/upgrade.rs
+++ b/crates/daemon/src/upgrade.rs
@@ -209,7 +209,7 @@
                 tracing::info!(
                     accepts,
                     "upgrade: {}",
-                    if accepts { "accepting clients" } else { "not accepting clients, a successor serves" }
+                    if accepts { "accepting clients" } else { "yields to a successor" }
                 );
                 self.front.set_accepting(accepts);
                 self.engine.hold_readiness(false);
