--- a/crates/daemon/src/fleet/edit/tests.rs
+++ b/crates/daemon/src/fleet/edit/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn only_the_one_line_changes_and_it_can_be_taken_back() {
+fn suspend_changes_one_line_and_can_be_reverted() {
     let out = suspend(TEXT, &ids(&["b", "a"]), true).expect("changed");
     assert_eq!(out, format!("suspended = [\"a\", \"b\"]\n{TEXT}"));
     let more = suspend(&out, &ids(&["c", "a"]), true).expect("changed");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn zones_are_left_beside_what_is_suspended() {
+fn reduced_zones_and_suspended_servers_are_independent() {
     let out = suspend(TEXT, &ids(&["a"]), true).expect("changed");
     let a = ReducedZone { zone: "a".into(), share: 1.0 / 24.0, by: oatbank_zones::ReductionCause::Evidence };
     let both = left(&out, std::slice::from_ref(&a)).expect("changed");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_was_written_otherwise_is_left_to_its_writer() {
+fn a_key_in_another_form_is_rejected() {
     let lines = "suspended = [\n  \"a\",\n]\n[[servers]]\nid = \"a\"\n";
     let why = suspend(lines, &ids(&["b"]), true).expect_err("over several lines");
     assert!(why.contains("on one line"), "{why}");
--- a/crates/daemon/src/fleet/zones/tests.rs
+++ b/crates/daemon/src/fleet/zones/tests.rs
@@ -3,7 +3,7 @@
 use super::parse_over_ms;
 
 #[test]
-fn a_span_that_cannot_be_read_is_no_order_to_leave_at_once() {
+fn an_invalid_period_is_rejected_instead_of_draining_at_once() {
     assert_eq!((parse_over_ms(""), parse_over_ms("over_ms=3000")), (Ok(0), Ok(3000)));
     for bad in ["over_ms=", "over_ms=3s", "over_ms=-1", "over=3", "over_ms"] {
         assert!(parse_over_ms(bad).is_err(), "{bad}");
--- a/crates/daemon/src/logging/tests.rs
+++ b/crates/daemon/src/logging/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_second_has_so_many_lines_and_the_rest_is_counted_by_level() {
+fn lines_beyond_the_limit_per_second_are_counted_by_level() {
     let start = Instant::now();
     let limit = LineLimit(Mutex::new(Second { start, written: 0, dropped: [0; 5] }));
     let passed = (0..MAX_LINES_PER_SECOND + 5).filter(|_| limit.admit(Level::WARN, start)).count();
@@ -12,5 +12,5 @@
     let later = start + Duration::from_millis(1001);
     assert!(limit.admit(Level::INFO, later));
     assert_eq!(limit.take_dropped(), [1, 5, 0, 0, 0]);
-    assert_eq!(limit.take_dropped(), [0; 5], "told once");
+    assert_eq!(limit.take_dropped(), [0; 5], "reported once");
 }
--- a/crates/daemon/src/platform/tests.rs
+++ b/crates/daemon/src/platform/tests.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn nested_settings_become_the_lines_of_the_wire() {
+fn nested_settings_are_flattened_to_lines() {
     let lines = flatten(&json!({
         "balancers": 3, "discovery": "pushed", "areas": ["a b", "c"],
         "classes": [{"name": "x", "deadline": 4000.0}], "safety": {"warm_after": 16000.0}, "plans": []
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_configuration_without_classes_is_told_as_an_error() {
+fn a_configuration_without_classes_is_rejected() {
     let text = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{}}"#;
     assert!(matches!(Config::parse(text), Err(ConfigError::Settings(_))));
     assert!(matches!(Config::parse("{"), Err(ConfigError::Malformed(_))));
--- a/crates/daemon/src/reload/tests.rs
+++ b/crates/daemon/src/reload/tests.rs
@@ -17,7 +17,7 @@
     })
 }
 
-/// What the check says of the file with the value at `path` changed, or taken out.
+/// Checks the file with the value at `path` replaced, appended to a list, or removed.
 fn with(path: &str, value: Option<Value>) -> Result<(), String> {
     let mut now = file();
     let (parent, key) = path.rsplit_once('/').expect("a pointer");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_operators_change_is_taken() {
+fn valid_changes_are_accepted() {
     let class =
         json!({"name": "c", "deadline": 1, "idempotency": "guarded", "importance": 2, "group": "all"});
     assert_eq!(check(&file(), &file()), Ok(()));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_whole_is_told_by_its_key() {
+fn a_missing_key_is_reported_by_name() {
     for path in [
         "/listen",
         "/counter",
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_deadline_and_a_number_of_attempts_are_above_nothing() {
+fn deadlines_and_attempt_limits_must_be_positive() {
     for bad in [json!(0), json!(-1), json!("4"), json!(null), json!([4]), json!(true)] {
         for path in ["/settings/classes/0/deadline", "/settings/ceilings/max_attempts"] {
             assert!(with(path, Some(bad.clone())).is_err(), "{path}: {bad}");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_a_restart_only_changes_is_told() {
+fn restart_only_changes_are_reported() {
     let mut now = file();
     now["limits"] = json!({"sockets": 2});
     now["settings"]["ceilings"]["max_attempts"] = json!(2);
--- a/crates/daemon/tests/cli.rs
+++ b/crates/daemon/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what it prints, how it ends, and that what it starts really serves.
+//! Tests of the command line: output, exit codes, and that a started daemon serves.
 
 use oatbank_testkit::{eventually, Act, Client, Scratch, Server, Standalone, PATIENCE};
 use std::process::{Command, Output};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_demo_shows_failures_a_drain_and_refusals_and_ends_well() {
+fn the_demo_prints_failures_a_drain_and_rejections_and_succeeds() {
     let done = oatbank(&["demo"]);
     let text = String::from_utf8(done.stdout).expect("text");
     assert!(done.status.success(), "{text}");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_file_is_checked_and_each_mistake_is_told_with_its_line_and_key() {
+fn check_reports_each_mistake_with_line_and_key() {
     let server = Server::ok();
     let good = Scratch::new(&config(&[&server]));
     let done = oatbank(&["check", good.path()]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_variable_overrides_a_key_and_a_wrong_one_is_named() {
+fn environment_variables_override_keys_and_invalid_ones_are_reported() {
     let server = Server::ok();
     let good = Scratch::new(&config(&[&server]));
     let check = |value: &str| {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_schema_the_completions_and_an_example_for_each_command_are_printed() {
+fn schema_completions_and_help_examples_are_printed() {
     let schema: serde_json::Value =
         serde_json::from_slice(&oatbank(&["config", "schema"]).stdout).expect("JSON");
     assert!(schema["properties"]["plans"]["items"]["properties"]["rate"]["description"].is_string());
@@ -100,18 +100,18 @@
 }
 
 #[test]
-fn without_servers_a_client_is_told_a_span_that_any_client_understands() {
+fn without_servers_requests_are_rejected_with_a_retry_time_in_whole_seconds() {
     let file = Scratch::new(&config(&[]).replace("aim_ms = 1500", "aim_ms = 300"));
     let process = Standalone::serve(OATBANK, &file);
     let answer = Client::connect(process.address).look_of_one();
     assert_eq!(answer.status(), 429);
-    // The class's aim, as whole seconds rounded up, and exactly.
+    // The class's target time, in whole seconds rounded up, and exactly.
     assert_eq!(answer.header("retry-after"), Some("1"));
     assert_eq!(answer.header("x-oatbank-retry-after"), Some("0.300"));
 }
 
 #[test]
-fn the_log_is_json_where_it_is_asked_for_at_levels_by_module_and_says_what_it_left_out() {
+fn the_log_supports_json_and_levels_by_module_and_reports_dropped_lines() {
     let server = Server::ok();
     let file = Scratch::new(&config(&[&server]));
     let further = ["--log-format", "json", "--log-level", "info,oatbank=debug"];
@@ -122,7 +122,7 @@
     let line: serde_json::Value = serde_json::from_str(&line).expect("JSON");
     assert_eq!((&line["level"], &line["fields"]["outcome"]), (&"DEBUG".into(), &"served".into()));
     assert!(line["fields"]["ms"].is_number() && line["span"]["account"].is_number(), "{line}");
-    // More lines than a second has: the rest is counted by level, and that is told.
+    // Lines beyond the limit per second are counted by level and reported.
     for _ in 0..60 {
         assert_eq!(client.look_of_one().status(), 200);
     }
@@ -134,20 +134,20 @@
 }
 
 #[test]
-fn it_serves_from_a_file_moves_to_new_servers_and_ends_on_a_signal() {
+fn serve_uses_its_file_reloads_servers_and_ends_on_sigterm() {
     let old = Server::ok();
     let new = Server::start(|_| Act::Write(oatbank_testkit::answer("200 OK", "", b"new")));
     let file = Scratch::new(&config(&[&old]));
     let mut process = Standalone::serve(OATBANK, &file);
     let ask = |process: &Standalone| Client::connect(process.address).look_of_one();
     assert_eq!(ask(&process).status(), 200);
-    // A bad file changes nothing.
+    // An invalid file changes nothing.
     file.write(&config(&[&new]).replace("aim_ms = 1500", "aim_ms = 0"));
     process.signal("-HUP");
     assert!(process.line_with("kept as it was").contains("classes[0].aim_ms"));
     assert_eq!(ask(&process).status(), 200);
     assert_eq!((old.count(), new.count()), (2, 0));
-    // A good one does.
+    // A valid file replaces the servers.
     file.write(&config(&[&new]).replace("s-00000001", "s-00000002"));
     process.signal("-HUP");
     process.line_with("1 servers");
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_served_ends_the_process_with_its_reason() {
+fn an_invalid_file_ends_the_process_with_the_reason() {
     let bad = Scratch::new("name = \"x\"\nclasses = []\nplans = []\n");
     let done = oatbank(&["serve", "--config", bad.path()]);
     let told = String::from_utf8_lossy(&done.stderr).into_owned();
--- a/crates/daemon/tests/elected.rs
+++ b/crates/daemon/tests/elected.rs
@@ -1,5 +1,5 @@
-//! Several real processes of one fleet whose decider a coordinator elects, with faults between them, and between them and
-//! the coordinator.
+//! Fleets of real processes whose decider is elected through a coordinator, with faults between the processes and
+//! between them and the coordinator.
 
 use oatbank_testkit::rig::seen::{
     acts_by, all_act_by, longest_contradiction, rules, start, status, status_of, WITHIN,
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 const OATBANK: &str = env!("CARGO_BIN_EXE_oatbank");
-/// The longest that a change is waited for to be seen.
+/// How long to wait until a proposed change is visible.
 const PATIENCE: Duration = Duration::from_secs(3);
 
 fn rig(limiters: usize, engines: &Fleet, terms: &str, seed: u64) -> Rig {
@@ -24,13 +24,13 @@
     rig.coordinator.as_ref().expect("a rig with a coordinator")
 }
 
-/// Nobody of these reaches the coordinator, or all do again. Neither side is told.
+/// Freezes or unfreezes the coordinator's endpoints of these limiters. Connections stay open.
 fn away(rig: &Rig, away: bool, which: impl Fn(usize) -> bool) {
     let endpoints = coordinator(rig).endpoints.iter().enumerate();
     endpoints.filter(|(n, _)| which(*n)).for_each(|(_, e)| e.freeze(away));
 }
 
-/// The one that says that it decides, and whom its own tree lets.
+/// Returns the running limiter that reports itself as decider and is not recovering.
 fn decider(rig: &Rig) -> Option<usize> {
     let decides = |n: &usize| {
         let status = status(rig, *n);
@@ -39,8 +39,7 @@
     (0..rig.limiters()).filter(|n| rig.runs(*n)).find(decides)
 }
 
-/// Proposes an engine's rules at whoever decides, until they are decided; to whoever is gone by the operator's word nobody
-/// listens.
+/// Proposes an engine's rules at the decider until they are decided. `without` names limiters that are gone for good.
 fn change(rig: &Rig, engines: &Fleet, engine: usize, without: &str) {
     let text = rules(engines.addresses[engine], 1_000_000);
     let path = format!("propose?author=test&patience_ms=2500{without}");
@@ -50,7 +49,7 @@
     });
 }
 
-/// All that run act by the same revision; its number.
+/// Returns the revision's number if all running limiters apply the same one.
 fn agreed(rig: &Rig) -> Option<u64> {
     let mut all = (0..rig.limiters()).filter(|n| rig.runs(*n)).map(|n| acts_by(rig, n));
     let first = all.next()??;
@@ -73,7 +72,7 @@
 }
 
 #[test]
-fn a_killed_decider_is_succeeded_without_a_request_refused() {
+fn a_killed_decider_is_replaced_without_rejected_requests() {
     let engines = Fleet::start_and_keep(3);
     let mut rig = rig(4, &engines, "strict_for_ms = 1500", 1);
     eventually("all act by the first", || agreed(&rig).is_some());
@@ -86,10 +85,10 @@
     eventually("another one decides", || decider(&rig).is_some());
     eventually("by the same rules", || agreed(&rig) == Some(2));
     assert_eq!(refused(&rig), 0, "requests were refused meanwhile");
-    // The one that is gone surely stops after its lease and the strict span.
+    // The killed limiter counts as stopped after its lease and the strict period.
     change(&rig, &engines, 2, "");
     traffic(&engines, 2);
-    // It comes back with its old file, and is one of the others.
+    // It restarts with its old file and is not the decider.
     rig.begin(first);
     eventually("all act by the third", || agreed(&rig).is_some_and(|n| n >= 3));
     assert_eq!(engines.met()[0].requests, 0, "nobody acted by the file");
@@ -111,7 +110,7 @@
         last = rig.call(n, "POST", "propose?patience_ms=300", &text).1;
         last.contains("the coordinator does not answer")
     });
-    // Three leases and more: each limiter's word is enough.
+    // Longer than three leases: the limiters' own replies suffice to renew them.
     let until = Instant::now() + Duration::from_secs(4);
     while Instant::now() < until {
         traffic(&engines, 0);
@@ -126,7 +125,7 @@
 }
 
 #[test]
-fn a_coordinator_that_comes_back_empty_or_an_hour_old_changes_no_rules() {
+fn a_coordinator_restored_empty_or_from_a_backup_changes_no_rules() {
     let engines = Fleet::start_and_keep(5);
     let rig = rig(3, &engines, "", 3);
     eventually("all act by the first", || agreed(&rig).is_some());
@@ -158,7 +157,7 @@
 }
 
 #[test]
-fn when_all_have_started_anew_the_coordinator_knows_the_rules() {
+fn rules_are_recovered_from_the_coordinator_after_all_limiters_restart() {
     let engines = Fleet::start_and_keep(3);
     let mut rig = rig(32, &engines, "", 4);
     eventually("all act by the first", || agreed(&rig).is_some());
@@ -166,7 +165,7 @@
     eventually("all act by the second", || agreed(&rig) == Some(2));
     rig.ask_all("quote", Duration::from_millis(200));
     traffic(&engines, 1);
-    // While a change goes on: whether it is decided is for the coordinator to know.
+    // All limiters are killed during a change; the coordinator knows whether it was decided.
     let file = Scratch::new(&rules(engines.addresses[2], 1_000_000));
     let all: Vec<String> = (0..32).map(|n| rig.control(n).to_string()).collect();
     let mut apply = Command::new(OATBANK);
@@ -179,7 +178,7 @@
     (0..32).for_each(|n| rig.kill(n));
     let decided = apply.wait().expect("an end").success();
     (0..32).for_each(|n| rig.begin(n));
-    // All their files have the first rules.
+    // The configuration files of all limiters have the first rules.
     eventually("all act by one", || agreed(&rig).is_some());
     let number = agreed(&rig);
     assert!(
@@ -192,13 +191,13 @@
 }
 
 #[test]
-fn of_two_against_two_the_side_with_the_coordinator_goes_on() {
+fn in_an_even_partition_the_side_with_the_coordinator_continues() {
     let engines = Fleet::start_and_keep(3);
     let rig = rig(4, &engines, "on_lapse = \"refuse\"", 5);
     eventually("all act by the first", || agreed(&rig).is_some());
     rig.ask_all("quote", Duration::from_millis(5));
     traffic(&engines, 0);
-    // The decider is on the other side.
+    // The decider is on the side without the coordinator.
     let first = decider(&rig).expect("one decides");
     let other = (first + 1) % 4;
     let lost = |n: usize| n == first || n == other;
@@ -219,7 +218,8 @@
     keeps_the_time(&engines);
 }
 
-/// One schedule: changes and faults by chance, the coordinator's among them, then calm.
+/// Runs random changes and faults, including the coordinator's, then heals all. Returns the longest contradiction and the
+/// number of decided changes.
 fn schedule(seed: u64) -> (Duration, usize) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut below = move |n: u64| rng.next_u64() % n;
@@ -252,7 +252,7 @@
             .filter(|n| rig.runs(*n) && !rig.stands_still(*n))
             .find(|n| status(&rig, *n).contains(&format!("\"decider\": \"n{n}\"")));
         if let Some(at) = at.filter(|_| engine < engines.addresses.len() && below(3) > 0) {
-            // Each text once only, so that an engine tells its revision; one that fails may yet be decided.
+            // Each text is proposed once, so that an engine identifies its revision; a failed proposal may still be decided.
             let text = rules(engines.addresses[engine], 1_000_000);
             decided += usize::from(rig.call(at, "POST", "propose?patience_ms=1200", &text).0 == 200);
             engine += 1;
@@ -267,11 +267,11 @@
 }
 
 #[test]
-fn no_two_contradict_for_longer_than_stated_under_faults_by_chance() {
+fn contradictions_stay_within_the_bound_under_random_faults_with_election() {
     let seeds: Vec<u64> = (101..=108).collect();
     let (mut longest, mut decided) = (Duration::ZERO, 0);
     for row in seeds.chunks(4) {
-        // Four at a time: each is mostly waiting.
+        // Four run at a time, as each mostly waits.
         let threads: Vec<_> = row
             .iter()
             .map(|seed| (*seed, *seed))
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several real processes of one fleet, with faults between them: by which rules each acts is told by the engines that it
-//! sends to, as each revision of the rules has an engine of its own.
+//! Fleets of several real processes with network faults between them. Each revision of the rules has an engine of its
+//! own, so the engines show which revision each limiter applies.
 
 use oatbank_testkit::rig::seen::{
     acts_by, all_act_by, contradiction, longest_contradiction, rules, start, status_of, WITHIN,
@@ -13,20 +13,20 @@
 use std::time::{Duration, Instant};
 
 const OATBANK: &str = env!("CARGO_BIN_EXE_oatbank");
-/// What was let go is with its engine by then.
+/// Time by which requests that were sent have reached their engine.
 const MESSAGE: Duration = Duration::from_millis(200);
 
 fn rig(limiters: usize, engines: &Fleet, terms: &str, seed: u64) -> Rig {
     start(OATBANK, limiters, engines, terms, seed, false)
 }
 
-/// Proposes the rules of an engine; status and text of the answer.
+/// Proposes the rules of an engine and returns the status and text of the response.
 fn propose(rig: &Rig, engine: SocketAddr, more: &str) -> (u16, String) {
     rig.call(0, "POST", &format!("propose?author=test{more}"), &rules(engine, 1_000_000))
 }
 
 #[test]
-fn the_checker_finds_what_contradicts_and_nothing_else() {
+fn the_checker_reports_contradictions_only() {
     let begun = Instant::now();
     let at = |ms: u64| begun + Duration::from_millis(ms);
     let row = |engine: usize, from: u64, to: u64| (from..to).step_by(10).map(move |ms| (at(ms), engine));
@@ -38,10 +38,10 @@
     assert_eq!(sorted(row(0, 0, 1000).chain(row(1, 1000, 2000)).collect()), Duration::ZERO);
     let both = sorted(row(0, 0, 1500).chain(row(1, 1000, 4000)).collect());
     assert!((480..=520).contains(&both.as_millis()), "{both:?}");
-    // One late request by the old rules, long after all others.
+    // One request by the old rules arrives long after all others.
     let late = sorted(row(0, 0, 1010).chain(row(1, 1000, 4000)).chain([(at(3500), 0)]).collect());
     assert!((2480..=2520).contains(&late.as_millis()), "{late:?}");
-    // Back to the old after the new had ended.
+    // A limiter returns to the old rules after the new ones.
     assert_eq!(
         sorted(row(0, 0, 1000).chain(row(1, 1000, 2000)).chain(row(0, 2500, 3000)).collect()),
         Duration::ZERO
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_change_takes_effect_at_all_within_the_stated_time() {
+fn a_change_takes_effect_at_all_limiters_within_the_bound() {
     let engines = Fleet::start_and_keep(4);
     let rig = rig(5, &engines, "", 1);
     eventually("all act by the first", || all_act_by(&rig, 1, 5));
@@ -58,7 +58,7 @@
     let (status, answer) = propose(&rig, engines.addresses[1], "&expect=1");
     assert_eq!(status, 200, "{answer}");
     eventually("all act by the second", || all_act_by(&rig, 2, 5));
-    // The same once more, as if its answer had been lost, is no second change.
+    // Proposing the same text again, as after a lost response, is not a second change.
     let (status, again) = propose(&rig, engines.addresses[1], "&expect=1");
     assert!(status == 200 && again.contains("is decided"), "{again}");
     let (status, answer) = propose(&rig, engines.addresses[2], "&expect=1");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_one_cannot_take_is_vetoed_by_key_and_changes_nothing() {
+fn rules_invalid_at_one_limiter_are_vetoed_with_the_key_and_change_nothing() {
     let engines = Fleet::start_and_keep(1);
     let rig = rig(3, &engines, "", 2);
     eventually("all act by the first", || all_act_by(&rig, 1, 3));
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn one_that_is_cut_off_refuses_and_the_others_change_without_it() {
+fn an_isolated_limiter_rejects_requests_and_the_others_change_without_it() {
     let engines = Fleet::start_and_keep(3);
     let rig = rig(3, &engines, "on_lapse = \"refuse\"", 3);
     eventually("all act by the first", || all_act_by(&rig, 1, 3));
     rig.ask_all("quote", Duration::from_millis(5));
     eventually("traffic", || engines.met()[0].requests > 100);
-    // What it says is heard, and it hears nothing.
+    // It can send to the others but receives nothing.
     rig.fault(0, 2, CUT);
     let (status, answer) = propose(&rig, engines.addresses[1], "");
     assert_eq!(status, 504, "it is heard, so it is waited for: {answer}");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_lost_decider_stops_changes_and_no_requests_and_its_successor_knows_the_rules() {
+fn losing_the_decider_stops_changes_only_and_its_restart_recovers_the_rules() {
     let engines = Fleet::start_and_keep(3);
     let mut rig = rig(3, &engines, "", 4);
     eventually("all act by the first", || all_act_by(&rig, 1, 3));
@@ -123,7 +123,7 @@
     let before = engines.met()[1].requests;
     eventually("they serve on", || engines.met()[1].requests > before + 100);
     assert_eq!(engines.met()[0].requests, 0);
-    // Its file still has the first rules.
+    // Its configuration file still has the first rules.
     rig.begin(0);
     eventually("all act by the second again", || (0..3).all(|n| acts_by(&rig, n) == Some(2)));
     assert_eq!(propose(&rig, engines.addresses[2], "&expect=2").0, 200);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn one_that_stands_still_wakes_with_its_lease_over_and_sends_nothing_by_the_old() {
+fn a_stopped_process_resumes_with_an_expired_lease_and_sends_nothing_by_old_rules() {
     let engines = Fleet::start_and_keep(2);
     let mut rig = rig(3, &engines, "on_lapse = \"refuse\"", 5);
     eventually("all act by the first", || all_act_by(&rig, 1, 3));
@@ -166,7 +166,7 @@
         let done = command.expect("oatbank");
         assert!(done.status.success(), "{what:?}: {}", String::from_utf8_lossy(&done.stderr));
     };
-    // One that nobody has listed yet may be named too.
+    // A server that is not listed yet may be suspended too.
     run(&["suspend", "b", "engine-to-come"]);
     eventually("all act by it", || all_act_by(&rig, 3, 3));
     let out = Instant::now();
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn of_two_proposals_at_once_one_is_decided() {
+fn one_of_two_concurrent_proposals_is_decided() {
     let engines = Fleet::start_and_keep(3);
     let rig = rig(3, &engines, "", 6);
     eventually("all act by the first", || all_act_by(&rig, 1, 3));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn changes_faster_than_they_can_be_decided_end_with_the_last_that_was() {
+fn rapid_proposals_converge_on_the_last_decided_one() {
     let engines = Fleet::start_and_keep(24);
     let rig = rig(3, &engines, "effect_ms = 50", 7);
     eventually("all act by the first", || all_act_by(&rig, 1, 3));
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn three_against_two_change_with_the_decider_and_not_without_witnesses() {
+fn a_partition_changes_rules_only_on_the_side_with_decider_and_witnesses() {
     let engines = Fleet::start_and_keep(3);
     let rig = rig(5, &engines, "on_lapse = \"refuse\"", 8);
     eventually("all act by the first", || all_act_by(&rig, 1, 5));
@@ -238,7 +238,7 @@
     eventually("the three act by the new", || engines.met()[1].requests > 100);
     rig.faults(Fault::default(), |_, _| true);
     eventually("all act by it", || (1..5).all(|n| acts_by(&rig, n) == acts_by(&rig, 0)));
-    // The decider with one other: of four others one is too few to be known again, should the decider die.
+    // The decider has one witness of four: too few to recover the change if the decider dies.
     apart(2);
     eventually("the three refuse", || [2, 3, 4].iter().all(|n| status_of(&rig, *n, "refuses")));
     let (status, answer) = propose(&rig, engines.addresses[2], "&patience_ms=1500");
@@ -250,21 +250,22 @@
 }
 
 #[test]
-fn one_that_is_killed_between_its_word_and_the_effect_comes_back_with_the_new() {
+fn a_limiter_killed_after_confirming_a_change_restarts_with_it() {
     let engines = Fleet::start_and_keep(2);
     let mut rig = rig(3, &engines, "effect_ms = 700\nwithin_ms = 3000", 9);
     eventually("all act by the first", || all_act_by(&rig, 1, 3));
     assert_eq!(propose(&rig, engines.addresses[1], "").0, 200);
     rig.kill(2);
     rig.ask_all("quote", Duration::from_millis(5));
-    // Its file still has the first rules.
+    // Its configuration file still has the first rules.
     rig.begin(2);
     eventually("all act by the second", || all_act_by(&rig, 2, 3));
     eventually("traffic", || engines.met()[1].requests > 100);
     assert!(longest_contradiction(&engines) <= WITHIN, "{:?}", longest_contradiction(&engines));
 }
 
-/// One schedule: changes and faults by chance, then calm. The longest contradiction, and how many changes were decided.
+/// Runs random changes and faults from the seed, then heals all links. Returns the longest contradiction and the number
+/// of decided changes.
 fn schedule(seed: u64) -> (Duration, usize) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut below = move |n: u64| rng.next_u64() % n;
@@ -309,8 +310,8 @@
 }
 
 #[test]
-fn no_two_processes_contradict_for_longer_than_stated_under_faults_by_chance() {
-    // Four at a time: each is mostly waiting.
+fn contradictions_stay_within_the_bound_under_random_faults() {
+    // Four run at a time, as each mostly waits.
     let seeds: Vec<u64> = (1..=12).collect();
     let (mut longest, mut decided) = (Duration::ZERO, 0);
     for row in seeds.chunks(4) {
--- a/crates/daemon/tests/forms.rs
+++ b/crates/daemon/tests/forms.rs
@@ -1,5 +1,5 @@
-//! The two forms of the limiter side by side: the daemon as a process and the client within this one, before the
-//! same stand-in engines and the same counter.
+//! Comparison of the daemon, as a process, and the client library, in this process, with the same test engines and the
+//! same counter.
 
 use bytes::Bytes;
 use http::{Method, Request};
@@ -13,10 +13,10 @@
 use tower::ServiceExt;
 
 const OATBANK: &str = env!("CARGO_BIN_EXE_oatbank");
-/// Names of the counter live for an epoch of this, ms; a run that crosses its end has its book in two parts.
+/// Length of a counter epoch, ms. Counter names change with the epoch, so a run across its end has split totals.
 const EPOCH: u128 = 30_000;
 
-/// Waits until a run of a few seconds lies within one epoch.
+/// Waits until a run of a few seconds fits into the current epoch.
 fn early_in_an_epoch() {
     eventually("the start of an epoch", || {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
@@ -24,10 +24,10 @@
     });
 }
 
-/// Something that is asked and answers.
+/// Limiter under test.
 trait Form {
     fn ask(&self, request: Request<Bytes>) -> u16;
-    /// News of the list, as the platform's agent or the application tells it.
+    /// Updates the server list, as the platform's agent or the application does.
     fn drain(&self, which: usize);
 }
 
@@ -80,7 +80,7 @@
     engines.iter().enumerate().map(|(i, address)| Member::ready(id(i), *address)).collect()
 }
 
-/// The classes and plans of the test kit's daemon, for the client: the same engine settings in both.
+/// Starts both forms with the classes and plans of the test kit's daemon, so that their engine settings are equal.
 fn daemon_and_library(engines: &[&Server], counter: &Counter, plan: &'static str) -> (Daemon, Library) {
     let addresses: Vec<SocketAddr> = engines.iter().map(|e| e.address).collect();
     let lines: Vec<String> =
@@ -155,28 +155,28 @@
         .expect("a request")
 }
 
-/// One run of the script. What is asked is asked one by one, so nothing depends on how fast it goes; what
-/// an engine does hangs on the request alone.
+/// Runs the script. Requests are sent one by one and the engines' responses depend on the request only, so that the
+/// result does not depend on timing.
 fn script(form: &dyn Form, leaver: &Server) -> Vec<(String, u16)> {
     let mut outcomes = Vec::new();
     let mut ask = |class: &str, account: u64, plan: &str, mark: &str| {
         let status = form.ask(request(class, account, plan, mark));
         outcomes.push((format!("{class} {account} {plan} {mark}"), status));
     };
-    // Bursts over the quotas of several accounts, in turn.
+    // Bursts beyond the quotas of several accounts, in turn.
     for round in 0..20 {
         ask("look", 1, "small", &round.to_string());
         ask("once", 2, "large", &round.to_string());
         ask("book", 3, "large", &round.to_string());
     }
-    // Failures: a class that may run once is not repeated, a keyed one is (and fails again).
+    // Failures: a non-repeatable class is not retried; a keyed one is, and fails again.
     for _ in 0..2 {
         ask("once", 4, "large", "fails");
         ask("once", 4, "large", "good");
         ask("book", 5, "large", "breaks");
         ask("book", 5, "large", "good");
     }
-    // An engine drains; once that has taken hold nothing new reaches it.
+    // An engine drains; once that has taken effect no new request reaches it.
     form.drain(1);
     let mut before = usize::MAX;
     eventually("the drain", || {
@@ -210,7 +210,7 @@
     })
 }
 
-/// The totals that a run left at the counter, without the names, which hold the time.
+/// Returns the totals at the counter after a run, without the names, which contain the time.
 fn book(counter: &Counter) -> Vec<i64> {
     let totals: BTreeMap<String, f64> = counter.totals.lock().expect("a lock").clone();
     let mut totals: Vec<i64> =
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn the_same_traffic_has_the_same_outcomes_and_the_same_book_in_both_forms() {
+fn daemon_and_library_give_equal_outcomes_and_counter_totals() {
     let plans = concat!(
         r#"{"name":"small","rate":0.001,"store_size":12},"#,
         r#"{"name":"large","rate":0.001,"store_size":60},"#,
@@ -235,7 +235,7 @@
         let (daemon, client) = daemon_and_library(&[&one, &two], &counter, plans);
         let form: &dyn Form = if library { &client } else { &daemon };
         let outcomes = script(form, &two);
-        // All use is told within 1.25 s, with what was declined.
+        // All usage, including that of rejected requests, is reported within 1.25 s.
         let asked = outcomes.len() as i64 * 1000;
         eventually("all is told", || book(&counter).iter().sum::<i64>() == asked);
         runs.push((outcomes, book(&counter), seen.load(Ordering::SeqCst)));
@@ -251,7 +251,7 @@
     assert!(refused >= 18 && failed >= 2, "{refused} refused, {failed} failed: the script missed its point");
 }
 
-/// One account whose quota both limiters keep, and a ceiling above it.
+/// Plan with a quota shared by both limiters, and a ceiling above it.
 const SHARED: &str = r#"{"name":"shared","rate":40,"store_size":80,"hard_rate":60,"cap_depth":90,"excess_worth":0,"over_cost":0}"#;
 
 fn shared_request() -> Request<Bytes> {
@@ -261,8 +261,8 @@
     request
 }
 
-/// Asks through several forms at once, eight threads each, until `span` is over; gives what reached the engine,
-/// and over how long.
+/// Sends requests through several forms at once, with eight threads each, for `span`. Returns the number of requests that
+/// reached the engine, and the duration in seconds.
 fn press(forms: &[&(dyn Form + Sync)], seen: &AtomicUsize, span: Duration) -> (f64, f64) {
     let started = std::time::Instant::now();
     let before = seen.load(Ordering::SeqCst);
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_library_and_a_daemon_keep_one_quota_as_well_as_two_daemons_do() {
+fn a_library_and_a_daemon_share_a_quota_as_accurately_as_two_daemons() {
     let mut errors = Vec::new();
     for library in [false, true] {
         early_in_an_epoch();
@@ -298,7 +298,7 @@
         assert!(sent <= ceiling, "{sent} sent on in {took} s under a ceiling of {ceiling}");
         errors.push(sent / (80.0 + 40.0 * took) - 1.0);
     }
-    // What the quota allows in four seconds is 240; the two pairs differ by chance alone, some 0.05 here.
+    // The quota allows 240 requests in four seconds; the two pairs differ by chance only, by about 0.05.
     assert!(
         errors[1] <= errors[0] + 0.15,
         "beyond the quota: two daemons {}, with a library {}",
@@ -310,7 +310,7 @@
 
 const APP: &str = "OATBANK_TEST_APPLICATION";
 
-/// Not a test by itself: the application that the next one starts as a process and kills.
+/// Not a test by itself: the application that the crash test below starts as a process and kills.
 #[test]
 fn application() {
     let Ok(told) = std::env::var(APP) else { return };
@@ -318,7 +318,7 @@
     let counter = Counter { address: addresses[1], ..Counter::ok() };
     let library = library(&addresses[..1], &counter, CRASHING);
     std::thread::scope(|scope| {
-        // Two at once: each waits for the ceiling and none is refused, so all that is told was sent on.
+        // Two at a time: each waits for the ceiling and none is rejected, so all reported usage was forwarded.
         for _ in 0..2 {
             scope.spawn(|| loop {
                 assert_eq!(library.ask(request("once", 12, "crashing", "x")), 200);
@@ -327,15 +327,15 @@
     });
 }
 
-/// A quota that is never reached, so that all use is told as sent on; and a ceiling that is.
+/// Plan with a quota that is never reached, so that all reported usage was forwarded, and a ceiling that is reached.
 const CRASHING: &str = r#"{"name":"crashing","rate":1000,"store_size":2000,"hard_rate":200,"cap_depth":100,"excess_worth":0,"over_cost":0}"#;
 
-/// Use is told after this at the latest, while the counter answers: 250 ms, and 1000 ms more where less than
-/// a tenth of the burst is new.
-const UNTOLD: Duration = Duration::from_millis(1250);
+/// Longest delay of a usage report while the counter responds: 250 ms, and 1000 ms more if less than a tenth of the burst
+/// is new.
+const MAX_REPORT_DELAY: Duration = Duration::from_millis(1250);
 
 #[test]
-fn a_killed_application_leaves_a_bounded_part_untold_and_its_ceiling_holds_over_its_lives() {
+fn a_killed_application_loses_bounded_usage_and_respects_its_ceiling_across_restarts() {
     early_in_an_epoch();
     let arrivals = Arc::new(std::sync::Mutex::new(Vec::new()));
     let there = arrivals.clone();
@@ -358,7 +358,7 @@
         app.kill().expect("a kill");
         app.wait().expect("its end");
         let killed = std::time::Instant::now();
-        // The stand-in reads to the end of each connection; what was written is counted then.
+        // The test counter reads each connection to its end; everything written is counted then.
         let mut told = f64::NAN;
         eventually("the counter has read all", || {
             let before = std::mem::replace(&mut told, *counter.added.lock().expect("a lock"));
@@ -369,10 +369,13 @@
         let (seen, took) = (arrivals.len() as f64, started.elapsed().as_secs_f64());
         let ceiling = 100.0 + 200.0 * took;
         assert!(seen <= ceiling, "life {life}: {seen} sent on in {took} s under a ceiling of {ceiling}");
-        // Two requests of each life may have been told and not sent yet.
+        // Two requests of each process may have been reported but not sent yet.
         assert!(told <= seen + 2.0 * life as f64, "life {life}: {told} told of {seen}: doubled");
-        let untold = arrivals.iter().filter(|at| killed - **at < UNTOLD + Duration::from_millis(250)).count();
-        // What the first life lost is lost for good.
+        let untold = arrivals
+            .iter()
+            .filter(|at| killed - **at < MAX_REPORT_DELAY + Duration::from_millis(250))
+            .count();
+        // Usage lost by the first process stays lost.
         bound += untold as f64;
         assert!(seen - told <= bound, "life {life}: {} untold of at most {bound}", seen - told);
         println!("life {life}: {} untold of {seen}; {untold} came in the last 1.5 s", seen - told);
--- a/crates/daemon/tests/membership.rs
+++ b/crates/daemon/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The real daemon with its list of servers in a tree of ephemeral nodes.
+//! Tests of the daemon with its server list in ZooKeeper-style ephemeral nodes.
 
 use oatbank_testkit::zookeeper::Coordinator;
 use oatbank_testkit::{answer, eventually, Act, Client, Fleet, Scratch, Server, Standalone};
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 const OATBANK: &str = env!("CARGO_BIN_EXE_oatbank");
-/// What the rule on drains allows.
+/// Longest time after a removal in which requests may still arrive.
 const GRACE: Duration = Duration::from_millis(250);
 
-/// An engine that notes when requests come.
+/// Engine that records the arrival times of requests.
 struct Engine {
     server: Server,
     arrivals: Arc<Mutex<Vec<Instant>>>,
@@ -37,14 +37,14 @@
         format!(r#"{{"address":"127.0.0.1","port":{port},"payload":{{"started_ms":1}}}}"#).into_bytes()
     }
 
-    /// How long after `at` the last request came.
+    /// Returns how long after `at` the last request arrived, if one did.
     fn last_after(&self, at: Instant) -> Option<Duration> {
         let arrivals = self.arrivals.lock().expect("a lock");
         arrivals.last().and_then(|last| last.checked_duration_since(at))
     }
 }
 
-/// Prints how late the last requests came, sorted, for `docs/design/membership.md`.
+/// Prints the distribution of the sorted delays of the last requests, for `docs/design/membership.md`.
 fn histogram(late: &[Duration]) {
     let at = |share: f64| late[((late.len() - 1) as f64 * share) as usize];
     println!("{} removals: p50 {:?}, p99 {:?}, most {:?}", late.len(), at(0.5), at(0.99), at(1.0));
@@ -54,7 +54,7 @@
     }
 }
 
-/// A file with these lines in `[members]`, and further ones behind.
+/// Writes a configuration with these lines in `[members]`, followed by further lines.
 fn config(coordinator: &Coordinator, members: &str, further: &str) -> Scratch {
     Scratch::new(&format!(
         "name = \"n0\"\nlisten = \"127.0.0.1:0\"\n[members]\nzookeeper = \"{}\"\npath = \"/services/quotes\"\n{members}\n\
@@ -70,11 +70,11 @@
 }
 
 #[test]
-fn two_hundred_removals_under_load_each_hold_within_the_grace() {
+fn removed_servers_get_no_requests_after_the_grace_period_under_load() {
     let coordinator = Coordinator::start(1);
     let engines: Vec<Engine> = (0..24).map(|_| Engine::start()).collect();
     engines.iter().enumerate().for_each(|(i, e)| coordinator.put(&path(i), &e.node()));
-    // The same engines are taken out and put back ten times: that is not what is tested here.
+    // Hold-down is off, as the same engines are removed and added ten times.
     let file = config(&coordinator, "hold_down = false", "");
     let limiter = Standalone::serve(OATBANK, &file);
     eventually("the list", || Client::connect(limiter.address).look_of_one().status() == 200);
@@ -98,7 +98,7 @@
                 removed.push((engine, Instant::now()));
                 std::thread::sleep(Duration::from_millis(5));
             }
-            // Nothing that comes is late later than this.
+            // Late requests arrive within this time.
             std::thread::sleep(GRACE + Duration::from_millis(50));
             late.extend(removed.iter().map(|(engine, at)| engine.last_after(*at).unwrap_or_default()));
             engines.iter().enumerate().take(20).for_each(|(i, e)| coordinator.put(&path(i), &e.node()));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_list_is_printed_with_what_is_left_out_and_why_and_followed() {
+fn members_prints_the_list_and_omitted_nodes_and_follows_changes() {
     let coordinator = Coordinator::start(1);
     coordinator.put(&path(1), br#"{"address":"127.0.0.1","port":9001,"payload":{"zone":"a"}}"#);
     coordinator.put(&path(2), br#"{"address":"nowhere","port":9002}"#);
@@ -145,7 +145,7 @@
     format!(r#"{{"address":"127.0.0.1","port":{port},"payload":{{"started_ms":1}}}}"#).into_bytes()
 }
 
-/// Ends the load also where the test fails, so that its threads end.
+/// Stops the load when dropped, so that its threads end even if the test fails.
 struct Stop<'a>(&'a AtomicBool);
 
 impl Drop for Stop<'_> {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Asks from several clients until it is told to stop; gives how many were asked and how many not served.
+/// Sends requests from one client until it is stopped. Returns the number of requests and of those not served.
 fn load(address: std::net::SocketAddr, stop: &AtomicBool) -> (usize, usize) {
     let mut client = Client::connect(address);
     let (mut asked, mut unserved) = (0, 0);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn five_hundred_engines_that_vanish_within_a_second_are_each_let_go_in_time() {
+fn mass_removal_of_engines_stops_requests_to_each_within_the_grace_period() {
     let (coordinator, fleet) = (Coordinator::start(1), Fleet::start(520));
     fleet.addresses.iter().enumerate().for_each(|(i, a)| coordinator.put(&path(i), &plain_node(*a)));
     let file = config(&coordinator, "", "");
@@ -184,7 +184,7 @@
             assert!(coordinator.delete(&path(i)));
             removed.push((i, Instant::now()));
         }
-        // Nothing that comes is late later than this.
+        // Late requests arrive within this time.
         std::thread::sleep(2 * GRACE);
         drop(ending);
         let results: Vec<(usize, usize)> = clients.into_iter().map(|c| c.join().expect("a client")).collect();
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_server_that_is_gone_for_a_moment_keeps_its_connections() {
+fn a_briefly_removed_server_keeps_its_connections() {
     let coordinator = Coordinator::start(1);
     let engine = Engine::start();
     coordinator.put(&path(0), &engine.node());
@@ -209,7 +209,7 @@
     let mut client = Client::connect(limiter.address);
     eventually("the list", || client.look_of_one().status() == 200);
     assert!(coordinator.delete(&path(0)));
-    // Without a server it does not call itself ready.
+    // A limiter without servers reports that it is not ready.
     eventually("told", || client.get("/healthz", "").status() == 503);
     coordinator.put(&path(0), &engine.node());
     eventually("back", || client.look_of_one().status() == 200);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_limiter_registers_itself_and_takes_its_node_with_it() {
+fn a_limiter_registers_itself_and_removes_its_node_at_shutdown() {
     let coordinator = Coordinator::start(1);
     let file = config(&coordinator, "register = \"/services/limiters\"", "");
     let mut limiter = Standalone::serve(OATBANK, &file);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_list_beside_the_folder_serves_until_the_folder_owns_its_servers() {
+fn file_servers_are_used_until_the_folder_lists_them() {
     let coordinator = Coordinator::start(1);
     let (old, new) = (Engine::start(), Engine::start());
     let servers = format!("[[servers]]\nid = \"old\"\naddress = \"{}\"", old.server.address);
@@ -240,7 +240,7 @@
     let limiter = Standalone::serve(OATBANK, &file);
     let mut client = Client::connect(limiter.address);
     eventually("the file's", || client.look_of_one().status() == 200);
-    // Under another id, but at the address of the file's.
+    // The node has another id but the address of the file's server.
     coordinator.put(&path(0), &old.node());
     coordinator.put(&path(1), &new.node());
     eventually("the folder's", || {
@@ -258,16 +258,16 @@
     assert!(late < GRACE, "the file brought back what the folder removed: {late:?}");
 }
 
-/// Eight engines, a coordinator of three addresses and a limiter under load, with everything going wrong in an order that
-/// the seed decides.
-fn disorder(seed: u64) {
+/// Runs a limiter under load with eight engines and a coordinator of three endpoints, and injects faults in an order
+/// derived from the seed.
+fn run_random_faults(seed: u64) {
     println!("seed {seed}");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut roll = move |n: u64| rng.next_u64() % n;
     let coordinator = Coordinator::start(3);
     let engines: Vec<Engine> = (0..8).map(|_| Engine::start()).collect();
     engines.iter().enumerate().for_each(|(i, e)| coordinator.put(&path(i), &e.node()));
-    // With hold-down some of those that came and went are kept out for longer than is waited for here.
+    // With hold-down some flapping engines stay excluded for longer than the test waits.
     let hold_down = seed % 2 == 0;
     let file = config(&coordinator, &format!("session_timeout_ms = 1000\nhold_down = {hold_down}"), "");
     let limiter = Standalone::serve(OATBANK, &file);
@@ -317,7 +317,7 @@
             }
             std::thread::sleep(Duration::from_millis(10 + roll(60)));
         }
-        // All is well again; engines 0 to 3 are members and the others are not.
+        // All faults are healed; engines 0 to 3 are members and the others are not.
         coordinator.endpoints.iter().for_each(|e| {
             e.freeze(false);
             e.refuse(false);
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn whatever_goes_wrong_nothing_is_lost_doubled_or_sent_to_the_removed() {
+fn random_faults_lose_or_duplicate_no_request_and_removed_servers_get_none() {
     let seeds = std::env::var("OATBANK_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(2);
-    (1..=seeds).for_each(disorder);
+    (1..=seeds).for_each(run_random_faults);
 }
--- a/crates/daemon/tests/operations.rs
+++ b/crates/daemon/tests/operations.rs
@@ -1,4 +1,4 @@
-//! The real limiter in daily operation: the second address, servers taken out, and settings that change.
+//! Operating the daemon: the control address, suspended servers and settings changes.
 
 use oatbank_testkit::*;
 use std::io::Write;
@@ -6,7 +6,7 @@
 
 const OATBANK: &str = env!("CARGO_BIN_EXE_oatbank");
 
-/// A limiter with a second address in front of these servers, as s-1, s-2 and so on.
+/// Starts a limiter with a control address in front of these servers, named s-1, s-2 and so on.
 fn before(servers: &[&Server]) -> (Setup, Limiter, Discovery, Counter) {
     let known = all_ready(1, servers);
     let (discovery, counter) = (Discovery::start(known.clone()), Counter::ok());
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_second_address_answers_each_call_as_the_page_says() {
+fn the_control_address_answers_each_call_with_its_documented_status() {
     let server = Server::ok();
     let (_, limiter, _discovery, _counter) = before(&[&server]);
     for (method, path, status) in [
@@ -40,15 +40,15 @@
     ] {
         assert_eq!(limiter.call(method, path).0, status, "{method} {path}");
     }
-    // One call to a connection.
-    let mut client = Client::connect(limiter.control.expect("a second address"));
+    // Each connection takes one call.
+    let mut client = Client::connect(limiter.control.expect("a control address"));
     let twice = "GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n".repeat(2);
     assert_eq!(client.raw(twice.as_bytes()).map(|m| m.status()), Some(200));
     assert!(client.read().is_none());
 }
 
 #[test]
-fn a_second_address_that_cannot_be_had_is_told_by_its_key() {
+fn an_unusable_control_address_is_reported_with_its_key() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address").to_string();
     let setup = Setup::new(at.parse().expect("an address"), at.parse().expect("an address"), "{}");
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn callers_that_say_half_or_nothing_keep_out_no_call() {
+fn incomplete_or_silent_connections_do_not_block_calls() {
     let server = Server::ok();
     let (_, limiter, _discovery, _counter) = before(&[&server]);
-    let address = limiter.control.expect("a second address");
+    let address = limiter.control.expect("a control address");
     let flood: Vec<Client> = (0..200)
         .map(|i| {
             let mut client = Client::connect(address);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_server_that_is_out_gets_nothing_whatever_its_list_says() {
+fn a_suspended_server_gets_no_requests_whatever_discovery_reports() {
     let (a, b, moved) = (Server::ok(), Server::ok(), Server::ok());
     let (_, limiter, discovery, _counter) = before(&[&a, &b]);
     let mut client = limiter.client();
@@ -103,14 +103,14 @@
         discovery.write(&(line + "\n"));
         (0..30).for_each(|_| assert_eq!(client.look_of_one().status(), 200));
     }
-    assert_eq!((a.count(), moved.count()), (seen, 0), "nothing new went to it");
-    // All out: refused at once, with when to come back.
+    assert_eq!((a.count(), moved.count()), (seen, 0), "no new request reached the suspended server");
+    // With all servers suspended, requests are rejected at once with a retry time.
     assert_eq!(limiter.call("POST", "/v1/servers/s-2/suspend").0, 200);
     let asked = Instant::now();
     let refused = client.look_of_one();
     assert_eq!(refused.status(), 429);
     assert!(refused.header("retry-after").is_some() && asked.elapsed() < Duration::from_millis(700));
-    // Back: used again within seconds, though it counts as cold.
+    // A resumed server is used again within seconds, although it counts as cold.
     assert_eq!(limiter.call("POST", "/v1/servers/s-2/resume").0, 200);
     assert_eq!(limiter.call("POST", "/v1/servers/s-1/resume").0, 200);
     eventually("it is used again", || {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn settings_are_taken_whole_and_what_is_open_keeps_its_own() {
+fn a_reload_is_atomic_and_open_requests_keep_their_settings() {
     let (asked, go) = (std::sync::mpsc::channel(), std::sync::Arc::new(std::sync::Mutex::new(())));
     let (told, gate) = (std::sync::Mutex::new(asked.0), go.clone());
     let server = Server::start(move |m| {
@@ -135,7 +135,7 @@
     let held = go.lock().expect("a lock");
     uploading.send("POST", "once", "X-Time-Left: 2.0\r\n", b"{}");
     asked.1.recv_timeout(PATIENCE).expect("the server has it");
-    // Another class comes in front of all, one goes, one may be repeated now.
+    // The reload adds a class in front, drops one, and makes another repeatable.
     let new = r#""classes":[{"name":"fresh","deadline":2000,"goal_time":1500,"importance":2,"idempotency":"free","group":"all","repeat_window":25000,"late_value":0},"#;
     let with_new =
         setup.config().replace(r#""classes":["#, new).replace(r#"{"name":"once""#, r#"{"name":"gone""#);
@@ -143,8 +143,12 @@
     eventually("the new class", || limiter.client().of_one("GET", "fresh").1.status() == 200);
     assert_eq!(limiter.client().of_one("POST", "once").1.status(), 404, "a class that was dropped");
     drop(held);
-    assert_eq!(uploading.read().expect("an answer").status(), 200, "what is open is answered as it came");
-    // Nothing of a broken file is taken: neither its discovery nor a class.
+    assert_eq!(
+        uploading.read().expect("an answer").status(),
+        200,
+        "an open request is answered by its old settings"
+    );
+    // No part of an invalid file is applied: neither its discovery address nor a class.
     let dead = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let elsewhere =
         with_new.replace(&discovery.address.to_string(), &dead.to_string()).replace("fresh", "worse");
--- a/crates/daemon/tests/real.rs
+++ b/crates/daemon/tests/real.rs
@@ -1,5 +1,5 @@
-//! The real limiter against small servers, discovery and counter on loopback. Each test guards against one
-//! way to lose, double or misdirect a request, or to die.
+//! Tests of the daemon with servers, discovery and counter on loopback. Each test guards against one way to lose,
+//! duplicate or misdirect a request, or to crash.
 
 use oatbank_testkit::*;
 use std::io::{Read, Write};
@@ -8,7 +8,7 @@
 
 const OATBANK: &str = env!("CARGO_BIN_EXE_oatbank");
 
-/// A limiter in front of these servers, all of them known from the start.
+/// Starts a limiter in front of these servers, all known from the start.
 fn before(servers: &[&Server]) -> (Limiter, Discovery, Counter) {
     let (setup, discovery, counter) = setup(servers);
     (setup.start(OATBANK), discovery, counter)
@@ -30,15 +30,15 @@
     format!("s-0000000{}", i + 1)
 }
 
-/// The statuses of so many requests that may run once only, all written before the first answer is read, so
-/// that every server is met.
+/// Sends `many` non-repeatable requests before the first response is read, so that every server gets some. Returns
+/// their statuses.
 fn at_once(limiter: &Limiter, many: usize) -> Vec<u16> {
     let mut clients: Vec<Client> = (0..many).map(|_| limiter.client()).collect();
     clients.iter_mut().for_each(|c| c.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}"));
     clients.iter_mut().map(|c| c.read().expect("an answer").status()).collect()
 }
 
-/// An idle connection to the server is closed long before it would have been retired.
+/// Asserts that an idle connection to the server is closed long before its idle timeout.
 fn assert_dropped(server: &Server) {
     let quiet = server.closed.recv_timeout(PATIENCE).expect("a closed connection");
     assert!(quiet < Duration::from_secs(6), "an idle connection stayed open for {quiet:?}");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn requests_and_bodies_go_on_unchanged() {
+fn requests_and_bodies_are_forwarded_unchanged() {
     let body: Vec<u8> = (0..60_000u32).map(|i| (i * 7 % 251) as u8).collect();
     let want = body.clone();
     let server = Server::start(move |_| Act::Write(ok(&body)));
@@ -67,17 +67,17 @@
     assert!(left > 0.5 && left <= 1.5, "told to wait {left} s");
 }
 
-/// The head of a usual request of the safe class, without its last line end.
+/// Head of a valid request of the safe class, without the final line break.
 const HEAD: &str = "GET /look?customer=00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: a1\r\n\
     X-Service-Class: look\r\nX-Plan: team\r\nX-Time-Left: 2.0\r\nX-Quota: units=1,spread=2,first=0\r\n";
 
 #[test]
-fn bad_input_is_answered_and_brings_nothing_down() {
+fn invalid_requests_are_rejected_and_never_forwarded() {
     let server = Server::ok();
     let (mut setup, _discovery, _counter) = setup(&[&server]);
     setup.gateways = 4;
     let limiter = setup.start(OATBANK);
-    // Each is answered, and its connection closed.
+    // Each request gets a response, and its connection is closed.
     let ask = |request: &str| {
         let mut client = limiter.client();
         let status = client.raw(request.as_bytes()).map(|m| m.status());
@@ -119,7 +119,7 @@
         assert_ne!(request, format!("{HEAD}\r\n"), "{of} is not in the head");
         assert_eq!(ask(&request), status, "{with}");
     }
-    // A length beside a coding must not bring in a second request, whichever stands first.
+    // Request smuggling: a length next to a transfer coding must not hide a second request, in either order.
     for both in
         ["Content-Length: 6\r\nTransfer-Encoding: chunked", "Transfer-Encoding: chunked\r\nContent-Length: 6"]
     {
@@ -140,13 +140,13 @@
     let mut client = limiter.client();
     client.stream.write_all(format!("{long}Content-Length: 9\r\n\r\nhalf").as_bytes()).expect("sent");
     client.stream.shutdown(std::net::Shutdown::Write).expect("a close");
-    assert_ne!(client.read().map(|m| m.status()), Some(200), "a request that is not whole");
+    assert_ne!(client.read().map(|m| m.status()), Some(200), "an incomplete request");
     assert_eq!(limiter.client().look().status(), 200);
-    assert_eq!(server.count(), 2, "nothing that was turned away was sent on");
+    assert_eq!(server.count(), 2, "no rejected request was forwarded");
 }
 
 #[test]
-fn the_name_of_an_open_request_is_not_taken_twice_and_free_again_afterwards() {
+fn a_request_id_is_rejected_while_open_and_reusable_afterwards() {
     let server = Server::start(|_| Act::Late(Duration::from_millis(300), ok(b"mine")));
     let (limiter, _discovery, _counter) = before(&[&server]);
     let (mut first, mut other) = (limiter.client(), limiter.client());
@@ -155,16 +155,16 @@
     assert_eq!(other.raw(format!("{HEAD}\r\n").as_bytes()).expect("an answer").status(), 409);
     assert_eq!(first.read().expect("an answer").body, b"mine");
     assert_eq!(first.raw(format!("{HEAD}\r\n").as_bytes()).expect("an answer").status(), 200);
-    // A client that leaves frees it as well.
+    // A disconnecting client frees the id as well.
     first.stream.write_all(format!("{HEAD}\r\n").as_bytes()).expect("sent");
     eventually("the attempt", || server.count() == 3);
     drop(first);
-    eventually("the name to be free", || {
+    eventually("the id is free", || {
         limiter.client().raw(format!("{HEAD}\r\n").as_bytes()).is_some_and(|m| m.status() == 200)
     });
 }
 
-/// What a connection brings until it ends, and how long that took.
+/// Reads a connection to its end. Returns the status of its response, if any, and the time taken.
 fn until_end(client: &mut Client) -> (Option<u16>, Duration) {
     let start = Instant::now();
     let status = client.read().map(|m| m.status());
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_get_on_is_answered_or_closed_in_time() {
+fn a_stalled_client_is_answered_or_disconnected_in_time() {
     let server = Server::ok();
     let (limiter, _discovery, _counter) = before(&[&server]);
     let post = HEAD.replace("GET /look", "POST /once").replace(": look", ": once");
@@ -194,7 +194,7 @@
         assert!(took < Duration::from_millis(2900), "{took:?} for {bytes:?}");
         assert!(matches!(status, None | Some(408)), "{status:?} for {bytes:?}");
     }
-    // One that goes on sending is no better off.
+    // A client that keeps sending slowly is disconnected too.
     let mut client = limiter.client();
     let mut writer = client.stream.try_clone().expect("a clone");
     let trickle = std::thread::spawn(move || {
@@ -216,7 +216,7 @@
     let statuses = at_once(&limiter, 12);
     let failed = statuses.iter().filter(|s| **s == 502).count();
     assert!(statuses.iter().all(|s| matches!(s, 200 | 502)), "a request that may have run: {statuses:?}");
-    assert!(breaks.count() > 0, "the breaking server was never met");
+    assert!(breaks.count() > 0, "the breaking server got no request");
     assert_eq!((breaks.count(), works.count()), (failed, 12 - failed), "one attempt each");
     let mut client = limiter.client();
     for _ in 0..6 {
@@ -225,14 +225,14 @@
 }
 
 #[test]
-fn a_server_that_turns_away_unseen_or_cannot_be_reached_costs_no_request() {
+fn unprocessed_rejections_and_unreachable_servers_fail_no_request() {
     let full = Server::start(|_| Act::Write(answer("503 Busy", "X-Unprocessed: 1\r\n", b"")));
     let dead = Server::ok();
-    // Answers only once the full server was met: on a loaded machine the requests come one by one, and the one
-    // that works would be chosen for each.
+    // Responds only after the full server got a request: on a loaded machine requests arrive one by one, and the working
+    // server would be chosen for each.
     let met = full.seen.clone();
     let works = Server::start(move |_| {
-        eventually("the full server is met", || !met.lock().expect("a lock").is_empty());
+        eventually("the full server gets a request", || !met.lock().expect("a lock").is_empty());
         Act::Write(ok(b"made"))
     });
     let gone = {
@@ -243,11 +243,11 @@
     let (limiter, _discovery, _counter) = before(&[&full, &dead, &works]);
     assert_eq!(at_once(&limiter, 8), [200; 8]);
     assert_eq!(works.count(), 8);
-    assert!(full.count() > 0, "the full server was never met");
+    assert!(full.count() > 0, "the full server got no request");
 }
 
 #[test]
-fn a_plain_503_or_a_cut_answer_may_have_run() {
+fn a_plain_503_or_a_truncated_response_is_not_retried() {
     let cut = b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nonly this".to_vec();
     for bytes in
         [answer("503 Busy", "", b""), answer("500 Error", "", b"x"), cut, b"nonsense\r\n\r\n".to_vec()]
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_silent_server_costs_the_client_no_more_than_its_wait() {
+fn a_silent_server_delays_the_client_by_its_timeout_at_most() {
     let server = Server::start(|_| Act::Silence);
     let (limiter, _discovery, _counter) = before(&[&server]);
     let mut client = limiter.client();
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn the_attempt_of_a_client_that_leaves_is_called_off() {
+fn the_attempt_of_a_disconnected_client_is_cancelled() {
     let server = Server::start(|_| Act::Silence);
     let (limiter, _discovery, _counter) = before(&[&server]);
     let mut client = limiter.client();
@@ -294,7 +294,7 @@
     for _ in 0..5 {
         assert_eq!(client.look().status(), 200);
     }
-    assert_eq!(server.connections.load(Ordering::SeqCst), 1, "one after the other needs one connection");
+    assert_eq!(server.connections.load(Ordering::SeqCst), 1, "sequential requests share one connection");
     let quiet = server.closed.recv_timeout(PATIENCE).expect("a closed connection");
     assert!(quiet < Duration::from_millis(2800), "stood idle for {quiet:?}");
     assert_eq!(client.look().status(), 200);
@@ -307,15 +307,15 @@
     let mut client = limiter.client();
     for _ in 0..20 {
         assert_eq!(client.once("1.9").status(), 200);
-        // Whether the limiter's runtime has heard of it or not: the close stands in its socket now.
+        // The close has reached the limiter's socket by now, whether its runtime has noticed or not.
         server.closed.recv_timeout(PATIENCE).expect("a close");
     }
 }
 
 #[test]
-fn a_servers_close_is_seen_at_once_also_while_processes_are_started() {
-    // Without the shutdown in the stand-in 1 of some 20 closes came late here: a child that is being
-    // started holds a copy of the descriptor. The request is then written and may have run.
+fn a_servers_close_is_seen_at_once_while_child_processes_start() {
+    // A child that is being started holds a copy of the descriptor. Without the shutdown in the test server about 1 of
+    // 20 closes came late here; the request is then written and may have run.
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let told = stop.clone();
     let starting = std::thread::spawn(move || {
@@ -335,8 +335,8 @@
 }
 
 #[test]
-fn what_follows_a_good_answer_is_never_given_to_another_request() {
-    // In the same write, right behind it, and later.
+fn bytes_after_a_complete_response_never_reach_another_request() {
+    // The extra bytes come in the same write, right after it, and later.
     for wait in [0, 1, 5, 50] {
         let server = Server::start(move |m| {
             let body = m.header("x-correlation-id").expect("an id").as_bytes().to_vec();
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn one_spoilt_answer_does_not_put_a_server_out_of_use() {
+fn invalid_responses_do_not_make_the_only_server_unusable() {
     let spoils = Server::start(|m| match m.start.starts_with("POST") {
         true => Act::Write(b"noise\r\n\r\n".to_vec()),
         false => Act::Write(ok(b"")),
@@ -403,17 +403,17 @@
     for _ in 0..3 {
         assert_eq!(client.once("1.9").status(), 502);
     }
-    // Three in a row eject it; it can be reached all the same, and there is none to go to instead.
+    // Three failures in a row eject the server; it is still used, as there is no other one.
     assert_eq!(client.look().status(), 200);
 }
 
 #[test]
-fn a_draining_or_missing_server_gets_nothing_new() {
+fn a_draining_or_removed_server_gets_no_new_requests() {
     let (a, b, c) = (Server::ok(), Server::ok(), Server::ok());
     let (limiter, discovery, _counter) = before(&[&a, &b, &c]);
     eventually("a watch", || discovery.watching() >= 1);
     assert_eq!(at_once(&limiter, 12), [200; 12]);
-    // Cut in the middle of a line, as chunks may be.
+    // The line is split in the middle, as chunks may be.
     let line = list(2, false, &[member(&id(0), a.address, "Terminating")]) + "\n";
     discovery.write(&line[..40]);
     discovery.write(&line[40..]);
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn a_line_that_cannot_be_read_brings_the_whole_list() {
+fn an_invalid_update_makes_the_limiter_fetch_the_whole_list() {
     let (a, b) = (Server::ok(), Server::ok());
     let (limiter, discovery, _counter) = before(&[&a]);
     eventually("a watch", || discovery.watching() >= 1);
@@ -448,7 +448,7 @@
     let renewed = |a: &Vec<String>| a.iter().any(|a| a.contains("since=9"));
     eventually("a new watch", || renewed(&discovery.asked.lock().expect("a lock")));
     let asked = discovery.asked.lock().expect("a lock").clone();
-    // A call that the agent is slow to answer has another beside it.
+    // A second call is made if the agent is slow to answer the first.
     let first =
         |what: &str| asked.iter().position(|a| a.contains(what)).unwrap_or_else(|| panic!("asked {asked:?}"));
     assert!(first("/v1/servers HTTP") < first("since=9"), "asked {asked:?}");
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn a_watch_without_its_empty_lines_is_opened_anew() {
+fn a_watch_without_keep_alive_lines_is_reopened() {
     let server = Server::ok();
     let (_limiter, discovery, _counter) = before(&[&server]);
     eventually("a watch", || discovery.watching() >= 1);
@@ -468,9 +468,9 @@
 }
 
 #[test]
-fn a_late_answer_of_the_counter_is_dropped_in_its_place() {
-    // The first answer comes after its call was given up (four time-outs, 200 ms) and names a total that would fill
-    // the quota.
+fn a_late_counter_response_is_discarded_in_order() {
+    // The first response arrives after its call was abandoned (four timeouts, 200 ms) with a total that would exhaust the
+    // quota.
     let counter = Counter::start(|call, total| {
         if call == 0 {
             std::thread::sleep(Duration::from_millis(400));
@@ -489,11 +489,11 @@
         counter.calls.load(Ordering::SeqCst) >= 3
     });
     assert_eq!(client.look().status(), 200);
-    assert_eq!(counter.connections.load(Ordering::SeqCst), 4, "a connection was given up");
+    assert_eq!(counter.connections.load(Ordering::SeqCst), 4, "a connection was replaced");
 }
 
 #[test]
-fn a_counter_that_talks_nonsense_or_refuses_stops_no_request() {
+fn invalid_or_failing_counter_responses_fail_no_request() {
     for bytes in ["busy\r\n", "error\r\n", "ok many\r\n", "\r\n", "ok NaN\r\n", "\u{1}\u{2}\r\nok 1\r\n"] {
         let counter = Counter::start(move |_, _| bytes.as_bytes().to_vec());
         let server = Server::ok();
@@ -510,7 +510,7 @@
 }
 
 #[test]
-fn sigterm_finishes_what_was_taken_and_leaves_the_address_free() {
+fn sigterm_finishes_open_requests_and_frees_the_address() {
     let server = Server::start(|_| Act::Late(Duration::from_millis(900), ok(b"late but whole")));
     let (mut setup, _discovery, _counter) = setup(&[&server]);
     let mut limiter = setup.start(OATBANK);
@@ -522,7 +522,7 @@
     limiter.terminate();
     let stopped = Instant::now();
     while stopped.elapsed() < Duration::from_millis(380) {
-        // The program may not have seen the signal yet; a refused connection is what must not be.
+        // The process may not have handled the signal yet, but it must not refuse connections.
         assert_eq!(limiter.client().get("/healthz", "").status(), 200);
     }
     let got = client.read().expect("an answer");
@@ -537,7 +537,7 @@
 }
 
 #[test]
-fn what_a_shutdown_cannot_finish_is_still_answered() {
+fn requests_that_outlast_a_shutdown_are_still_answered() {
     let server = Server::start(|_| Act::Silence);
     let (limiter, _discovery, _counter) = before(&[&server]);
     let mut limiter = limiter;
@@ -551,7 +551,7 @@
 }
 
 #[test]
-fn new_configurations_move_discovery_and_counter_and_lose_nothing() {
+fn reloads_switch_discovery_and_counter_without_losing_requests_or_usage() {
     let slow = Server::start(|m| match m.start.starts_with("POST") {
         true => Act::Late(Duration::from_millis(1200), ok(b"late but whole")),
         false => Act::Write(ok(b"")),
@@ -569,7 +569,7 @@
     let mut held = limiter.client();
     held.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}");
     eventually("the attempt", || slow.count() == 2);
-    // Versions of the second agent count from anew.
+    // Revisions of the second agent start again at 0.
     let (second, moved) = (Discovery::start(all_ready(0, &[&slow, &other])), Counter::ok());
     (setup.discovery, setup.counter) = (second.address, moved.address);
     limiter.reload(&setup.config());
@@ -585,7 +585,7 @@
         moved.calls.load(Ordering::SeqCst) > 0
     });
     assert_eq!(held.read().expect("an answer").body, b"late but whole");
-    // A file that cannot be read changes nothing, and does not stop the next one.
+    // An invalid file changes nothing, and the next reload works.
     limiter.reload("{");
     assert_eq!(look(&mut client), 200);
     (setup.discovery, setup.counter) = (first.address, counter.address);
@@ -596,16 +596,16 @@
         assert_eq!(look(&mut client), 200);
         counter.calls.load(Ordering::SeqCst) > before
     });
-    // Each unit was told once, to one counter or the other; the held request took one as well.
+    // Each unit was reported once, to one of the counters, including the one of the held request.
     let told = || *counter.added.lock().expect("a lock") + *moved.added.lock().expect("a lock");
-    eventually("all units told", || told() >= asked + 1.0);
+    eventually("all units reported", || told() >= asked + 1.0);
     assert_eq!(told(), asked + 1.0);
     limiter.terminate();
     assert_eq!(limiter.exit_code(), Some(0));
 }
 
 #[test]
-fn a_spoilt_answer_of_the_counter_costs_one_connection_and_books_nothing_twice() {
+fn an_invalid_counter_response_replaces_one_connection_and_counts_nothing_twice() {
     let counter = Counter::start(|call, total| match call {
         1 => b"ok\r\n".to_vec(),
         _ => format!("ok {total}\r\n").into_bytes(),
@@ -623,13 +623,13 @@
         counter.calls.load(Ordering::SeqCst) >= 4
     });
     let told = || *counter.added.lock().expect("a lock");
-    eventually("all units told", || told() >= asked);
+    eventually("all units reported", || told() >= asked);
     assert_eq!(told(), asked);
     assert_eq!(counter.connections.load(Ordering::SeqCst), 5, "one connection was to be replaced");
 }
 
 #[test]
-fn clients_that_say_nothing_do_not_lock_out_others() {
+fn silent_clients_do_not_block_other_clients() {
     let server = Server::ok();
     let (mut setup, _discovery, _counter) = setup(&[&server]);
     setup.sockets = 100;
@@ -639,7 +639,7 @@
         .map(|i| {
             let mut client = limiter.client();
             if i % 2 == 1 {
-                // Half a body: begun, but nothing that keeps the limiter busy.
+                // Half a body: the request has begun but needs no work.
                 let half = format!("{post}Content-Length: 9\r\n\r\nhalf");
                 client.stream.write_all(half.as_bytes()).expect("sent");
             }
@@ -655,7 +655,7 @@
 }
 
 #[test]
-fn running_out_of_descriptors_neither_kills_nor_stops_for_good() {
+fn the_limiter_recovers_from_running_out_of_descriptors() {
     let server = Server::ok();
     let (mut setup, _discovery, _counter) = setup(&[&server]);
     setup.descriptors = Some(48);
@@ -667,7 +667,7 @@
 }
 
 #[test]
-fn what_is_over_the_quota_is_refused_at_once_and_told_when_to_come_back() {
+fn requests_over_the_quota_are_rejected_at_once_with_a_retry_time() {
     let server = Server::ok();
     let (mut setup, _discovery, _counter) = setup(&[&server]);
     setup.plan = r#"{"name":"team","rate":1.3,"store_size":5}"#;
@@ -709,7 +709,7 @@
             })
         })
         .collect();
-    assert!(threads.into_iter().all(|t| t.join().expect("a client")), "neither served nor refused");
+    assert!(threads.into_iter().all(|t| t.join().expect("a client")), "a status other than 200 and 429");
     let most = 60.0 + 40.0 * start.elapsed().as_secs_f64() + 6.0;
     let sent = server.count() as f64;
     assert!(sent > 10.0 && sent <= most, "{sent} sent on, at most {most}");
--- a/crates/daemon/tests/streams.rs
+++ b/crates/daemon/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Long bodies and answers through the real limiter: passed on as they come, and never taken for whole where they break.
+//! Streaming of long request and response bodies: forwarded as they arrive, and never treated as complete if they break.
 
 use oatbank_testkit::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -59,7 +59,7 @@
     assert_eq!(
         server.connections.load(std::sync::atomic::Ordering::SeqCst),
         1,
-        "each was whole, and its connection kept"
+        "each response was complete and its connection reused"
     );
 }
 
@@ -74,7 +74,7 @@
     assert_eq!(client.raw(b"abc").map(|m| m.body), Some(b"abc".to_vec()));
 }
 
-/// A server that accepts one connection and hands it over with the request's head read.
+/// Starts a server that reads the head of each request and passes the connection to the test.
 fn by_hand() -> (std::net::SocketAddr, mpsc::Receiver<(TcpStream, BufReader<TcpStream>)>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_long_answer_begins_before_it_is_whole_and_one_that_breaks_off_is_told() {
+fn a_long_response_is_streamed_and_a_truncated_one_is_detected() {
     for framing in ["Content-Length: 1000000", "Transfer-Encoding: chunked", "Connection: close"] {
         let (address, met) = by_hand();
         let (limiter, _discovery, _counter) = before(&[member("s-1", address, "Ready")]);
@@ -111,7 +111,7 @@
         let mut got = vec![0; 150_000];
         client.stream.read_exact(&mut got).expect("the start, while the rest is still to come");
         assert!(got.starts_with(b"HTTP/1.1 200 OK\r\n"));
-        // A reset: the rest will never come.
+        // Resets the connection, so that the rest never arrives.
         socket2::SockRef::from(&server).set_linger(Some(Duration::ZERO)).expect("an option");
         drop((server, _reader));
         let mut rest = Vec::new();
@@ -119,12 +119,15 @@
         let chunked_whole = rest.ends_with(b"0\r\n\r\n");
         let close_delimited =
             framing.starts_with("Conn") && !String::from_utf8_lossy(&got).contains("chunked");
-        assert!(end.is_err() || !chunked_whole && !close_delimited, "{framing}: taken for whole");
+        assert!(
+            end.is_err() || !chunked_whole && !close_delimited,
+            "{framing}: a truncated response looks complete"
+        );
     }
 }
 
 #[test]
-fn a_client_that_takes_nothing_for_a_while_gets_all_of_its_answer() {
+fn a_slow_reader_gets_its_whole_response_with_bounded_memory() {
     let body = bytes(16_000_000);
     let want = body.clone();
     let server = Server::start(move |_| Act::Write(answer("200 OK", "", &body)));
@@ -134,8 +137,8 @@
     let mut first = vec![0; 1000];
     client.stream.read_exact(&mut first).expect("the start");
     let kib = resident_kib(limiter.child.id());
-    assert!(kib < 40_000, "{kib} KiB are held of an answer that nobody takes");
-    // Longer than a short answer's client may take for all of it.
+    assert!(kib < 40_000, "{kib} KiB resident while nobody reads the response");
+    // Longer than the time limit for reading a short response.
     std::thread::sleep(Duration::from_secs(3));
     let mut rest = vec![0; want.len() - (1000 - end_of_head(&first))];
     client.stream.read_exact(&mut rest).expect("the rest");
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn an_upload_that_met_no_server_is_sent_to_another_and_one_that_breaks_has_not_run() {
+fn an_upload_is_retried_after_a_refused_connection_and_a_broken_one_never_runs() {
     let nobody = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let server = Server::start(|m| Act::Write(answer("200 OK", "", &m.body)));
     let (limiter, _discovery, _counter) =
@@ -166,7 +169,7 @@
         assert_eq!(client.read().map(|m| m.status()), Some(200), "try {i}");
     }
     assert_eq!(server.count(), 6);
-    // Clients that leave in the middle.
+    // Clients that disconnect in the middle of the body.
     for i in 0..6 {
         let mut client = limiter.client();
         let first = head("POST", "once", &format!("l{i}"), "Content-Length: 500000\r\n");
@@ -175,7 +178,7 @@
     let mut client = limiter.client();
     eventually("others are served", || client.of_one("POST", "once").1.status() == 200);
     let whole = |m: &Message| m.body.len() == 500_000 || m.body.is_empty();
-    assert!(server.seen.lock().expect("a lock").iter().all(whole), "a part of a body is no request");
+    assert!(server.seen.lock().expect("a lock").iter().all(whole), "a server received a truncated body");
 }
 
 #[test]
@@ -195,7 +198,7 @@
 }
 
 #[test]
-fn an_early_answer_reaches_a_client_that_is_still_sending() {
+fn an_early_response_reaches_a_client_that_is_still_sending() {
     let (address, met) = by_hand();
     let (limiter, _discovery, _counter) = before(&[member("s-1", address, "Ready")]);
     let mut client = limiter.client();
@@ -207,7 +210,7 @@
     let answer = client.read().expect("an answer");
     assert_eq!(answer.status(), 429, "it has not run, and cannot be sent again");
     assert!(answer.header("retry-after").is_some());
-    // The rest is taken, and the connection is kept for the next.
+    // The rest of the body is read, and the connection is kept for the next request.
     client.stream.write_all(&bytes(1_500_000)).expect("sent");
     let (mut server, _reader) = {
         client.stream.write_all(head("GET", "look", "y2", "").as_bytes()).expect("sent");
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new version beside the running one: two real processes on one listening socket that behave as one limiter.
+//! Process upgrades: an old and a new process share a listening socket and behave as one limiter.
 
 use oatbank_testkit::*;
 use std::net::TcpListener;
@@ -9,7 +9,7 @@
 
 const OATBANK: &str = env!("CARGO_BIN_EXE_oatbank");
 
-/// What both processes are given, and what stands round them.
+/// Configuration shared by the processes, and the services that they use.
 struct Place {
     setup: Setup,
     folder: PathBuf,
@@ -21,7 +21,7 @@
     fn new(name: &str, servers: &[&Server]) -> Place {
         let known = all_ready(1, servers);
         let (discovery, counter) = (Discovery::start(known.clone()), Counter::ok());
-        // A long name: no socket's could be so long.
+        // The path is longer than a socket address can hold.
         let folder =
             std::env::temp_dir().join(format!("oatbank-{}-{name}-{}", std::process::id(), "x".repeat(80)));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -50,30 +50,30 @@
     }
 }
 
-/// Clients that ask one request after another until they are told to stop, each on a connection that it keeps for as
-/// long as it may; how many answers they had, and how many requests met a closed connection or another answer.
+/// Clients that send requests one after another until they are stopped, each on a connection that it keeps as long as
+/// possible. Counts served requests, and those that met a closed connection or another status.
 struct Load {
     stop: Arc<AtomicBool>,
     served: Arc<AtomicUsize>,
-    turned_back: Arc<AtomicUsize>,
+    failed: Arc<AtomicUsize>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
 impl Load {
     fn start(place: &Place, clients: usize) -> Load {
-        let (stop, served, turned_back) =
+        let (stop, served, failed) =
             (Arc::default(), Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
         let address = place.setup.passed.as_ref().expect("a socket").local_addr().expect("an address");
         let run = |_| {
-            let (stop, served, turned_back): (Arc<AtomicBool>, _, _) =
-                (Arc::clone(&stop), Arc::clone(&served), Arc::clone(&turned_back));
+            let (stop, served, failed): (Arc<AtomicBool>, _, _) =
+                (Arc::clone(&stop), Arc::clone(&served), Arc::clone(&failed));
             std::thread::spawn(move || {
                 let mut client = Client::connect(address);
                 while !stop.load(Ordering::SeqCst) {
                     client.send("GET", "look", "X-Time-Left: 2.0\r\n", b"");
                     let answer = client.read();
                     let good = answer.as_ref().is_some_and(|a| a.status() == 200);
-                    if good { &served } else { &turned_back }.fetch_add(1, Ordering::SeqCst);
+                    if good { &served } else { &failed }.fetch_add(1, Ordering::SeqCst);
                     let closes = |m: &Message| m.header("connection") == Some("close");
                     if answer.as_ref().is_none_or(closes) {
                         client = Client::connect(address);
@@ -82,18 +82,18 @@
             })
         };
         let threads = (0..clients).map(run).collect();
-        Load { stop, served, turned_back, threads }
+        Load { stop, served, failed, threads }
     }
 
     fn stop(self) -> (usize, usize) {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|t| t.join().expect("a client"));
-        (self.served.load(Ordering::SeqCst), self.turned_back.load(Ordering::SeqCst))
+        (self.served.load(Ordering::SeqCst), self.failed.load(Ordering::SeqCst))
     }
 }
 
 #[test]
-fn requests_run_on_over_two_upgrades_and_what_is_out_stays_out() {
+fn two_upgrades_fail_no_request_and_keep_suspensions() {
     let (a, b) = (Server::ok(), Server::ok());
     let place = Place::new("load", &[&a, &b]);
     let mut limiter = place.start();
@@ -109,26 +109,26 @@
         limiter = next;
         eventually("the new one serves", || load.served.load(Ordering::SeqCst) > before + 50);
     }
-    // What was on its way when the call was answered may still be counted.
-    assert!(a.count() <= seen + 8, "{} requests to a server that is out", a.count() - seen);
+    // Up to 8 requests that were in flight when the call was answered may still be counted.
+    assert!(a.count() <= seen + 8, "{} requests to a suspended server", a.count() - seen);
     assert_eq!(limiter.call("POST", "/v1/servers/s-1/resume").0, 200);
     let seen = a.count();
     eventually("it is used again", || a.count() > seen);
-    let (served, turned_back) = load.stop();
-    assert_eq!(turned_back, 0, "of {served}");
+    let (served, failed) = load.stop();
+    assert_eq!(failed, 0, "of {served}");
 }
 
 #[test]
-fn a_call_at_either_process_holds_at_both() {
+fn a_call_at_either_process_applies_to_both() {
     let (a, b) = (Server::ok(), Server::ok());
     let place = Place::new("either", &[&a, &b]);
     let old = place.start();
     let new = place.start();
-    // Kept from before the upgrade: still the old process's.
+    // The old process still answers at its control address.
     assert_eq!(old.call("POST", "/v1/servers/s-1/suspend").0, 200);
     let seen = a.count();
     (0..30).for_each(|_| assert_eq!(place.client().look().status(), 200));
-    assert_eq!(a.count(), seen, "said at the old one, kept by the new one");
+    assert_eq!(a.count(), seen, "suspended at the old process, applied by the new one");
     assert_eq!(new.call("POST", "/v1/servers/s-1/resume").0, 200);
     assert_eq!(new.call("POST", "/v1/servers/s-2/suspend").0, 200);
     old.terminate();
@@ -144,19 +144,19 @@
     let place = Place::new("dies", &[&server]);
     let old = place.start();
     let mut new = place.start();
-    eventually("it has yielded", || old.said("yields") > 0);
+    eventually("the old process stops accepting", || old.said("yields") > 0);
     new.signal("-KILL");
     new.exit_code();
-    assert_eq!(place.client().look().status(), 200, "the old one takes clients again");
-    // And the next one is taken over from it.
+    assert_eq!(place.client().look().status(), 200, "the old process accepts clients again");
+    // A further process takes over from it.
     let next = place.start();
-    eventually("it has yielded", || old.said("yields") > 1);
+    eventually("the old process stops accepting", || old.said("yields") > 1);
     assert_eq!(place.client().look().status(), 200);
     drop(next);
 }
 
 #[test]
-fn a_predecessor_that_was_killed_or_hangs_keeps_nobody_out() {
+fn a_killed_or_hanging_predecessor_does_not_block_a_successor() {
     let (a, b) = (Server::ok(), Server::ok());
     let place = Place::new("hangs", &[&a, &b]);
     let mut old = place.start();
@@ -166,7 +166,7 @@
     let second = place.start();
     let seen = a.count();
     (0..30).for_each(|_| assert_eq!(place.client().look().status(), 200));
-    assert_eq!(a.count(), seen, "what was out before the end is out");
+    assert_eq!(a.count(), seen, "a suspension outlives the killed process");
     second.signal("-STOP");
     let asked = Instant::now();
     let third = place.start();
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn files_that_cannot_be_read_and_a_folder_that_is_not_there_are_told_and_passed_over() {
+fn damaged_files_and_a_missing_folder_do_not_prevent_serving() {
     let server = Server::ok();
     let mut place = Place::new("files", &[&server]);
     std::fs::write(place.folder.join("oatbank-suspensions.json"), "{\"s-1\":{\"out\":tr").expect("a file");
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn without_a_successor_the_end_is_as_ever() {
+fn a_process_without_a_successor_shuts_down_normally() {
     let server = Server::ok();
     let place = Place::new("alone", &[&server]);
     let mut limiter = place.start();
--- a/crates/daemon/tests/zones.rs
+++ b/crates/daemon/tests/zones.rs
@@ -1,5 +1,5 @@
-//! Several real processes of one fleet with three zones of engines, of which one fails, falls silent or is left by
-//! staff: by what comes to the engines, all leave it together and come back in steps.
+//! Zone failover in a fleet of real processes with three zones, of which one fails, stops responding or is drained by an
+//! operator. The requests that reach the engines show that all limiters leave the zone and return in steps.
 
 use oatbank_testkit::rig::zones::{look, rules, share, Came, EACH};
 use oatbank_testkit::rig::{Fault, Plan, Rig, CUT};
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 const OATBANK: &str = env!("CARGO_BIN_EXE_oatbank");
-/// The engines of zone a.
+/// Indexes of the engines of zone a.
 const A: std::ops::Range<usize> = 0..EACH;
-/// A return takes this long at most: the first span held out, and five steps with a decision each.
+/// Longest duration of a return: the first hold-out period, and five steps with a decision each.
 const RETURN: Duration = Duration::from_secs(30);
-/// Requests a second over all limiters.
+/// Requests per second over all limiters.
 const RATE: usize = 240;
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -29,7 +29,7 @@
     rig
 }
 
-/// The one that leads the zones.
+/// Returns the limiter that decides on zone shares.
 fn decider(rig: &Rig) -> Option<usize> {
     (0..rig.limiters()).filter(|n| rig.runs(*n)).find(|n| rig.call(*n, "GET", "zones", "").0 == 200)
 }
@@ -44,7 +44,7 @@
     command.expect("oatbank").status.success()
 }
 
-/// The shares that the zone goes through until it is whole again.
+/// Returns the successive shares of the zone until it is in full use again.
 fn until_whole(rig: &Rig) -> Vec<f64> {
     let mut steps = Vec::new();
     within(RETURN, "zone a is whole again", || {
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn a_zone_of_which_a_quarter_fails_is_left_by_all_and_used_again_step_by_step() {
+fn a_zone_with_a_quarter_of_failures_is_drained_by_all_limiters_and_returns_in_steps() {
     let engines = Fleet::start(9);
     let rig = rig(6, &engines, false, 1);
-    // In calm nothing is left.
+    // Without failures no zone is reduced.
     let calm = look(&engines, &rig, 3 * SECOND);
     assert!(used(&rig) == Some(1.0) && calm.part(0) > 0.3, "{calm:?}");
     engines.fall(A, Ill::Failing(0.25));
@@ -83,10 +83,10 @@
 }
 
 #[test]
-fn where_all_zones_fail_alike_nothing_is_left() {
+fn no_zone_is_drained_when_all_zones_fail_alike() {
     let engines = Fleet::start(9);
     let rig = rig(4, &engines, false, 2);
-    // Zone a may be left at first: nobody has tried the others.
+    // Zone a may be reduced at first, as no limiter has tried the others yet.
     engines.fall(0..9, Ill::Failing(0.6));
     let whole = || {
         let decider = decider(&rig);
@@ -104,13 +104,13 @@
 }
 
 #[test]
-fn staff_leave_a_sound_zone_and_it_stays_left_until_they_return_it() {
+fn a_healthy_zone_left_by_an_operator_stays_unused_until_returned() {
     let engines = Fleet::start(9);
     let rig = rig(3, &engines, false, 3);
     assert!(!order(&rig, &["leave", "nowhere"]));
     assert!(order(&rig, &["leave", "a"]));
     eventually("nothing goes there", || look(&engines, &rig, SECOND / 2).zones[0] == 0);
-    // Sound as it is, nobody comes back by himself: longer than a zone is held out at first.
+    // The healthy zone stays unused for longer than the first hold-out period.
     let quiet = look(&engines, &rig, 7 * SECOND);
     assert!(quiet.zones[0] == 0 && quiet.goodput() > 0.99, "{quiet:?}");
     assert!(!order(&rig, &["leave", "b"]) || used(&rig) == Some(0.0));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn when_the_one_that_leads_the_return_is_killed_another_goes_on_from_there() {
+fn a_new_decider_continues_a_return_after_the_old_one_is_killed() {
     let engines = Fleet::start(9);
     let mut rig = rig(5, &engines, true, 4);
     engines.fall(A, Ill::Silent);
@@ -132,15 +132,15 @@
     eventually("another one leads", || decider(&rig).is_some());
     let found = used(&rig).expect("a share");
     assert!(found < 1.0, "it goes on from what is decided: {found}");
-    // A limiter that starts with an empty memory meanwhile uses no more than the others.
+    // A limiter that restarts without state uses no larger share than the others.
     rig.begin(first);
     let steps = until_whole(&rig);
     assert!(steps.windows(2).all(|w| w[1] >= w[0]), "{steps:?}");
     eventually("it is used as before", || look(&engines, &rig, SECOND).part(0) > 0.2);
 }
 
-/// One schedule: zone a fails, falls silent and is well by chance, while limiters die, stand still and are cut off. The engines'
-/// word on what ran twice, and on how much of the end's traffic goes to zone a.
+/// Runs random faults from the seed: zone a fails, stops responding and recovers, while limiters are killed, stopped and
+/// isolated. Returns the number of requests that ran twice, and the share of the final traffic that goes to zone a.
 fn schedule(seed: u64) -> (usize, f64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut below = move |n: u64| rng.next_u64() % n;
@@ -164,7 +164,7 @@
         rig.wake();
     }
     rig.calm();
-    // All are there, and zone a is bad: nothing is to go there.
+    // All limiters run and zone a fails: no traffic may go there.
     engines.fall(A, Ill::Failing(0.5));
     let mut late = 1.0;
     within(RETURN, "a bad zone is left", || {
@@ -176,8 +176,8 @@
 }
 
 #[test]
-fn under_faults_by_chance_nothing_runs_twice_and_a_bad_zone_is_left() {
-    // More with SCHEDULES; four at a time, as each is mostly waiting.
+fn under_random_faults_no_request_runs_twice_and_a_failing_zone_is_drained() {
+    // SCHEDULES sets the number of seeds. Four run at a time, as each mostly waits.
     let most = std::env::var("SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(2);
     let seeds: Vec<u64> = (1..=most).collect();
     for row in seeds.chunks(4) {
