--- a/crates/daemon/src/fleet/api.rs
+++ b/crates/daemon/src/fleet/api.rs
@@ -57,7 +57,7 @@
         let body = Limited::new(request.into_body(), MAX_REVISION_BYTES).collect().await;
         let text = body.ok().map(|b| b.to_bytes()).and_then(|b: Bytes| String::from_utf8(b.to_vec()).ok());
         let Some(text) = text else {
-            let why = format!("the body is no text of up to {MAX_REVISION_BYTES} bytes");
+            let why = format!("the body is not UTF-8 text of up to {MAX_REVISION_BYTES} bytes");
             return (StatusCode::BAD_REQUEST, json!({"error": why}).to_string() + "\n");
         };
         let answer = self.propose(Proposal { text: text.into(), ..ask }).await;
@@ -75,7 +75,7 @@
             let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
             let value = percent_decode_str(value).decode_utf8_lossy().into_owned();
             let number =
-                || value.parse::<u64>().map_err(|_| format!("{key}: {value:?}; a whole number is wanted"));
+                || value.parse::<u64>().map_err(|_| format!("{key}: {value:?}; expected a whole number"));
             match key {
                 "expect" => ask.expect = Some(number()?),
                 "patience_ms" => ask.timeout = number()?.min(60_000),
@@ -84,7 +84,7 @@
                 "without" => ask.excluded = self.parse_peers(&value)?,
                 _ => {
                     return Err(format!(
-                        "{key}: no such parameter; expect, author, without, dry_run, patience_ms are"
+                        "{key}: unknown parameter; expected expect, author, without, dry_run or patience_ms"
                     ))
                 }
             }
@@ -107,17 +107,17 @@
             ProposalOutcome::Decided(id, left) => {
                 (StatusCode::OK, "decided", format!("{id} is decided and takes effect in {left} ms"))
             }
-            ProposalOutcome::Acceptable => (StatusCode::OK, "would do", "all could take it; nothing has changed".into()),
+            ProposalOutcome::Acceptable => (StatusCode::OK, "would do", "all limiters accept it; nothing has changed".into()),
             ProposalOutcome::Vetoed(by, why) => {
-                (StatusCode::UNPROCESSABLE_ENTITY, "vetoed", format!("{} cannot take it: {why}", self.name(*by)))
+                (StatusCode::UNPROCESSABLE_ENTITY, "vetoed", format!("{} cannot apply it: {why}", self.name(*by)))
             }
-            ProposalOutcome::Conflict(id) => (StatusCode::CONFLICT, "conflict", format!("{id} is current; look at it first")),
+            ProposalOutcome::Conflict(id) => (StatusCode::CONFLICT, "conflict", format!("{id} is current; review it first")),
             ProposalOutcome::Busy(id) => (StatusCode::CONFLICT, "busy", format!("{id} is being decided")),
             ProposalOutcome::TimedOut(missing) => (
                 StatusCode::GATEWAY_TIMEOUT,
                 "timed out",
                 format!(
-                    "nothing has changed: {} have neither confirmed nor surely stopped; if they are gone for good: \
+                    "nothing has changed: {} have neither confirmed nor certainly stopped; if they are gone for good: \
                      --without",
                     names(missing)
                 ),
@@ -134,10 +134,10 @@
             ),
             ProposalOutcome::NotDecider(Some(decider)) => {
                 let name = self.name(*decider);
-                (StatusCode::MISDIRECTED_REQUEST, "not decider", format!("{name} decides; ask at its fleet.control"))
+                (StatusCode::MISDIRECTED_REQUEST, "not decider", format!("{name} is the decider; call its fleet.control"))
             }
             ProposalOutcome::NotDecider(None) => {
-                (StatusCode::SERVICE_UNAVAILABLE, "no decider", "nobody is known to decide at present".into())
+                (StatusCode::SERVICE_UNAVAILABLE, "no decider", "no decider is known at present".into())
             }
             ProposalOutcome::NoCoordinator => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -147,7 +147,7 @@
             ProposalOutcome::Unknown(id) => (
                 StatusCode::BAD_GATEWAY,
                 "unsure",
-                format!("whether {id} is decided is not known here: look at the status of the others"),
+                format!("it is not known here whether {id} is decided: check the status of the other limiters"),
             ),
         };
         (status, json!({"result": result, "say": say}).to_string() + "\n")
--- a/crates/daemon/src/fleet/edit.rs
+++ b/crates/daemon/src/fleet/edit.rs
@@ -48,15 +48,15 @@
     wanted.insert(key.into(), value);
     if read(&changed).as_ref() != Ok(&wanted) {
         return Err(format!(
-            "{key} stands in the rules in another form than `{key} = […]` on one line before the first table; change \
-             the file, and apply it"
+            "the rules have {key} in another form than `{key} = […]` on one line before the first table; edit \
+             the file and apply it"
         ));
     }
     Ok(changed)
 }
 
 fn read(text: &str) -> Result<Table, String> {
-    text.parse::<Table>().map_err(|e| format!("the rules in force cannot be read: {e}"))
+    text.parse::<Table>().map_err(|e| format!("the rules in force cannot be parsed: {e}"))
 }
 
 fn listed(rules: &Table) -> Vec<String> {
--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -212,13 +212,13 @@
         };
         match (active_rules, &held) {
             (ActiveRules::Current(id), Some(held)) => {
-                tracing::info!("fleet: acts by {id} ({})", held.head.digest);
+                tracing::info!("fleet: applying {id} ({})", held.head.digest);
             }
-            (ActiveRules::Strict(id, None), _) => tracing::warn!("fleet: cut off; goes on by {id}"),
+            (ActiveRules::Strict(id, None), _) => tracing::warn!("fleet: isolated; continuing with {id}"),
             (ActiveRules::Strict(id, Some(other)), _) => {
-                tracing::warn!("fleet: cut off; goes on by the stricter of {id} and {other}");
+                tracing::warn!("fleet: isolated; continuing with the stricter rules of {id} and {other}");
             }
-            _ => tracing::warn!("fleet: cut off, or its rules are not known; refuses"),
+            _ => tracing::warn!("fleet: isolated, or the rules are not known; rejecting requests"),
         }
         if !matches!(active_rules, ActiveRules::Current(_)) && self.applied.borrow().is_current() {
             self.lapses.set(self.lapses.get() + 1);
--- a/crates/daemon/src/fleet/zones.rs
+++ b/crates/daemon/src/fleet/zones.rs
@@ -141,16 +141,16 @@
                     Some(_) => {
                         format!("{zone}: ordered; the fleet decides each step, see `oatbank zone status`")
                     }
-                    None => format!("{zone}: the order is over; what is seen counts again"),
+                    None => format!("{zone}: the order has ended; automatic failover is active again"),
                 };
                 (StatusCode::OK, json!({"result": "ordered", "say": say}).to_string() + "\n")
             }
             Err(OrderError::UnknownZone(known)) => {
-                let say = format!("{zone:?} is not known; {} are", known.join(", "));
+                let say = format!("unknown zone {zone:?}; known are {}", known.join(", "));
                 (StatusCode::NOT_FOUND, json!({"result": "no zone", "say": say}).to_string() + "\n")
             }
             Err(OrderError::LastFullZone) => {
-                let say = format!("{zone} is the last one that is wholly used; return another one first");
+                let say = format!("{zone} is the last zone in full use; return another one first");
                 (StatusCode::CONFLICT, json!({"result": "last zone", "say": say}).to_string() + "\n")
             }
         })
@@ -162,9 +162,9 @@
     match query.split_once('=') {
         None if query.is_empty() => Ok(0),
         Some(("over_ms", ms)) => {
-            ms.parse().map_err(|_| format!("over_ms: {ms:?} is not allowed; a whole number of ms is"))
+            ms.parse().map_err(|_| format!("over_ms: {ms:?} is not allowed; expected a whole number of ms"))
         }
-        _ => Err(format!("{query:?} is not allowed; over_ms=30000 is")),
+        _ => Err(format!("{query:?} is not allowed; expected a query such as over_ms=30000")),
     }
 }
 
