--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,10 +1,10 @@
-//! The second address, where operators call: HTTP/1.1, one call to a connection.
+//! HTTP API for operators on the control address: HTTP/1.1, one call per connection.
 //!
-//! | call | answer |
+//! | call | response |
 //! | --- | --- |
 //! | `GET /v1/readyz` | 200 if this process is ready to serve, else 503 |
-//! | `POST /v1/servers/ID/suspend` | 200 once nothing new goes to that server; 404 for one that was never listed |
-//! | `POST /v1/servers/ID/resume` | 200 once that server is used again; 404 likewise |
+//! | `POST /v1/servers/ID/suspend` | 200 once the server gets no new requests; 404 if it was never listed |
+//! | `POST /v1/servers/ID/resume` | 200 once the server is used again; 404 if it was never listed |
 
 use crate::fleet::Fleet;
 use crate::upgrade::Upgrade;
@@ -30,26 +30,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Connections that may be open; of more, the one that has said nothing whole for the longest gives way. What the
-/// limits of descriptors are to spare for this address.
-pub const MOST_CALLERS: usize = 32;
-/// A caller that has not made its call by then is let go.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// And one whose call concerns the fleet, after this.
-const LONGEST_CALL: Duration = Duration::from_secs(65);
-/// Buffer of a caller's connection.
-const BUFFER: usize = 8 * 1024;
-/// Pause after a failed accept.
+/// Maximum number of open connections, for which file descriptors are reserved. Beyond it the oldest connection without
+/// a complete request is closed.
+pub const MAX_CALLERS: usize = 32;
+/// A connection without a response after this time is closed.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Additional time for calls about the fleet, whose longest proposal takes 60 s.
+const FLEET_CALL_TIMEOUT: Duration = Duration::from_secs(65);
+/// Maximum size of a connection's buffer, bytes.
+const MAX_BUFFER_BYTES: usize = 8 * 1024;
+/// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A caller that has made no whole call yet.
+/// Open connection of an operator.
 struct Caller {
-    /// Its call is being answered: it gives way to nobody.
-    heard: Cell<bool>,
-    leave: Notify,
+    /// Whether its request is complete and being answered, so that it is not closed for another connection.
+    has_request: Cell<bool>,
+    close: Notify,
 }
 
-/// The second address.
+/// Server of the control address.
 pub struct Control {
     engine: Rc<Engine<Http1>>,
     upgrade: OnceCell<Rc<Upgrade>>,
@@ -58,10 +58,10 @@
 }
 
 impl Control {
-    /// Listens at `address` from now on.
+    /// Listens at `address` and starts to accept calls.
     ///
     /// # Errors
-    /// When the address cannot be had; names the key.
+    /// If the address cannot be bound; the message names the key.
     pub fn start(address: SocketAddr, engine: Rc<Engine<Http1>>) -> std::io::Result<Rc<Self>> {
         let named = |e: std::io::Error| std::io::Error::new(e.kind(), format!("control {address}: {e}"));
         let listener = Rc::new(crate::serve::bind(address).map_err(named)?);
@@ -77,13 +77,13 @@
         Ok(control)
     }
 
-    /// From now on what is said here holds at other processes too, before a caller is told so.
-    pub fn tell_others(&self, upgrade: Rc<Upgrade>) {
+    /// Sends suspend and resume calls to the other processes of an upgrade before they are answered.
+    pub fn set_upgrade(&self, upgrade: Rc<Upgrade>) {
         let _ = self.upgrade.set(upgrade);
     }
 
-    /// From now on calls about the fleet are answered.
-    pub fn answer_for(&self, fleet: Rc<Fleet>) {
+    /// Enables calls about the fleet.
+    pub fn set_fleet(&self, fleet: Rc<Fleet>) {
         let _ = self.fleet.set(fleet);
     }
 
@@ -91,8 +91,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    self.make_room();
-                    let caller = Rc::new(Caller { heard: Cell::new(false), leave: Notify::new() });
+                    self.close_oldest_idle_caller();
+                    let caller = Rc::new(Caller { has_request: Cell::new(false), close: Notify::new() });
                     self.callers.borrow_mut().push_back(caller.clone());
                     tokio::task::spawn_local(self.clone().serve(stream, caller));
                 }
@@ -104,33 +104,33 @@
         }
     }
 
-    /// Lets go of the oldest caller that has said nothing whole, if there are too many.
-    fn make_room(&self) {
+    /// Closes the oldest connection without a complete request if there are too many.
+    fn close_oldest_idle_caller(&self) {
         let mut callers = self.callers.borrow_mut();
-        if callers.len() >= MOST_CALLERS {
-            let silent = callers.iter().position(|c| !c.heard.get());
+        if callers.len() >= MAX_CALLERS {
+            let silent = callers.iter().position(|c| !c.has_request.get());
             if let Some(caller) = silent.and_then(|i| callers.remove(i)) {
-                caller.leave.notify_one();
+                caller.close.notify_one();
             }
         }
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream, caller: Rc<Caller>) {
-        // An answer is one small write, and is wanted now.
+        // A response is one small write and must not be delayed.
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| {
-            caller.heard.set(true);
+            caller.has_request.set(true);
             let control = self.clone();
             async move { Ok::<_, Infallible>(control.answer(request).await) }
         });
         let mut builder = http1::Builder::new();
-        builder.keep_alive(false).max_buf_size(BUFFER);
+        builder.keep_alive(false).max_buf_size(MAX_BUFFER_BYTES);
         {
             let connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
             tokio::select! {
                 _ = connection => {}
-                () = caller.leave.notified() => {}
-                () = self.patience(&caller) => {}
+                () = caller.close.notified() => {}
+                () = self.call_timeout(&caller) => {}
             }
         }
         self.callers.borrow_mut().retain(|c| !Rc::ptr_eq(c, &caller));
@@ -142,7 +142,7 @@
         if let (["v1", "fleet", call @ ..], Some(fleet)) = (parts.as_slice(), self.fleet.get()) {
             let answer = fleet.answer(request, call).await;
             let (status, text) = answer.unwrap_or((StatusCode::NOT_FOUND, "no such call\n".into()));
-            return told(status, text);
+            return text_response(status, text);
         }
         match parts.as_slice() {
             ["v1", "readyz"] => match *request.method() {
@@ -150,52 +150,52 @@
                 _ => not_allowed("GET, HEAD"),
             },
             ["v1", "servers", id, call @ ("suspend" | "resume")] => match *request.method() {
-                Method::POST => self.operate(id, *call == "suspend").await,
+                Method::POST => self.set_suspended_state(id, *call == "suspend").await,
                 _ => not_allowed("POST"),
             },
-            _ => told(StatusCode::NOT_FOUND, "no such call\n".into()),
+            _ => text_response(StatusCode::NOT_FOUND, "no such call\n".into()),
         }
     }
 
-    /// How long a caller is waited for. One whose call is heard, where calls may take their time, is not let go: each of
-    /// these ends by itself.
-    async fn patience(&self, caller: &Caller) {
-        tokio::time::sleep(PATIENCE).await;
-        if self.fleet.get().is_some() && caller.heard.get() {
-            tokio::time::sleep(LONGEST_CALL).await;
+    /// Completes when the connection has to be closed. Calls of a fleet limiter get [`FLEET_CALL_TIMEOUT`] more once their
+    /// request is complete, as each of them has a timeout of its own.
+    async fn call_timeout(&self, caller: &Caller) {
+        tokio::time::sleep(CALL_TIMEOUT).await;
+        if self.fleet.get().is_some() && caller.has_request.get() {
+            tokio::time::sleep(FLEET_CALL_TIMEOUT).await;
         }
     }
 
     fn ready(&self) -> Response<Full<Bytes>> {
         if self.engine.is_ready() {
-            told(StatusCode::OK, "ready\n".into())
+            text_response(StatusCode::OK, "ready\n".into())
         } else {
-            told(StatusCode::SERVICE_UNAVAILABLE, "starting\n".into())
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "starting\n".into())
         }
     }
 
-    async fn operate(&self, id: &str, out: bool) -> Response<Full<Bytes>> {
+    async fn set_suspended_state(&self, id: &str, out: bool) -> Response<Full<Bytes>> {
         let Ok(id) = percent_decode_str(id).decode_utf8() else {
-            return told(StatusCode::BAD_REQUEST, "the id is no UTF-8\n".into());
+            return text_response(StatusCode::BAD_REQUEST, "the id is not UTF-8\n".into());
         };
         let (call, state) = if out { ("suspend", "out") } else { ("resume", "in") };
         match self.engine.set_suspended(&id, out) {
             Ok(()) => {
                 tracing::info!(server = %id, call, "control: {call} {id}");
                 if let Some(upgrade) = self.upgrade.get() {
-                    upgrade.said().await;
+                    upgrade.publish().await;
                 }
-                told(StatusCode::OK, format!("{id} is {state}\n"))
+                text_response(StatusCode::OK, format!("{id} is {state}\n"))
             }
             Err(e) => {
                 tracing::warn!(server = %id, call, "control: {call} {id}: {e}");
-                told(StatusCode::NOT_FOUND, format!("{id}: {e}\n"))
+                text_response(StatusCode::NOT_FOUND, format!("{id}: {e}\n"))
             }
         }
     }
 }
 
-fn told(status: StatusCode, text: String) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
@@ -203,7 +203,7 @@
 }
 
 fn not_allowed(allowed: &'static str) -> Response<Full<Bytes>> {
-    let mut response = told(StatusCode::METHOD_NOT_ALLOWED, format!("allowed: {allowed}\n"));
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, format!("allowed: {allowed}\n"));
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
--- a/crates/daemon/src/fleet/told.rs
+++ b/crates/daemon/src/fleet/api.rs
@@ -1,6 +1,6 @@
-//! What operators are told of the fleet, and what they may ask for, over HTTP.
+//! HTTP API of the fleet for operators.
 
-use super::{Fleet, PATIENCE};
+use super::{Fleet, DEFAULT_PROPOSAL_TIMEOUT_MS};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -16,25 +16,25 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// An answer: its status and text, JSON but for a revision's text.
-pub(crate) type Told = (StatusCode, String);
+/// Response: status and body. The body is JSON, except for the text of a revision.
+pub(crate) type Reply = (StatusCode, String);
 
 impl Fleet {
-    /// Answers a call below `/v1/fleet/`; nothing where there is none of this name.
-    pub(crate) async fn answer(self: &Rc<Self>, request: Request<Incoming>, call: &[&str]) -> Option<Told> {
+    /// Answers a call below `/v1/fleet/`. Returns `None` if there is no such call.
+    pub(crate) async fn answer(self: &Rc<Self>, request: Request<Incoming>, call: &[&str]) -> Option<Reply> {
         let get = request.method() == Method::GET;
         Some(match call {
             ["status"] if get => (StatusCode::OK, format!("{:#}\n", self.status())),
             ["history"] if get => match self.history() {
                 Some(history) => (StatusCode::OK, format!("{history:#}\n")),
-                None => self.elsewhere(),
+                None => self.not_decider_reply(),
             },
             ["revisions", number] if get => self.text(number),
             ["zones", call @ ..] => {
                 let query = request.uri().query().unwrap_or_default();
                 return self.zone_call(request.method(), query, call);
             }
-            ["propose"] if request.method() == Method::POST => self.asked(request).await,
+            ["propose"] if request.method() == Method::POST => self.handle_proposal(request).await,
             ["propose"] | ["status"] | ["history"] => (
                 StatusCode::METHOD_NOT_ALLOWED,
                 "GET status, GET history and POST propose are allowed\n".into(),
@@ -43,12 +43,12 @@
         })
     }
 
-    pub(super) fn elsewhere(&self) -> Told {
+    pub(super) fn not_decider_reply(&self) -> Reply {
         let (decider, _) = self.node.borrow().decider();
-        self.worded(&ProposalOutcome::NotDecider(decider))
+        self.outcome_reply(&ProposalOutcome::NotDecider(decider))
     }
 
-    async fn asked(self: &Rc<Self>, request: Request<Incoming>) -> Told {
+    async fn handle_proposal(self: &Rc<Self>, request: Request<Incoming>) -> Reply {
         let query = request.uri().query().unwrap_or_default().to_owned();
         let ask = match self.parameters(&query) {
             Ok(ask) => ask,
@@ -57,30 +57,34 @@
         let body = Limited::new(request.into_body(), MAX_REVISION_BYTES).collect().await;
         let text = body.ok().map(|b| b.to_bytes()).and_then(|b: Bytes| String::from_utf8(b.to_vec()).ok());
         let Some(text) = text else {
-            let why = format!("the body is no text of up to {MAX_REVISION_BYTES} bytes");
+            let why = format!("the body is not UTF-8 text of up to {MAX_REVISION_BYTES} bytes");
             return (StatusCode::BAD_REQUEST, json!({"error": why}).to_string() + "\n");
         };
         let answer = self.propose(Proposal { text: text.into(), ..ask }).await;
-        self.worded(&answer)
+        self.outcome_reply(&answer)
     }
 
-    /// `expect=N&author=NAME&without=A,B&dry_run=1&patience_ms=4000`.
+    /// Parses the query of a proposal, such as `expect=N&author=NAME&without=A,B&dry_run=1&patience_ms=4000`.
     fn parameters(&self, query: &str) -> Result<Proposal, String> {
-        let mut ask = Proposal { author: "operator".into(), timeout: PATIENCE, ..Proposal::default() };
+        let mut ask = Proposal {
+            author: "operator".into(),
+            timeout: DEFAULT_PROPOSAL_TIMEOUT_MS,
+            ..Proposal::default()
+        };
         for pair in query.split('&').filter(|p| !p.is_empty()) {
             let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
             let value = percent_decode_str(value).decode_utf8_lossy().into_owned();
             let number =
-                || value.parse::<u64>().map_err(|_| format!("{key}: {value:?}; a whole number is wanted"));
+                || value.parse::<u64>().map_err(|_| format!("{key}: {value:?}; expected a whole number"));
             match key {
                 "expect" => ask.expect = Some(number()?),
                 "patience_ms" => ask.timeout = number()?.min(60_000),
                 "author" => ask.author = value,
                 "dry_run" => ask.dry_run = value != "0",
-                "without" => ask.excluded = self.named(&value)?,
+                "without" => ask.excluded = self.parse_peers(&value)?,
                 _ => {
                     return Err(format!(
-                        "{key}: no such parameter; expect, author, without, dry_run, patience_ms are"
+                        "{key}: unknown parameter; expected expect, author, without, dry_run or patience_ms"
                     ))
                 }
             }
@@ -88,7 +92,7 @@
         Ok(ask)
     }
 
-    fn named(&self, names: &str) -> Result<BTreeSet<Peer>, String> {
+    fn parse_peers(&self, names: &str) -> Result<BTreeSet<Peer>, String> {
         let place = |name: &str| {
             let place = self.settings.peers.iter().position(|p| p.name == name);
             place.map(|n| Peer(n as u16)).ok_or_else(|| format!("without: {name:?} is not among fleet.peers"))
@@ -96,24 +100,24 @@
         names.split(',').filter(|n| !n.is_empty()).map(place).collect()
     }
 
-    /// What became of a proposal, with the status that stands for it.
-    pub(crate) fn worded(&self, answer: &ProposalOutcome) -> Told {
+    /// Returns the response for the outcome of a proposal.
+    pub(crate) fn outcome_reply(&self, answer: &ProposalOutcome) -> Reply {
         let names = |peers: &[Peer]| peers.iter().map(|p| self.name(*p)).collect::<Vec<_>>().join(", ");
         let (status, result, say) = match answer {
             ProposalOutcome::Decided(id, left) => {
                 (StatusCode::OK, "decided", format!("{id} is decided and takes effect in {left} ms"))
             }
-            ProposalOutcome::Acceptable => (StatusCode::OK, "would do", "all could take it; nothing has changed".into()),
+            ProposalOutcome::Acceptable => (StatusCode::OK, "would do", "all limiters accept it; nothing has changed".into()),
             ProposalOutcome::Vetoed(by, why) => {
-                (StatusCode::UNPROCESSABLE_ENTITY, "vetoed", format!("{} cannot take it: {why}", self.name(*by)))
+                (StatusCode::UNPROCESSABLE_ENTITY, "vetoed", format!("{} cannot apply it: {why}", self.name(*by)))
             }
-            ProposalOutcome::Conflict(id) => (StatusCode::CONFLICT, "conflict", format!("{id} is current; look at it first")),
+            ProposalOutcome::Conflict(id) => (StatusCode::CONFLICT, "conflict", format!("{id} is current; review it first")),
             ProposalOutcome::Busy(id) => (StatusCode::CONFLICT, "busy", format!("{id} is being decided")),
             ProposalOutcome::TimedOut(missing) => (
                 StatusCode::GATEWAY_TIMEOUT,
                 "timed out",
                 format!(
-                    "nothing has changed: {} have neither confirmed nor surely stopped; if they are gone for good: \
+                    "nothing has changed: {} have neither confirmed nor certainly stopped; if they are gone for good: \
                      --without",
                     names(missing)
                 ),
@@ -130,10 +134,10 @@
             ),
             ProposalOutcome::NotDecider(Some(decider)) => {
                 let name = self.name(*decider);
-                (StatusCode::MISDIRECTED_REQUEST, "not decider", format!("{name} decides; ask at its fleet.control"))
+                (StatusCode::MISDIRECTED_REQUEST, "not decider", format!("{name} is the decider; call its fleet.control"))
             }
             ProposalOutcome::NotDecider(None) => {
-                (StatusCode::SERVICE_UNAVAILABLE, "no decider", "nobody is known to decide at present".into())
+                (StatusCode::SERVICE_UNAVAILABLE, "no decider", "no decider is known at present".into())
             }
             ProposalOutcome::NoCoordinator => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -143,13 +147,13 @@
             ProposalOutcome::Unknown(id) => (
                 StatusCode::BAD_GATEWAY,
                 "unsure",
-                format!("whether {id} is decided is not known here: look at the status of the others"),
+                format!("it is not known here whether {id} is decided: check the status of the other limiters"),
             ),
         };
         (status, json!({"result": result, "say": say}).to_string() + "\n")
     }
 
-    fn text(&self, number: &str) -> Told {
+    fn text(&self, number: &str) -> Reply {
         let node = self.node.borrow();
         let decider = node.as_decider();
         let history = decider.into_iter().flat_map(|d| d.history()).chain(node.held());
@@ -165,7 +169,7 @@
         Some(node.as_decider()?.history().map(row).collect())
     }
 
-    /// What this limiter acts by and knows of the others.
+    /// Returns the rules that this limiter applies, and at the decider the state of the other limiters.
     pub(crate) fn status(&self) -> Value {
         let (now, node) = (self.now(), self.node.borrow());
         let active_rules = match node.active_rules(now) {
--- a/crates/daemon/src/fleet/zone_command.rs
+++ b/crates/daemon/src/fleet/zone_command.rs
@@ -1,77 +1,77 @@
-//! `oatbank zone`: what operators do with a fleet's zones, by calls to the decider's `fleet.control`.
+//! `oatbank zone`: shows and controls a fleet's zones through the HTTP API at the decider's `fleet.control` address.
 
-use super::command::{call_at, ended, get, print, word, At, End};
+use super::command::{call_at, get, print, run_to_exit_code, text_of, At, Failure};
 use clap::Subcommand;
 use hyper::Method;
 use serde_json::Value;
 use std::process::ExitCode;
 
-/// There is no such zone, or it is the last.
+/// Exit code if the zone is unknown or is the last one in full use.
 const NOT_POSSIBLE: u8 = 3;
 
-/// What is asked for.
+/// Subcommands of `oatbank zone`.
 #[derive(Subcommand)]
 pub enum ZoneCommand {
-    /// All zones: how much of each is used and why, what is seen of it, by which limiter.
+    /// Show all zones: the share in use and why, failures, and the limiters that see them.
     #[command(after_help = "Example:\n  oatbank zone status --at 127.0.0.1:7100")]
     Status {
         #[command(flatten)]
         at: At,
     },
-    /// Whether the others would bear it if this zone were left now; nothing changes.
+    /// Show whether the other zones could take the load of this zone now; changes nothing.
     #[command(after_help = "Example:\n  oatbank zone plan a --at 127.0.0.1:7100")]
     Plan {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
         #[command(flatten)]
         at: At,
     },
-    /// Leave a zone, whatever is seen, until `return` or `end`.
+    /// Stop using a zone, regardless of its health, until `return` or `end`.
     #[command(after_help = "Example:\n  oatbank zone leave a --over 30 --at 127.0.0.1:7100")]
     Leave {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Evenly over this, seconds; without, at once.
+        /// Period over which the zone is evenly drained, in seconds; 0 drains it at once.
         #[arg(long, value_name = "SECONDS", default_value_t = 0)]
         over: u64,
         #[command(flatten)]
         at: At,
     },
-    /// Use a zone again, step by step, whatever is seen; once it is whole, what is seen counts again.
+    /// Use a zone again step by step, regardless of its health; automatic failover resumes once it is in full use.
     #[command(after_help = "Example:\n  oatbank zone return a --at 127.0.0.1:7100")]
     Return {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
         #[command(flatten)]
         at: At,
     },
-    /// Use as much of a zone as now, whatever is seen, until `end`.
+    /// Keep a zone's current share, regardless of its health, until `end`.
     #[command(after_help = "Example:\n  oatbank zone hold a --at 127.0.0.1:7100")]
     Hold {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
         #[command(flatten)]
         at: At,
     },
-    /// End what was ordered: what is seen counts again.
+    /// End an order and resume automatic failover.
     #[command(after_help = "Example:\n  oatbank zone end a --at 127.0.0.1:7100")]
     End {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
         #[command(flatten)]
         at: At,
     },
 }
 
-/// Runs a command.
+/// Runs a command and returns its exit code.
 ///
 /// # Errors
-/// When there is no runtime.
+/// If the runtime cannot be started.
 pub fn run(command: ZoneCommand) -> Result<ExitCode, String> {
-    ended(carry_out(command))
+    run_to_exit_code(carry_out(command))
 }
 
-async fn carry_out(command: ZoneCommand) -> Result<(), End> {
+async fn carry_out(command: ZoneCommand) -> Result<(), Failure> {
     match command {
         ZoneCommand::Status { at } => {
             let zones = get(&at, "zones").await?;
@@ -80,7 +80,9 @@
         ZoneCommand::Plan { zone, at } => {
             let zones = get(&at, "zones").await?;
             let found = zones.as_array().into_iter().flatten().find(|z| z["zone"] == zone.as_str());
-            let Some(found) = found else { return Err(End(NOT_POSSIBLE, format!("{zone:?} is not known"))) };
+            let Some(found) = found else {
+                return Err(Failure(NOT_POSSIBLE, format!("{zone:?} is not known")));
+            };
             print(&at, found, || vec![plan(found)]);
         }
         ZoneCommand::Leave { zone, over, at } => {
@@ -93,7 +95,7 @@
     Ok(())
 }
 
-async fn order(at: &At, zone: &str, what: &str) -> Result<(), End> {
+async fn order(at: &At, zone: &str, what: &str) -> Result<(), Failure> {
     let (status, body) = call_at(at, Method::POST, &format!("zones/{zone}/{what}")).await?;
     let answer: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
     let say = answer["say"].as_str().or(answer["error"].as_str()).unwrap_or(&body).to_owned();
@@ -102,8 +104,8 @@
             print(at, &answer, || vec![say]);
             Ok(())
         }
-        404 | 409 => Err(End(NOT_POSSIBLE, say)),
-        _ => Err(End(1, say)),
+        404 | 409 => Err(Failure(NOT_POSSIBLE, say)),
+        _ => Err(Failure(1, say)),
     }
 }
 
@@ -112,10 +114,10 @@
 }
 
 fn plan(zone: &Value) -> String {
-    let (name, rate) = (word(&zone["zone"]), zone["rate"].as_f64().unwrap_or(0.0));
+    let (name, rate) = (text_of(&zone["zone"]), zone["rate"].as_f64().unwrap_or(0.0));
     match zone["stays"].as_f64() {
         Some(stays) if stays <= 0.0 => {
-            format!("{name}: the others would bear its {rate:.0} attempts a second")
+            format!("{name}: the other zones could take its {rate:.0} attempts per second")
         }
         stays => format!(
             "{name}: of its {rate:.0} attempts a second the others would bear {:.0}% for a start",
@@ -131,19 +133,19 @@
     );
     let name = |value: &Value| match value {
         Value::Object(map) => map.keys().next().cloned().unwrap_or_default(),
-        other => word(other),
+        other => text_of(other),
     };
     let row = |zone: &Value| {
         let seen = zone["limiters"].as_array().into_iter().flatten();
         let seen = seen.filter(|l| l["failed"].as_f64().is_some_and(|n| n >= 1.0));
-        let seen: Vec<String> = seen.map(|l| word(&l["limiter"])).collect();
+        let seen: Vec<String> = seen.map(|l| text_of(&l["limiter"])).collect();
         let order = match &zone["order"] {
             Value::Null => String::new(),
             order => format!(" (ordered: {})", name(order)),
         };
         format!(
             "{:<16} {:>5} {:<10} {:<10} {:>9.0} {:>8} {:>9}  {}{order}",
-            word(&zone["zone"]),
+            text_of(&zone["zone"]),
             percent(&zone["share"]),
             name(&zone["phase"]),
             name(&zone["verdict"]),
--- a/crates/daemon/src/fleet/zones.rs
+++ b/crates/daemon/src/fleet/zones.rs
@@ -1,7 +1,7 @@
-//! Zones of the fleet: this limiter's counts told to the one that decides, and there what `oatbank_zones` wants put before
-//! the fleet as a change of its rules.
+//! Zone failover in a fleet: limiters report their counts to the decider, which proposes the zone shares computed by
+//! `oatbank_zones` as changes of the rules.
 
-use super::told::Told as Answered;
+use super::api::Reply;
 use super::{edit, Fleet};
 use hyper::{Method, StatusCode};
 use oatbank_fleet::decider::Proposal;
@@ -16,96 +16,100 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Between two reports, ms.
-const REPORT: f64 = 250.0;
-/// A change of a zone's share is given up after this, ms: by then more is seen.
-const PATIENCE: Millis = 1500;
-/// Bytes of a report in one message.
-const MOST_REPORT: usize = 1200;
+/// Interval between reports, ms.
+const REPORT_INTERVAL_MS: f64 = 250.0;
+/// Timeout of a proposed share, ms: after this newer reports are available.
+const PROPOSAL_TIMEOUT_MS: Millis = 1500;
+/// Maximum size of a report, in bytes, so that it fits into one message.
+const MAX_REPORT_BYTES: usize = 1200;
 
-/// What a limiter keeps for its fleet's zones.
+/// Zone state of a limiter.
 #[derive(Default)]
-pub(super) struct Led {
-    /// Where this limiter decides.
+pub(super) struct ZoneState {
+    /// Zone evaluation, while this limiter is the decider.
     zones: RefCell<Option<Zones>>,
-    /// What the revision in force leaves.
+    /// Revision in force and the zones that it reduces.
     left: RefCell<(Id, Vec<ReducedZone>)>,
-    /// A change is being decided.
+    /// Whether a change is being decided.
     busy: Cell<bool>,
 }
 
 impl Fleet {
-    /// Reports, and leads where this limiter decides, for the life of the process.
-    pub(super) async fn lead_zones(self: Rc<Self>) {
+    /// Reports this limiter's counts, and evaluates the zones while it is the decider. Never returns.
+    pub(super) async fn run_zones(self: Rc<Self>) {
         loop {
-            self.clock.until(self.clock.now() + REPORT).await;
+            self.clock.until(self.clock.now() + REPORT_INTERVAL_MS).await;
             let report =
                 Report { life: self.life, own: self.applied.borrow().own_zone(), rows: self.engine.zones() };
             let leads = self.node.borrow().as_decider().is_some_and(|d| !d.recovering());
             if leads {
-                self.lead(&report);
+                self.evaluate_zones(&report);
                 continue;
             }
-            *self.led.zones.borrow_mut() = None;
+            *self.zone_state.zones.borrow_mut() = None;
             let (decider, _) = self.node.borrow().decider();
             if let Some(decider) = decider.filter(|peer| *peer != self.settings.me) {
-                self.send(decider, &Message::Attachment(bytes(report)));
+                self.send(decider, &Message::Attachment(encode_report(report)));
             }
         }
     }
 
-    /// What another limiter says beside the agreement.
-    pub(super) fn beside(&self, from: Peer, bytes: &[u8]) {
+    /// Handles a zone report of another limiter.
+    pub(super) fn receive_zone_report(&self, from: Peer, bytes: &[u8]) {
         let Ok(report) = postcard::from_bytes::<Report>(bytes) else { return };
-        if let Some(zones) = self.led.zones.borrow_mut().as_mut() {
+        if let Some(zones) = self.zone_state.zones.borrow_mut().as_mut() {
             zones.report(self.now(), from.0, &report);
         }
     }
 
-    fn lead(self: &Rc<Self>, report: &Report) {
+    fn evaluate_zones(self: &Rc<Self>, report: &Report) {
         let now = self.now();
         let Some(held) = self.node.borrow().held().cloned() else { return };
-        if self.led.left.borrow().0 != held.id() {
+        if self.zone_state.left.borrow().0 != held.id() {
             let left = self.applied.borrow_mut().left(&held);
-            *self.led.left.borrow_mut() = (held.id(), left);
+            *self.zone_state.left.borrow_mut() = (held.id(), left);
         }
         let wanted = {
-            let mut led = self.led.zones.borrow_mut();
-            let zones = led.get_or_insert_with(|| {
+            let mut state = self.zone_state.zones.borrow_mut();
+            let zones = state.get_or_insert_with(|| {
                 let cold = self.applied.borrow_mut().cold(&held);
                 Zones::new(self.settings.peers.len(), cold, self.life)
             });
             zones.report(now, self.settings.me.0, report);
-            zones.set_decision(now, &self.led.left.borrow().1);
+            zones.set_decision(now, &self.zone_state.left.borrow().1);
             zones.tick(now)
         };
-        let Some(wanted) = wanted.filter(|_| !self.led.busy.get()) else { return };
+        let Some(wanted) = wanted.filter(|_| !self.zone_state.busy.get()) else { return };
         let text = match edit::left(&held.text, &wanted) {
             Ok(text) => text,
             Err(why) => return tracing::warn!("zones: {why}"),
         };
-        self.led.busy.set(true);
+        self.zone_state.busy.set(true);
         let fleet = self.clone();
         tokio::task::spawn_local(async move {
             let expect = Some(held.id().number);
-            let (author, timeout) = ("zones".to_owned(), PATIENCE);
+            let (author, timeout) = ("zones".to_owned(), PROPOSAL_TIMEOUT_MS);
             let ask = Proposal { expect, author, text: text.into(), timeout, ..Proposal::default() };
             let answer = fleet.propose(ask).await;
             let list: Vec<String> = wanted.iter().map(|l| format!("{} {:.2}", l.zone, l.share)).collect();
-            tracing::info!("zones: uses [{}]: {}", list.join(", "), fleet.worded(&answer).1.trim_end());
-            fleet.led.busy.set(false);
+            tracing::info!(
+                "zones: uses [{}]: {}",
+                list.join(", "),
+                fleet.outcome_reply(&answer).1.trim_end()
+            );
+            fleet.zone_state.busy.set(false);
         });
     }
 
     /// Answers a call below `/v1/fleet/zones`.
-    pub(super) fn zone_call(&self, method: &Method, query: &str, call: &[&str]) -> Option<Answered> {
+    pub(super) fn zone_call(&self, method: &Method, query: &str, call: &[&str]) -> Option<Reply> {
         if !self.settings.zones {
             let why = "fleet.zones is off; true in the file turns it on";
             return Some((StatusCode::NOT_FOUND, json!({"error": why}).to_string() + "\n"));
         }
         let now = self.now();
-        let mut led = self.led.zones.borrow_mut();
-        let Some(zones) = led.as_mut() else { return Some(self.elsewhere()) };
+        let mut state = self.zone_state.zones.borrow_mut();
+        let Some(zones) = state.as_mut() else { return Some(self.not_decider_reply()) };
         let post = method == Method::POST;
         let order = match call {
             [] | ["status"] if !post => {
@@ -121,7 +125,7 @@
                 }
                 return Some((StatusCode::OK, format!("{shown:#}\n")));
             }
-            [_, "leave"] if post => match over(query) {
+            [_, "leave"] if post => match parse_over_ms(query) {
                 Ok(over) => Some(Order::Leave(over)),
                 Err(why) => return Some((StatusCode::BAD_REQUEST, json!({"error": why}).to_string() + "\n")),
             },
@@ -137,44 +141,44 @@
                     Some(_) => {
                         format!("{zone}: ordered; the fleet decides each step, see `oatbank zone status`")
                     }
-                    None => format!("{zone}: the order is over; what is seen counts again"),
+                    None => format!("{zone}: the order has ended; automatic failover is active again"),
                 };
                 (StatusCode::OK, json!({"result": "ordered", "say": say}).to_string() + "\n")
             }
             Err(OrderError::UnknownZone(known)) => {
-                let say = format!("{zone:?} is not known; {} are", known.join(", "));
+                let say = format!("unknown zone {zone:?}; known are {}", known.join(", "));
                 (StatusCode::NOT_FOUND, json!({"result": "no zone", "say": say}).to_string() + "\n")
             }
             Err(OrderError::LastFullZone) => {
-                let say = format!("{zone} is the last one that is wholly used; return another one first");
+                let say = format!("{zone} is the last zone in full use; return another one first");
                 (StatusCode::CONFLICT, json!({"result": "last zone", "say": say}).to_string() + "\n")
             }
         })
     }
 }
 
-/// `over_ms=30000`; without, at once.
-fn over(query: &str) -> Result<Millis, String> {
+/// Parses `over_ms=30000`. An empty query means 0, at once.
+fn parse_over_ms(query: &str) -> Result<Millis, String> {
     match query.split_once('=') {
         None if query.is_empty() => Ok(0),
         Some(("over_ms", ms)) => {
-            ms.parse().map_err(|_| format!("over_ms: {ms:?} is not allowed; a whole number of ms is"))
+            ms.parse().map_err(|_| format!("over_ms: {ms:?} is not allowed; expected a whole number of ms"))
         }
-        _ => Err(format!("{query:?} is not allowed; over_ms=30000 is")),
+        _ => Err(format!("{query:?} is not allowed; expected a query such as over_ms=30000")),
     }
 }
 
-/// A report that fits into one message: those zones first in which most has failed.
-fn bytes(mut report: Report) -> Vec<u8> {
+/// Encodes a report. Drops the zones with the fewest failures until it fits into one message.
+fn encode_report(mut report: Report) -> Vec<u8> {
     let bad = |row: &oatbank_zones::evidence::Row| {
         let c = row.counts;
         std::cmp::Reverse(c.failed + c.silent + c.refused + c.broken)
     };
     report.rows.sort_by_key(bad);
     loop {
-        // Plain data without maps or floats has no way to fail.
+        // Encoding plain data without maps or floats cannot fail.
         let bytes = postcard::to_stdvec(&report).unwrap_or_default();
-        if bytes.len() <= MOST_REPORT || report.rows.pop().is_none() {
+        if bytes.len() <= MAX_REPORT_BYTES || report.rows.pop().is_none() {
             return bytes;
         }
     }
--- a/crates/zookeeper/src/lib.rs
+++ b/crates/zookeeper/src/lib.rs
@@ -1,5 +1,5 @@
 //! Membership from ZooKeeper-style ephemeral nodes: keeps a session, makes the reads that
-//! [`oatbank_membership::reconcile`] asks for, and hands its news on. It decides nothing of the list.
+//! [`oatbank_membership::reconcile`] requests, and forwards the resulting updates. The reconciler decides what is listed.
 
 pub mod register;
 pub mod registers;
@@ -18,28 +18,29 @@
 use tracing::Instrument;
 use zookeeper_client::{Client, Connector, Error, EventType, SessionState};
 
-/// First pause after no session could be had; doubles up to the other.
-const PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// A read that is not answered in this time has failed.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Delay after the first failure to open a session. It doubles up to [`MAX_RECONNECT_DELAY`].
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Upper limit of the delay between attempts to open a session.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
+/// A request or connection attempt fails if it is not answered within this time.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A session that has brought no good answer for this long, ms, since its connection was lost or a read failed, is
-/// given up for a new one. It owns nothing, so nothing is lost; and a client library may hold on to a dead
-/// connection for the whole session time-out (seen after a frame that could not be read).
+/// A session without a successful read for this long, ms, after its connection was lost or a read failed, is replaced.
+/// It owns no ephemeral nodes, so nothing is lost. The client library may keep a dead connection for the whole session
+/// timeout, as happened after a frame that could not be decoded.
 const GIVE_UP: Millis = 500.0;
 
-/// Where the members are.
+/// Connection settings and the folder of the members.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The service's addresses, `HOST:PORT,…`, with a chroot behind them if wanted.
+    /// Addresses of the ensemble, `HOST:PORT,…`, with an optional chroot at the end.
     pub cluster: String,
     /// The folder whose nodes are the members.
     pub path: String,
-    /// The session time-out that is asked for. Also how long members may take to come back after the service was
-    /// away for longer than that.
+    /// Requested session timeout. Also how long members have to register again after an outage of the service that
+    /// was longer than this.
     pub session_timeout: Duration,
-    /// Scheme and credentials, if the folder's permissions want any.
+    /// Scheme and credentials, if the folder's permissions require them.
     pub auth: Option<(String, Vec<u8>)>,
 }
 
@@ -53,60 +54,60 @@
     }
 }
 
-/// The state of a source, for whoever shows it.
+/// State of a source, shared with the code that displays it.
 pub type Shared = Rc<RefCell<Reconciler>>;
 
-/// A source's state before its start.
+/// Creates the initial state of a source.
 pub fn state(config: &Config) -> Shared {
     let settle = config.session_timeout.as_secs_f64() * 1000.0;
     Rc::new(RefCell::new(Reconciler::new(Settings { settle })))
 }
 
-/// Follows the folder for the life of the process, inside a [`tokio::task::LocalSet`].
-pub async fn follow(config: Config, clock: Rc<dyn Clock>, told: MembershipSink, state: Shared) {
-    let mut pause = PAUSE;
+/// Follows the folder and reports changes to `sink`. Never returns; must run inside a [`tokio::task::LocalSet`].
+pub async fn follow(config: Config, clock: Rc<dyn Clock>, sink: MembershipSink, state: Shared) {
+    let mut delay = MIN_RECONNECT_DELAY;
     loop {
-        match tokio::time::timeout(PATIENCE, config.connector().connect(&config.cluster)).await {
+        match tokio::time::timeout(REQUEST_TIMEOUT, config.connector().connect(&config.cluster)).await {
             Ok(Ok(client)) => {
-                pause = PAUSE;
-                let source = Source::new(&config, client, clock.clone(), told.clone(), state.clone());
+                delay = MIN_RECONNECT_DELAY;
+                let source = Source::new(&config, client, clock.clone(), sink.clone(), state.clone());
                 let span = tracing::info_span!("session", path = config.path);
                 let ended = source.run().instrument(span).await;
-                tracing::warn!("members: the session has ended: {ended:?}; the list holds");
+                tracing::warn!("members: the session has ended: {ended:?}; keeping the last list");
             }
-            Ok(Err(e)) => tracing::warn!("members: no session: {e}; again in {} ms", pause.as_millis()),
-            Err(_) => tracing::warn!("members: no session in time; again in {} ms", pause.as_millis()),
+            Ok(Err(e)) => tracing::warn!("members: no session: {e}; retrying in {} ms", delay.as_millis()),
+            Err(_) => tracing::warn!("members: connecting timed out; retrying in {} ms", delay.as_millis()),
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(MAX_RECONNECT_DELAY);
     }
 }
 
-/// An event, and the connection that it belongs to.
-type Heard = (u64, Event);
+/// Number of a connection, and an event that occurred on it.
+type ConnectionEvent = (u64, Event);
 
-/// One session.
+/// One ZooKeeper session that follows the folder.
 struct Source {
     clock: Rc<dyn Clock>,
-    told: MembershipSink,
+    sink: MembershipSink,
     state: Shared,
-    heard: UnboundedReceiver<Heard>,
+    events: UnboundedReceiver<ConnectionEvent>,
     reader: Reader,
     reads: JoinSet<()>,
     due: Option<Millis>,
-    /// When this session is given up.
+    /// When this session is replaced, unless a read succeeds first.
     give_up_at: Option<Millis>,
 }
 
-/// What a read needs.
+/// Client and state that a read needs.
 #[derive(Clone)]
 struct Reader {
     client: Client,
     path: String,
     connection: u64,
-    tell: UnboundedSender<Heard>,
-    /// The newest state of the folder that was read: a missing folder has no transaction of its own.
-    newest: Rc<Cell<i64>>,
+    events_tx: UnboundedSender<ConnectionEvent>,
+    /// Highest `pzxid` read of the folder. It stands in for the zxid of a missing folder, which has none.
+    newest_zxid: Rc<Cell<i64>>,
 }
 
 impl Source {
@@ -114,17 +115,17 @@
         config: &Config,
         client: Client,
         clock: Rc<dyn Clock>,
-        told: MembershipSink,
+        sink: MembershipSink,
         state: Shared,
     ) -> Self {
-        let (tell, heard) = unbounded_channel();
+        let (events_tx, events) = unbounded_channel();
         let path = config.path.trim_end_matches('/').to_owned();
-        let newest = Rc::new(Cell::new(0));
-        let reader = Reader { client, path, connection: 0, tell, newest };
-        Source { clock, told, state, heard, reader, reads: JoinSet::new(), due: None, give_up_at: None }
+        let newest_zxid = Rc::new(Cell::new(0));
+        let reader = Reader { client, path, connection: 0, events_tx, newest_zxid };
+        Source { clock, sink, state, events, reader, reads: JoinSet::new(), due: None, give_up_at: None }
     }
 
-    /// Runs until the session is over.
+    /// Runs until the session ends or is given up, and returns its last state.
     async fn run(mut self) -> SessionState {
         tracing::info!("members: following {}", self.reader.path);
         let mut states = self.reader.client.state_watcher();
@@ -140,15 +141,15 @@
                 state = states.changed() => match state {
                     SessionState::SyncConnected => self.connected(),
                     SessionState::Disconnected => self.handle(Event::Lost),
-                    over => {
+                    ended => {
                         self.handle(Event::Lost);
-                        return over;
+                        return ended;
                     }
                 },
-                Some((connection, event)) = self.heard.recv() => {
-                    // An answer of an earlier connection may be older than what is read on this one.
-                    let old = connection != self.reader.connection;
-                    if !old || matches!(event, Event::Fired(_)) {
+                Some((connection, event)) = self.events.recv() => {
+                    // A response from an earlier connection may be older than reads on this one.
+                    let stale = connection != self.reader.connection;
+                    if !stale || matches!(event, Event::Fired(_)) {
                         self.handle(event);
                     }
                 }
@@ -177,48 +178,48 @@
         }
         let step = self.state.borrow_mut().handle(self.clock.now(), event);
         if let Some(news) = step.news {
-            (self.told)(news);
+            (self.sink)(news);
         }
-        for want in step.reads {
-            self.reads.spawn_local(self.reader.clone().read(want));
+        for request in step.reads {
+            self.reads.spawn_local(self.reader.clone().read(request));
         }
         self.due = step.due;
     }
 }
 
 impl Reader {
-    fn say(&self, event: Event) {
-        // A source that has ended needs no news.
-        let _ = self.tell.send((self.connection, event));
+    fn send(&self, event: Event) {
+        // The receiver is closed once the source has ended.
+        let _ = self.events_tx.send((self.connection, event));
     }
 
-    /// Makes a read, which must be answered in time, and then waits for its watch, however long.
-    async fn read(self, want: ReadRequest) {
-        let done = match &want {
+    /// Makes a read, subject to [`REQUEST_TIMEOUT`], and then waits for its watch without a limit.
+    async fn read(self, request: ReadRequest) {
+        let result = match &request {
             ReadRequest::Children => self.children().await,
             ReadRequest::Data(name) => self.data(name).await,
         };
-        if let Err(e) = done {
-            tracing::debug!("members: {want:?}: {e}");
-            self.say(Event::Failed(want));
+        if let Err(e) = result {
+            tracing::debug!("members: {request:?}: {e}");
+            self.send(Event::Failed(request));
         }
     }
 
     async fn children(&self) -> Result<(), Error> {
         let read = self.client.get_and_watch_children(&self.path);
-        match within(read).await {
+        match with_timeout(read).await {
             Ok((names, stat, watcher)) => {
-                self.newest.set(self.newest.get().max(stat.pzxid));
-                self.say(Event::Children { zxid: stat.pzxid, names });
-                self.fired(watcher.changed().await.event_type, ReadRequest::Children);
+                self.newest_zxid.set(self.newest_zxid.get().max(stat.pzxid));
+                self.send(Event::Children { zxid: stat.pzxid, names });
+                self.watch_fired(watcher.changed().await.event_type, ReadRequest::Children);
             }
             Err(Error::NoNode) => {
-                let (found, watcher) = within(self.client.check_and_watch_stat(&self.path)).await?;
+                let (found, watcher) = with_timeout(self.client.check_and_watch_stat(&self.path)).await?;
                 if found.is_none() {
-                    self.say(Event::Children { zxid: self.newest.get(), names: Vec::new() });
-                    self.fired(watcher.changed().await.event_type, ReadRequest::Children);
+                    self.send(Event::Children { zxid: self.newest_zxid.get(), names: Vec::new() });
+                    self.watch_fired(watcher.changed().await.event_type, ReadRequest::Children);
                 } else {
-                    self.say(Event::Failed(ReadRequest::Children));
+                    self.send(Event::Failed(ReadRequest::Children));
                 }
             }
             Err(e) => return Err(e),
@@ -228,27 +229,27 @@
 
     async fn data(&self, name: &str) -> Result<(), Error> {
         let path = format!("{}/{name}", self.path);
-        match within(self.client.get_and_watch_data(&path)).await {
+        match with_timeout(self.client.get_and_watch_data(&path)).await {
             Ok((bytes, stat, watcher)) => {
                 let (zxid, created) = (stat.mzxid, stat.czxid);
-                self.say(Event::Data { name: name.to_owned(), zxid, created, bytes });
-                self.fired(watcher.changed().await.event_type, ReadRequest::Data(name.to_owned()));
+                self.send(Event::Data { name: name.to_owned(), zxid, created, bytes });
+                self.watch_fired(watcher.changed().await.event_type, ReadRequest::Data(name.to_owned()));
             }
-            // The client never goes back to an address that has seen less than it has, so this is the newest.
-            Err(Error::NoNode) => self.say(Event::NoNode { name: name.to_owned(), zxid: i64::MAX }),
+            // The client never reconnects to a server that is behind it, so a missing node is the newest state.
+            Err(Error::NoNode) => self.send(Event::NoNode { name: name.to_owned(), zxid: i64::MAX }),
             Err(e) => return Err(e),
         }
         Ok(())
     }
 
-    /// A watch has fired; one that ended with its session tells nothing.
-    fn fired(&self, kind: EventType, want: ReadRequest) {
+    /// Reports a watch that has fired. A watch that ended with its session reports nothing.
+    fn watch_fired(&self, kind: EventType, request: ReadRequest) {
         if kind != EventType::Session {
-            self.say(Event::Fired(want));
+            self.send(Event::Fired(request));
         }
     }
 }
 
-async fn within<T>(read: impl std::future::Future<Output = Result<T, Error>>) -> Result<T, Error> {
-    tokio::time::timeout(PATIENCE, read).await.unwrap_or(Err(Error::Timeout))
+async fn with_timeout<T>(read: impl std::future::Future<Output = Result<T, Error>>) -> Result<T, Error> {
+    tokio::time::timeout(REQUEST_TIMEOUT, read).await.unwrap_or(Err(Error::Timeout))
 }
