--- a/crates/engine/src/upstreams/mod.rs
+++ b/crates/engine/src/upstreams/mod.rs
@@ -1,5 +1,5 @@
 //! Ways to servers.
 
-pub mod house;
 pub mod http1;
 pub mod inprocess;
+pub mod try_id;
--- a/crates/engine/src/upstreams/house.rs
+++ b/crates/engine/src/upstreams/try_id.rs
@@ -59,7 +59,7 @@
 
 /// The dialect.
 #[derive(Clone, Debug)]
-pub struct House {
+pub struct TryIdDialect {
     /// What the headers are called.
     pub names: HeaderNames,
     /// An answer up to this many bytes is held whole.
@@ -70,9 +70,9 @@
     pub unconfirmed: Duration,
 }
 
-impl Default for House {
+impl Default for TryIdDialect {
     fn default() -> Self {
-        House {
+        TryIdDialect {
             names: HeaderNames::default(),
             held: 1024 * 1024,
             longest: crate::body::MAX_BODY_BYTES,
@@ -81,7 +81,7 @@
     }
 }
 
-impl House {
+impl TryIdDialect {
     /// The answer names the try, and nothing else.
     fn names_the_try(&self, job: &AttemptJob<Forward>, answer: &HeaderMap) -> bool {
         let id = job.request.headers.get(&self.names.try_id);
@@ -108,7 +108,7 @@
     }
 }
 
-impl Dialect for House {
+impl Dialect for TryIdDialect {
     type Answer = Response<Body>;
 
     fn address(&self, job: &AttemptJob<Forward>, headers: &mut HeaderMap) {
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -11,8 +11,8 @@
 use oatbank_engine::ports::clock::SystemClock;
 use oatbank_engine::ports::membership::Member;
 use oatbank_engine::respond::{self, ComeBack};
-use oatbank_engine::upstreams::house::{headers_on, House};
 use oatbank_engine::upstreams::http1::{Connections, Forward, Http1};
+use oatbank_engine::upstreams::try_id::{headers_on, TryIdDialect};
 use oatbank_limiter_core::interface::{Class, Millis, Repeat, Request, Rules};
 use oatbank_operations::budget::{Budget, Limits};
 use oatbank_testkit::{Act, Message, Server, PATIENCE};
@@ -24,7 +24,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 
-pub type TestEngine = Engine<Http1<House>>;
+pub type TestEngine = Engine<Http1<TryIdDialect>>;
 
 /// How many requests of a connection may be open at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -178,9 +178,9 @@
     };
     let attempts = if open_requests == OpenRequests::One { 2 } else { 1 };
     let clock = Rc::new(SystemClock::new());
-    let house = House { held: 64, ..House::default() };
+    let dialect = TryIdDialect { held: 64, ..TryIdDialect::default() };
     let engine =
-        Engine::new(&setup(class(), attempts), clock.clone(), Http1::speaking(house, clock, connections));
+        Engine::new(&setup(class(), attempts), clock.clone(), Http1::speaking(dialect, clock, connections));
     engine.start();
     if open_requests == OpenRequests::Several {
         engine.cancel_on_disconnect();
--- a/crates/engine/tests/house.rs
+++ b/crates/engine/tests/house.rs
@@ -6,8 +6,8 @@
 use oatbank_engine::body::Body;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
 use oatbank_engine::ports::upstream::{AttemptJob, End, Upstream};
-use oatbank_engine::upstreams::house::House;
 use oatbank_engine::upstreams::http1::{Connections, Forward, Http1};
+use oatbank_engine::upstreams::try_id::TryIdDialect;
 use oatbank_limiter_core::interface::{Millis, Outcome, ServerId};
 use oatbank_testkit::conformance::on_local_set;
 use oatbank_testkit::{Act, Message, Server};
@@ -30,7 +30,7 @@
 }
 
 struct Rig {
-    way: Http1<House>,
+    way: Http1<TryIdDialect>,
     clock: Rc<Hand>,
     server: Server,
 }
@@ -39,8 +39,8 @@
     fn new(act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Rig {
         let connections = Connections { idle: 10_000.0, connect_timeout: 1000.0, most: 16, bodies_kib: 4096 };
         let clock = Rc::new(Hand(Cell::new(1e12)));
-        let house = House { held: 64, ..House::default() };
-        Rig { way: Http1::speaking(house, clock.clone(), connections), clock, server: Server::start(act) }
+        let dialect = TryIdDialect { held: 64, ..TryIdDialect::default() };
+        Rig { way: Http1::speaking(dialect, clock.clone(), connections), clock, server: Server::start(act) }
     }
 
     async fn ask(&self, method: Method, id: &'static str) -> End<Response<Body>> {
--- a/crates/engine/tests/once.rs
+++ b/crates/engine/tests/once.rs
@@ -12,8 +12,8 @@
 use oatbank_engine::ports::clock::SystemClock;
 use oatbank_engine::ports::membership::Member;
 use oatbank_engine::ports::upstream::{AttemptJob, End, Upstream};
-use oatbank_engine::upstreams::house::House;
 use oatbank_engine::upstreams::http1::{Connections, Forward, Http1};
+use oatbank_engine::upstreams::try_id::TryIdDialect;
 use oatbank_limiter_core::interface::{Class, Outcome, Repeat, Request, ServerId};
 use oatbank_testkit::conformance::on_local_set;
 use socket2::SockRef;
@@ -42,7 +42,7 @@
 }
 
 struct Rig {
-    client: Rc<Http1<House>>,
+    client: Rc<Http1<TryIdDialect>>,
     listener: TcpListener,
 }
 
@@ -64,7 +64,8 @@
 
 impl Rig {
     async fn new() -> Rig {
-        let client = Rc::new(Http1::speaking(House::default(), Rc::new(SystemClock::new()), CONNECTIONS));
+        let client =
+            Rc::new(Http1::speaking(TryIdDialect::default(), Rc::new(SystemClock::new()), CONNECTIONS));
         Rig { client, listener: TcpListener::bind("127.0.0.1:0").await.expect("a port") }
     }
 
@@ -449,7 +450,7 @@
     let received = Rc::default();
     let addresses = servers(action, &received).await;
     let clock = Rc::new(SystemClock::new());
-    let client = Http1::speaking(House::default(), clock.clone(), CONNECTIONS);
+    let client = Http1::speaking(TryIdDialect::default(), clock.clone(), CONNECTIONS);
     let engine = Engine::new(&once(repeat), clock, client);
     engine.start();
     let members = addresses.iter().enumerate();
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -23,8 +23,8 @@
 use oatbank_engine::engine::{Answer, Departures};
 use oatbank_engine::open_ids::OpenIds;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
-use oatbank_engine::upstreams::house;
 use oatbank_engine::upstreams::http1::Forward;
+use oatbank_engine::upstreams::try_id;
 use oatbank_limiter_core::interface::{ClassId, Request, Rules};
 use oatbank_node_runtime::error_kind::ErrorKind;
 use oatbank_node_runtime::log::{self, RateLimitedLog};
@@ -452,7 +452,7 @@
 
 /// The headers to forward: without the tenant's key, with the tenant's name.
 fn forwarded_headers(headers: &HeaderMap, tenant: Option<&str>) -> HeaderMap {
-    let mut forwarded = house::headers_on(headers);
+    let mut forwarded = try_id::headers_on(headers);
     for name in [AUTHORIZATION, CUSTOMER, CONTENT_LENGTH] {
         forwarded.remove(name);
     }
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -14,8 +14,8 @@
 use oatbank_engine::engine::{Engine, Names, Setup};
 use oatbank_engine::ports::clock::Clock;
 use oatbank_engine::ports::membership::{Member, News};
-use oatbank_engine::upstreams::house::House;
 use oatbank_engine::upstreams::http1::{Connections, Http1};
+use oatbank_engine::upstreams::try_id::TryIdDialect;
 use oatbank_limiter_core::interface::{Class, Repeat, ServerState, Settings, Standing};
 use oatbank_node_runtime::log;
 use oatbank_node_runtime::random::random_u64;
@@ -39,7 +39,7 @@
 const SERVICES_PER_BUDGET: usize = 4;
 
 /// The engine of a service.
-pub type ServiceEngine = Engine<Http1<House>>;
+pub type ServiceEngine = Engine<Http1<TryIdDialect>>;
 
 /// The engine of one service, with the members and settings last passed to it.
 pub struct ServicePool {
@@ -240,7 +240,7 @@
             most: self.budget.servers / SERVICES_PER_BUDGET,
             bodies_kib: self.budget.answers_kib / SERVICES_PER_BUDGET,
         };
-        let upstream = Http1::speaking(House::default(), self.clock.clone(), connections);
+        let upstream = Http1::speaking(TryIdDialect::default(), self.clock.clone(), connections);
         let setup = Setup { seed: random_u64(), ..Setup::default() };
         let engine = Engine::new(&setup, self.clock.clone(), upstream);
         engine.start();
