--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -8,7 +8,7 @@
 use oatbank_engine::engine::{Answer, Engine};
 use oatbank_engine::front::{self, HeadDecision, HttpHandler};
 use oatbank_engine::open_ids::OpenIds;
-use oatbank_engine::respond::{self, plain, ComeBack};
+use oatbank_engine::respond::{self, plain, RetryAfterFormat};
 use oatbank_engine::upstreams::http1::{Forward, Http1};
 use oatbank_limiter_core::interface::{Millis, Request};
 use std::rc::Rc;
@@ -19,13 +19,13 @@
 /// Judges by the platform's headers and asks one engine.
 pub struct PlatformDesk {
     engine: Rc<Engine<Http1>>,
-    come_back: ComeBack,
+    come_back: RetryAfterFormat,
     ids: OpenIds,
 }
 
 impl PlatformDesk {
     /// A desk with no request open.
-    pub fn new(engine: Rc<Engine<Http1>>, come_back: ComeBack) -> Self {
+    pub fn new(engine: Rc<Engine<Http1>>, come_back: RetryAfterFormat) -> Self {
         PlatformDesk { engine, come_back, ids: OpenIds::default() }
     }
 }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -9,7 +9,7 @@
 use oatbank_engine::members::agent::{self, Agent, ServerList};
 use oatbank_engine::ports::clock::{Clock, SystemClock};
 use oatbank_engine::ports::membership::{MembershipSink, News};
-use oatbank_engine::respond::ComeBack;
+use oatbank_engine::respond::RetryAfterFormat;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::Http1;
 use oatbank_limiter_core::wire::{parse_settings, WireError};
@@ -118,7 +118,7 @@
             limits: file.limits,
             conn_idle: ceiling("conn_idle", 15_000.0),
             connect_timeout: ceiling("connect_timeout", 250.0),
-            come_back: ComeBack::Decimal,
+            come_back: RetryAfterFormat::Decimal,
             passed: None,
             others: 0,
         };
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -4,7 +4,7 @@
 use oatbank_engine::engine::{shutdown_timeout, Engine, Setup};
 use oatbank_engine::front::FrontLimits;
 use oatbank_engine::ports::clock::Clock;
-use oatbank_engine::respond::ComeBack;
+use oatbank_engine::respond::RetryAfterFormat;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::{Connections, Http1};
 use oatbank_limiter_core::interface::Millis;
@@ -44,7 +44,7 @@
     /// A connection that is not up within this, ms, has failed.
     pub connect_timeout: Millis,
     /// How refusals say when to come back.
-    pub come_back: ComeBack,
+    pub come_back: RetryAfterFormat,
     /// A listening socket that was handed over, in place of one at `listen`.
     pub passed: Option<RawFd>,
     /// Descriptors that what else is switched on may take.
--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -10,7 +10,7 @@
 use oatbank_engine::engine::Engine;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
 use oatbank_engine::ports::membership::MembershipSink;
-use oatbank_engine::respond::ComeBack;
+use oatbank_engine::respond::RetryAfterFormat;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::Http1;
 use oatbank_membership::register::{Incarnation, Place};
@@ -143,7 +143,7 @@
         limits: Limits { sockets, memory_mb },
         conn_idle: config.keep_idle,
         connect_timeout: config.connect_timeout,
-        come_back: ComeBack::Standard,
+        come_back: RetryAfterFormat::Standard,
         passed: None,
         others: 0,
     }
--- a/crates/engine/src/respond.rs
+++ b/crates/engine/src/respond.rs
@@ -24,7 +24,7 @@
 
 /// How a refusal says when to come back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ComeBack {
+pub enum RetryAfterFormat {
     /// Whole seconds, rounded up, in `Retry-After` (RFC 9110, 10.2.3), and decimal ones in
     /// [`EXACT_RETRY_AFTER`].
     #[default]
@@ -33,7 +33,7 @@
     Decimal,
 }
 
-impl ComeBack {
+impl RetryAfterFormat {
     fn tell(self, headers: &mut HeaderMap, wait: Millis) {
         if wait.is_nan() || wait <= 0.0 {
             return;
@@ -42,8 +42,8 @@
         let exact = format!("{:.3}", wait.ceil() / 1000.0);
         let whole = format!("{:.0}", (wait / 1000.0).ceil());
         let told = match self {
-            ComeBack::Decimal => [(RETRY_AFTER, Some(exact)), (EXACT_RETRY_AFTER, None)],
-            ComeBack::Standard => [(RETRY_AFTER, Some(whole)), (EXACT_RETRY_AFTER, Some(exact))],
+            RetryAfterFormat::Decimal => [(RETRY_AFTER, Some(exact)), (EXACT_RETRY_AFTER, None)],
+            RetryAfterFormat::Standard => [(RETRY_AFTER, Some(whole)), (EXACT_RETRY_AFTER, Some(exact))],
         };
         for (name, text) in told {
             if let Some(value) = text.and_then(|text| HeaderValue::try_from(text).ok()) {
@@ -57,7 +57,7 @@
     status: StatusCode,
     why: &'static str,
     wait: Millis,
-    form: ComeBack,
+    form: RetryAfterFormat,
 ) -> Response<B> {
     let mut response = plain(status, why);
     form.tell(response.headers_mut(), wait);
@@ -67,7 +67,7 @@
 /// The response that carries a final answer; one that was served is passed to `served`.
 pub fn answered<A, B: From<&'static str>>(
     answer: Answer<A>,
-    form: ComeBack,
+    form: RetryAfterFormat,
     served: impl FnOnce(A) -> Response<B>,
 ) -> Response<B> {
     match answer {
@@ -86,10 +86,10 @@
     served: impl FnOnce(A) -> Response<B>,
 ) -> Response<B> {
     match ended {
-        CallResult::Answered(answer) => answered(answer, ComeBack::Standard, served),
+        CallResult::Answered(answer) => answered(answer, RetryAfterFormat::Standard, served),
         CallResult::NotAccepted(wait) => {
             let why = "too many requests wait for the limiter\n";
-            refused(StatusCode::SERVICE_UNAVAILABLE, why, wait, ComeBack::Standard)
+            refused(StatusCode::SERVICE_UNAVAILABLE, why, wait, RetryAfterFormat::Standard)
         }
         CallResult::Lost => plain(StatusCode::BAD_GATEWAY, "the limiter has ended\n"),
     }
--- a/crates/engine/src/respond/tests.rs
+++ b/crates/engine/src/respond/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn told(form: ComeBack, wait: Millis) -> (Option<String>, Option<String>) {
+fn told(form: RetryAfterFormat, wait: Millis) -> (Option<String>, Option<String>) {
     let answer = Answer::<()>::Refused(wait);
     let response: Response<&'static str> = answered(answer, form, |()| Response::new(""));
     let text = |name| response.headers().get(name).map(|v| v.to_str().expect("text").to_owned());
@@ -12,10 +12,10 @@
 #[test]
 fn a_wait_is_rounded_up_and_never_told_as_now() {
     let some = |text: &str| Some(text.to_owned());
-    assert_eq!(told(ComeBack::Standard, 0.2), (some("1"), some("0.001")));
-    assert_eq!(told(ComeBack::Standard, 1000.0), (some("1"), some("1.000")));
-    assert_eq!(told(ComeBack::Standard, 1000.4), (some("2"), some("1.001")));
-    assert_eq!(told(ComeBack::Decimal, 0.2), (some("0.001"), None));
-    assert_eq!(told(ComeBack::Decimal, 1500.0), (some("1.500"), None));
-    assert_eq!(told(ComeBack::Standard, 0.0), (None, None));
+    assert_eq!(told(RetryAfterFormat::Standard, 0.2), (some("1"), some("0.001")));
+    assert_eq!(told(RetryAfterFormat::Standard, 1000.0), (some("1"), some("1.000")));
+    assert_eq!(told(RetryAfterFormat::Standard, 1000.4), (some("2"), some("1.001")));
+    assert_eq!(told(RetryAfterFormat::Decimal, 0.2), (some("0.001"), None));
+    assert_eq!(told(RetryAfterFormat::Decimal, 1500.0), (some("1.500"), None));
+    assert_eq!(told(RetryAfterFormat::Standard, 0.0), (None, None));
 }
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -10,7 +10,7 @@
 use oatbank_engine::members::fixed;
 use oatbank_engine::ports::clock::SystemClock;
 use oatbank_engine::ports::membership::Member;
-use oatbank_engine::respond::{self, ComeBack};
+use oatbank_engine::respond::{self, RetryAfterFormat};
 use oatbank_engine::upstreams::http1::{Connections, Forward, Http1};
 use oatbank_engine::upstreams::try_id::{headers_on, TryIdDialect};
 use oatbank_limiter_core::interface::{Class, Millis, Repeat, Request, Rules};
@@ -95,7 +95,7 @@
         if let Some(on_answer) = &*self.on_answer.borrow() {
             on_answer();
         }
-        Ok(respond::answered(answer, ComeBack::Standard, |served| served))
+        Ok(respond::answered(answer, RetryAfterFormat::Standard, |served| served))
     }
 }
 
