--- a/crates/engine/src/upstreams/inprocess.rs
+++ b/crates/engine/src/upstreams/inprocess.rs
@@ -32,7 +32,7 @@
 
 impl Permit {
     /// Completes when the engine waits for the handler no longer.
-    pub async fn called_off(&mut self) {
+    pub async fn cancelled(&mut self) {
         self.done.closed().await;
     }
 
--- a/crates/engine/tests/ports.rs
+++ b/crates/engine/tests/ports.rs
@@ -198,7 +198,7 @@
                 Behaviour::TurnsAway => permit.ended(Outcome::Full),
                 Behaviour::Breaks => drop(permit),
                 Behaviour::Silent => {
-                    permit.called_off().await;
+                    permit.cancelled().await;
                     called_off.set(called_off.get() + 1);
                 }
             }
