--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -6,7 +6,7 @@
 use crate::serve::{on_one_thread, Plan, Serving, Signals};
 use crate::{logging, members};
 use oatbank_engine::config::{self, Base, Config, ZooKeeper};
-use oatbank_engine::counters::{self, local::Numbers};
+use oatbank_engine::counters::{self, local::CounterTotals};
 use oatbank_engine::engine::Engine;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
 use oatbank_engine::ports::membership::MembershipSink;
@@ -60,7 +60,7 @@
         let engine = Serving::engine(&plan, clock.clone());
         engine.use_counter(counters::start(
             config.counter,
-            Numbers::default(),
+            CounterTotals::default(),
             clock.clone(),
             engine.call_end_sink(),
         ));
--- a/crates/engine/src/counters/local.rs
+++ b/crates/engine/src/counters/local.rs
@@ -44,9 +44,9 @@
 
 /// The numbers themselves; engines of one process may share them.
 #[derive(Clone, Debug, Default)]
-pub struct Numbers(Arc<Mutex<Sums>>);
+pub struct CounterTotals(Arc<Mutex<Sums>>);
 
-impl Numbers {
+impl CounterTotals {
     /// Adds to a number, and tells its total.
     pub fn add(&self, now: Millis, call: &Call) -> CallEnd {
         // A sum is changed in one step, so one that panicked beside it left nothing half done.
@@ -54,7 +54,7 @@
     }
 
     /// All names that live, with their totals; in the order of the names.
-    pub fn book(&self, now: Millis) -> Vec<(CountName, f64)> {
+    pub fn snapshot(&self, now: Millis) -> Vec<(CountName, f64)> {
         let sums = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let living = sums.sums.iter().filter(|(_, (_, ends))| *ends > now);
         let mut book: Vec<_> = living.map(|(name, (total, _))| (*name, *total)).collect();
@@ -65,14 +65,14 @@
 
 /// One engine's way to them. Every call is answered on the next turn of the event loop.
 pub struct LocalCounter {
-    numbers: Numbers,
+    numbers: CounterTotals,
     clock: Rc<dyn Clock>,
     answers: UnboundedSender<(CallId, CallEnd)>,
 }
 
 impl LocalCounter {
     /// Begins to answer, for as long as the engine's tasks run.
-    pub fn start(numbers: Numbers, clock: Rc<dyn Clock>, ends: CallEndSink) -> Rc<Self> {
+    pub fn start(numbers: CounterTotals, clock: Rc<dyn Clock>, ends: CallEndSink) -> Rc<Self> {
         // Holds no more than the engine has calls out: one a name at most.
         let (answers, mut due) = unbounded_channel();
         tokio::task::spawn_local(async move {
--- a/crates/engine/src/counters/local/tests.rs
+++ b/crates/engine/src/counters/local/tests.rs
@@ -8,11 +8,11 @@
 
 #[test]
 fn a_name_adds_up_until_its_time_is_over_and_then_begins_anew() {
-    let numbers = Numbers::default();
+    let numbers = CounterTotals::default();
     assert_eq!(numbers.add(0.0, &call(1, 2.0)), CallEnd::Added(2.0));
     assert_eq!(numbers.add(99.0, &call(1, 3.0)), CallEnd::Added(5.0));
     assert_eq!(numbers.add(99.0, &call(2, 1.0)), CallEnd::Added(1.0));
-    assert_eq!(numbers.book(99.0), [(CountName(1), 5.0), (CountName(2), 1.0)]);
+    assert_eq!(numbers.snapshot(99.0), [(CountName(1), 5.0), (CountName(2), 1.0)]);
     assert_eq!(numbers.add(100.0, &call(1, 1.0)), CallEnd::Added(1.0), "its life ran from the first call");
 }
 
--- a/crates/engine/src/counters/mod.rs
+++ b/crates/engine/src/counters/mod.rs
@@ -6,7 +6,7 @@
 use crate::config::CounterKind;
 use crate::ports::clock::Clock;
 use crate::ports::counter::{CallEndSink, Counter};
-use local::{LocalCounter, Numbers};
+use local::{CounterTotals, LocalCounter};
 use std::rc::Rc;
 use text::TextCounter;
 
@@ -14,7 +14,7 @@
 /// within the process.
 pub fn start(
     kind: CounterKind,
-    numbers: Numbers,
+    numbers: CounterTotals,
     clock: Rc<dyn Clock>,
     ends: CallEndSink,
 ) -> Option<Rc<dyn Counter>> {
--- a/crates/engine/tests/ports.rs
+++ b/crates/engine/tests/ports.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, Method};
-use oatbank_engine::counters::local::{LocalCounter, Numbers};
+use oatbank_engine::counters::local::{CounterTotals, LocalCounter};
 use oatbank_engine::counters::text::TextCounter;
 use oatbank_engine::members::{agent, fixed};
 use oatbank_engine::ports::clock::{Clock, SystemClock};
@@ -42,7 +42,7 @@
 #[test]
 fn the_local_counter_conforms() {
     on_local_set(async {
-        let numbers = Numbers::default();
+        let numbers = CounterTotals::default();
         let rig = counter::Rig::new(|ends| LocalCounter::start(numbers, system(), ends));
         counter::suite(&rig).await;
     });
--- a/crates/proxy/src/quota_counter.rs
+++ b/crates/proxy/src/quota_counter.rs
@@ -15,7 +15,7 @@
 use oatbank_cluster_state::admin_query::table;
 use oatbank_cluster_state::cluster_view::ClusterView;
 use oatbank_cluster_state::messages::{QuotaAdd, QuotaAdds, QuotaTotals, Table};
-use oatbank_engine::counters::local::Numbers;
+use oatbank_engine::counters::local::CounterTotals;
 use oatbank_engine::ports::counter::{Call, CallEnd, CallId};
 use oatbank_limiter_core::interface::{
     Action, CountName, CustomerId, Millis, Outcome, Plan, PlanId, QuotaRequest, QuotaSettings, Verdict,
@@ -96,7 +96,7 @@
     node_name: String,
     quotas: RefCell<Quotas>,
     /// The counters that this limiter owns.
-    owned: Numbers,
+    owned: CounterTotals,
     /// Additions to send, by the owner's address; `None` stands for this limiter.
     pending: RefCell<BTreeMap<Option<SocketAddr>, Vec<QuotaAdd>>>,
     /// When `pending` is to be sent.
@@ -122,7 +122,7 @@
             peers,
             node_name,
             quotas: RefCell::new(Quotas::new(quota_settings(Vec::new(), 1.0), seed)),
-            owned: Numbers::default(),
+            owned: CounterTotals::default(),
             pending: RefCell::default(),
             flush_due: Cell::default(),
             credits,
--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -33,7 +33,7 @@
 pub use layer::{Limit, LimitLayer};
 pub use oatbank_engine::classify::Rejection;
 pub use oatbank_engine::config::{Config, ConfigError, CounterKind};
-pub use oatbank_engine::counters::local::Numbers;
+pub use oatbank_engine::counters::local::CounterTotals;
 pub use oatbank_engine::engine::Setup;
 pub use oatbank_engine::ports::membership::{Member, News};
 pub use oatbank_limiter_core::interface::{ClassId, CustomerId, PlanId, Request};
--- a/crates/tower/src/start.rs
+++ b/crates/tower/src/start.rs
@@ -2,7 +2,7 @@
 
 use oatbank_engine::body::Body;
 use oatbank_engine::config::Config;
-use oatbank_engine::counters::{self, local::Numbers};
+use oatbank_engine::counters::{self, local::CounterTotals};
 use oatbank_engine::direct::{self, Direct};
 use oatbank_engine::engine::{Engine, Setup};
 use oatbank_engine::handle::{self, Handle, DEFAULT_QUEUE_CAPACITY};
@@ -44,13 +44,13 @@
 pub struct Builder {
     config: Config,
     queue: usize,
-    numbers: Numbers,
+    numbers: CounterTotals,
 }
 
 impl Builder {
     /// Starts from a configuration.
     pub fn new(config: Config) -> Self {
-        Builder { config, queue: DEFAULT_QUEUE_CAPACITY, numbers: Numbers::default() }
+        Builder { config, queue: DEFAULT_QUEUE_CAPACITY, numbers: CounterTotals::default() }
     }
 
     /// So many requests may wait for a client's engine, or be in hand at a layer; one more is answered 503 at
@@ -63,7 +63,7 @@
 
     /// Shares the numbers of `counter = "local"` with other limiters of this process.
     #[must_use]
-    pub fn numbers(mut self, numbers: Numbers) -> Self {
+    pub fn numbers(mut self, numbers: CounterTotals) -> Self {
         self.numbers = numbers;
         self
     }
@@ -168,7 +168,7 @@
     config: &Config,
     clock: Rc<dyn Clock>,
     upstream: U,
-    numbers: Numbers,
+    numbers: CounterTotals,
     members: Vec<Member>,
 ) -> Rc<Engine<U>> {
     let engine = Engine::new(&config.setup, clock.clone(), upstream);
--- a/crates/tower/tests/client.rs
+++ b/crates/tower/tests/client.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http::{Method, Request};
 use oatbank_testkit::{answer, eventually, Act, Server};
-use oatbank_tower::{Builder, Client, Config, Member, News, Numbers, PlatformPath};
+use oatbank_tower::{Builder, Client, Config, CounterTotals, Member, News, PlatformPath};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 use tower::ServiceExt;
@@ -184,7 +184,7 @@
     let thin = CONFIG.replace("rate = 100000", "rate = 0.001").replace("burst = 100000", "burst = 40");
     let mut config = Config::parse(&thin).expect("a configuration");
     config.members = vec![Member::ready("s-00000001", server.address)];
-    let numbers = Numbers::default();
+    let numbers = CounterTotals::default();
     let builder = Builder::new(config).numbers(numbers.clone());
     let one = Client::build(builder.clone(), PlatformPath).expect("a client");
     let other = Client::build(builder, PlatformPath).expect("a client");
@@ -193,7 +193,7 @@
     for _ in 0..40 {
         assert_eq!(ask(&one).status(), 200);
     }
-    let told = || numbers.book(0.0).iter().map(|(_, total)| total).sum::<f64>();
+    let told = || numbers.snapshot(0.0).iter().map(|(_, total)| total).sum::<f64>();
     eventually("all is told", || told() == 40.0);
     // The first request of an account is answered by this limiter's own view and has it read.
     eventually("the other limiter has heard of it", || ask(&other).status() == 429);
