--- a/crates/engine/src/upstreams/http1.rs
+++ b/crates/engine/src/upstreams/http1.rs
@@ -415,13 +415,13 @@
 impl Http1 {
     /// The platform's servers; no connections yet.
     pub fn new(clock: Rc<dyn Clock>, connections: Connections, report: Vec<String>) -> Self {
-        Http1::speaking(Platform { report }, clock, connections)
+        Http1::with_dialect(Platform { report }, clock, connections)
     }
 }
 
 impl<D: Dialect> Http1<D> {
     /// Servers of this dialect; no connections yet.
-    pub fn speaking(dialect: D, clock: Rc<dyn Clock>, connections: Connections) -> Self {
+    pub fn with_dialect(dialect: D, clock: Rc<dyn Clock>, connections: Connections) -> Self {
         let pool = Pool::new(connections, dialect.unconfirmed());
         let rooms = BodyBudget::new(connections.bodies_kib);
         Http1 { shared: Rc::new(Shared { clock, pool, dialect, rooms }) }
--- a/crates/engine/tests/common/front.rs
+++ b/crates/engine/tests/common/front.rs
@@ -179,8 +179,11 @@
     let attempts = if open_requests == OpenRequests::One { 2 } else { 1 };
     let clock = Rc::new(SystemClock::new());
     let dialect = TryIdDialect { held: 64, ..TryIdDialect::default() };
-    let engine =
-        Engine::new(&setup(class(), attempts), clock.clone(), Http1::speaking(dialect, clock, connections));
+    let engine = Engine::new(
+        &setup(class(), attempts),
+        clock.clone(),
+        Http1::with_dialect(dialect, clock, connections),
+    );
     engine.start();
     if open_requests == OpenRequests::Several {
         engine.cancel_on_disconnect();
--- a/crates/engine/tests/house.rs
+++ b/crates/engine/tests/house.rs
@@ -40,7 +40,11 @@
         let connections = Connections { idle: 10_000.0, connect_timeout: 1000.0, most: 16, bodies_kib: 4096 };
         let clock = Rc::new(Hand(Cell::new(1e12)));
         let dialect = TryIdDialect { held: 64, ..TryIdDialect::default() };
-        Rig { way: Http1::speaking(dialect, clock.clone(), connections), clock, server: Server::start(act) }
+        Rig {
+            way: Http1::with_dialect(dialect, clock.clone(), connections),
+            clock,
+            server: Server::start(act),
+        }
     }
 
     async fn ask(&self, method: Method, id: &'static str) -> End<Response<Body>> {
--- a/crates/engine/tests/once.rs
+++ b/crates/engine/tests/once.rs
@@ -65,7 +65,7 @@
 impl Rig {
     async fn new() -> Rig {
         let client =
-            Rc::new(Http1::speaking(TryIdDialect::default(), Rc::new(SystemClock::new()), CONNECTIONS));
+            Rc::new(Http1::with_dialect(TryIdDialect::default(), Rc::new(SystemClock::new()), CONNECTIONS));
         Rig { client, listener: TcpListener::bind("127.0.0.1:0").await.expect("a port") }
     }
 
@@ -450,7 +450,7 @@
     let received = Rc::default();
     let addresses = servers(action, &received).await;
     let clock = Rc::new(SystemClock::new());
-    let client = Http1::speaking(TryIdDialect::default(), clock.clone(), CONNECTIONS);
+    let client = Http1::with_dialect(TryIdDialect::default(), clock.clone(), CONNECTIONS);
     let engine = Engine::new(&once(repeat), clock, client);
     engine.start();
     let members = addresses.iter().enumerate();
--- a/crates/proxy/src/service_pool.rs
+++ b/crates/proxy/src/service_pool.rs
@@ -240,7 +240,7 @@
             most: self.budget.servers / SERVICES_PER_BUDGET,
             bodies_kib: self.budget.answers_kib / SERVICES_PER_BUDGET,
         };
-        let upstream = Http1::speaking(TryIdDialect::default(), self.clock.clone(), connections);
+        let upstream = Http1::with_dialect(TryIdDialect::default(), self.clock.clone(), connections);
         let setup = Setup { seed: random_u64(), ..Setup::default() };
         let engine = Engine::new(&setup, self.clock.clone(), upstream);
         engine.start();
