--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::members::credentials;
 use apply::Applied;
-use oatbank_engine::config::{Base, Fleet as Settings, FleetPeer, FleetTree};
+use oatbank_engine::config::{Base, CoordinatorFolder, Fleet as Settings, FleetPeer};
 use oatbank_engine::engine::Engine;
 use oatbank_engine::ports::clock::Clock;
 use oatbank_engine::ports::membership::MembershipSink;
@@ -338,7 +338,7 @@
 }
 
 /// An ask without an answer in half a lease is lost: there is time for another then.
-fn registers(tree: &FleetTree, lease: Millis) -> Rc<Registers> {
+fn registers(tree: &CoordinatorFolder, lease: Millis) -> Rc<Registers> {
     let config = oatbank_zookeeper::Config {
         cluster: tree.cluster.clone(),
         path: tree.path.clone(),
--- a/crates/engine/src/config/fleet.rs
+++ b/crates/engine/src/config/fleet.rs
@@ -125,7 +125,7 @@
 
 /// A coordinator's folder that is a fleet's.
 #[derive(Clone, Debug)]
-pub struct FleetTree {
+pub struct CoordinatorFolder {
     /// The coordinator's addresses, behind commas.
     pub cluster: String,
     /// The folder.
@@ -148,7 +148,7 @@
     /// The limiter that decides, where it is named.
     pub decider: Option<Peer>,
     /// What elects it, where it is not.
-    pub tree: Option<FleetTree>,
+    pub tree: Option<CoordinatorFolder>,
     /// All limiters.
     pub peers: Vec<FleetPeer>,
     /// The fleet's times.
@@ -174,9 +174,9 @@
         }
     }
 
-    fn tree(&self) -> Option<FleetTree> {
+    fn tree(&self) -> Option<CoordinatorFolder> {
         let (cluster, path) = (self.coordinator.clone()?, self.path.clone()?);
-        Some(FleetTree { cluster, path, auth: self.auth.clone() })
+        Some(CoordinatorFolder { cluster, path, auth: self.auth.clone() })
     }
 
     /// Nothing where a name is not on the list, which the check has told.
--- a/crates/engine/src/config/mod.rs
+++ b/crates/engine/src/config/mod.rs
@@ -37,7 +37,7 @@
 mod text;
 
 pub use file::{FileServers, ZooKeeper};
-pub use fleet::{Base, Fleet, FleetPeer, FleetTree, RULES};
+pub use fleet::{Base, CoordinatorFolder, Fleet, FleetPeer, RULES};
 pub use mistake::{Mistake, Place};
 
 use crate::engine::Setup;
