--- a/crates/engine/src/classify.rs
+++ b/crates/engine/src/classify.rs
@@ -1,7 +1,7 @@
-//! Reads what the decision module is told of a request from the platform's headers.
+//! Parses the platform's request headers into a request for the decision module.
 //!
-//! All of it is checked first: what is wrong must not reach the module, nor change what is known of an account.
-//! The daemon's front and the middleware share this, so a request counts alike in both.
+//! Every value is validated first: an invalid request must neither reach the module nor change an account's state.
+//! The daemon's front end and the middleware share this code, so both count a request in the same way.
 
 use http::header::{HeaderMap, HeaderName, CONTENT_TYPE};
 use http::request::Parts;
@@ -10,41 +10,41 @@
 
 use crate::engine::Names;
 
-/// Units past which a request is held to be malformed, where the settings set no bound.
+/// Largest number of units in a request where the settings set no bound; a request with more is malformed.
 const MOST_UNITS: f64 = 1e6;
-/// Customers are numbers below this.
+/// Exclusive upper bound of customer numbers.
 const CUSTOMERS: u64 = 1 << 33;
-/// Longest name of a request.
+/// Longest correlation id, bytes.
 const MOST_ID: usize = 128;
-/// Longest wait of a client that is believed, ms: an hour.
+/// Longest time left that a client may state, ms: one hour.
 const LONGEST_WAIT: Millis = 3_600_000.0;
 
-/// Names a request; new with every try.
+/// Id of the request; each try has a new one.
 pub const CORRELATION: HeaderName = HeaderName::from_static("x-correlation-id");
-/// The class, as in the path.
+/// Class of the request, equal to the first part of the path.
 pub const CLASS: HeaderName = HeaderName::from_static("x-service-class");
-/// The account's plan.
+/// Name of the account's plan.
 pub const PLAN: HeaderName = HeaderName::from_static("x-plan");
-/// How long the client waits, s.
+/// Time for which the client still waits, s.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
-/// Units, and the limiters that the account comes in through.
+/// Units of the request, and the number of limiters through which the account's requests arrive.
 pub const QUOTA: HeaderName = HeaderName::from_static("x-quota");
-/// Marks a client's repeat.
+/// `1` on a request that the client repeats.
 pub const REPEAT: HeaderName = HeaderName::from_static("x-repeat");
-/// The key of a keyed request.
+/// Idempotency key of a keyed request.
 pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Why a request cannot be classified: the answer to give. It touches no account.
+/// The error response for a request that cannot be classified. No account is charged for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The status to answer with.
+    /// Status of the response.
     pub status: StatusCode,
-    /// A line for the body.
+    /// Body of the response: one line of text.
     pub why: &'static str,
 }
 
 impl Rejection {
-    /// A request that is malformed (400).
+    /// A rejection with status 400 for a malformed request.
     pub const fn bad(why: &'static str) -> Self {
         Rejection { status: StatusCode::BAD_REQUEST, why }
     }
@@ -60,11 +60,11 @@
 
 use Rejection as R;
 
-/// Reads a request whose class stands in its path's first part and in its header.
+/// Parses a request whose class is given by the first part of its path and by its header.
 ///
 /// # Errors
-/// 404 for an unknown path, 405 for a method that is not the class's, 400 for all else that is missing, stands
-/// twice, or is out of the settings' range.
+/// 404 for an unknown path, 405 for a method that the class does not use, 400 for any other value that is missing,
+/// duplicated or out of the settings' range.
 pub fn by_path(head: &Parts, names: &Names, settings: &Settings) -> Result<Request, Rejection> {
     let first = head.uri.path().split('/').nth(1).unwrap_or("");
     let class = names.classes.iter().position(|c| c == first);
@@ -79,17 +79,17 @@
     rest(head, class, names, settings)
 }
 
-/// Reads a request whose class stands in its header only, for applications with paths of their own.
+/// Parses a request whose class is given by its header only, for applications with their own paths.
 ///
 /// # Errors
-/// 400 for what is missing, stands twice, or is out of the settings' range.
+/// 400 for a value that is missing, duplicated or out of the settings' range.
 pub fn by_header(head: &Parts, names: &Names, settings: &Settings) -> Result<Request, Rejection> {
     let class = single(&head.headers, &CLASS)?.ok_or(R::bad("X-Service-Class is missing\n"))?;
     let class = names.classes.iter().position(|c| c == class).ok_or(R::bad("unknown class\n"))?;
     rest(head, class, names, settings)
 }
 
-/// All but the class.
+/// Parses everything but the class.
 fn rest(head: &Parts, class: usize, names: &Names, settings: &Settings) -> Result<Request, Rejection> {
     let headers = &head.headers;
     let of = settings.classes.get(class).ok_or(R::bad("no such class\n"))?;
@@ -114,7 +114,7 @@
         class: ClassId(class),
         plan: PlanId(plan),
         units,
-        // No client waits longer than its class allows, and nothing is kept for longer.
+        // Capped at the class's deadline, so that no request is kept for longer.
         time_left: if of.deadline > 0.0 { time_left.min(of.deadline) } else { time_left },
         spread,
         repeat: single(headers, &REPEAT)? == Some("1"),
@@ -122,7 +122,7 @@
     })
 }
 
-/// The headers that go on to a server.
+/// Returns the headers that are forwarded to a server.
 pub fn headers_on(headers: &HeaderMap) -> HeaderMap {
     let mut on = HeaderMap::with_capacity(8);
     for name in [CORRELATION, KEY, CLASS, PLAN, CONTENT_TYPE] {
@@ -133,10 +133,10 @@
     on
 }
 
-/// The value of a header that may stand once only, in plain text.
+/// Returns the value of a header that may occur at most once, or `None` if it is absent.
 ///
 /// # Errors
-/// 400 where it stands twice or is no plain text.
+/// 400 if the header occurs more than once or is not visible ASCII.
 pub fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Rejection> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
@@ -146,7 +146,7 @@
     }
 }
 
-/// A plain decimal number: no sign, no exponent, none of the words that stand for numbers.
+/// Parses a decimal number without sign or exponent; rejects `inf` and `NaN`.
 fn decimal(text: &str) -> Option<f64> {
     let text = text.trim();
     let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
@@ -157,7 +157,7 @@
     }
 }
 
-/// The customer's number in a query: 16 hexadecimal digits, once.
+/// Parses the customer number from a query: exactly one `customer` of 16 hexadecimal digits, below [`CUSTOMERS`].
 fn customer(query: &str) -> Option<u64> {
     let mut values = query.split('&').filter_map(|pair| pair.strip_prefix("customer="));
     let value = values.next().filter(|v| v.len() == 16 && v.bytes().all(|b| b.is_ascii_hexdigit()))?;
@@ -165,7 +165,8 @@
     values.next().is_none().then_some(number)
 }
 
-/// Units and the number of limiters in an `X-Quota` header, each field once and within the settings.
+/// Parses units and number of limiters from an `X-Quota` header. Each field must occur once and be within the
+/// settings' range; unknown fields are ignored.
 fn quota(text: &str, most_units: f64, gateways: f64) -> Option<(f64, f64)> {
     let (mut units, mut spread, mut first) = (None, None, None);
     let most = if most_units > 0.0 { most_units } else { MOST_UNITS };
--- a/crates/engine/src/counters/local.rs
+++ b/crates/engine/src/counters/local.rs
@@ -1,4 +1,4 @@
-//! A counter within the process, for one limiter alone or for several in one process.
+//! In-process counter, used by a single limiter or shared by several limiters of one process.
 
 use crate::ports::clock::Clock;
 use crate::ports::counter::{Call, CallEnd, CallEndSink, CallId, Counter};
@@ -8,15 +8,15 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 
-/// Names kept at most. Past it calls with new names are turned away until others have had their time:
-/// bounds the memory that a flood of names takes. At two names an account, half a million accounts.
+/// Most counter names kept; beyond it calls with new names end as busy until others expire. Bounds the memory that a
+/// flood of names takes. Suffices for half a million accounts with two names each.
 const MOST_NAMES: usize = 1 << 20;
-/// Names are looked through for those that have had their time this often, ms.
+/// Interval between purges of expired names, ms.
 const PURGE_EVERY: Millis = 5000.0;
 
 #[derive(Debug, Default)]
 struct Sums {
-    /// Total, and when it is forgotten.
+    /// Total and expiry time of each name.
     sums: HashMap<CountName, (f64, Millis)>,
     purged: Millis,
 }
@@ -42,18 +42,18 @@
     }
 }
 
-/// The numbers themselves; engines of one process may share them.
+/// The totals of an in-process counter; clones share them, also between engines.
 #[derive(Clone, Debug, Default)]
 pub struct CounterTotals(Arc<Mutex<Sums>>);
 
 impl CounterTotals {
-    /// Adds to a number, and tells its total.
+    /// Adds to a total and returns the new total, or [`CallEnd::Busy`] for a new name when [`MOST_NAMES`] are kept.
     pub fn add(&self, now: Millis, call: &Call) -> CallEnd {
-        // A sum is changed in one step, so one that panicked beside it left nothing half done.
+        // Each total is changed in one step, so a poisoned lock holds consistent totals.
         self.0.lock().unwrap_or_else(PoisonError::into_inner).add(now, call)
     }
 
-    /// All names that live, with their totals; in the order of the names.
+    /// Returns all unexpired names with their totals, sorted by name.
     pub fn snapshot(&self, now: Millis) -> Vec<(CountName, f64)> {
         let sums = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let living = sums.sums.iter().filter(|(_, (_, ends))| *ends > now);
@@ -63,7 +63,7 @@
     }
 }
 
-/// One engine's way to them. Every call is answered on the next turn of the event loop.
+/// One engine's access to [`CounterTotals`]. A call's result arrives on the next turn of the event loop.
 pub struct LocalCounter {
     numbers: CounterTotals,
     clock: Rc<dyn Clock>,
@@ -71,9 +71,9 @@
 }
 
 impl LocalCounter {
-    /// Begins to answer, for as long as the engine's tasks run.
+    /// Spawns the task that delivers results to `ends`, on the current local set.
     pub fn start(numbers: CounterTotals, clock: Rc<dyn Clock>, ends: CallEndSink) -> Rc<Self> {
-        // Holds no more than the engine has calls out: one a name at most.
+        // Bounded by the engine's open calls: at most one for each name.
         let (answers, mut due) = unbounded_channel();
         tokio::task::spawn_local(async move {
             while let Some((call, end)) = due.recv().await {
@@ -90,7 +90,7 @@
         if matches!(end, CallEnd::Busy) {
             return Err(end);
         }
-        // Should nobody read any more, the engine's time-out ends the call.
+        // If the receiving task has ended, the engine's timeout ends the call.
         let _ = self.answers.send((call.id, end));
         Ok(())
     }
--- a/crates/engine/src/counters/mod.rs
+++ b/crates/engine/src/counters/mod.rs
@@ -1,4 +1,4 @@
-//! Ways to count.
+//! Implementations of the counter port.
 
 pub mod local;
 pub mod text;
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use text::TextCounter;
 
-/// Starts the counter that a configuration names, inside the engine's local set; `numbers` are those of a counter
-/// within the process.
+/// Starts the configured counter on the engine's local set, or returns `None` if there is none. `numbers` holds the
+/// totals of [`CounterKind::Local`] and is unused otherwise.
 pub fn start(
     kind: CounterKind,
     numbers: CounterTotals,
--- a/crates/engine/src/members/fixed.rs
+++ b/crates/engine/src/members/fixed.rs
@@ -1,8 +1,8 @@
-//! A list that is known at the start and does not change.
+//! A fixed list of servers.
 
 use crate::ports::membership::{Member, MembershipSink, News};
 
-/// Tells the list, once.
+/// Reports the complete list, once.
 pub fn tell(told: &MembershipSink, members: Vec<Member>) {
     told(News::Complete(members));
 }
--- a/crates/engine/src/members/mod.rs
+++ b/crates/engine/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Sources of the list of servers.
+//! Membership sources: implementations that report the list of servers.
 
 pub mod agent;
 pub mod fixed;
--- a/crates/engine/src/respond.rs
+++ b/crates/engine/src/respond.rs
@@ -1,4 +1,4 @@
-//! Answers that the limiter gives itself, as HTTP.
+//! HTTP responses that the limiter generates itself.
 
 use crate::classify::Rejection;
 use crate::engine::Answer;
@@ -7,22 +7,22 @@
 use http::{Response, StatusCode};
 use oatbank_limiter_core::interface::Millis;
 
-/// A response that the limiter words itself.
+/// Returns a response with the given status and text body.
 pub fn plain<B: From<&'static str>>(status: StatusCode, text: &'static str) -> Response<B> {
     let mut response = Response::new(B::from(text));
     *response.status_mut() = status;
     response
 }
 
-/// The response to a request that cannot be classified.
+/// Returns the response to a request that cannot be classified.
 pub fn rejected<B: From<&'static str>>(rejection: Rejection) -> Response<B> {
     plain(rejection.status, rejection.why)
 }
 
-/// The wait in seconds with decimals, where `Retry-After` holds whole ones.
+/// Header with the wait in decimal seconds, sent where `Retry-After` holds whole seconds.
 pub const EXACT_RETRY_AFTER: HeaderName = HeaderName::from_static("x-oatbank-retry-after");
 
-/// How a refusal says when to come back.
+/// Format in which a refusal states the time to wait before a retry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryAfterFormat {
     /// Whole seconds, rounded up, in `Retry-After` (RFC 9110, 10.2.3), and decimal ones in
@@ -38,7 +38,7 @@
         if wait.is_nan() || wait <= 0.0 {
             return;
         }
-        // Rounded up to what the form can say: a client is never sent back too early, and never told "now".
+        // Rounded up to the format's precision: a client never retries too early and never reads a wait of 0.
         let exact = format!("{:.3}", wait.ceil() / 1000.0);
         let whole = format!("{:.0}", (wait / 1000.0).ceil());
         let told = match self {
@@ -64,7 +64,7 @@
     response
 }
 
-/// The response that carries a final answer; one that was served is passed to `served`.
+/// Returns the response for a final answer. `served` converts the answer of a server.
 pub fn answered<A, B: From<&'static str>>(
     answer: Answer<A>,
     form: RetryAfterFormat,
@@ -80,7 +80,7 @@
     }
 }
 
-/// The response to a request that ended so; one that was served is passed to `served`.
+/// Returns the response for the result of a call to the engine. `served` converts the answer of a server.
 pub fn ended<A, B: From<&'static str>>(
     ended: CallResult<A>,
     served: impl FnOnce(A) -> Response<B>,
--- a/crates/engine/src/respond/tests.rs
+++ b/crates/engine/src/respond/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_wait_is_rounded_up_and_never_told_as_now() {
+fn a_wait_is_rounded_up_and_never_sent_as_zero() {
     let some = |text: &str| Some(text.to_owned());
     assert_eq!(told(RetryAfterFormat::Standard, 0.2), (some("1"), some("0.001")));
     assert_eq!(told(RetryAfterFormat::Standard, 1000.0), (some("1"), some("1.000")));
--- a/crates/engine/src/supervise/tests.rs
+++ b/crates/engine/src/supervise/tests.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 #[test]
-fn a_task_that_panics_is_started_anew() {
+fn a_task_that_panics_is_restarted() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let starts = Rc::new(Cell::new(0));
     let (counted, ends) = (starts.clone(), Rc::new(tokio::sync::Notify::new()));
--- a/crates/engine/src/upstreams/inprocess.rs
+++ b/crates/engine/src/upstreams/inprocess.rs
@@ -1,4 +1,4 @@
-//! A server that is a handler within the process: the application runs it, and reports how it ended.
+//! In-process upstream: the application runs its own handler and reports the outcome.
 
 use crate::ports::upstream::{AttemptJob, End, Upstream};
 use crate::ports::LocalFuture;
@@ -6,40 +6,40 @@
 use std::cell::RefCell;
 use tokio::sync::oneshot;
 
-/// The application's handler as the one server.
+/// The upstream whose only server is the application's handler.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InProcess;
 
-/// What the engine is given with a request: how to tell the application that its handler may run.
+/// The request type of [`InProcess`]: sends the application the permit to run its handler.
 pub struct Start {
     go: RefCell<Option<oneshot::Sender<Permit>>>,
 }
 
 impl Start {
-    /// A start, and where its permit comes.
+    /// Returns a start and the receiver of its permit.
     pub fn new() -> (Self, oneshot::Receiver<Permit>) {
         let (go, permit) = oneshot::channel();
         (Start { go: RefCell::new(Some(go)) }, permit)
     }
 }
 
-/// The right to run a handler, once. Dropped without a word it counts as a request that was called off and
-/// may have run.
+/// Permission to run the handler once. Dropped without a call of [`Permit::ended`], it counts as
+/// [`Outcome::Cancelled`]: the handler may have run.
 #[derive(Debug)]
 pub struct Permit {
     done: oneshot::Sender<Outcome>,
 }
 
 impl Permit {
-    /// Completes when the engine waits for the handler no longer.
+    /// Completes when the engine no longer waits for the handler.
     pub async fn cancelled(&mut self) {
         self.done.closed().await;
     }
 
-    /// The handler has ended. [`Outcome::Ok`] is its answer, [`Outcome::Error`] and [`Outcome::Reset`] that
-    /// it may have run, [`Outcome::Full`] that it turned the request away and did nothing.
+    /// Reports how the handler ended: [`Outcome::Ok`] if it answered, [`Outcome::Error`] or [`Outcome::Reset`] if it
+    /// failed and may have run, [`Outcome::Full`] if it refused the request without running it.
     pub fn ended(self, outcome: Outcome) {
-        // An engine that waits no longer has ended the attempt by itself.
+        // If the receiver is gone, the engine has already ended the attempt.
         let _ = self.done.send(outcome);
     }
 }
@@ -51,7 +51,7 @@
     fn attempt(&self, job: AttemptJob<Start>) -> LocalFuture<End<()>> {
         Box::pin(async move {
             let Some(go) = job.request.go.borrow_mut().take() else {
-                // A handler takes its request with it, so there is nothing to run a second time.
+                // The handler consumes its request, so it cannot run a second time.
                 return End::without_answer(Outcome::ConnectFailed);
             };
             if !(job.may_send)() {
@@ -59,10 +59,10 @@
             }
             let (done, ended) = oneshot::channel();
             if go.send(Permit { done }).is_err() {
-                // The application has dropped the request: its handler never began.
+                // The application dropped the request before its handler started.
                 return End::without_answer(Outcome::ConnectFailed);
             }
-            // Not a reset: that the application drops a request is no sign of a handler that has gone.
+            // Not a reset: a request dropped by the application does not mean that the handler is gone.
             let outcome = ended.await.unwrap_or(Outcome::Cancelled);
             End { outcome, answer: (outcome == Outcome::Ok).then_some(()), load: Vec::new() }
         })
--- a/crates/engine/src/upstreams/mod.rs
+++ b/crates/engine/src/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Ways to servers.
+//! Implementations of the upstream port.
 
 pub mod http1;
 pub mod inprocess;
