--- a/crates/engine/src/counters/text.rs
+++ b/crates/engine/src/counters/text.rs
@@ -17,25 +17,25 @@
 
 /// Connections kept. The counter answers a connection in order, so a call to a slow part of it holds up
 /// those behind; a name takes the same connection while that stands, so that its calls stay in order.
-const LINKS: usize = 4;
-/// Answers owed on a connection past which further calls are turned away: bounds what is kept for a
+const CONNECTIONS: usize = 4;
+/// Answers pending on a connection past which further calls are turned away: bounds what is kept for a
 /// counter that has fallen silent.
-const MOST_OWED: usize = 512;
-/// A connection whose oldest answer is owed for longer than this is dead.
-const DEAD_AFTER: Duration = Duration::from_millis(1000);
+const MAX_PENDING_REPLIES: usize = 512;
+/// A connection whose oldest answer is pending for longer than this is dead.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
 /// An idle connection is spoken on this often, ms, before the counter closes it.
-const PING: Millis = 2000.0;
+const PING_INTERVAL: Millis = 2000.0;
 /// Time for a connection to come up.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// First pause after a failure; doubles up to the other. A connection that worked for the first of the two
 /// is replaced at once: a counter that resets one has not gone.
-const PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
 /// Longest line the counter may send.
-const MOST_LINE: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 
 /// An answer that a connection still owes.
-struct Owed {
+struct PendingReply {
     /// None: a ping.
     call: Option<CallId>,
     at: Millis,
@@ -48,17 +48,17 @@
     out: Vec<u8>,
     queued: u64,
     written: u64,
-    owed: VecDeque<Owed>,
+    pending: VecDeque<PendingReply>,
 }
 
 /// One connection that is up.
 #[derive(Default)]
 struct Link {
     queue: RefCell<Queue>,
-    woken: Notify,
-    heard: Cell<bool>,
+    wake: Notify,
+    received: Cell<bool>,
     /// When something was last queued.
-    spoke: Cell<Millis>,
+    last_queued: Cell<Millis>,
     /// Another has taken its place: it ends once it owes nothing.
     retired: Cell<bool>,
     /// Its answers stay out.
@@ -67,18 +67,18 @@
 
 impl Link {
     fn push(&self, call: Option<CallId>, at: Millis, line: &[u8]) {
-        self.spoke.set(at);
+        self.last_queued.set(at);
         let mut queue = self.queue.borrow_mut();
         queue.out.extend_from_slice(line);
         queue.queued += line.len() as u64;
         let ends = queue.queued;
-        queue.owed.push_back(Owed { call, at, ends });
-        self.woken.notify_one();
+        queue.pending.push_back(PendingReply { call, at, ends });
+        self.wake.notify_one();
     }
 
     fn retire(&self) {
         self.retired.set(true);
-        self.woken.notify_one();
+        self.wake.notify_one();
     }
 }
 
@@ -87,8 +87,8 @@
     clock: Rc<dyn Clock>,
     ends: CallEndSink,
     address: Cell<Option<SocketAddr>>,
-    links: RefCell<[Option<Rc<Link>>; LINKS]>,
-    moved: [Notify; LINKS],
+    links: RefCell<[Option<Rc<Link>>; CONNECTIONS]>,
+    moved: [Notify; CONNECTIONS],
 }
 
 impl TextCounter {
@@ -102,7 +102,7 @@
             links: RefCell::default(),
             moved: std::array::from_fn(|_| Notify::new()),
         });
-        for index in 0..LINKS {
+        for index in 0..CONNECTIONS {
             let counter = counter.clone();
             keep_running("counter", move || keep(counter.clone(), index));
         }
@@ -121,12 +121,12 @@
 impl Counter for TextCounter {
     fn begin(&self, call: Call) -> Result<(), CallEnd> {
         let links = self.links.borrow();
-        let first = (call.name.0 % LINKS as u64) as usize;
+        let first = (call.name.0 % CONNECTIONS as u64) as usize;
         // While a name's own connection is down its calls take another: one reset connection would else
         // look like a counter that has gone.
-        let standing = (0..LINKS).filter_map(|i| links[(first + i) % LINKS].as_ref());
+        let standing = (0..CONNECTIONS).filter_map(|i| links[(first + i) % CONNECTIONS].as_ref());
         let link = standing.into_iter().find(|l| !l.dead.get()).ok_or(CallEnd::Unreachable)?;
-        if link.queue.borrow().owed.len() >= MOST_OWED {
+        if link.queue.borrow().pending.len() >= MAX_PENDING_REPLIES {
             return Err(CallEnd::Unreachable);
         }
         let line = format!("bump {:016x} {} {}\r\n", call.name.0, call.add, (call.ttl as u64).max(1));
@@ -137,13 +137,13 @@
     /// Gives up connections that have fallen silent, and speaks on those that stand idle.
     fn upkeep(&self, now: Millis) {
         for link in self.links.borrow().iter().flatten() {
-            let oldest = link.queue.borrow().owed.front().map(|o| now - o.at);
+            let oldest = link.queue.borrow().pending.front().map(|o| now - o.at);
             match oldest {
-                Some(age) if age > DEAD_AFTER.as_secs_f64() * 1000.0 => {
+                Some(age) if age > REPLY_TIMEOUT.as_secs_f64() * 1000.0 => {
                     link.dead.set(true);
-                    link.woken.notify_one();
+                    link.wake.notify_one();
                 }
-                None if now - link.spoke.get() >= PING => link.push(None, now, b"ping\r\n"),
+                None if now - link.last_queued.get() >= PING_INTERVAL => link.push(None, now, b"ping\r\n"),
                 _ => {}
             }
         }
@@ -152,13 +152,13 @@
 
 /// Keeps one connection up.
 async fn keep(counter: Rc<TextCounter>, index: usize) {
-    let mut pause = PAUSE;
+    let mut pause = MIN_RECONNECT_DELAY;
     loop {
         let Some(address) = counter.address.get() else {
             counter.moved[index].notified().await;
             continue;
         };
-        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
+        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             // Without it a call waits for the answer to the one before.
             let _ = stream.set_nodelay(true);
             let (up, link) = (Instant::now(), Rc::new(Link::default()));
@@ -168,27 +168,27 @@
             let serving = tokio::task::spawn_local(serve(counter.clone(), stream, index, link.clone()));
             tokio::select! {
                 _ = serving => {}
-                () = counter.moved[index].notified() => pause = PAUSE,
+                () = counter.moved[index].notified() => pause = MIN_RECONNECT_DELAY,
             }
-            if link.heard.get() && up.elapsed() > PAUSE {
-                pause = PAUSE;
+            if link.received.get() && up.elapsed() > MIN_RECONNECT_DELAY {
+                pause = MIN_RECONNECT_DELAY;
                 continue;
             }
         }
         tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_RECONNECT_DELAY);
     }
 }
 
 /// Takes a connection out of use whichever way it ends, and tells how what it owes has ended: written whole,
 /// it may have been added; else it was not.
-struct Ending {
+struct ConnectionGuard {
     counter: Rc<TextCounter>,
     index: usize,
     link: Rc<Link>,
 }
 
-impl Drop for Ending {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         {
             let mut links = self.counter.links.borrow_mut();
@@ -197,7 +197,7 @@
             }
         }
         let queue = self.link.queue.take();
-        for o in queue.owed {
+        for o in queue.pending {
             let end = if o.ends <= queue.written { CallEnd::Unknown } else { CallEnd::Unreachable };
             if let Some(call) = o.call {
                 (self.counter.ends)(call, end);
@@ -207,14 +207,14 @@
 }
 
 async fn serve(counter: Rc<TextCounter>, stream: TcpStream, index: usize, link: Rc<Link>) {
-    let ending = Ending { counter, index, link };
-    if let Err(e) = converse(&ending.counter, stream, &ending.link).await {
+    let guard = ConnectionGuard { counter, index, link };
+    if let Err(e) = exchange(&guard.counter, stream, &guard.link).await {
         tracing::warn!("counter: connection {index} is lost: {e}");
     }
 }
 
 /// Writes calls and reads answers until the connection ends; an error tells why it could not go on.
-async fn converse(counter: &TextCounter, mut stream: TcpStream, link: &Link) -> Result<(), String> {
+async fn exchange(counter: &TextCounter, mut stream: TcpStream, link: &Link) -> Result<(), String> {
     let (mut reader, mut writer) = stream.split();
     let mut line = Vec::new();
     let mut piece = [0u8; 2048];
@@ -225,7 +225,7 @@
             if out.is_empty() {
                 std::mem::swap(&mut out, &mut queue.out);
             }
-            if link.retired.get() && out.is_empty() && queue.owed.is_empty() {
+            if link.retired.get() && out.is_empty() && queue.pending.is_empty() {
                 return Ok(());
             }
         }
@@ -243,28 +243,28 @@
                 if n == 0 {
                     return Err("closed".into());
                 }
-                link.heard.set(true);
+                link.received.set(true);
                 for byte in &piece[..n] {
                     if *byte == b'\n' {
-                        answered(counter, link, &line)?;
+                        handle_line(counter, link, &line)?;
                         line.clear();
                     } else {
                         line.push(*byte);
                     }
-                    if line.len() > MOST_LINE {
+                    if line.len() > MAX_LINE_BYTES {
                         return Err("an endless line".into());
                     }
                 }
             }
-            () = link.woken.notified() => {}
-            () = tokio::time::sleep(DEAD_AFTER), if link.retired.get() => return Err("no answer".into()),
+            () = link.wake.notified() => {}
+            () = tokio::time::sleep(REPLY_TIMEOUT), if link.retired.get() => return Err("no answer".into()),
         }
     }
 }
 
 /// Takes in one line. One that is no answer leaves unknown what it belonged to: the connection is given up,
 /// and the call whose answer was due, which was added, is in doubt like those behind it.
-fn answered(counter: &TextCounter, link: &Link, line: &[u8]) -> Result<(), String> {
+fn handle_line(counter: &TextCounter, link: &Link, line: &[u8]) -> Result<(), String> {
     let text = std::str::from_utf8(line).unwrap_or("?").trim();
     let end = match text.split_once(' ').map_or((text, None), |(a, b)| (a, Some(b))) {
         ("ok", Some(total)) => match total.trim().parse::<f64>() {
@@ -275,12 +275,12 @@
         ("pong", None) => None,
         _ => return Err(format!("answered {text:?}")),
     };
-    let call = match link.queue.borrow().owed.front() {
-        Some(owed) if owed.call.is_none() == end.is_none() => owed.call,
+    let call = match link.queue.borrow().pending.front() {
+        Some(pending) if pending.call.is_none() == end.is_none() => pending.call,
         Some(_) => return Err(format!("answered {text:?} out of turn")),
         None => return Err(format!("answered {text:?} to no call")),
     };
-    link.queue.borrow_mut().owed.pop_front();
+    link.queue.borrow_mut().pending.pop_front();
     if let (Some(call), Some(end)) = (call, end) {
         (counter.ends)(call, end);
     }
--- a/crates/engine/src/members/agent.rs
+++ b/crates/engine/src/members/agent.rs
@@ -23,24 +23,24 @@
 use tokio::time::{sleep, timeout};
 
 /// Longest line or list that is read; more is taken for nonsense.
-const MOST_BYTES: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 /// Time for a connection, an answer's head or a whole list.
-const PATIENCE: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// A watch that has not even sent its empty line for this long, a little over its period of two seconds, is
 /// opened anew: it may be dead while the agent is not, and what the agent has counts as told. Where it is
 /// discovery that is down, asking again costs nothing.
-const SILENCE: Duration = Duration::from_millis(2300);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(2300);
 /// First pause after a failure, doubling up to the other.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 /// The same where an agent that has all lists at hand gave no answer: it was silent, refused the connection or broke
 /// it off. What it gets when it is back counts as told at once, and the drain rule leaves 250 ms from then; one and a
 /// half times the longest is under half of that. An agent that is away bears no load.
-const AWAY_PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(80));
+const UNREACHABLE_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(80));
 /// Of so many failures in a row of an agent that is away one is logged: about one a second.
-const AWAY_LINES: u32 = 16;
+const UNREACHABLE_LOG_INTERVAL: u32 = 16;
 /// Pauses after 503: discovery has more callers than it can serve. When a hundred limiters start at once, what
 /// each asks again within a second keeps all of them from being served.
-const BUSY_PAUSES: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(8));
+const OVERLOAD_DELAYS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(8));
 
 type Failure = Box<dyn Error + Send + Sync>;
 
@@ -162,14 +162,14 @@
         let why = if e.is::<Busy>() {
             // It has to serve others too, whatever the settings say.
             state.at_hand = false;
-            Why::Busy
+            RetryCause::Busy
         } else if e.is::<NoAnswer>() && state.at_hand {
-            Why::Away
+            RetryCause::Away
         } else {
-            Why::Failed
+            RetryCause::Failed
         };
         let pause = state.backoff.next(why);
-        if why != Why::Away || state.backoff.failures % AWAY_LINES == 1 {
+        if why != RetryCause::Away || state.backoff.failures % UNREACHABLE_LOG_INTERVAL == 1 {
             tracing::warn!("discovery: {e}; again in {} ms", pause.as_millis());
         }
         sleep(pause).await;
@@ -196,7 +196,7 @@
 impl std::fmt::Display for NoAnswer {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            NoAnswer::Silent => write!(f, "no answer in {} ms", PATIENCE.as_millis()),
+            NoAnswer::Silent => write!(f, "no answer in {} ms", REQUEST_TIMEOUT.as_millis()),
             NoAnswer::Broken(why) => f.write_str(why),
         }
     }
@@ -204,9 +204,9 @@
 
 impl Error for NoAnswer {}
 
-/// What comes within [`PATIENCE`].
+/// What comes within [`REQUEST_TIMEOUT`].
 async fn soon<T, E: std::fmt::Display>(answer: impl Future<Output = Result<T, E>>) -> Result<T, NoAnswer> {
-    let answer = timeout(PATIENCE, answer).await.map_err(|_| NoAnswer::Silent)?;
+    let answer = timeout(REQUEST_TIMEOUT, answer).await.map_err(|_| NoAnswer::Silent)?;
     answer.map_err(|e| NoAnswer::Broken(e.to_string()))
 }
 
@@ -224,7 +224,7 @@
 
 /// What a pause follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Why {
+enum RetryCause {
     /// No answer, of an agent that has it at hand.
     Away,
     /// Any other failure.
@@ -245,11 +245,11 @@
     }
 
     /// The pause after one more failure: doubled each time, and a half to one and a half of that by chance.
-    fn next(&mut self, why: Why) -> Duration {
+    fn next(&mut self, why: RetryCause) -> Duration {
         let (first, longest) = match why {
-            Why::Away => AWAY_PAUSES,
-            Why::Failed => PAUSES,
-            Why::Busy => BUSY_PAUSES,
+            RetryCause::Away => UNREACHABLE_DELAYS,
+            RetryCause::Failed => RETRY_DELAYS,
+            RetryCause::Busy => OVERLOAD_DELAYS,
         };
         let usual = first.saturating_mul(1 << self.failures.min(10)).min(longest);
         self.failures += 1;
@@ -258,7 +258,7 @@
 
     /// How long to wait for an answer before asking afresh.
     fn fresh(&mut self) -> Duration {
-        AWAY_PAUSES.1.mul_f64(0.5 + self.chance())
+        UNREACHABLE_DELAYS.1.mul_f64(0.5 + self.chance())
     }
 
     fn chance(&mut self) -> f64 {
@@ -298,7 +298,7 @@
         let mut body = answer.into_body();
         let mut lines = Lines::default();
         loop {
-            let frame = timeout(SILENCE, body.frame()).await.map_err(|_| "the watch fell silent")?;
+            let frame = timeout(WATCH_TIMEOUT, body.frame()).await.map_err(|_| "the watch fell silent")?;
             let frame = frame.ok_or("the watch ended")??;
             let Ok(data) = frame.into_data() else { continue };
             self.backoff.over();
@@ -308,7 +308,7 @@
                 let list = serde_json::from_slice(&line).inspect_err(|_| self.since = None)?;
                 self.take(&list);
             }
-            if lines.rest.len() > MOST_BYTES {
+            if lines.rest.len() > MAX_RESPONSE_BYTES {
                 self.since = None;
                 return Err("a line without end".into());
             }
@@ -320,7 +320,7 @@
         D: Dial<S>,
     {
         let answer = self.ask("/v1/servers").await?;
-        let body = Limited::new(answer.into_body(), MOST_BYTES).collect();
+        let body = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect();
         let body = soon(body).await?;
         let list: ServerList = serde_json::from_slice(&body.to_bytes())?;
         self.backoff.over();
--- a/crates/engine/src/members/agent/tests.rs
+++ b/crates/engine/src/members/agent/tests.rs
@@ -21,7 +21,7 @@
 
 /// The most calls within any second that a hundred followers make which start together at an agent that
 /// turns all away, once the first three seconds are over.
-fn most_calls_a_second(why: Why) -> usize {
+fn most_calls_a_second(why: RetryCause) -> usize {
     let mut calls: Vec<u128> = Vec::new();
     for seed in 0..100 {
         let (mut backoff, mut at) = (Backoff::new(seed), Duration::ZERO);
@@ -38,7 +38,7 @@
 #[test]
 fn a_hundred_followers_leave_a_busy_discovery_room_to_serve_them() {
     // Found when 70 limiters started at once: each asked every second, and none was served for 12 s.
-    let (busy, away) = (most_calls_a_second(Why::Busy), most_calls_a_second(Why::Failed));
+    let (busy, away) = (most_calls_a_second(RetryCause::Busy), most_calls_a_second(RetryCause::Failed));
     assert!(busy <= 55, "{busy} calls in a second");
     assert!(away >= 80, "an agent that is away is asked each second: {away} calls");
 }
