--- a/crates/engine/src/config/file.rs
+++ b/crates/engine/src/config/file.rs
@@ -1,5 +1,5 @@
-//! The form of the file, and what it means to the engine. Its JSON Schema is made from these types, and bounds
-//! stand here only.
+//! Structure of the file and its conversion to engine settings. The JSON Schema is generated from these types, which are
+//! the only place that states the bounds of values.
 
 use super::fleet::FleetTable;
 use super::mistake::{below, Mistake};
@@ -14,46 +14,47 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Names of servers, classes, plans and zones.
+/// Pattern of the names of servers, classes, plans and zones.
 pub(super) const NAME: &str = "^[A-Za-z0-9_.-]{1,64}$";
 
-/// The schema of [`File`], without references: the way to a keyword in it is the way to a key.
+/// Returns the schema of [`File`] without references, so that its nesting follows that of the file's keys.
 pub(super) fn schema() -> Value {
     let inline = SchemaSettings::draft2020_12().with(|s| s.inline_subschemas = true);
     inline.into_generator().into_root_schema_for::<File>().to_value()
 }
 
-/// A folder of ephemeral nodes from which the list of servers comes.
+/// Takes the list of servers from a ZooKeeper folder of ephemeral nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ZooKeeper {
-    /// The service's addresses, "HOST:PORT", and more behind commas.
+    /// Addresses of the ZooKeeper servers, "HOST:PORT", separated by commas.
     #[schemars(regex(pattern = "^[^,:]+:[0-9]+(,[^,:]+:[0-9]+)*$"))]
     pub zookeeper: String,
-    /// The folder whose nodes are the members, a path as "/services/quotes".
+    /// Folder whose nodes are the servers, a path such as "/services/quotes".
     #[schemars(regex(pattern = "^(/[^/]+)+$"))]
     pub path: String,
-    /// The session time-out that is asked for, ms.
+    /// Requested session timeout, ms.
     #[serde(default = "session_timeout")]
     #[schemars(range(min = 100, max = 60_000))]
     pub session_timeout_ms: u64,
-    /// "SCHEME:CREDENTIALS", if the folder's permissions want any.
+    /// Credentials as "SCHEME:CREDENTIALS", if the folder's permissions require any.
     #[serde(default)]
     #[schemars(with = "String", regex(pattern = "^[^:]+:.*$"))]
     pub auth: Option<String>,
-    /// What the file's [[servers]] are beside the folder's: "until_read", or "beside" with the lower rank.
+    /// Use of the file's [[servers]]: "until_read" uses them until the folder's list is read, "beside" uses them
+    /// together with that list, with lower rank.
     #[serde(default)]
     pub servers: FileServers,
-    /// Hold back servers that come and go too often.
+    /// Whether to hold back servers that join and leave too often.
     #[serde(default = "yes")]
     pub hold_down: bool,
-    /// The folder in which this limiter registers itself by its name, a path as "/services/limiters".
+    /// Folder in which this limiter registers under its name, a path such as "/services/limiters".
     #[serde(default)]
     #[schemars(with = "String", regex(pattern = "^(/[^/]+)+$"))]
     pub register: Option<String>,
 }
 
-/// What the file's servers are where there is a folder of members.
+/// Use of the file's servers where the list comes from a ZooKeeper folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum FileServers {
@@ -64,17 +65,17 @@
     Beside,
 }
 
-/// A zone of which less than all is used.
+/// Limits the use of a zone.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 struct LeftLine {
-    /// Its name, one of zones.
+    /// Name of the zone, one of zones.
     #[schemars(regex(pattern = NAME))]
     zone: String,
-    /// The part of it that each limiter may use.
+    /// Share of the zone that each limiter may use.
     #[schemars(range(min = 0, max = 1))]
     share: f64,
-    /// Why: "staff", until they end it, or "evidence".
+    /// Cause of the limit: "staff", which lasts until staff end it, or "evidence".
     #[serde(default)]
     by: LeftBy,
 }
@@ -104,71 +105,71 @@
     4000
 }
 
-/// The configuration of a limiter without a platform. Spans are in ms, rates in units a second.
+/// Configuration of a limiter without a platform. Durations are in ms, rates in units per second.
 #[derive(Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(title = "oatbank")]
 pub(super) struct File {
-    /// The limiter's name, for the log.
+    /// Name of the limiter, for the log.
     #[serde(default = "oatbank")]
     name: String,
-    /// Where clients connect.
+    /// Address and port on which clients connect.
     #[serde(default = "loopback")]
     #[schemars(with = "String")]
     listen: SocketAddr,
-    /// "none", "local" (within this process), or "text://ADDRESS:PORT" where limiters share one.
+    /// Counter: "none", "local" (within this process), or "text://ADDRESS:PORT" for one that limiters share.
     #[serde(default = "local")]
     counter: String,
-    /// A call to the counter is given up after this, ms.
+    /// Timeout of a call to the counter, ms.
     #[serde(default = "counter_timeout")]
     #[schemars(range(min = 1, max = 3_600_000))]
     counter_timeout_ms: f64,
-    /// How many limiters share the accounts.
+    /// Number of limiters that share the accounts.
     #[serde(default = "one")]
     #[schemars(range(min = 1, max = 10_000))]
     limiters: f64,
-    /// Names of zones.
+    /// Names of all zones.
     #[serde(default)]
     #[schemars(inner(regex(pattern = NAME)), length(max = 65_535))]
     zones: Vec<String>,
-    /// This limiter's zone.
+    /// Zone of this limiter, one of zones.
     #[serde(default)]
     #[schemars(with = "String")]
     zone: Option<String>,
-    /// Most units of one request.
+    /// Largest number of units of one request.
     #[serde(default = "one")]
     #[schemars(range(min = 0.000_001, max = 1e9))]
     max_units: f64,
-    /// The servers; with [members], those that count until its first list is read.
+    /// Servers. With [members], its key servers says how they are used.
     #[serde(default)]
     servers: Vec<ServerLine>,
-    /// Ids of servers that get nothing new, wherever the list comes from.
+    /// Ids of servers that get no new requests, wherever the list comes from.
     #[serde(default)]
     #[schemars(inner(length(min = 1, max = 256)))]
     suspended: Vec<String>,
-    /// Zones of which less than all is used.
+    /// Zones of which only a share is used.
     #[serde(default)]
     left: Vec<LeftLine>,
-    /// Where the list of servers comes from, if not from here.
+    /// ZooKeeper folder from which the list of servers comes; without it, the list is that of [[servers]].
     #[serde(default)]
     #[schemars(with = "ZooKeeper")]
     members: Option<ZooKeeper>,
-    /// Classes of requests; a class is the first part of the path.
+    /// Classes of requests; the first part of a request's path is the name of its class.
     #[schemars(length(min = 1))]
     classes: Vec<ClassLine>,
-    /// Plans of accounts.
+    /// Plans of the accounts, with their quotas.
     #[schemars(length(min = 1))]
     plans: Vec<PlanLine>,
-    /// What a request may be tried.
+    /// Limits on the attempts of a request.
     #[serde(default)]
     attempts: Attempts,
-    /// What a server that has just started is spared.
+    /// Reduced load on a server that has just started.
     #[serde(default)]
     cold: Cold,
-    /// What the process may take.
+    /// Limits on the resources of the process.
     #[serde(default)]
     limits: Limits,
-    /// The fleet that this limiter is one of: limiters that act by one set of rules.
+    /// Fleet to which this limiter belongs: limiters that follow one set of rules.
     #[serde(default)]
     #[schemars(with = "FleetTable")]
     fleet: Option<FleetTable>,
@@ -177,23 +178,23 @@
 #[derive(Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 struct ServerLine {
-    /// A name of 1 to 64 letters, digits, '-', '_', '.', the same at every limiter.
+    /// Server id of 1 to 64 letters, digits, '-', '_', '.', the same at every limiter.
     #[schemars(regex(pattern = NAME))]
     id: String,
-    /// An address in figures with its port, "10.0.0.1:8000".
+    /// IP address with port, such as "10.0.0.1:8000".
     #[schemars(with = "String")]
     address: SocketAddr,
-    /// Its zone, one of zones.
+    /// Zone of the server, one of zones.
     #[serde(default)]
     zone: String,
-    /// Its cell.
+    /// Number of the server's cell.
     #[serde(default)]
     cell: u16,
-    /// Its size beside the others'.
+    /// Capacity relative to the other servers.
     #[serde(default = "one")]
     #[schemars(range(min = 0.001, max = 1000))]
     weight: f64,
-    /// It finishes what it has and is sent nothing new.
+    /// Whether the server is draining: it finishes its open requests and gets no new ones.
     #[serde(default)]
     draining: bool,
 }
@@ -221,26 +222,26 @@
     /// A name of 1 to 64 letters, digits, '-', '_', '.'.
     #[schemars(regex(pattern = NAME))]
     name: String,
-    /// An answer within this, ms, has its full worth.
+    /// Target latency, ms; an answer within it has its full worth.
     #[schemars(range(min = 1, max = 3_600_000))]
     aim_ms: f64,
-    /// How long a client waits, ms, over all of its tries.
+    /// Total time that a client waits, ms, over all of its tries.
     #[schemars(range(min = 1, max = 3_600_000))]
     deadline_ms: f64,
     /// Whether a request may run again: "safe" any number of times, "keyed" within key_window_ms, "unsafe" never.
     repeat: RepeatRule,
-    /// Which servers drop each other's repeats of a key.
+    /// Servers that recognize each other's repeats of a key: "all", those of a "zone", or those of a "cell".
     #[serde(default)]
     key_scope: KeyScope,
-    /// How long servers remember a key, ms.
+    /// Time for which servers remember a key, ms.
     #[serde(default)]
     #[schemars(range(min = 0, max = 3_600_000))]
     key_window_ms: f64,
-    /// Worth of one unit.
+    /// Worth of one unit, relative to other classes.
     #[serde(default = "one")]
     #[schemars(range(min = 0, max = 1e9))]
     worth: f64,
-    /// Share of the worth for an answer after the aim.
+    /// Share of the worth that an answer after aim_ms has.
     #[serde(default)]
     #[schemars(range(min = 0, max = 1))]
     late_worth: f64,
@@ -252,27 +253,27 @@
     /// A name of 1 to 64 letters, digits, '-', '_', '.'.
     #[schemars(regex(pattern = NAME))]
     name: String,
-    /// Units a second; 0: no such quota.
+    /// Quota in units per second; 0 for no such quota.
     #[serde(default)]
     #[schemars(range(min = 0, max = 1e9))]
     rate: f64,
-    /// Units that may be used at once.
+    /// Units that may be used at once, above the rate.
     #[serde(default)]
     #[schemars(range(min = 0, max = 1e9))]
     burst: f64,
-    /// Attempts out at once; 0: no such quota.
+    /// Largest number of attempts in flight; 0 for no such quota.
     #[serde(default)]
     #[schemars(range(min = 0, max = 1e9))]
     max_open: f64,
-    /// Units a second that are never exceeded, whatever the counter says; 0: no ceiling.
+    /// Hard limit in units per second, enforced whatever the counter says; 0 for none.
     #[serde(default)]
     #[schemars(range(min = 0, max = 1e9))]
     ceiling_rate: f64,
-    /// Units that the ceiling lets through at once.
+    /// Units that the hard limit admits at once.
     #[serde(default)]
     #[schemars(range(min = 0, max = 1e9))]
     ceiling_burst: f64,
-    /// Multiplier on a class's worth.
+    /// Factor on the worth of the class.
     #[serde(default = "one")]
     #[schemars(range(min = 0, max = 1e9))]
     price: f64,
@@ -281,18 +282,18 @@
 #[derive(Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 struct Attempts {
-    /// Attempts of one request.
+    /// Largest number of attempts of one request.
     #[schemars(range(min = 1, max = 16))]
     most: u32,
-    /// A second copy may be sent while the first is out, where the class allows it.
+    /// Whether a second attempt may be sent while the first is in flight, if the class allows it.
     hedged: bool,
-    /// A connection that is not up within this, ms, has failed.
+    /// Timeout of a connection attempt to a server, ms.
     #[schemars(range(min = 1, max = 3_600_000))]
     connect_timeout_ms: f64,
-    /// Servers close a connection that stood idle this long, ms.
+    /// Idle timeout after which servers close a connection, ms.
     #[schemars(range(min = 1, max = 3_600_000))]
     keep_idle_ms: f64,
-    /// The longest that a client is told to stay away, ms.
+    /// Longest wait before a retry that a client is told, ms.
     #[schemars(range(min = 0, max = 3_600_000))]
     max_retry_after_ms: f64,
 }
@@ -312,10 +313,10 @@
 #[derive(Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 struct Cold {
-    /// Share of its capacity that a server has just after its start.
+    /// Share of its capacity that a server has right after its start.
     #[schemars(range(min = 0.001, max = 1))]
     share: f64,
-    /// It has all of it after this, ms.
+    /// Time after its start at which a server has its full capacity, ms.
     #[schemars(range(min = 0, max = 3_600_000))]
     warm_after_ms: f64,
 }
@@ -329,10 +330,10 @@
 #[derive(Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 struct Limits {
-    /// File descriptors, sockets of all kinds among them.
+    /// Largest number of file descriptors, including all sockets.
     #[schemars(range(min = 64, max = 1_000_000))]
     sockets: usize,
-    /// Memory, MB.
+    /// Memory limit, MB.
     #[schemars(range(min = 16, max = 1_000_000))]
     memory_mb: f64,
 }
@@ -364,7 +365,10 @@
 }
 
 impl File {
-    /// What the file means. It was checked: the error is for what only a checked file cannot hold.
+    /// Converts a validated file to a configuration.
+    ///
+    /// # Errors
+    /// `counter` is invalid, which validation has already excluded.
     pub(super) fn config(self) -> Result<Config, Mistake> {
         let counter = CounterKind::parse(&self.counter);
         let counter = counter.ok_or_else(|| Mistake::at(below(&[], "counter"), "not allowed"))?;
@@ -393,7 +397,7 @@
             report: Vec::new(),
         };
         let fleet = self.fleet.as_ref().and_then(|table| table.fleet(&self.name));
-        // Limiters must not roll alike, and one that starts anew may.
+        // Seeds differ between limiters; a restarted limiter may draw the same numbers again.
         let seed = xxhash_rust::xxh3::xxh3_64(self.name.as_bytes());
         Ok(Config {
             listen: self.listen,
--- a/crates/engine/src/config/fleet.rs
+++ b/crates/engine/src/config/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's table of a configuration, and configurations whose rules come from the fleet's revision.
+//! The `[fleet]` table of a configuration, and configurations whose rules come from a revision of the fleet.
 
 use super::file::NAME;
 use super::mistake::{Mistake, Step};
@@ -10,20 +10,20 @@
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
 
-/// Keys of a configuration that are rules: with a fleet they come from its revision, and stand in the file as a hint.
+/// Keys of a configuration that are rules. In a fleet its revision sets them, and the file's values are only initial.
 pub const RULES: [&str; 9] =
     ["attempts", "classes", "cold", "left", "max_units", "plans", "servers", "suspended", "zones"];
-/// The shortest secret.
+/// Shortest secret, characters.
 const LEAST_KEY: usize = 16;
 
-/// A limiter of a fleet.
+/// Limiter that belongs to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FleetPeer {
-    /// Its name, as its own file has it.
+    /// Name of the limiter, as in its own file.
     #[schemars(regex(pattern = NAME))]
     pub name: String,
-    /// Where it listens for the others (UDP).
+    /// Address on which it listens for the other limiters (UDP).
     #[schemars(with = "String")]
     pub address: SocketAddr,
 }
@@ -36,64 +36,64 @@
     Refuse,
 }
 
-/// The fleet that a limiter is one of. Spans are in ms.
+/// Fleet to which the limiter belongs. Durations are in ms.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetTable {
-    /// Where this limiter listens for the others (UDP).
+    /// Address on which this limiter listens for the others (UDP).
     #[schemars(with = "String")]
     listen: SocketAddr,
-    /// Where operators call (HTTP), "127.0.0.1:7100".
+    /// Address for requests of operators (HTTP), such as "127.0.0.1:7100".
     #[schemars(with = "String")]
     control: SocketAddr,
-    /// A secret that all limiters of the fleet share, 16 characters at least.
+    /// Secret that all limiters of the fleet share, at least 16 characters.
     #[schemars(length(min = LEAST_KEY))]
     key: String,
-    /// The name of the limiter that decides on changes; or "coordinator".
+    /// Name of the limiter that decides on changes; alternative to coordinator.
     #[serde(default)]
     #[schemars(with = "String")]
     decider: Option<String>,
-    /// The addresses of a ZooKeeper-style coordinator that elects it, "HOST:PORT", and more behind commas.
+    /// Addresses of the ZooKeeper-compatible coordinator that elects the decider, "HOST:PORT", separated by commas.
     #[serde(default)]
     #[schemars(with = "String", regex(pattern = "^[^,:]+:[0-9]+(,[^,:]+:[0-9]+)*$"))]
     coordinator: Option<String>,
-    /// The folder there that is this fleet's, a path as "/limiters/fleet".
+    /// Folder of this fleet at the coordinator, a path such as "/limiters/fleet".
     #[serde(default)]
     #[schemars(with = "String", regex(pattern = "^(/[^/]+)+$"))]
     path: Option<String>,
-    /// "SCHEME:CREDENTIALS", if the folder's permissions want any.
+    /// Credentials as "SCHEME:CREDENTIALS", if the folder's permissions require any.
     #[serde(default)]
     #[schemars(with = "String", regex(pattern = "^[^:]+:.*$"))]
     auth: Option<String>,
-    /// Leave zones that fail, and come back, as a fleet.
+    /// Whether the fleet leaves failing zones, and returns to them, as a whole.
     #[serde(default)]
     zones: bool,
-    /// All limiters of the fleet, this one among them, in one order everywhere.
+    /// All limiters of the fleet, including this one, in the same order at every limiter.
     #[schemars(length(min = 1, max = 1000))]
     peers: Vec<FleetPeer>,
-    /// How long an answer of the decider keeps a limiter's rules current.
+    /// Lease: time for which an answer of the decider keeps a limiter's rules current.
     #[serde(default = "lease")]
     lease_ms: Millis,
-    /// Between two questions of a limiter to the decider.
+    /// Interval between a limiter's heartbeats to the decider.
     #[serde(default = "heartbeat")]
     heartbeat_ms: Millis,
-    /// How long a message takes at most where links are well.
+    /// Longest delay of a message on a healthy network.
     #[serde(default = "message")]
     message_ms: Millis,
-    /// From a decision to its effect.
+    /// Time from a decision until it takes effect.
     #[serde(default = "effect")]
     effect_ms: Millis,
-    /// How far a clock may run wrong, parts in a million.
+    /// Largest drift of a clock, parts per million.
     #[serde(default = "drift")]
     drift_ppm: u32,
-    /// The time for which two limiters may act by rules that contradict each other.
+    /// Longest time for which two limiters may follow contradictory rules.
     #[serde(default = "within")]
     within_ms: Millis,
-    /// What a limiter does that is cut off: "strict" (the stricter of what it holds and has confirmed; nothing is decided
-    /// without it) or "refuse" (at once; changes go on).
+    /// Behavior of a limiter whose lease has expired: "strict" applies the stricter of the rules that it holds and has
+    /// confirmed, and no change is decided without it; "refuse" refuses requests at once, and changes go on.
     #[serde(default)]
     on_lapse: Lapse,
-    /// With "strict": after this it refuses, and changes go on without it; without, never.
+    /// With "strict": time after which the limiter refuses requests and changes go on without it; if absent, never.
     #[serde(default)]
     #[schemars(with = "u64")]
     strict_for_ms: Option<Millis>,
@@ -123,37 +123,37 @@
     LeaseTiming::default().max_divergence
 }
 
-/// A coordinator's folder that is a fleet's.
+/// Folder of a fleet at a coordinator.
 #[derive(Clone, Debug)]
 pub struct CoordinatorFolder {
-    /// The coordinator's addresses, behind commas.
+    /// Addresses of the coordinator, separated by commas.
     pub cluster: String,
-    /// The folder.
+    /// Path of the folder.
     pub path: String,
-    /// "SCHEME:CREDENTIALS".
+    /// Credentials as "SCHEME:CREDENTIALS", if any are required.
     pub auth: Option<String>,
 }
 
-/// What a file says of its fleet, checked.
+/// Validated settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Where this limiter listens for the others.
+    /// Address on which this limiter listens for the others.
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// Address for requests of operators.
     pub control: SocketAddr,
-    /// The secret that frames are marked with.
+    /// Secret that authenticates frames.
     pub key: String,
     /// This limiter.
     pub me: Peer,
-    /// The limiter that decides, where it is named.
+    /// Limiter that decides, if the file names one.
     pub decider: Option<Peer>,
-    /// What elects it, where it is not.
+    /// Coordinator that elects the decider, if the file names none.
     pub tree: Option<CoordinatorFolder>,
-    /// All limiters.
+    /// All limiters of the fleet.
     pub peers: Vec<FleetPeer>,
-    /// The fleet's times.
+    /// Lease timing of the fleet.
     pub timing: LeaseTiming,
-    /// Zones that fail are left as a fleet.
+    /// Whether failing zones are left by the fleet as a whole.
     pub zones: bool,
 }
 
@@ -179,7 +179,7 @@
         Some(CoordinatorFolder { cluster, path, auth: self.auth.clone() })
     }
 
-    /// Nothing where a name is not on the list, which the check has told.
+    /// Converts the table; `None` if a name is not among the peers, which validation reports.
     pub(super) fn fleet(&self, name: &str) -> Option<Fleet> {
         let place = |name: &str| self.peers.iter().position(|p| p.name == name).map(|n| Peer(n as u16));
         Some(Fleet {
@@ -199,7 +199,7 @@
     }
 }
 
-/// What no schema tells of the fleet's table.
+/// Returns the errors of the `[fleet]` table that the schema cannot express.
 pub(super) fn check(file: &Value) -> Vec<Mistake> {
     let Ok(table) = serde_json::from_value::<FleetTable>(file["fleet"].clone()) else { return Vec::new() };
     let at =
@@ -247,7 +247,7 @@
     mistakes
 }
 
-/// A file without its rules: what a revision of the fleet's is laid over.
+/// A file split into rules and other keys; a revision of the fleet replaces the rules.
 #[derive(Clone, Debug)]
 pub struct Base {
     own: Map<String, Value>,
@@ -255,10 +255,10 @@
 }
 
 impl Config {
-    /// As [`Config::load`], with what a revision of the fleet's is laid over.
+    /// Loads the file as [`Config::load`] does and also returns the [`Base`] for revisions of the fleet.
     ///
     /// # Errors
-    /// As for [`Config::load`].
+    /// The file cannot be read or is not a valid configuration.
     pub fn load_with_base(
         path: &str,
         variables: impl Iterator<Item = (String, String)>,
@@ -279,20 +279,20 @@
 }
 
 impl Base {
-    /// The zone that the limiter stands in.
+    /// Returns the limiter's zone.
     pub fn zone(&self) -> Option<String> {
         self.own.get("zone").and_then(Value::as_str).map(str::to_owned)
     }
 
-    /// The rules of the file itself, as the text of a revision.
+    /// Returns the file's own rules as the text of a revision.
     pub fn rules(&self) -> String {
         toml::to_string(&self.rules).unwrap_or_default()
     }
 
-    /// The configuration of this limiter by a revision's rules.
+    /// Returns the configuration of this limiter with the rules of a revision.
     ///
     /// # Errors
-    /// All that this limiter cannot take in it, by line and key: also keys that its version does not know.
+    /// All keys of the revision that are invalid, no rules, or unknown to this version, with their lines.
     pub fn with(&self, text: &str) -> Result<Config, ConfigError> {
         let read =
             text::Read::new(text, std::iter::empty()).map_err(|e| ConfigError::Malformed(Box::new(e)))?;
--- a/crates/engine/src/config/mistake.rs
+++ b/crates/engine/src/config/mistake.rs
@@ -1,37 +1,37 @@
-//! What is wrong in a configuration, where it stands, and what is allowed there.
+//! Validation of a configuration against its JSON Schema, and validation errors with their location.
 
 use regex_lite::Regex;
 use serde_json::Value;
 
-/// Where a key stands.
+/// Location of a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Place {
-    /// Not known.
+    /// Unknown.
     #[default]
     Nowhere,
-    /// A line of the file, from 1.
+    /// Line number in the file, from 1.
     Line(usize),
-    /// An environment variable.
+    /// Name of the environment variable that sets the key.
     Variable(String),
 }
 
-/// One step to a key: a table's key or an element's number.
+/// One step of a path: a table's key or an array index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// A key of a table.
     Key(String),
-    /// An element of an array, from 0.
+    /// Index in an array, from 0.
     Element(usize),
 }
 
-/// One mistake.
+/// An invalid, unknown or missing key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
-    /// Where it stands.
+    /// Location of the key.
     pub place: Place,
-    /// The way to its key.
+    /// Path to the key.
     pub path: Vec<Step>,
-    /// What is wrong, and what is allowed.
+    /// Message that says what is wrong and what is allowed.
     pub allowed: String,
 }
 
@@ -40,7 +40,7 @@
         Mistake { place: Place::Nowhere, path, allowed: allowed.into() }
     }
 
-    /// The key as it would be written: `plans[0].rate`.
+    /// Formats the path, for example `plans[0].rate`.
     pub fn key(&self) -> String {
         let mut key = String::new();
         for step in &self.path {
@@ -53,7 +53,7 @@
         key
     }
 
-    /// The mistake as one line, with the file's name.
+    /// Formats the error as one line, with the file's name.
     pub fn line(&self, file: &str) -> String {
         match &self.place {
             Place::Line(n) => format!("{file}:{n}: {}: {}", self.key(), self.allowed),
@@ -74,13 +74,14 @@
     }
 }
 
-/// The way to `key` in the table at `path`.
+/// Returns the path to `key` in the table at `path`.
 pub(super) fn below(path: &[Step], key: &str) -> Vec<Step> {
     path.iter().cloned().chain([Step::Key(key.to_owned())]).collect()
 }
 
-/// All mistakes of a value against a schema of the keywords that [`super::file`] brings up. That these are read as a
-/// kept validator reads them is tested; in the program it would take more than the rest of it (5 MB).
+/// Validates a value and returns all errors. Supports only the schema keywords that [`super::file`] generates. A test
+/// compares the result with the `jsonschema` crate, which is not linked here because it would add more than the rest of
+/// the program (5 MB).
 pub(super) fn against(schema: &Value, value: &Value) -> Vec<Mistake> {
     let mut mistakes = Vec::new();
     walk(schema, value, &[], &mut mistakes);
@@ -117,7 +118,7 @@
     }
 }
 
-/// What is wrong with a value, whatever is in it.
+/// Checks a value without its children; returns the message if it is invalid.
 fn scalar(schema: &Value, value: &Value) -> Option<String> {
     let found = shown(value);
     if let Some(options) = schema["enum"].as_array() {
@@ -161,7 +162,7 @@
     }
 }
 
-/// A value as the file shows it, within reason.
+/// Formats a value, cut to 60 characters.
 fn shown(value: &Value) -> String {
     let text = value.to_string();
     if text.chars().count() <= 60 {
@@ -176,7 +177,7 @@
     Mistake::at(below(path, key), format!("no such key; allowed are {}", known.join(", ")))
 }
 
-/// What the key is for, as its schema says.
+/// Returns the schema's description of a key, for use within a sentence.
 fn meaning(schema: &Value) -> String {
     let said = schema["description"].as_str().unwrap_or("a value").trim_end_matches('.');
     let mut letters = said.chars();
--- a/crates/engine/src/config/mod.rs
+++ b/crates/engine/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! A configuration of its own, without a platform: a TOML file with servers, classes, plans and a counter.
+//! Standalone configuration, without a platform: a TOML file with servers, classes, plans and a counter.
 //!
 //! ```
 //! let text = r#"
@@ -22,13 +22,13 @@
 //! # Ok::<(), oatbank_engine::config::ConfigError>(())
 //! ```
 //!
-//! | file | does |
+//! | module | contents |
 //! | --- | --- |
-//! | `text` | the text as a value, with the place of each key; environment variables laid over it |
-//! | `file` | the file's form, from which its JSON Schema is made; what it means to the engine |
-//! | `fleet` | the fleet's table, and configurations whose rules come from the fleet |
-//! | `rules` | what one key allows only together with another |
-//! | `mistake` | what is wrong, where, and what is allowed |
+//! | `text` | parsing of the text, with the location of each key; overrides by environment variables |
+//! | `file` | structure of the file, from which its JSON Schema is generated; conversion to engine settings |
+//! | `fleet` | the `[fleet]` table, and configurations whose rules come from the fleet |
+//! | `rules` | checks that involve several keys |
+//! | `mistake` | validation against the schema, and validation errors |
 
 mod file;
 mod fleet;
@@ -48,22 +48,22 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Environment variables that begin so override keys of the file.
+/// Prefix of environment variables that override keys of the file.
 pub const OVERRIDE: &str = "OATBANK__";
 
-/// Why a configuration is not taken.
+/// Error that prevents a configuration from being loaded.
 #[derive(Debug)]
 pub enum ConfigError {
     /// The file cannot be read.
     Unreadable(std::io::Error),
-    /// The text is no TOML; the message names line and column.
+    /// The text is not valid TOML; the message names line and column.
     Malformed(Box<toml::de::Error>),
-    /// Keys that are unknown, missing or hold what is not allowed: all of them.
+    /// All keys that are unknown, missing or invalid.
     Invalid(Vec<Mistake>),
 }
 
 impl ConfigError {
-    /// One line for each mistake, each with the file's name.
+    /// Returns one line for each error, each with the file's name.
     pub fn lines(&self, file: &str) -> Vec<String> {
         match self {
             ConfigError::Invalid(mistakes) => mistakes.iter().map(|m| m.line(file)).collect(),
@@ -87,14 +87,14 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Which counter keeps the accounts' numbers.
+/// Counter that keeps the accounts' usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterKind {
-    /// None: each limiter goes by what it sees itself.
+    /// No counter: each limiter counts only its own requests.
     None,
-    /// One within the process.
+    /// An in-process counter.
     Local,
-    /// One that speaks the platform's text protocol.
+    /// A counter at this address, over the platform's text protocol.
     Text(SocketAddr),
 }
 
@@ -108,40 +108,40 @@
     }
 }
 
-/// What a file says, checked.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The limiter's name, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// What the engine is told.
+    /// Settings of the engine.
     pub setup: Setup,
-    /// The servers; with [`Config::zookeeper`], those that count until it has told its first list.
+    /// The servers; with [`Config::zookeeper`], those used until its first list is read or beside that list.
     pub members: Vec<Member>,
-    /// Servers that get nothing new, wherever the list comes from.
+    /// Ids of servers that get no new requests, wherever the list comes from.
     pub suspended: BTreeSet<String>,
-    /// Zones of which less than all is used.
+    /// Zones of which only a share is used.
     pub left: Vec<ReducedZone>,
-    /// Where the list of servers comes from, if not from here.
+    /// ZooKeeper source of the list of servers, if there is one.
     pub zookeeper: Option<ZooKeeper>,
-    /// The fleet that this limiter is one of.
+    /// Fleet to which this limiter belongs.
     pub fleet: Option<Fleet>,
-    /// The counter.
+    /// Counter of the accounts' usage.
     pub counter: CounterKind,
-    /// Descriptors and memory in MB that the process may take.
+    /// File descriptors and memory in MB that the process may use.
     pub limits: (usize, f64),
-    /// A server closes a connection that stood idle this long, ms.
+    /// Idle timeout after which servers close a connection, ms.
     pub keep_idle: Millis,
-    /// A connection that is not up within this, ms, has failed.
+    /// Timeout of a connection attempt to a server, ms.
     pub connect_timeout: Millis,
 }
 
 impl Config {
-    /// Reads the file at `path`; of `variables`, those that begin with [`OVERRIDE`] override its keys.
+    /// Loads the file at `path`. Those of `variables` whose names begin with [`OVERRIDE`] override its keys.
     ///
     /// # Errors
-    /// When the file cannot be read or does not hold what a limiter needs.
+    /// The file cannot be read or is not a valid configuration.
     pub fn load(
         path: &str,
         variables: impl Iterator<Item = (String, String)>,
@@ -150,11 +150,10 @@
         Config::read(&text, variables)
     }
 
-    /// Reads the text of a configuration.
+    /// Parses the text of a configuration.
     ///
     /// # Errors
-    /// When it does not hold what a limiter needs; the error names every mistake with its line, its key and
-    /// what is allowed.
+    /// The text is not a valid configuration; the error lists every invalid key with its line and what is allowed.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         Config::read(text, std::iter::empty())
     }
@@ -164,7 +163,7 @@
         Config::made(read.value.clone(), read.mistakes, &read.places)
     }
 
-    /// The configuration that this value is.
+    /// Validates a value and converts it to a configuration. `mistakes` are errors found earlier.
     fn made(value: Value, mut mistakes: Vec<Mistake>, places: &text::Places) -> Result<Config, ConfigError> {
         mistakes.extend(mistake::against(&file::schema(), &value));
         rules::check(&value, &mut mistakes);
@@ -181,7 +180,7 @@
         Err(ConfigError::Invalid(mistakes))
     }
 
-    /// The JSON Schema (2020-12) of the file's form.
+    /// Returns the JSON Schema (2020-12) of the file.
     pub fn schema() -> serde_json::Value {
         file::schema()
     }
--- a/crates/engine/src/config/rules.rs
+++ b/crates/engine/src/config/rules.rs
@@ -1,4 +1,4 @@
-//! What a key allows only together with another, and texts that stand for something else.
+//! Checks beyond the schema: conditions between keys, and texts that must parse as an address or a counter.
 
 use super::mistake::{below, Mistake, Step};
 use super::CounterKind;
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Adds the mistakes that no schema tells. What the schema tells already (a wrong type) is passed over.
+/// Adds the errors that the schema cannot express. Values of a wrong type are skipped, as the schema reports them.
 pub(super) fn check(file: &Value, mistakes: &mut Vec<Mistake>) {
     let all = [
         once(file, "zones", None),
@@ -27,7 +27,7 @@
     mistakes.extend(all.into_iter().flatten());
 }
 
-/// The elements of a list in the file, with the way to each.
+/// Iterates over the elements of a list in the file, with the path to each.
 fn elements<'f>(file: &'f Value, of: &'f str) -> impl Iterator<Item = (Vec<Step>, &'f Value)> {
     let list = file[of].as_array().map(Vec::as_slice).unwrap_or_default();
     list.iter().enumerate().map(move |(i, e)| (vec![Step::Key(of.into()), Step::Element(i)], e))
@@ -37,7 +37,7 @@
     elements(file, of).flat_map(|(path, element)| rule(&path, element)).collect()
 }
 
-/// Each name stands once.
+/// Checks that each name in a list is unique.
 fn once(file: &Value, of: &str, key: Option<&str>) -> Vec<Mistake> {
     let mut seen = HashSet::new();
     let mut mistakes = Vec::new();
@@ -51,7 +51,7 @@
     mistakes
 }
 
-/// `key` of `element` is at least `least`, for the reason given.
+/// Checks that `key` of `element` is at least `least`, or over 0 if `least` is 0. `reason` is part of the message.
 fn at_least(path: &[Step], element: &Value, key: &str, least: f64, reason: &str) -> Option<Mistake> {
     let found = element.get(key).map_or(Some(0.0), Value::as_f64)?;
     let low = found < least || least == 0.0 && found == 0.0;
@@ -118,7 +118,7 @@
     vec![Mistake::at(below(&[], "counter"), why)]
 }
 
-/// A limiter's node has its name, and stands in a folder of its own.
+/// Checks that the limiter's name is valid as a node name, and that limiters do not register in the servers' folder.
 fn register(file: &Value) -> Vec<Mistake> {
     let members = &file["members"];
     let Some(folder) = members["register"].as_str() else { return Vec::new() };
--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -24,14 +24,14 @@
     Config::read(GOOD, variables.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())))
 }
 
-/// The mistakes of a text, as `check` shows them.
+/// Returns the errors of a text as the `check` command prints them.
 fn lines(text: &str) -> Vec<String> {
-    agrees_with_a_kept_validator(text);
+    assert_agrees_with_jsonschema(text);
     Config::parse(text).expect_err(text).lines("f.toml")
 }
 
-/// What the schema alone says of a text is what another reader of JSON Schema says of it, key by key.
-fn agrees_with_a_kept_validator(text: &str) {
+/// Asserts that validation against the schema reports the same keys as the `jsonschema` crate.
+fn assert_agrees_with_jsonschema(text: &str) {
     let Ok(read) = text::Read::new(text, std::iter::empty()) else { return };
     let schema = Config::schema();
     let pointer = |path: &[mistake::Step]| {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_good_file_is_taken_with_its_defaults() {
+fn a_valid_file_is_loaded_with_defaults() {
     let config = Config::parse(GOOD).expect("a configuration");
     assert_eq!((config.counter, config.setup.settings.zone), (CounterKind::Local, 1));
     assert_eq!(config.setup.settings.classes[0].deadline, 2000.0);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn each_mistake_is_told_with_its_line_its_key_and_what_is_allowed() {
+fn each_error_names_its_line_its_key_and_what_is_allowed() {
     for (of, with, line, key, allowed) in [
         ("burst = 10", "burst = 0", 18, "plans[0].burst", "a number over 0"),
         ("burst = 10", "burst = nan", 18, "plans[0].burst", "a number is from 0 to 1000000000"),
@@ -72,7 +72,13 @@
         ("rate = 5", "rate = -1", 17, "plans[0].rate", "a number from 0 to 1000000000"),
         ("rate = 5", "rate = \"much\"", 17, "plans[0].rate", "a number is from 0"),
         ("aim_ms = 500", "aim_ms = 5000", 12, "classes[0].deadline_ms", "a number from 5000"),
-        ("aim_ms = 500\n", "", 9, "classes[0].aim_ms", "missing; needed is an answer within this"),
+        (
+            "aim_ms = 500\n",
+            "",
+            9,
+            "classes[0].aim_ms",
+            "missing; needed is target latency, ms; an answer within it",
+        ),
         ("key_window_ms = 25000", "", 9, "classes[0].key_window_ms", "a number from 1"),
         ("zone = \"b\"", "zone = \"c\"", 4, "zone", "not among zones"),
         ("zone = \"a\"", "zone = \"c\"", 8, "servers[0].zone", "not among zones"),
@@ -130,7 +136,7 @@
 }
 
 #[test]
-fn all_mistakes_are_told_at_once_in_the_files_order() {
+fn all_errors_are_reported_at_once_in_file_order() {
     let bad = GOOD.replace("aim_ms = 500", "aim_ms = -1").replace("rate = 5", "rat = 5");
     let told = lines(&bad.replace("zone = \"b\"", "zone = \"c\""));
     let keys: Vec<&str> = told.iter().map(|l| l.split(": ").nth(1).expect("a key")).collect();
@@ -142,7 +148,7 @@
 }
 
 #[test]
-fn variables_override_keys_and_a_mistake_in_one_names_it() {
+fn variables_override_keys_and_their_errors_name_the_variable() {
     let config = with(&[
         ("OATBANK__LISTEN", "127.0.0.1:9"),
         ("OATBANK__PLANS__0__RATE", "7.5"),
@@ -169,7 +175,7 @@
 }
 
 #[test]
-fn the_example_fits_the_schema_and_the_schema_knows_every_key() {
+fn the_example_matches_the_schema_and_the_schema_is_valid() {
     let text = include_str!("../../../../deploy/standalone.toml");
     let example: serde_json::Value = toml::from_str(text).expect("TOML");
     assert_eq!(mistake::against(&Config::schema(), &example), []);
--- a/crates/engine/src/config/text.rs
+++ b/crates/engine/src/config/text.rs
@@ -1,4 +1,5 @@
-//! The text of a configuration as a value, with the place of each key, and environment variables laid over it.
+//! Parses the text of a configuration into a value with the location of each key, and applies overrides by environment
+//! variables.
 
 use super::mistake::{Mistake, Place, Step};
 use super::OVERRIDE;
@@ -6,7 +7,7 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// What was read.
+/// Parsed text with overrides applied, and the overrides that failed.
 pub(super) struct Read<'t> {
     pub(super) value: Value,
     pub(super) places: Places<'t>,
@@ -21,7 +22,7 @@
         let mut value = json(toml::Value::Table(toml::from_str(text)?));
         let mut places = Places { text, table: DeTable::parse(text)?, overridden: Vec::new() };
         let mut mistakes = Vec::new();
-        // In one order whatever the system's: an element may be added by the one and filled by the next.
+        // Sorted, as the system's order is arbitrary: one variable may add an array element and the next may fill it.
         let mut variables: Vec<(String, String)> =
             variables.filter(|(name, _)| name.starts_with(OVERRIDE)).collect();
         variables.sort();
@@ -36,7 +37,7 @@
     }
 }
 
-/// Where each key stands.
+/// Locations of the keys.
 pub(super) struct Places<'t> {
     text: &'t str,
     table: Spanned<DeTable<'t>>,
@@ -44,7 +45,7 @@
 }
 
 impl Places<'_> {
-    /// The place of a key, or of the nearest table around it that is there.
+    /// Returns the location of a key, or of the nearest enclosing table that exists.
     pub(super) fn of(&self, path: &[Step]) -> Place {
         let named = |(there, _): &&(Vec<Step>, String)| path.starts_with(there) || there.starts_with(path);
         if let Some((_, name)) = self.overridden.iter().rev().find(named) {
@@ -77,13 +78,13 @@
     }
 }
 
-/// `PLANS__0__RATE` as the way to `plans[0].rate`.
+/// Parses a variable name without its prefix: `PLANS__0__RATE` is the path of `plans[0].rate`.
 fn steps(name: &str) -> Vec<Step> {
     let step = |part: &str| part.parse().map_or_else(|_| Step::Key(part.to_ascii_lowercase()), Step::Element);
     name.split("__").map(step).collect()
 }
 
-/// A variable's text as TOML would read it, or else as plain text.
+/// Parses a variable's text as a TOML value, or takes it as a string if it is none.
 fn scalar(said: &str) -> Value {
     let line = format!("value = {said}");
     let read = toml::from_str::<toml::Table>(&line).ok().filter(|t| t.len() == 1);
@@ -91,7 +92,10 @@
     value.map_or_else(|| Value::String(said.to_owned()), json)
 }
 
-/// Puts a value at the end of the path; the last element of an array may be a new one.
+/// Sets the value at `path`, creating missing tables and arrays. An index may append to its array by one.
+///
+/// # Errors
+/// An index is out of range, or a step does not match the type of the value there.
 fn put(at: &mut Value, path: &[Step], new: Value) -> Result<(), String> {
     let Some((step, rest)) = path.split_first() else {
         *at = new;
@@ -118,7 +122,8 @@
     }
 }
 
-/// TOML as JSON; what JSON has no form for becomes text, which no key that wants a number allows.
+/// Converts TOML to JSON. Values without a JSON form (NaN, infinity, dates) become strings, which validation rejects
+/// where a number is expected.
 fn json(value: toml::Value) -> Value {
     match value {
         toml::Value::String(text) => Value::String(text),
--- a/crates/engine/src/counters/text.rs
+++ b/crates/engine/src/counters/text.rs
@@ -1,5 +1,5 @@
-//! The platform's text protocol: lines written one behind another on a few kept connections, whose answers
-//! come back in order.
+//! Client of the platform's text counter protocol: requests are pipelined as lines on a few persistent connections,
+//! and each connection returns its replies in order.
 
 use crate::ports::clock::Clock;
 use crate::ports::counter::{Call, CallEnd, CallEndSink, CallId, Counter};
@@ -15,31 +15,31 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Connections kept. The counter answers a connection in order, so a call to a slow part of it holds up
-/// those behind; a name takes the same connection while that stands, so that its calls stay in order.
+/// Number of persistent connections. The counter replies in order on each, so a slow call delays those behind it;
+/// several connections limit that. A name keeps to one connection while it is up, so that its calls stay in order.
 const CONNECTIONS: usize = 4;
-/// Answers pending on a connection past which further calls are turned away: bounds what is kept for a
-/// counter that has fallen silent.
+/// Most pending replies on a connection; further calls are refused. Bounds the memory kept for a counter that does
+/// not reply.
 const MAX_PENDING_REPLIES: usize = 512;
-/// A connection whose oldest answer is pending for longer than this is dead.
+/// A connection whose oldest reply is pending for longer than this is closed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
-/// An idle connection is spoken on this often, ms, before the counter closes it.
+/// A connection idle for this long is sent a ping, ms, so that the counter does not close it.
 const PING_INTERVAL: Millis = 2000.0;
-/// Time for a connection to come up.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// First pause after a failure; doubles up to the other. A connection that worked for the first of the two
-/// is replaced at once: a counter that resets one has not gone.
+/// Delay before the first reconnect, doubled after each failure up to [`MAX_RECONNECT_DELAY`]. A connection that
+/// received data and lasted longer than this is replaced at once: a counter that resets one connection is still there.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
-/// Longest line the counter may send.
+/// Longest line that is accepted from the counter, bytes.
 const MAX_LINE_BYTES: usize = 256;
 
-/// An answer that a connection still owes.
+/// A reply that is still to come on a connection.
 struct PendingReply {
-    /// None: a ping.
+    /// The call; `None` for a ping.
     call: Option<CallId>,
     at: Millis,
-    /// Where its last byte ends among all that was ever queued on the connection.
+    /// Offset of the end of its line among all bytes ever queued on the connection.
     ends: u64,
 }
 
@@ -51,17 +51,17 @@
     pending: VecDeque<PendingReply>,
 }
 
-/// One connection that is up.
+/// State of one established connection.
 #[derive(Default)]
 struct Link {
     queue: RefCell<Queue>,
     wake: Notify,
     received: Cell<bool>,
-    /// When something was last queued.
+    /// When a line was last queued.
     last_queued: Cell<Millis>,
-    /// Another has taken its place: it ends once it owes nothing.
+    /// Replaced by a newer connection; it closes once no reply is pending.
     retired: Cell<bool>,
-    /// Its answers stay out.
+    /// Its oldest reply is overdue; it takes no calls and closes.
     dead: Cell<bool>,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// A counter that speaks the text protocol.
+/// Counter that is reached over the text protocol.
 pub struct TextCounter {
     clock: Rc<dyn Clock>,
     ends: CallEndSink,
@@ -92,8 +92,8 @@
 }
 
 impl TextCounter {
-    /// Begins to keep connections to `address` up, for as long as the engine's tasks run. Without an address
-    /// every call ends at once as [`CallEnd::Unreachable`].
+    /// Spawns the tasks that keep connections to `address` open, on the current local set. Without an address every
+    /// call ends at once as [`CallEnd::Unreachable`].
     pub fn start(address: Option<SocketAddr>, clock: Rc<dyn Clock>, ends: CallEndSink) -> Rc<Self> {
         let counter = Rc::new(TextCounter {
             clock,
@@ -109,8 +109,8 @@
         counter
     }
 
-    /// From now on the counter is at another address. Each connection is used until its successor stands
-    /// and is read until it owes nothing: a call is neither lost nor made twice.
+    /// Moves to another address. Each connection is used until its successor is up and is read until no reply is
+    /// pending, so a call is neither lost nor sent twice.
     pub fn move_to(&self, address: Option<SocketAddr>) {
         if self.address.replace(address) != address {
             self.moved.iter().for_each(Notify::notify_one);
@@ -122,8 +122,8 @@
     fn begin(&self, call: Call) -> Result<(), CallEnd> {
         let links = self.links.borrow();
         let first = (call.name.0 % CONNECTIONS as u64) as usize;
-        // While a name's own connection is down its calls take another: one reset connection would else
-        // look like a counter that has gone.
+        // While the name's own connection is down its calls use another: otherwise one reset connection would look
+        // like an unreachable counter.
         let standing = (0..CONNECTIONS).filter_map(|i| links[(first + i) % CONNECTIONS].as_ref());
         let link = standing.into_iter().find(|l| !l.dead.get()).ok_or(CallEnd::Unreachable)?;
         if link.queue.borrow().pending.len() >= MAX_PENDING_REPLIES {
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// Gives up connections that have fallen silent, and speaks on those that stand idle.
+    /// Closes connections whose oldest reply is overdue and sends a ping on idle ones.
     fn upkeep(&self, now: Millis) {
         for link in self.links.borrow().iter().flatten() {
             let oldest = link.queue.borrow().pending.front().map(|o| now - o.at);
@@ -150,7 +150,7 @@
     }
 }
 
-/// Keeps one connection up.
+/// Keeps the connection at `index` open; does not return.
 async fn keep(counter: Rc<TextCounter>, index: usize) {
     let mut pause = MIN_RECONNECT_DELAY;
     loop {
@@ -159,7 +159,7 @@
             continue;
         };
         if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
-            // Without it a call waits for the answer to the one before.
+            // With Nagle's algorithm a call would wait for the acknowledgement of the one before.
             let _ = stream.set_nodelay(true);
             let (up, link) = (Instant::now(), Rc::new(Link::default()));
             if let Some(before) = counter.links.borrow_mut()[index].replace(link.clone()) {
@@ -180,8 +180,8 @@
     }
 }
 
-/// Takes a connection out of use whichever way it ends, and tells how what it owes has ended: written whole,
-/// it may have been added; else it was not.
+/// Removes a connection on drop, however it ends, and ends its pending calls: a call whose line was written whole may
+/// have been added ([`CallEnd::Unknown`]), any other was not ([`CallEnd::Unreachable`]).
 struct ConnectionGuard {
     counter: Rc<TextCounter>,
     index: usize,
@@ -209,11 +209,14 @@
 async fn serve(counter: Rc<TextCounter>, stream: TcpStream, index: usize, link: Rc<Link>) {
     let guard = ConnectionGuard { counter, index, link };
     if let Err(e) = exchange(&guard.counter, stream, &guard.link).await {
-        tracing::warn!("counter: connection {index} is lost: {e}");
+        tracing::warn!("counter: connection {index} lost: {e}");
     }
 }
 
-/// Writes calls and reads answers until the connection ends; an error tells why it could not go on.
+/// Writes calls and reads replies until the connection is retired and no reply is pending.
+///
+/// # Errors
+/// The reason why the connection cannot be used any longer.
 async fn exchange(counter: &TextCounter, mut stream: TcpStream, link: &Link) -> Result<(), String> {
     let (mut reader, mut writer) = stream.split();
     let mut line = Vec::new();
@@ -252,7 +255,7 @@
                         line.push(*byte);
                     }
                     if line.len() > MAX_LINE_BYTES {
-                        return Err("an endless line".into());
+                        return Err("line too long".into());
                     }
                 }
             }
@@ -262,8 +265,11 @@
     }
 }
 
-/// Takes in one line. One that is no answer leaves unknown what it belonged to: the connection is given up,
-/// and the call whose answer was due, which was added, is in doubt like those behind it.
+/// Handles one line from the counter.
+///
+/// # Errors
+/// The line is not the reply that is due. The connection is then closed, and the result of the call whose reply was due
+/// is as unknown as that of the calls behind it.
 fn handle_line(counter: &TextCounter, link: &Link, line: &[u8]) -> Result<(), String> {
     let text = std::str::from_utf8(line).unwrap_or("?").trim();
     let end = match text.split_once(' ').map_or((text, None), |(a, b)| (a, Some(b))) {
--- a/crates/engine/src/members/agent.rs
+++ b/crates/engine/src/members/agent.rs
@@ -1,4 +1,4 @@
-//! The platform's discovery agent: a watch over HTTP, taken up again from the last version.
+//! Client of the platform's discovery agent: a watch over HTTP that resumes from the last known version.
 
 use crate::ports::membership::{Member, MembershipSink, News};
 use bytes::Bytes;
@@ -22,43 +22,44 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Longest line or list that is read; more is taken for nonsense.
+/// Longest line or list that is accepted, bytes.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
-/// Time for a connection, an answer's head or a whole list.
+/// Timeout of a connection attempt, of a response head and of the body of a complete list.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// A watch that has not even sent its empty line for this long, a little over its period of two seconds, is
-/// opened anew: it may be dead while the agent is not, and what the agent has counts as told. Where it is
-/// discovery that is down, asking again costs nothing.
+/// A watch that has sent nothing for this long, not even its keep-alive line (every 2 s), is reopened: the connection
+/// may be dead while the agent is up, and a change that the agent has counts as delivered. While discovery itself is
+/// down, the extra request does no harm.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2300);
-/// First pause after a failure, doubling up to the other.
+/// First and longest delay before a retry; it doubles with each failure.
 const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
-/// The same where an agent that has all lists at hand gave no answer: it was silent, refused the connection or broke
-/// it off. What it gets when it is back counts as told at once, and the drain rule leaves 250 ms from then; one and a
-/// half times the longest is under half of that. An agent that is away bears no load.
+/// First and longest delay before a retry where an agent that caches all lists gave no response: it timed out, or
+/// refused or broke the connection. A list that it gets on its return counts as delivered at once, and the drain rule
+/// leaves 250 ms from then; one and a half times the longest delay is less than half of that. The retries put no load
+/// on an agent that is down.
 const UNREACHABLE_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(80));
-/// Of so many failures in a row of an agent that is away one is logged: about one a second.
+/// One of this many consecutive failures of an unreachable agent is logged: about one a second.
 const UNREACHABLE_LOG_INTERVAL: u32 = 16;
-/// Pauses after 503: discovery has more callers than it can serve. When a hundred limiters start at once, what
-/// each asks again within a second keeps all of them from being served.
+/// First and longest delay after status 503 or 429: discovery is overloaded. When a hundred limiters start at once,
+/// retries of each within a second keep all of them from being served.
 const OVERLOAD_DELAYS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(8));
 
 type Failure = Box<dyn Error + Send + Sync>;
 
-/// A list of servers, or what changed in it.
+/// A complete list of servers, or the changes to it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServerList {
     /// The list's version.
     #[serde(default)]
     pub revision: u64,
-    /// All servers, not only what changed.
+    /// Whether the entries are all servers rather than the changed ones.
     #[serde(default)]
     pub complete: bool,
-    /// The entries, read one by one so that a bad one does not hide the others.
+    /// The entries, parsed one by one so that an invalid entry does not discard the others.
     #[serde(default)]
     members: Vec<Value>,
 }
 
-/// One server as it stands on the wire.
+/// Wire format of one server.
 #[derive(Deserialize)]
 struct Line {
     id: String,
@@ -80,7 +81,7 @@
 }
 
 impl Line {
-    /// None where the phase is unknown: what takes requests must be said.
+    /// Converts the entry; `None` if its phase is unknown, as only a known phase says whether the server takes requests.
     fn member(self) -> Option<Member> {
         let state = match self.phase.as_str() {
             "Ready" => ServerState::Ready,
@@ -105,12 +106,12 @@
 }
 
 impl ServerList {
-    /// The entries that can be read.
+    /// Returns the valid entries; logs a warning for each invalid one.
     pub fn members(&self) -> Vec<Member> {
         let read = self.members.iter().filter_map(|m| match Line::deserialize(m) {
             Ok(line) => Some(line),
             Err(e) => {
-                tracing::warn!("discovery: an entry cannot be read: {e}");
+                tracing::warn!("discovery: invalid entry: {e}");
                 None
             }
         });
@@ -125,28 +126,27 @@
     }
 }
 
-/// A discovery agent.
+/// Address and kind of a discovery agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Agent {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Lists are not pushed to it: each call is served by a service that all limiters share, in turn, and is not
-    /// repeated before it has failed.
+    /// Whether the agent fetches each list from a service that all limiters share. A call to such an agent is queued
+    /// there, so it is not repeated before it has failed.
     pub on_request: bool,
 }
 
-/// Follows discovery for the life of the process, from the version that `known` ends at; without one, the
-/// whole list comes first.
+/// Follows discovery for the life of the process, from version `known`; without one, the complete list is read first.
 ///
-/// While an agent with all lists at hand is silent, there is always a call out, and a fresh one beside it each 25 to
-/// 120 ms: whichever of the two it answers once it is back, the limiter hears well within the drain rule's time.
+/// While an agent that caches all lists is silent, one call stays open and a second one is renewed every 25 to 120 ms.
+/// Whichever the agent answers on its return, the limiter learns of a drain well within the drain rule's time.
 ///
-/// Pauses are spread by chance, from `seed`: followers that failed together do not ask again together.
+/// Delays are randomized from `seed`, so that followers that failed together do not retry together.
 pub async fn follow(told: MembershipSink, agent: Agent, known: Option<u64>, seed: u64) {
     follow_on(told, agent, async || TcpStream::connect(agent.address).await, known, seed).await;
 }
 
-/// The same over connections that `dial` opens.
+/// Implements [`follow`] over connections that `dial` opens.
 async fn follow_on<S: Stream>(
     told: MembershipSink,
     agent: Agent,
@@ -160,7 +160,7 @@
     loop {
         let Err(e) = state.round().await;
         let why = if e.is::<Busy>() {
-            // It has to serve others too, whatever the settings say.
+            // An overloaded agent serves other callers too, whatever the settings say.
             state.at_hand = false;
             RetryCause::Busy
         } else if e.is::<NoAnswer>() && state.at_hand {
@@ -170,13 +170,13 @@
         };
         let pause = state.backoff.next(why);
         if why != RetryCause::Away || state.backoff.failures % UNREACHABLE_LOG_INTERVAL == 1 {
-            tracing::warn!("discovery: {e}; again in {} ms", pause.as_millis());
+            tracing::warn!("discovery: {e}; retry in {} ms", pause.as_millis());
         }
         sleep(pause).await;
     }
 }
 
-/// What carries a call.
+/// Byte stream that carries a call.
 trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {}
 impl<S: AsyncRead + AsyncWrite + Unpin + 'static> Stream for S {}
 
@@ -184,10 +184,10 @@
 trait Dial<S>: AsyncFn() -> std::io::Result<S> {}
 impl<S, D: AsyncFn() -> std::io::Result<S>> Dial<S> for D {}
 
-/// There was no answer.
+/// The agent gave no response.
 #[derive(Debug)]
 enum NoAnswer {
-    /// Not within the time for it.
+    /// No response within [`REQUEST_TIMEOUT`].
     Silent,
     /// The connection was refused or broken off.
     Broken(String),
@@ -204,13 +204,16 @@
 
 impl Error for NoAnswer {}
 
-/// What comes within [`REQUEST_TIMEOUT`].
+/// Waits for `answer` for at most [`REQUEST_TIMEOUT`].
+///
+/// # Errors
+/// [`NoAnswer::Silent`] after that time, [`NoAnswer::Broken`] if `answer` failed.
 async fn soon<T, E: std::fmt::Display>(answer: impl Future<Output = Result<T, E>>) -> Result<T, NoAnswer> {
     let answer = timeout(REQUEST_TIMEOUT, answer).await.map_err(|_| NoAnswer::Silent)?;
     answer.map_err(|e| NoAnswer::Broken(e.to_string()))
 }
 
-/// The agent has said that it has too much to do.
+/// The agent answered that it is overloaded (503 or 429).
 #[derive(Debug)]
 struct Busy(StatusCode);
 
@@ -222,18 +225,18 @@
 
 impl Error for Busy {}
 
-/// What a pause follows.
+/// Cause of a retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RetryCause {
-    /// No answer, of an agent that has it at hand.
+    /// No response from an agent that caches all lists.
     Away,
     /// Any other failure.
     Failed,
-    /// Too many calls.
+    /// The agent is overloaded.
     Busy,
 }
 
-/// How long to wait after a failure, without a clock.
+/// Exponential backoff with jitter; reads no clock.
 struct Backoff {
     rng: Pcg64Mcg,
     failures: u32,
@@ -244,7 +247,7 @@
         Backoff { rng: Pcg64Mcg::seed_from_u64(seed), failures: 0 }
     }
 
-    /// The pause after one more failure: doubled each time, and a half to one and a half of that by chance.
+    /// Returns the delay after one more failure: doubled each time, times a random factor of 0.5 to 1.5.
     fn next(&mut self, why: RetryCause) -> Duration {
         let (first, longest) = match why {
             RetryCause::Away => UNREACHABLE_DELAYS,
@@ -256,7 +259,7 @@
         usual.mul_f64(0.5 + self.chance())
     }
 
-    /// How long to wait for an answer before asking afresh.
+    /// Returns the time to wait for a response before a second call is made.
     fn fresh(&mut self) -> Duration {
         UNREACHABLE_DELAYS.1.mul_f64(0.5 + self.chance())
     }
@@ -267,7 +270,7 @@
 
     fn over(&mut self) {
         if std::mem::take(&mut self.failures) > 0 {
-            tracing::info!("discovery: answers again");
+            tracing::info!("discovery: agent responds again");
         }
     }
 }
@@ -277,15 +280,15 @@
     /// The agent's address.
     host: String,
     dial: D,
-    /// The agent is this limiter's own and has all lists at hand, as far as is known.
+    /// Whether the agent caches all lists, as far as is known. Cleared when the agent reports overload.
     at_hand: bool,
-    /// The version that is known without a gap; without one, the whole list is due.
+    /// Last version received without a gap; `None` if the complete list must be read.
     since: Option<u64>,
     backoff: Backoff,
 }
 
 impl<D> Follower<D> {
-    /// One watch; it ends only by failing.
+    /// Runs one watch; returns only on failure.
     async fn round<S: Stream>(&mut self) -> Result<Infallible, Failure>
     where
         D: Dial<S>,
@@ -298,19 +301,19 @@
         let mut body = answer.into_body();
         let mut lines = Lines::default();
         loop {
-            let frame = timeout(WATCH_TIMEOUT, body.frame()).await.map_err(|_| "the watch fell silent")?;
-            let frame = frame.ok_or("the watch ended")??;
+            let frame = timeout(WATCH_TIMEOUT, body.frame()).await.map_err(|_| "watch timed out")?;
+            let frame = frame.ok_or("watch closed")??;
             let Ok(data) = frame.into_data() else { continue };
             self.backoff.over();
             lines.push(&data);
             while let Some(line) = lines.next() {
-                // What a line that cannot be read would have changed is unknown: the whole list is due.
+                // The changes of an invalid line are unknown, so the complete list must be read.
                 let list = serde_json::from_slice(&line).inspect_err(|_| self.since = None)?;
                 self.take(&list);
             }
             if lines.rest.len() > MAX_RESPONSE_BYTES {
                 self.since = None;
-                return Err("a line without end".into());
+                return Err("line too long".into());
             }
         }
     }
@@ -328,8 +331,8 @@
         Ok(self.since.unwrap_or(0))
     }
 
-    /// Calls, and while an agent at hand gives no answer, calls afresh beside that again and again: the first call is
-    /// kept for the agent that answers it when it is back, the others are heard where that one is lost.
+    /// Requests `path`. While an agent that caches all lists does not respond, the first call stays open, for an agent
+    /// that answers it on its return, and further calls are made next to it, in case the first one is lost.
     async fn ask<S: Stream>(&mut self, path: &str) -> Result<Response<Incoming>, Failure>
     where
         D: Dial<S>,
@@ -347,7 +350,7 @@
                 biased;
                 answer = &mut first => match answer {
                     Err(e) if matches!(e.downcast_ref(), Some(NoAnswer::Silent)) => {
-                        tracing::warn!("discovery: {e}; asked afresh");
+                        tracing::warn!("discovery: {e}; retried");
                         first.set(call());
                     }
                     answer => return answer,
@@ -365,7 +368,7 @@
     }
 }
 
-/// Asks the agent, on a connection of its own.
+/// Sends a GET request to the agent on a new connection.
 async fn get<S: Stream>(dial: &impl Dial<S>, host: &str, path: &str) -> Result<Response<Incoming>, Failure> {
     let stream = soon(dial()).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
@@ -383,7 +386,7 @@
     }
 }
 
-/// Puts lines together from pieces that end anywhere.
+/// Splits a byte stream that arrives in arbitrary pieces into lines.
 #[derive(Default)]
 struct Lines {
     rest: Vec<u8>,
@@ -397,7 +400,7 @@
         self.rest.extend_from_slice(data);
     }
 
-    /// The next whole line that is not empty.
+    /// Returns the next complete line that is not empty, trimmed.
     fn next(&mut self) -> Option<Vec<u8>> {
         loop {
             let ahead = &self.rest[self.read..];
--- a/crates/engine/src/members/agent/tests.rs
+++ b/crates/engine/src/members/agent/tests.rs
@@ -7,7 +7,7 @@
 use tokio::time::{sleep_until, Instant};
 
 #[test]
-fn lines_are_put_together_over_the_borders_of_pieces() {
+fn lines_split_across_pieces_are_joined() {
     let mut lines = Lines::default();
     let mut seen = Vec::new();
     for piece in ["\n{\"a\"", ":1}\r", "\n\n{}", "\n{"] {
@@ -19,8 +19,8 @@
     assert_eq!(seen, ["{\"a\":1}", "{}"]);
 }
 
-/// The most calls within any second that a hundred followers make which start together at an agent that
-/// turns all away, once the first three seconds are over.
+/// Returns the most calls per second that a hundred followers make after the first three seconds, if they start together
+/// and every call fails with `why`.
 fn most_calls_a_second(why: RetryCause) -> usize {
     let mut calls: Vec<u128> = Vec::new();
     for seed in 0..100 {
@@ -36,52 +36,54 @@
 }
 
 #[test]
-fn a_hundred_followers_leave_a_busy_discovery_room_to_serve_them() {
-    // Found when 70 limiters started at once: each asked every second, and none was served for 12 s.
+fn a_hundred_followers_back_off_from_an_overloaded_agent() {
+    // Guards against retries that overload discovery: when 70 limiters started at once, each retried every second, and
+    // none was served for 12 s.
     let (busy, away) = (most_calls_a_second(RetryCause::Busy), most_calls_a_second(RetryCause::Failed));
     assert!(busy <= 55, "{busy} calls in a second");
-    assert!(away >= 80, "an agent that is away is asked each second: {away} calls");
+    assert!(away >= 80, "a failed call is retried each second: {away} calls");
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_does_not_hide_the_others() {
+fn an_invalid_entry_does_not_discard_the_others() {
     let text = r#"{"revision":4,"members":[{"id":7},{"id":"s-1","phase":"Ready"}]}"#;
     let list: ServerList = serde_json::from_str(text).expect("a list");
     assert_eq!(list.members().into_iter().map(|m| m.id).collect::<Vec<_>>(), ["s-1"]);
 }
 
-/// What an agent makes of the calls that reach it while discovery is down.
+/// How an agent handles calls that reach it while discovery is down.
 #[derive(Clone, Copy, Debug)]
 enum Down {
-    /// It takes them, and answers them once it is back.
+    /// Accepts them and answers once discovery is back.
     Holds,
-    /// It never answers them.
+    /// Accepts them and never answers.
     Forgets,
-    /// It takes them, and breaks them off once it is back.
+    /// Accepts them and closes their connections once discovery is back.
     BreaksOff,
-    /// It refuses them.
+    /// Refuses the connections.
     Refuses,
 }
 
-/// What came of an outage, for one follower.
+/// Calls and notification of one follower during an outage.
 #[derive(Default)]
 struct Seen {
-    /// Calls that came while discovery was down.
+    /// Calls that arrived while discovery was down.
     calls: Cell<u32>,
-    /// Calls that were open at once, and the most of them.
+    /// Calls that are open.
     open: Cell<u32>,
+    /// Most calls that were open at once.
     most_open: Cell<u32>,
-    /// Calls that were answered at the return or later.
+    /// Calls that were answered once discovery was back.
     answered: Cell<u32>,
-    /// How long after the return the follower was told of the drain.
+    /// Time from the return of discovery until the follower learned of the drain.
     told: Cell<Option<Duration>>,
 }
 
 const READY: &str = r#"{"revision":2,"complete":true,"members":[{"id":"s-1","phase":"Ready"}]}"#;
 const DRAINS: &str = r#"{"revision":3,"complete":true,"members":[{"id":"s-1","phase":"Terminating"}]}"#;
 
-/// An agent for one limiter: from `down` to `back` it says nothing, and at `back` it has a list by which the
-/// server drains.
+/// Fake agent of one limiter: it sends nothing from `down` to `back`, and from `back` on serves a list in which the server
+/// drains.
 struct StandIn {
     how: Down,
     start: Instant,
@@ -109,7 +111,7 @@
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let (mut read, write) = tokio::io::split(its);
-            // The call itself comes in one piece; after that the caller says no more until it has gone.
+            // The request arrives in one piece; the next read completes only when the caller disconnects.
             let mut call = [0; 512];
             if matches!(read.read(&mut call).await, Ok(n) if n > 0) {
                 tokio::select! {
@@ -150,14 +152,14 @@
     }
 }
 
-/// One follower through an outage of 8 s, on a paused clock.
+/// Runs one follower through an outage of 8 s on a paused clock.
 fn outage(how: Down, on_request: bool, seed: u64) -> Rc<Seen> {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_time().start_paused(true).build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async move {
         let seen = Rc::new(Seen::default());
         let start = Instant::now();
-        // The outage begins anywhere between two empty lines.
+        // The outage begins at any point between two keep-alive lines.
         let down = Duration::from_millis(5000 + seed * 37 % 2000);
         let back = down + Duration::from_secs(8);
         let agent = Rc::new(StandIn { how, start, down, back, seen: seen.clone() });
@@ -174,15 +176,16 @@
         });
         sleep_until(start + back + Duration::from_secs(4)).await;
         assert!(!following.is_finished());
-        assert_eq!(seen.open.get(), 1, "{how:?}, seed {seed}: the watch alone is left");
+        assert_eq!(seen.open.get(), 1, "{how:?}, seed {seed}: only the watch stays open");
         seen
     })
 }
 
 #[test]
-fn after_an_outage_each_limiter_hears_of_a_drain_within_half_of_the_rules_time() {
-    // Found when 23 servers began to drain 0.1 s after discovery's return: 177 of 294 limiters stood in a pause
-    // of up to 1.5 s, begun while discovery was down, and 57 to 85 requests went to servers that drained.
+fn after_an_outage_each_limiter_learns_of_a_drain_within_125_ms() {
+    // Guards against retry delays that outlast an outage. When 23 servers began to drain 0.1 s after discovery's return,
+    // 177 of 294 limiters were in a delay of up to 1.5 s that had begun during the outage, and 57 to 85 requests went to
+    // draining servers. The bound is half of the 250 ms that the drain rule allows.
     for how in [Down::Holds, Down::Forgets, Down::BreaksOff, Down::Refuses] {
         for seed in 0..200 {
             let seen = outage(how, false, seed);
@@ -190,15 +193,15 @@
             assert!(late <= Duration::from_millis(125), "{how:?}, seed {seed}: told {late:?} late");
             let (calls, open, answered) = (seen.calls.get(), seen.most_open.get(), seen.answered.get());
             assert!(calls <= 130, "{how:?}, seed {seed}: {calls} calls in 8 s");
-            // Two, and those that were before them, just being closed.
+            // Two open calls, and two previous ones that are being closed.
             assert!(open <= 4, "{how:?}, seed {seed}: {open} calls at once");
-            assert!(answered <= 3, "{how:?}, seed {seed}: {answered} answers at the return");
+            assert!(answered <= 3, "{how:?}, seed {seed}: {answered} answered calls");
         }
     }
 }
 
 #[test]
-fn a_silent_discovery_that_all_limiters_share_is_asked_once_at_a_time() {
+fn a_silent_shared_discovery_gets_one_call_at_a_time() {
     for seed in 0..50 {
         let seen = outage(Down::Holds, true, seed);
         assert!(seen.told.get().expect("told") <= Duration::from_millis(1500));
--- a/crates/engine/src/upstreams/http1.rs
+++ b/crates/engine/src/upstreams/http1.rs
@@ -1,7 +1,7 @@
-//! Servers that are met over HTTP/1.1, and the connections kept to them.
+//! Upstream servers over HTTP/1.1, with a connection pool.
 //!
-//! Connections are kept here and not in a pooling client: such a client sends again by itself, and does not
-//! tell whether a request went out. What heads say is a [`Dialect`]'s.
+//! The pool is implemented here because a pooling client retries by itself and does not report whether a request was
+//! sent. A [`Dialect`] sets and interprets the headers.
 
 use crate::body::{
     self, Body, BodyBudget, BodyError, BodyPermit, BodyPrefix, BodySender, SendState, Upload, UploadBody,
@@ -35,87 +35,88 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// An answer that has begun and of which nothing comes for this long is given up; so is one that its client takes
-/// nothing of.
+/// A streamed response is aborted after this time without data from the server, or without the client reading any.
 const STALL: Duration = Duration::from_secs(10);
-/// Buffer of a server's connection: room for the longest head that is read.
+/// Buffer size of a server connection, bytes; bounds the response head.
 const BUFFER: usize = 16 * 1024;
-/// Largest figure of a load report that is believed: far above what any server holds.
+/// Largest valid value in a load report: far above any server's queue or utilization.
 const MOST_LOAD: f64 = 10_000.0;
-/// Share of the servers' idle time after which a connection is retired here: well before they close it, as
-/// a request that crosses with the close is lost.
+/// Share of the servers' idle timeout after which an idle connection is closed here: well before the server closes it,
+/// as a request sent while the server closes is lost.
 const IDLE_SHARE: f64 = 0.6;
 
-/// Idle connections of a server that left the list are kept this long, ms, should it be back at once: a member whose
-/// session flaps is the same process, and one that did restart has closed them.
+/// Idle connections of a server that takes no new requests are kept this long, ms, in case it returns: a member whose
+/// session flaps is the same process, and a restarted process has closed them.
 const KEEP_OVER_FLAP: Millis = 1000.0;
 
-/// What the heads of requests and answers say, and how much of an answer is held.
+/// Sets the headers of requests, interprets the heads of responses and limits their bodies.
 ///
-/// It decides on what was read of an answer; that nothing was written, that a body is whole and that a connection is
-/// free is seen to here.
+/// A dialect judges only a response head that was read. [`Http1`] itself detects unsent requests, incomplete bodies and
+/// connections that are free again.
 pub trait Dialect: 'static {
-    /// What an answer becomes.
+    /// Type of the answer that is passed to the client.
     type Answer: 'static;
 
-    /// Sets what a server is told beside what goes on from the client.
+    /// Adds the headers for the server to those forwarded from the client.
     fn address(&self, job: &AttemptJob<Forward>, headers: &mut HeaderMap);
 
-    /// What an answer's head means.
+    /// Classifies a response by its head.
     fn judge(&self, job: &AttemptJob<Forward>, head: &Parts) -> Verdict;
 
-    /// Makes the answer that goes to the client.
+    /// Builds the answer for the client.
     fn answer(&self, head: Parts, body: Body) -> Self::Answer;
 
-    /// The values of the server's load report, in the order of the settings; none without one.
+    /// Returns the values of the server's load report in the order of the settings; empty if there is none.
     fn load(&self, _headers: &HeaderMap) -> Vec<f64> {
         Vec::new()
     }
 
-    /// An answer up to this many bytes is read whole before it counts; a longer one is passed on as it comes.
+    /// Largest body, bytes, that is buffered completely before the attempt ends; a longer one is streamed.
     fn held(&self) -> usize {
         MAX_BUFFERED_BYTES
     }
 
-    /// The longest answer that is passed on, bytes.
+    /// Largest body that is streamed, bytes.
     fn longest(&self) -> u64 {
         MAX_BODY_BYTES
     }
 
-    /// A connection on which a server confirms nothing for this long is broken; none: the system decides.
+    /// TCP user timeout: a connection whose sent data is not acknowledged for this long is broken. `None` leaves the
+    /// system's default.
     fn unconfirmed(&self) -> Option<Duration> {
         None
     }
 }
 
-/// What the head of an answer means.
+/// Classification of a response by its head.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Verdict {
-    /// How the attempt has ended, once the answer is whole.
+    /// Outcome of the attempt once the response is complete.
     pub outcome: Outcome,
-    /// Nothing more is read of it and its connection is closed.
+    /// Whether the response is unusable: its body is not read and its connection is closed.
     pub spoilt: bool,
-    /// It may be given to a client. With [`Outcome::Error`] that is where nothing better comes.
+    /// Whether the response may be passed to the client. With [`Outcome::Error`] it is used only if no attempt gives a
+    /// better one.
     pub given: bool,
-    /// It has no body by its kind, whatever lengths it tells.
+    /// Whether the response has no body by its method or status, whatever its length headers say.
     pub bodiless: bool,
-    /// How long its server keeps the connection when idle, ms, where it tells that.
+    /// The server's idle timeout, ms, if it states one.
     pub keeps: Option<Millis>,
 }
 
 impl Verdict {
-    /// An answer with a body of which the outcome is this; given to the client if that is [`Outcome::Ok`].
+    /// A usable response with a body, passed to the client if `outcome` is [`Outcome::Ok`].
     pub fn new(outcome: Outcome) -> Self {
         Verdict { outcome, spoilt: false, given: outcome == Outcome::Ok, bodiless: false, keeps: None }
     }
 
-    /// An answer that cannot be used.
+    /// An unusable response.
     pub fn spoilt(outcome: Outcome) -> Self {
         Verdict { spoilt: true, given: false, ..Verdict::new(outcome) }
     }
 }
 
-/// The platform's servers.
+/// Dialect of the platform's servers.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
     /// Names of the values in a load report, in the order of the settings.
@@ -156,27 +157,27 @@
 const NOT_RUN: HeaderName = HeaderName::from_static("x-unprocessed");
 const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
-/// What goes on to a server, unchanged.
+/// The request that is forwarded to a server.
 pub struct Forward {
     /// Method of the request.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The forwarded headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Upload,
-    /// The body's room.
+    /// The body's share of the memory budget.
     pub permit: Option<BodyPermit>,
 }
 
-/// A stream that notes whether anything of the present request has been written. In doubt a request may
-/// have run, so the first byte counts: small messages go out in one piece.
+/// A stream that records whether any byte of the current request was written. From the first byte on the request may
+/// have run, as small messages are sent in one piece.
 ///
-/// Before that first byte it makes sure that nothing is left to be read: bytes that belong to no answer (a
-/// second copy, noise) would be taken for the answer to this request. What came before the answer was
-/// taken whole, the parser holds and gives its connection up for; what came later stands in the socket, and
-/// the runtime need not have heard of it yet, so the socket itself is asked.
+/// Before the first byte it checks that no unread data is left: stray bytes, such as a duplicate response, would be taken
+/// for the response to this request. Bytes that arrived before the previous response was complete are in the parser,
+/// which closes the connection for them. Later bytes are in the socket, and the runtime may not have polled them yet, so
+/// the socket itself is peeked.
 struct Noted {
     stream: TcpStream,
     wrote: Rc<Cell<bool>>,
@@ -245,16 +246,16 @@
     }
 }
 
-/// A connection to a server. Dropped, it closes at once, whatever is out on it.
+/// A connection to a server. Dropping it closes it at once, even with a request in flight.
 struct Connection {
     sender: SendRequest<UploadBody<Forward>>,
     wrote: Rc<Cell<bool>>,
     task: AbortHandle,
     address: SocketAddr,
     idle_since: Millis,
-    /// It is used again within this, ms.
+    /// Longest idle time after which it is used again, ms.
     keeps: Millis,
-    /// Counts among the open ones while it lives.
+    /// Counts the connection as open until it is dropped.
     _slot: Slot,
 }
 
@@ -264,7 +265,7 @@
     }
 }
 
-/// A place among the connections that may be open.
+/// One of the limited number of open connections; dropping it frees the slot.
 struct Slot(Rc<Cell<usize>>);
 
 impl Drop for Slot {
@@ -273,10 +274,10 @@
     }
 }
 
-/// The connections that wait for a request.
+/// Pool of idle connections, and the limit on open ones.
 struct Pool {
     idle: RefCell<HashMap<ServerId, Vec<Connection>>>,
-    /// Since when servers with idle connections have taken nothing new.
+    /// Servers with idle connections that take no new requests, with the time since when.
     parked: RefCell<HashMap<ServerId, Millis>>,
     open: Rc<Cell<usize>>,
     most: Cell<usize>,
@@ -286,7 +287,7 @@
 }
 
 impl Pool {
-    /// An empty pool that opens `most` connections at most.
+    /// Creates an empty pool that opens at most `connections.most` connections.
     fn new(connections: Connections, unconfirmed: Option<Duration>) -> Self {
         Pool {
             idle: RefCell::default(),
@@ -299,7 +300,7 @@
         }
     }
 
-    /// The most recently used connection that still stands.
+    /// Takes the most recently used idle connection that is still open and not idle for too long.
     fn take(&self, server: ServerId, address: SocketAddr, now: Millis) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let waiting = idle.get_mut(&server)?;
@@ -311,7 +312,7 @@
         None
     }
 
-    /// Keeps a connection for its server's next request, of which the server says that it keeps it so long.
+    /// Returns an open connection to the pool. `keeps` is the server's idle timeout, ms, if it stated one.
     fn put(&self, server: ServerId, mut connection: Connection, keeps: Option<Millis>, now: Millis) {
         if !connection.sender.is_closed() {
             connection.idle_since = now;
@@ -320,7 +321,8 @@
         }
     }
 
-    /// Retires what has stood idle too long or was closed from the other side, and what is over the limit.
+    /// Drops connections that are over the limit, idle for too long, closed by the server, or parked for
+    /// [`KEEP_OVER_FLAP`].
     fn sweep(&self, now: Millis) {
         while self.open.get() > self.most.get() && self.retire() {}
         let mut parked = self.parked.borrow_mut();
@@ -335,8 +337,8 @@
         parked.retain(|server, _| idle.contains_key(server));
     }
 
-    /// Notes which servers take nothing new: their idle connections go soon, unless they are back before. Until then
-    /// no request meets them, as none is sent to such a server.
+    /// Records which servers take no new requests. Their idle connections are dropped after [`KEEP_OVER_FLAP`] unless the
+    /// server returns; until then no request uses them, as none is sent to such a server.
     fn keep_only(&self, ready: &dyn Fn(ServerId) -> bool, now: Millis) {
         let mut parked = self.parked.borrow_mut();
         for server in self.idle.borrow().keys() {
@@ -348,7 +350,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for the longest, if there is one.
+    /// Closes the connection that has been idle for the longest; returns whether there was one.
     fn retire(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let waiting = idle.values_mut().filter(|w| !w.is_empty());
@@ -356,7 +358,7 @@
         oldest.map(|waiting| drop(waiting.remove(0))).is_some()
     }
 
-    /// A place for one more connection; at the limit the longest idle one gives way.
+    /// Reserves a slot for a connection. At the limit the longest idle connection is closed; `None` if none is idle.
     fn slot(&self) -> Option<Slot> {
         if self.open.get() >= self.most.get() && !self.retire() {
             return None;
@@ -377,7 +379,7 @@
         let io = TokioIo::new(Noted { stream, wrote: wrote.clone() });
         let (sender, connection) = http1::Builder::new().max_buf_size(BUFFER).handshake(io).await.ok()?;
         let task = tokio::task::spawn_local(async move {
-            // How it ends is seen by the attempt that is out on it.
+            // The attempt in flight on the connection reports its error.
             let _ = connection.await;
         });
         let task = task.abort_handle();
@@ -385,42 +387,42 @@
     }
 }
 
-/// What the attempts share.
+/// State shared by all attempts.
 struct Shared<D> {
     clock: Rc<dyn Clock>,
     pool: Pool,
     dialect: D,
-    /// For the bodies of answers.
+    /// Memory budget of response bodies.
     rooms: BodyBudget,
 }
 
-/// Servers over HTTP/1.1.
+/// Upstream that reaches servers over HTTP/1.1.
 pub struct Http1<D: Dialect = Platform> {
     shared: Rc<Shared<D>>,
 }
 
-/// How connections to servers are kept.
+/// Limits and timeouts of server connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Connections {
-    /// A server closes a connection that stood idle this long, ms.
+    /// Idle timeout of the servers, ms.
     pub idle: Millis,
-    /// A connection that is not up within this, ms, has failed.
+    /// Timeout of a connection attempt, ms.
     pub connect_timeout: Millis,
-    /// So many are open at most.
+    /// Largest number of open connections.
     pub most: usize,
-    /// The bodies of answers take so many KiB together.
+    /// Memory budget of all response bodies, KiB.
     pub bodies_kib: usize,
 }
 
 impl Http1 {
-    /// The platform's servers; no connections yet.
+    /// Creates an upstream for the platform's servers, without connections. `report` names the values of a load report.
     pub fn new(clock: Rc<dyn Clock>, connections: Connections, report: Vec<String>) -> Self {
         Http1::with_dialect(Platform { report }, clock, connections)
     }
 }
 
 impl<D: Dialect> Http1<D> {
-    /// Servers of this dialect; no connections yet.
+    /// Creates an upstream for servers of `dialect`, without connections.
     pub fn with_dialect(dialect: D, clock: Rc<dyn Clock>, connections: Connections) -> Self {
         let pool = Pool::new(connections, dialect.unconfirmed());
         let rooms = BodyBudget::new(connections.bodies_kib);
@@ -470,24 +472,24 @@
             continue;
         }
         if !(job.may_send)() {
-            // Told of a drain while the connection came up.
+            // The server began to drain while the connection was being opened.
             return End::without_answer(Outcome::ConnectFailed);
         }
         connection.wrote.set(false);
         match connection.sender.try_send_request(request(&shared.dialect, job, &gone)).await {
             Ok(answer) => {
-                // A body that is held whole goes out with its head, and an empty one is never asked for.
+                // A buffered body is sent with its head, and an empty one is never polled.
                 let sent = !job.request.body.is_stream() || gone.sent.get();
                 return receive(shared, job, connection, answer, sent).await;
             }
-            // It was the client that broke off, or nothing is held any more: no server's fault.
+            // The client's body failed or its buffer was dropped, which is no fault of the server.
             Err(_) if gone.failed.get() => return End::without_answer(Outcome::NotSent),
-            // Part of a stream is no request: it has not run before its last byte was written.
+            // A partly written stream is an incomplete request, which no server runs.
             Err(_) if job.request.body.is_stream() && !gone.sent.get() && connection.wrote.get() => {
                 return End::without_answer(Outcome::ConnectFailed)
             }
             Err(e) if connection.wrote.get() => return End::without_answer(broken(e.error())),
-            // A kept connection that had been closed before the first byte: nothing was sent on it.
+            // A pooled connection that closed before the first byte: nothing was sent, so another is tried.
             Err(_) if !fresh => {}
             Err(_) => return End::without_answer(Outcome::ConnectFailed),
         }
@@ -509,9 +511,8 @@
     request
 }
 
-/// How an attempt has ended that may have run and has no answer. An answer that cannot be used is an error of
-/// the server's, which can be reached: taken for a reset it would count against a server as if it had gone,
-/// though any server may spoil one.
+/// Returns the outcome of an attempt that may have run and has no usable response. An unparsable response is an error of
+/// a reachable server; as a reset it would count against the server as if it were gone.
 fn broken(e: &(dyn Error + 'static)) -> Outcome {
     match e.downcast_ref::<hyper::Error>() {
         Some(e) if !e.is_parse() && !e.is_parse_too_large() => Outcome::Reset,
@@ -519,8 +520,8 @@
     }
 }
 
-/// The head's lengths agree with each other and with the most that is taken. Without any the body ends with its
-/// connection, and the head has to say that this ends: else nobody knows whether more is to come.
+/// Checks that the response has exactly one length header and is within `longest` bytes. Without a length header the
+/// body ends with the connection, so the head must announce the close; otherwise a truncated body would look complete.
 fn framed(head: &Parts, body: &Incoming, bodiless: bool, longest: u64) -> bool {
     let many = |name| head.headers.get_all(name).iter().count();
     let plain = match many(CONTENT_LENGTH) + many(TRANSFER_ENCODING) {
@@ -530,7 +531,7 @@
     plain && !head.status.is_informational() && body.size_hint().lower() <= longest
 }
 
-/// The connection ends with this answer.
+/// Whether the connection closes after this response.
 fn closes(head: &Parts) -> bool {
     let values = head.headers.get_all(CONNECTION).iter();
     let mut options = values.flat_map(|v| v.as_bytes().split(|b| *b == b','));
@@ -541,8 +542,8 @@
     }
 }
 
-/// Reads an answer whole where it is short: only then is it known to be one, and its connection free. One that is
-/// spoilt ends its connection at once, however much is still to come. A long one is passed on as it comes.
+/// Reads a response. A short one is buffered completely, as only then is it known to be complete and its connection
+/// free. An unusable one closes its connection at once. A long one is streamed.
 async fn receive<D: Dialect>(
     shared: &Rc<Shared<D>>,
     job: &AttemptJob<Forward>,
@@ -567,7 +568,8 @@
         Err(e) => return End { outcome: broken(&e), answer: None, load },
     };
 
-    // One whose request was answered before it was whole has the rest of it on the way.
+    // If the response came before the request was sent completely, the rest of the request still follows, so the
+    // connection cannot be reused.
     let kept = (!closes(&head) && sent).then(|| Kept {
         shared: shared.clone(),
         server: job.server,
@@ -594,13 +596,16 @@
     End { outcome: verdict.outcome, answer, load }
 }
 
-/// What there is of an answer once it is known to be short or long.
+/// The buffered part of a response body: all of a short one, or the start of a long one.
 enum Held {
     Whole(Bytes),
     Start(Bytes),
 }
 
-/// Reads an answer until it is whole or longer than what is held; of one that says so itself, nothing.
+/// Reads a body until it is complete or longer than `most` bytes. If its stated length is longer, nothing is read.
+///
+/// # Errors
+/// The connection failed or sent an invalid body.
 async fn hold(body: &mut Incoming, most: usize) -> Result<Held, hyper::Error> {
     if body.size_hint().lower() > most as u64 {
         return Ok(Held::Start(Bytes::new()));
@@ -616,7 +621,7 @@
     Ok(Held::Whole(start.finish()))
 }
 
-/// Where a connection goes when its answer is whole: to the idle ones of this server, if that is still in use.
+/// Returns a connection to the pool once its response is complete, if its server still takes requests.
 struct Kept<D> {
     shared: Rc<Shared<D>>,
     server: ServerId,
@@ -624,14 +629,14 @@
     keeps: Option<Millis>,
 }
 
-/// A connection whose answer has begun, and where it goes once that is whole; dropped before, it closes.
+/// A connection whose response has begun. Dropping it before the response is complete closes the connection.
 struct Begun<D> {
     connection: Connection,
     kept: Option<Kept<D>>,
 }
 
 impl<D> Begun<D> {
-    /// The answer is whole.
+    /// Ends a complete response: pools the connection or closes it.
     fn over(self) {
         if let Some(kept) = self.kept.filter(|kept| (kept.may_send)()) {
             let now = kept.shared.clock.now();
@@ -640,7 +645,8 @@
     }
 }
 
-/// Passes a long answer on as it comes, no faster than it is taken. When whoever takes it leaves, it ends.
+/// Streams a long body to `feed` with backpressure. Ends when the body is complete, the receiver is dropped, or an error
+/// ([`BodyError`]) is sent in place of the rest.
 async fn pass_on<D: Dialect>(
     mut body: Incoming,
     mut passed: u64,
@@ -677,11 +683,11 @@
         }
     };
     drop(begun);
-    // Who takes it is told that it is not whole, unless it has left.
+    // Reports the truncation to the receiver, unless it was dropped.
     let _ = feed.send(Err(why)).await;
 }
 
-/// The values of a load report in the order of the settings; none if one is missing or makes no sense.
+/// Returns the values of a load report in the order of the settings; empty if one is missing or out of range.
 fn load_report(headers: &HeaderMap, columns: &[String]) -> Vec<f64> {
     let Some(text) = headers.get(LOAD).and_then(|v| v.to_str().ok()) else { return Vec::new() };
     let value = |column: &String| {
--- a/crates/engine/src/upstreams/http1/tests.rs
+++ b/crates/engine/src/upstreams/http1/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn nothing_is_written_where_bytes_or_a_close_stand_that_the_runtime_has_not_heard_of() {
+fn nothing_is_written_if_the_socket_holds_unread_bytes_or_a_close() {
     use std::io::Write as _;
     use std::task::Waker;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -23,7 +23,7 @@
             let (server, _) = listener.accept().expect("a connection");
             stream.writable().await.expect("a connection that is up");
             let _open = act(server);
-            // No await from here on: the runtime hears of nothing.
+            // No await from here on, so the runtime does not poll the socket and learns of neither bytes nor close.
             let mut noted = Noted { stream, wrote: Rc::default() };
             let mut cx = Context::from_waker(Waker::noop());
             let wrote = Pin::new(&mut noted).poll_write(&mut cx, b"GET");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn load_reports_follow_the_settings_order_and_nonsense_is_dropped() {
+fn load_reports_follow_the_settings_order_and_invalid_ones_are_dropped() {
     let columns = ["queue".to_owned(), "util".to_owned()];
     let report = |text: &'static str| {
         let mut headers = HeaderMap::new();
--- a/crates/engine/src/upstreams/try_id.rs
+++ b/crates/engine/src/upstreams/try_id.rs
@@ -1,13 +1,13 @@
-//! A dialect for a system whose requests, tries and answers are named: an answer counts only for the try that it names.
+//! Dialect of servers that echo a try id: a response counts only for the try whose id it carries.
 //!
-//! | an answer | means |
+//! | response | outcome |
 //! | --- | --- |
-//! | without the try's name, or with another's | the connection is out of step: reset, closed, given to nobody |
-//! | 400, 429 or 503 that says that it was not run | full: it has not run |
-//! | 421 | another server has the address: it has not run |
-//! | with a content coding, or a success without its seal | spoilt: an error, closed |
-//! | a success with its seal | given on |
-//! | any other | an error; given on where nothing better comes |
+//! | without the try's id, or with another | the connection is out of sync: reset, closed, passed to no client |
+//! | 400, 429 or 503 with the not-run header | full: the request has not run |
+//! | 421 | connect failure: another server has the address, the request has not run |
+//! | with a content coding, or a success without the seal | unusable: an error, closed |
+//! | a success with the seal | passed to the client |
+//! | any other | an error; passed to the client if no attempt gives a better response |
 
 use super::http1::{Dialect, Forward, Verdict};
 use crate::body::Body;
@@ -21,25 +21,25 @@
 use std::time::Duration;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// What a hop says for itself about a proxy begins so.
+/// Prefix of hop-by-hop proxy headers.
 const PROXY: &str = "proxy-";
 
-/// What the headers are called.
+/// Header names of the dialect.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Names a try; an answer names the one that it belongs to.
+    /// Id of a try, which its response echoes.
     pub try_id: HeaderName,
-    /// How long a server has, ms.
+    /// Time that the server has for the request, ms.
     pub time_left: HeaderName,
-    /// Stands on each success that the server itself has made.
+    /// Present on each success that the server itself generated.
     pub seal: HeaderName,
-    /// Whose request it is.
+    /// Customer that sent the request.
     pub customer: HeaderName,
-    /// The server that a request is meant for.
+    /// Id of the server to which the request is sent.
     pub meant_server: HeaderName,
-    /// Stands on an answer to what was not run.
+    /// Present on the response to a request that was not run.
     pub not_run: HeaderName,
-    /// When to come back.
+    /// Time to wait before a retry.
     pub retry_after: HeaderName,
 }
 
@@ -57,16 +57,16 @@
     }
 }
 
-/// The dialect.
+/// Dialect that matches each response to its try by id.
 #[derive(Clone, Debug)]
 pub struct TryIdDialect {
-    /// What the headers are called.
+    /// Header names.
     pub names: HeaderNames,
-    /// An answer up to this many bytes is held whole.
+    /// Largest body that is buffered completely, bytes.
     pub held: usize,
-    /// The longest answer that is passed on, bytes.
+    /// Largest body that is streamed, bytes.
     pub longest: u64,
-    /// A connection on which a server confirms nothing for this long is broken.
+    /// TCP user timeout: a connection whose sent data is not acknowledged for this long is broken.
     pub unconfirmed: Duration,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl TryIdDialect {
-    /// The answer names the try, and nothing else.
+    /// Whether the response carries exactly one try id, that of this try.
     fn names_the_try(&self, job: &AttemptJob<Forward>, answer: &HeaderMap) -> bool {
         let id = job.request.headers.get(&self.names.try_id);
         let mut told = answer.get_all(&self.names.try_id).iter();
@@ -112,7 +112,7 @@
     type Answer = Response<Body>;
 
     fn address(&self, job: &AttemptJob<Forward>, headers: &mut HeaderMap) {
-        // An old client may have named no host.
+        // HTTP/1.0 clients may send no Host header.
         if !headers.contains_key(HOST) {
             if let Ok(host) = HeaderValue::try_from(job.address.to_string()) {
                 headers.insert(HOST, host);
@@ -131,7 +131,7 @@
         }
         let outcome = self.outcome(head);
         match outcome {
-            // Whoever has the address now, it is not who it was kept for.
+            // Another server now has the address, so the connection is not reused.
             Outcome::ConnectFailed => return Verdict::spoilt(outcome),
             Outcome::Full => {}
             _ if head.headers.contains_key(CONTENT_ENCODING) || !self.is_sealed(head) => {
@@ -146,7 +146,7 @@
     }
 
     fn answer(&self, mut head: Parts, body: Body) -> Response<Body> {
-        // How this server frames its answers is not how the client's connection does.
+        // The framing of the server's connection does not apply to the client's connection.
         head.version = Version::HTTP_11;
         strip(&mut head.headers);
         Response::from_parts(head, body)
@@ -165,21 +165,21 @@
     }
 }
 
-/// How long a server keeps an idle connection, ms, where it tells that.
+/// Parses the server's idle timeout, ms, from `Keep-Alive`; `None` if it states none, 0 if the value is invalid.
 fn keeps(headers: &HeaderMap) -> Option<Millis> {
     let values = headers.get_all(&KEEP_ALIVE).iter().filter_map(|v| v.to_str().ok());
     let mut fields = values.flat_map(|v| v.split(',')).filter_map(|field| field.split_once('='));
     let (_, seconds) = fields.find(|(name, _)| name.trim().eq_ignore_ascii_case("timeout"))?;
-    // One that cannot be read may mean anything: the connection is not used again.
+    // An invalid value may mean any timeout, so the connection is not reused.
     Some(seconds.trim().trim_matches('"').parse::<u32>().map_or(0.0, |s| f64::from(s) * 1000.0))
 }
 
-/// Takes out what is said from one hop to the next, and what `Connection` names (RFC 9110, 7.6.1).
+/// Removes hop-by-hop headers and the headers listed in `Connection` (RFC 9110, 7.6.1).
 fn strip(headers: &mut HeaderMap) {
     let values = headers.get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
     let named = values.flat_map(|v| v.split(',')).filter_map(|name| name.trim().parse::<HeaderName>().ok());
     let proxy = headers.keys().filter(|name| name.as_str().starts_with(PROXY)).cloned();
-    // Where a message ends is never the sender's to take away.
+    // `Connection` must not remove `Content-Length` or `Host`: without the length the end of the message is unknown.
     let mut hop: Vec<HeaderName> =
         named.chain(proxy).filter(|n| *n != CONTENT_LENGTH && *n != HOST).collect();
     hop.extend([CONNECTION, KEEP_ALIVE, TRANSFER_ENCODING, UPGRADE, TE, TRAILER]);
@@ -188,8 +188,8 @@
     }
 }
 
-/// The headers of a client's request that go on to a server: all but those of the one hop, and `Expect`, which is
-/// answered here.
+/// Returns the headers of a client's request that are forwarded to a server: all but the hop-by-hop headers and `Expect`,
+/// which the limiter answers itself.
 pub fn headers_on(headers: &HeaderMap) -> HeaderMap {
     let mut on = headers.clone();
     strip(&mut on);
@@ -211,7 +211,7 @@
     }
 
     #[test]
-    fn what_is_said_to_one_hop_goes_no_further() {
+    fn hop_by_hop_headers_are_not_forwarded() {
         let on = headers_on(&headers(&[
             ("connection", "close, X-Hop"),
             ("connection", "content-length"),
@@ -234,7 +234,7 @@
     }
 
     #[test]
-    fn how_long_a_server_keeps_a_connection_is_read_or_taken_for_nothing() {
+    fn keep_alive_timeout_is_parsed_and_an_invalid_one_is_zero() {
         for (text, want) in [
             ("timeout=5", 5000.0),
             ("max=3, Timeout=\"7\"", 7000.0),
