--- a/crates/engine/src/classify.rs
+++ b/crates/engine/src/classify.rs
@@ -11,13 +11,13 @@
 use crate::engine::Names;
 
 /// Largest number of units in a request where the settings set no bound; a request with more is malformed.
-const MOST_UNITS: f64 = 1e6;
+const MAX_UNITS: f64 = 1e6;
 /// Exclusive upper bound of customer numbers.
-const CUSTOMERS: u64 = 1 << 33;
+const CUSTOMER_LIMIT: u64 = 1 << 33;
 /// Longest correlation id, bytes.
-const MOST_ID: usize = 128;
+const MAX_ID_BYTES: usize = 128;
 /// Longest time left that a client may state, ms: one hour.
-const LONGEST_WAIT: Millis = 3_600_000.0;
+const MAX_TIME_LEFT: Millis = 3_600_000.0;
 
 /// Id of the request; each try has a new one.
 pub const CORRELATION: HeaderName = HeaderName::from_static("x-correlation-id");
@@ -76,7 +76,7 @@
     if head.method != if safe { Method::GET } else { Method::POST } {
         return Err(R { status: StatusCode::METHOD_NOT_ALLOWED, why: "the class wants another method\n" });
     }
-    rest(head, class, names, settings)
+    parse_headers(head, class, names, settings)
 }
 
 /// Parses a request whose class is given by its header only, for applications with their own paths.
@@ -86,18 +86,23 @@
 pub fn by_header(head: &Parts, names: &Names, settings: &Settings) -> Result<Request, Rejection> {
     let class = single(&head.headers, &CLASS)?.ok_or(R::bad("X-Service-Class is missing\n"))?;
     let class = names.classes.iter().position(|c| c == class).ok_or(R::bad("unknown class\n"))?;
-    rest(head, class, names, settings)
+    parse_headers(head, class, names, settings)
 }
 
 /// Parses everything but the class.
-fn rest(head: &Parts, class: usize, names: &Names, settings: &Settings) -> Result<Request, Rejection> {
+fn parse_headers(
+    head: &Parts,
+    class: usize,
+    names: &Names,
+    settings: &Settings,
+) -> Result<Request, Rejection> {
     let headers = &head.headers;
-    let of = settings.classes.get(class).ok_or(R::bad("no such class\n"))?;
+    let class_settings = settings.classes.get(class).ok_or(R::bad("no such class\n"))?;
     let key = single(headers, &KEY)?;
-    if matches!(of.repeat, Repeat::Keyed { .. }) && key.is_none_or(str::is_empty) {
+    if matches!(class_settings.repeat, Repeat::Keyed { .. }) && key.is_none_or(str::is_empty) {
         return Err(R::bad("Idempotency-Key is missing\n"));
     }
-    if !single(headers, &CORRELATION)?.is_some_and(|id| (1..=MOST_ID).contains(&id.len())) {
+    if !single(headers, &CORRELATION)?.is_some_and(|id| (1..=MAX_ID_BYTES).contains(&id.len())) {
         return Err(R::bad("X-Correlation-Id is missing\n"));
     }
     let plan = single(headers, &PLAN)?.and_then(|p| names.plans.iter().position(|n| n == p));
@@ -105,7 +110,7 @@
     let customer =
         customer(head.uri.query().unwrap_or("")).ok_or(R::bad("no customer that can be read\n"))?;
     let time_left = single(headers, &TIME_LEFT)?.and_then(decimal).map(|left| left * 1000.0);
-    let time_left = time_left.filter(|left| *left > 0.0 && *left <= LONGEST_WAIT);
+    let time_left = time_left.filter(|left| *left > 0.0 && *left <= MAX_TIME_LEFT);
     let time_left = time_left.ok_or(R::bad("X-Time-Left is missing or out of range\n"))?;
     let quota = single(headers, &QUOTA)?.and_then(|q| quota(q, settings.max_units, settings.gateways));
     let (units, spread) = quota.ok_or(R::bad("X-Quota cannot be read\n"))?;
@@ -115,7 +120,11 @@
         plan: PlanId(plan),
         units,
         // Capped at the class's deadline, so that no request is kept for longer.
-        time_left: if of.deadline > 0.0 { time_left.min(of.deadline) } else { time_left },
+        time_left: if class_settings.deadline > 0.0 {
+            time_left.min(class_settings.deadline)
+        } else {
+            time_left
+        },
         spread,
         repeat: single(headers, &REPEAT)? == Some("1"),
         ..Request::default()
@@ -157,19 +166,19 @@
     }
 }
 
-/// Parses the customer number from a query: exactly one `customer` of 16 hexadecimal digits, below [`CUSTOMERS`].
+/// Parses the customer number from a query: exactly one `customer` of 16 hexadecimal digits, below [`CUSTOMER_LIMIT`].
 fn customer(query: &str) -> Option<u64> {
     let mut values = query.split('&').filter_map(|pair| pair.strip_prefix("customer="));
     let value = values.next().filter(|v| v.len() == 16 && v.bytes().all(|b| b.is_ascii_hexdigit()))?;
-    let number = u64::from_str_radix(value, 16).ok().filter(|n| *n < CUSTOMERS)?;
+    let number = u64::from_str_radix(value, 16).ok().filter(|n| *n < CUSTOMER_LIMIT)?;
     values.next().is_none().then_some(number)
 }
 
 /// Parses units and number of limiters from an `X-Quota` header. Each field must occur once and be within the
 /// settings' range; unknown fields are ignored.
-fn quota(text: &str, most_units: f64, gateways: f64) -> Option<(f64, f64)> {
+fn quota(text: &str, max_units: f64, gateways: f64) -> Option<(f64, f64)> {
     let (mut units, mut spread, mut first) = (None, None, None);
-    let most = if most_units > 0.0 { most_units } else { MOST_UNITS };
+    let most = if max_units > 0.0 { max_units } else { MAX_UNITS };
     for field in text.split(',') {
         let (name, value) = field.split_once('=')?;
         let (place, least, most) = match name.trim() {
--- a/crates/engine/src/config/file.rs
+++ b/crates/engine/src/config/file.rs
@@ -2,7 +2,7 @@
 //! the only place that states the bounds of values.
 
 use super::fleet::FleetTable;
-use super::mistake::{below, Mistake};
+use super::validation::{below, ValidationError};
 use super::{Config, CounterKind};
 use crate::engine::{Names, Setup};
 use crate::ports::membership::Member;
@@ -68,7 +68,7 @@
 /// Limits the use of a zone.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-struct LeftLine {
+struct ReducedZoneTable {
     /// Name of the zone, one of zones.
     #[schemars(regex(pattern = NAME))]
     zone: String,
@@ -149,7 +149,7 @@
     suspended: Vec<String>,
     /// Zones of which only a share is used.
     #[serde(default)]
-    left: Vec<LeftLine>,
+    left: Vec<ReducedZoneTable>,
     /// ZooKeeper folder from which the list of servers comes; without it, the list is that of [[servers]].
     #[serde(default)]
     #[schemars(with = "ZooKeeper")]
@@ -369,9 +369,9 @@
     ///
     /// # Errors
     /// `counter` is invalid, which validation has already excluded.
-    pub(super) fn config(self) -> Result<Config, Mistake> {
+    pub(super) fn config(self) -> Result<Config, ValidationError> {
         let counter = CounterKind::parse(&self.counter);
-        let counter = counter.ok_or_else(|| Mistake::at(below(&[], "counter"), "not allowed"))?;
+        let counter = counter.ok_or_else(|| ValidationError::at(below(&[], "counter"), "not allowed"))?;
         let zone = self.zone.as_ref().and_then(|zone| self.zones.iter().position(|z| z == zone));
         let settings = Settings {
             gateways: self.limiters,
--- a/crates/engine/src/config/fleet.rs
+++ b/crates/engine/src/config/fleet.rs
@@ -1,7 +1,7 @@
 //! The `[fleet]` table of a configuration, and configurations whose rules come from a revision of the fleet.
 
 use super::file::NAME;
-use super::mistake::{Mistake, Step};
+use super::validation::{Step, ValidationError};
 use super::{text, Config, ConfigError};
 use oatbank_fleet::timing::{LeaseTiming, OnLeaseExpiry};
 use oatbank_fleet::{Millis, Peer};
@@ -14,7 +14,7 @@
 pub const RULES: [&str; 9] =
     ["attempts", "classes", "cold", "left", "max_units", "plans", "servers", "suspended", "zones"];
 /// Shortest secret, characters.
-const LEAST_KEY: usize = 16;
+const MIN_KEY_CHARS: usize = 16;
 
 /// Limiter that belongs to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-enum Lapse {
+enum LeaseExpiryAction {
     #[default]
     Strict,
     Refuse,
@@ -47,7 +47,7 @@
     #[schemars(with = "String")]
     control: SocketAddr,
     /// Secret that all limiters of the fleet share, at least 16 characters.
-    #[schemars(length(min = LEAST_KEY))]
+    #[schemars(length(min = MIN_KEY_CHARS))]
     key: String,
     /// Name of the limiter that decides on changes; alternative to coordinator.
     #[serde(default)]
@@ -92,7 +92,7 @@
     /// Behavior of a limiter whose lease has expired: "strict" applies the stricter of the rules that it holds and has
     /// confirmed, and no change is decided without it; "refuse" refuses requests at once, and changes go on.
     #[serde(default)]
-    on_lapse: Lapse,
+    on_lapse: LeaseExpiryAction,
     /// With "strict": time after which the limiter refuses requests and changes go on without it; if absent, never.
     #[serde(default)]
     #[schemars(with = "u64")]
@@ -160,8 +160,8 @@
 impl FleetTable {
     fn timing(&self) -> LeaseTiming {
         let on_lapse = match self.on_lapse {
-            Lapse::Strict => OnLeaseExpiry::Strict(self.strict_for_ms.unwrap_or(Millis::MAX)),
-            Lapse::Refuse => OnLeaseExpiry::Refuse,
+            LeaseExpiryAction::Strict => OnLeaseExpiry::Strict(self.strict_for_ms.unwrap_or(Millis::MAX)),
+            LeaseExpiryAction::Refuse => OnLeaseExpiry::Refuse,
         };
         LeaseTiming {
             lease: self.lease_ms,
@@ -200,38 +200,39 @@
 }
 
 /// Returns the errors of the `[fleet]` table that the schema cannot express.
-pub(super) fn check(file: &Value) -> Vec<Mistake> {
+pub(super) fn check(file: &Value) -> Vec<ValidationError> {
     let Ok(table) = serde_json::from_value::<FleetTable>(file["fleet"].clone()) else { return Vec::new() };
-    let at =
-        |key: &str, why: String| Mistake::at(vec![Step::Key("fleet".into()), Step::Key(key.into())], why);
-    let mut mistakes = Vec::new();
+    let at = |key: &str, why: String| {
+        ValidationError::at(vec![Step::Key("fleet".into()), Step::Key(key.into())], why)
+    };
+    let mut errors = Vec::new();
     let known = |name: &str| table.peers.iter().any(|p| p.name == name);
     let names: Vec<&str> = table.peers.iter().map(|p| p.name.as_str()).collect();
     if let Some(twice) = names.iter().enumerate().find(|(i, n)| names[..*i].contains(*n)) {
-        mistakes.push(at("peers", format!("{:?} stands twice; each name may stand once", twice.1)));
+        errors.push(at("peers", format!("{:?} stands twice; each name may stand once", twice.1)));
     }
     match (&table.decider, &table.coordinator) {
         (Some(decider), None) if !known(decider) => {
             let why = format!("{decider:?} is not among fleet.peers; one of {names:?} is allowed");
-            mistakes.push(at("decider", why));
+            errors.push(at("decider", why));
         }
         (Some(_), Some(_)) => {
             let why = "not allowed beside fleet.decider: it elects the one that decides; one of the two is";
-            mistakes.push(at("coordinator", why.into()));
+            errors.push(at("coordinator", why.into()));
         }
         (None, None) => {
             let why = "missing, and so is fleet.coordinator; one of the two must say who decides";
-            mistakes.push(at("decider", why.into()));
+            errors.push(at("decider", why.into()));
         }
         (None, Some(_)) if table.path.is_none() => {
             let why = "missing beside fleet.coordinator; a folder as \"/limiters/fleet\" is wanted";
-            mistakes.push(at("path", why.into()));
+            errors.push(at("path", why.into()));
         }
         (None, Some(_)) | (Some(_), None) => {}
     }
     for (key, given) in [("path", &table.path), ("auth", &table.auth)] {
         if given.is_some() && table.coordinator.is_none() {
-            mistakes.push(at(key, "allowed beside fleet.coordinator only".into()));
+            errors.push(at(key, "allowed beside fleet.coordinator only".into()));
         }
     }
     let me = file["name"].as_str().unwrap_or("oatbank");
@@ -239,12 +240,12 @@
         let why = format!(
             "this limiter's name, {me:?}, is not among them; it must be, as the others' files have it"
         );
-        mistakes.push(at("peers", why));
+        errors.push(at("peers", why));
     }
     if let Err(broken) = table.timing().check() {
-        mistakes.push(at(broken.key, broken.why));
+        errors.push(at(broken.key, broken.why));
     }
-    mistakes
+    errors
 }
 
 /// A file split into rules and other keys; a revision of the fleet replaces the rules.
@@ -265,7 +266,7 @@
     ) -> Result<(Config, Base), ConfigError> {
         let text = std::fs::read_to_string(path).map_err(ConfigError::Unreadable)?;
         let read = text::Read::new(&text, variables).map_err(|e| ConfigError::Malformed(Box::new(e)))?;
-        let config = Config::made(read.value.clone(), read.mistakes, &read.places)?;
+        let config = Config::from_value(read.value.clone(), read.errors, &read.places)?;
         let Value::Object(all) = read.value else { return Ok((config, Base::default())) };
         let (rules, own) = all.into_iter().partition(|(key, _)| RULES.contains(&key.as_str()));
         Ok((config, Base { own, rules }))
@@ -297,14 +298,14 @@
         let read =
             text::Read::new(text, std::iter::empty()).map_err(|e| ConfigError::Malformed(Box::new(e)))?;
         let mut value = self.own.clone();
-        let mut mistakes = read.mistakes;
+        let mut errors = read.errors;
         for (key, rule) in read.value.as_object().into_iter().flatten() {
             if !RULES.contains(&key.as_str()) {
                 let why = format!("no rule of a fleet; {} are allowed", RULES.join(", "));
-                mistakes.push(Mistake::at(vec![Step::Key(key.clone())], why));
+                errors.push(ValidationError::at(vec![Step::Key(key.clone())], why));
             }
             value.insert(key.clone(), rule.clone());
         }
-        Config::made(Value::Object(value), mistakes, &read.places)
+        Config::from_value(Value::Object(value), errors, &read.places)
     }
 }
--- a/crates/engine/src/config/mod.rs
+++ b/crates/engine/src/config/mod.rs
@@ -28,17 +28,17 @@
 //! | `file` | structure of the file, from which its JSON Schema is generated; conversion to engine settings |
 //! | `fleet` | the `[fleet]` table, and configurations whose rules come from the fleet |
 //! | `rules` | checks that involve several keys |
-//! | `mistake` | validation against the schema, and validation errors |
+//! | `validation` | validation against the schema, and validation errors |
 
 mod file;
 mod fleet;
-mod mistake;
 mod rules;
 mod text;
+mod validation;
 
 pub use file::{FileServers, ZooKeeper};
 pub use fleet::{Base, CoordinatorFolder, Fleet, FleetPeer, RULES};
-pub use mistake::{Mistake, Place};
+pub use validation::{Place, ValidationError};
 
 use crate::engine::Setup;
 use crate::ports::membership::Member;
@@ -59,14 +59,14 @@
     /// The text is not valid TOML; the message names line and column.
     Malformed(Box<toml::de::Error>),
     /// All keys that are unknown, missing or invalid.
-    Invalid(Vec<Mistake>),
+    Invalid(Vec<ValidationError>),
 }
 
 impl ConfigError {
     /// Returns one line for each error, each with the file's name.
     pub fn lines(&self, file: &str) -> Vec<String> {
         match self {
-            ConfigError::Invalid(mistakes) => mistakes.iter().map(|m| m.line(file)).collect(),
+            ConfigError::Invalid(errors) => errors.iter().map(|m| m.line(file)).collect(),
             other => vec![format!("{file}: {other}")],
         }
     }
@@ -77,8 +77,8 @@
         match self {
             ConfigError::Unreadable(e) => write!(f, "{e}"),
             ConfigError::Malformed(e) => write!(f, "{}", e.to_string().trim_end()),
-            ConfigError::Invalid(mistakes) => {
-                let told: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
+            ConfigError::Invalid(errors) => {
+                let told: Vec<String> = errors.iter().map(ToString::to_string).collect();
                 write!(f, "{}", told.join("; "))
             }
         }
@@ -160,24 +160,28 @@
 
     fn read(text: &str, variables: impl Iterator<Item = (String, String)>) -> Result<Config, ConfigError> {
         let read = text::Read::new(text, variables).map_err(|e| ConfigError::Malformed(Box::new(e)))?;
-        Config::made(read.value.clone(), read.mistakes, &read.places)
+        Config::from_value(read.value.clone(), read.errors, &read.places)
     }
 
-    /// Validates a value and converts it to a configuration. `mistakes` are errors found earlier.
-    fn made(value: Value, mut mistakes: Vec<Mistake>, places: &text::Places) -> Result<Config, ConfigError> {
-        mistakes.extend(mistake::against(&file::schema(), &value));
-        rules::check(&value, &mut mistakes);
-        if mistakes.is_empty() {
+    /// Validates a value and converts it to a configuration. `errors` holds those found earlier.
+    fn from_value(
+        value: Value,
+        mut errors: Vec<ValidationError>,
+        places: &text::Places,
+    ) -> Result<Config, ConfigError> {
+        errors.extend(validation::validate(&file::schema(), &value));
+        rules::check(&value, &mut errors);
+        if errors.is_empty() {
             match serde_json::from_value::<file::File>(value).map_err(|e| e.to_string()) {
                 Ok(file) => return file.config().map_err(|m| ConfigError::Invalid(vec![m])),
-                Err(why) => mistakes.push(Mistake::at(Vec::new(), why)),
+                Err(why) => errors.push(ValidationError::at(Vec::new(), why)),
             }
         }
-        for mistake in &mut mistakes {
-            mistake.place = places.of(&mistake.path);
+        for error in &mut errors {
+            error.place = places.of(&error.path);
         }
-        mistakes.sort_by(|a, b| a.place.cmp(&b.place));
-        Err(ConfigError::Invalid(mistakes))
+        errors.sort_by(|a, b| a.place.cmp(&b.place));
+        Err(ConfigError::Invalid(errors))
     }
 
     /// Returns the JSON Schema (2020-12) of the file.
--- a/crates/engine/src/config/rules.rs
+++ b/crates/engine/src/config/rules.rs
@@ -1,13 +1,13 @@
 //! Checks beyond the schema: conditions between keys, and texts that must parse as an address or a counter.
 
-use super::mistake::{below, Mistake, Step};
+use super::validation::{below, Step, ValidationError};
 use super::CounterKind;
 use serde_json::Value;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
 /// Adds the errors that the schema cannot express. Values of a wrong type are skipped, as the schema reports them.
-pub(super) fn check(file: &Value, mistakes: &mut Vec<Mistake>) {
+pub(super) fn check(file: &Value, errors: &mut Vec<ValidationError>) {
     let all = [
         once(file, "zones", None),
         once(file, "servers", Some("id")),
@@ -24,7 +24,7 @@
         register(file),
         super::fleet::check(file),
     ];
-    mistakes.extend(all.into_iter().flatten());
+    errors.extend(all.into_iter().flatten());
 }
 
 /// Iterates over the elements of a list in the file, with the path to each.
@@ -33,78 +33,86 @@
     list.iter().enumerate().map(move |(i, e)| (vec![Step::Key(of.into()), Step::Element(i)], e))
 }
 
-fn each(file: &Value, of: &str, rule: impl Fn(&[Step], &Value) -> Vec<Mistake>) -> Vec<Mistake> {
+fn each(
+    file: &Value,
+    of: &str,
+    rule: impl Fn(&[Step], &Value) -> Vec<ValidationError>,
+) -> Vec<ValidationError> {
     elements(file, of).flat_map(|(path, element)| rule(&path, element)).collect()
 }
 
 /// Checks that each name in a list is unique.
-fn once(file: &Value, of: &str, key: Option<&str>) -> Vec<Mistake> {
+fn once(file: &Value, of: &str, key: Option<&str>) -> Vec<ValidationError> {
     let mut seen = HashSet::new();
-    let mut mistakes = Vec::new();
+    let mut errors = Vec::new();
     for (path, element) in elements(file, of) {
         let Some(name) = key.map_or(element, |k| &element[k]).as_str() else { continue };
         if !seen.insert(name) {
             let path = key.map_or(path.clone(), |k| below(&path, k));
-            mistakes.push(Mistake::at(path, format!("{name:?} stands twice; each name may stand once")));
+            errors
+                .push(ValidationError::at(path, format!("{name:?} stands twice; each name may stand once")));
         }
     }
-    mistakes
+    errors
 }
 
 /// Checks that `key` of `element` is at least `least`, or over 0 if `least` is 0. `reason` is part of the message.
-fn at_least(path: &[Step], element: &Value, key: &str, least: f64, reason: &str) -> Option<Mistake> {
+fn at_least(path: &[Step], element: &Value, key: &str, least: f64, reason: &str) -> Option<ValidationError> {
     let found = element.get(key).map_or(Some(0.0), Value::as_f64)?;
     let low = found < least || least == 0.0 && found == 0.0;
     let bound = if least == 0.0 { "over 0".into() } else { format!("from {least}") };
     low.then(|| {
-        Mistake::at(below(path, key), format!("{found} is not allowed {reason}; a number {bound} is"))
+        ValidationError::at(below(path, key), format!("{found} is not allowed {reason}; a number {bound} is"))
     })
 }
 
-fn class(path: &[Step], class: &Value) -> Vec<Mistake> {
-    let mut mistakes = Vec::new();
+fn class(path: &[Step], class: &Value) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
     if let (Some(aim), Some(_)) = (class["aim_ms"].as_f64(), class["deadline_ms"].as_f64()) {
-        mistakes.extend(at_least(path, class, "deadline_ms", aim.max(1.0), "beside its aim_ms"));
+        errors.extend(at_least(path, class, "deadline_ms", aim.max(1.0), "beside its aim_ms"));
     }
     if class["repeat"] == "keyed" {
-        mistakes.extend(at_least(path, class, "key_window_ms", 1.0, "where repeat is \"keyed\""));
+        errors.extend(at_least(path, class, "key_window_ms", 1.0, "where repeat is \"keyed\""));
     }
-    mistakes
+    errors
 }
 
-fn plan(path: &[Step], plan: &Value) -> Vec<Mistake> {
-    let mut mistakes = Vec::new();
+fn plan(path: &[Step], plan: &Value) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
     for (rate, burst) in [("rate", "burst"), ("ceiling_rate", "ceiling_burst")] {
         if plan[rate].as_f64().is_some_and(|r| r > 0.0) {
-            mistakes.extend(at_least(path, plan, burst, 0.0, &format!("where there is a {rate}")));
+            errors.extend(at_least(path, plan, burst, 0.0, &format!("where there is a {rate}")));
         }
     }
-    mistakes
+    errors
 }
 
-fn here(path: &[Step], server: &Value, file: &Value) -> Vec<Mistake> {
+fn here(path: &[Step], server: &Value, file: &Value) -> Vec<ValidationError> {
     [zone(file, path, &server["zone"]), address(server, path, "address")].concat()
 }
 
-fn zone(file: &Value, path: &[Step], zone: &Value) -> Vec<Mistake> {
+fn zone(file: &Value, path: &[Step], zone: &Value) -> Vec<ValidationError> {
     let Some(name) = zone.as_str().filter(|z| !z.is_empty()) else { return Vec::new() };
     let mut zones = file["zones"].as_array().into_iter().flatten();
     if zones.any(|z| z == name) {
         return Vec::new();
     }
-    vec![Mistake::at(below(path, "zone"), format!("{name:?} is not among zones; one of them is allowed"))]
+    vec![ValidationError::at(
+        below(path, "zone"),
+        format!("{name:?} is not among zones; one of them is allowed"),
+    )]
 }
 
-fn address(table: &Value, path: &[Step], key: &str) -> Vec<Mistake> {
+fn address(table: &Value, path: &[Step], key: &str) -> Vec<ValidationError> {
     let Some(text) = table[key].as_str() else { return Vec::new() };
     if text.parse::<SocketAddr>().is_ok() {
         return Vec::new();
     }
     let allowed = "an address in figures with its port, \"10.0.0.1:8000\", is";
-    vec![Mistake::at(below(path, key), format!("{text:?} is not allowed; {allowed}"))]
+    vec![ValidationError::at(below(path, key), format!("{text:?} is not allowed; {allowed}"))]
 }
 
-fn counter(file: &Value) -> Vec<Mistake> {
+fn counter(file: &Value) -> Vec<ValidationError> {
     let Some(text) = file.get("counter").map_or(Some("local"), Value::as_str) else { return Vec::new() };
     let shared = file["limiters"].as_f64().is_some_and(|n| n > 1.0);
     let why = match CounterKind::parse(text) {
@@ -115,26 +123,26 @@
         }
         Some(_) => return Vec::new(),
     };
-    vec![Mistake::at(below(&[], "counter"), why)]
+    vec![ValidationError::at(below(&[], "counter"), why)]
 }
 
 /// Checks that the limiter's name is valid as a node name, and that limiters do not register in the servers' folder.
-fn register(file: &Value) -> Vec<Mistake> {
+fn register(file: &Value) -> Vec<ValidationError> {
     let members = &file["members"];
     let Some(folder) = members["register"].as_str() else { return Vec::new() };
-    let mut mistakes = Vec::new();
+    let mut errors = Vec::new();
     if members["path"] == folder {
         let why = "the engines' folder is not allowed; one of the limiters' own is";
-        mistakes.push(Mistake::at(below(&[members_step()], "register"), why));
+        errors.push(ValidationError::at(below(&[members_step()], "register"), why));
     }
     let name = file["name"].as_str().unwrap_or("oatbank");
     let plain = |c: char| c.is_ascii_graphic() && c != '/';
     if name.is_empty() || name.len() > 64 || !name.chars().all(plain) {
         let why =
             format!("{name:?} cannot be registered; 1 to 64 printable characters without '/' are allowed");
-        mistakes.push(Mistake::at(below(&[], "name"), why));
+        errors.push(ValidationError::at(below(&[], "name"), why));
     }
-    mistakes
+    errors
 }
 
 fn members_step() -> Step {
--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -34,18 +34,20 @@
 fn assert_agrees_with_jsonschema(text: &str) {
     let Ok(read) = text::Read::new(text, std::iter::empty()) else { return };
     let schema = Config::schema();
-    let pointer = |path: &[mistake::Step]| {
-        let step = |s: &mistake::Step| match s {
-            mistake::Step::Key(name) => format!("/{name}"),
-            mistake::Step::Element(i) => format!("/{i}"),
+    let pointer = |path: &[validation::Step]| {
+        let step = |s: &validation::Step| match s {
+            validation::Step::Key(name) => format!("/{name}"),
+            validation::Step::Element(i) => format!("/{i}"),
         };
         path.iter().map(step).collect::<String>()
     };
-    let at = |m: &Mistake| match m.allowed.starts_with("missing") || m.allowed.starts_with("no such key") {
+    let at = |m: &ValidationError| match m.allowed.starts_with("missing")
+        || m.allowed.starts_with("no such key")
+    {
         true => pointer(&m.path[..m.path.len() - 1]),
         false => pointer(&m.path),
     };
-    let mut ours: Vec<String> = mistake::against(&schema, &read.value).iter().map(at).collect();
+    let mut ours: Vec<String> = validation::validate(&schema, &read.value).iter().map(at).collect();
     let validator = jsonschema::validator_for(&schema).expect("a schema");
     let mut theirs: Vec<String> =
         validator.iter_errors(&read.value).map(|e| e.instance_path().as_str().to_owned()).collect();
@@ -178,7 +180,7 @@
 fn the_example_matches_the_schema_and_the_schema_is_valid() {
     let text = include_str!("../../../../deploy/standalone.toml");
     let example: serde_json::Value = toml::from_str(text).expect("TOML");
-    assert_eq!(mistake::against(&Config::schema(), &example), []);
+    assert_eq!(validation::validate(&Config::schema(), &example), []);
     Config::parse(text).expect("the example");
     let schema = Config::schema();
     assert!(jsonschema::meta::is_valid(&schema));
--- a/crates/engine/src/config/text.rs
+++ b/crates/engine/src/config/text.rs
@@ -1,7 +1,7 @@
 //! Parses the text of a configuration into a value with the location of each key, and applies overrides by environment
 //! variables.
 
-use super::mistake::{Mistake, Place, Step};
+use super::validation::{Place, Step, ValidationError};
 use super::OVERRIDE;
 use serde_json::{Map, Number, Value};
 use toml::de::{DeTable, DeValue};
@@ -11,7 +11,7 @@
 pub(super) struct Read<'t> {
     pub(super) value: Value,
     pub(super) places: Places<'t>,
-    pub(super) mistakes: Vec<Mistake>,
+    pub(super) errors: Vec<ValidationError>,
 }
 
 impl<'t> Read<'t> {
@@ -21,7 +21,7 @@
     ) -> Result<Self, toml::de::Error> {
         let mut value = json(toml::Value::Table(toml::from_str(text)?));
         let mut places = Places { text, table: DeTable::parse(text)?, overridden: Vec::new() };
-        let mut mistakes = Vec::new();
+        let mut errors = Vec::new();
         // Sorted, as the system's order is arbitrary: one variable may add an array element and the next may fill it.
         let mut variables: Vec<(String, String)> =
             variables.filter(|(name, _)| name.starts_with(OVERRIDE)).collect();
@@ -29,11 +29,11 @@
         for (name, said) in variables {
             let path = steps(&name[OVERRIDE.len()..]);
             if let Err(why) = put(&mut value, &path, scalar(&said)) {
-                mistakes.push(Mistake::at(path.clone(), why));
+                errors.push(ValidationError::at(path.clone(), why));
             }
             places.overridden.push((path, name));
         }
-        Ok(Read { value, places, mistakes })
+        Ok(Read { value, places, errors })
     }
 }
 
--- a/crates/engine/src/config/mistake.rs
+++ b/crates/engine/src/config/validation.rs
@@ -26,7 +26,7 @@
 
 /// An invalid, unknown or missing key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct ValidationError {
     /// Location of the key.
     pub place: Place,
     /// Path to the key.
@@ -35,9 +35,9 @@
     pub allowed: String,
 }
 
-impl Mistake {
+impl ValidationError {
     pub(super) fn at(path: Vec<Step>, allowed: impl Into<String>) -> Self {
-        Mistake { place: Place::Nowhere, path, allowed: allowed.into() }
+        ValidationError { place: Place::Nowhere, path, allowed: allowed.into() }
     }
 
     /// Formats the path, for example `plans[0].rate`.
@@ -63,7 +63,7 @@
     }
 }
 
-impl std::fmt::Display for Mistake {
+impl std::fmt::Display for ValidationError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match &self.place {
             Place::Line(n) => write!(f, "line {n}, ")?,
@@ -82,15 +82,15 @@
 /// Validates a value and returns all errors. Supports only the schema keywords that [`super::file`] generates. A test
 /// compares the result with the `jsonschema` crate, which is not linked here because it would add more than the rest of
 /// the program (5 MB).
-pub(super) fn against(schema: &Value, value: &Value) -> Vec<Mistake> {
-    let mut mistakes = Vec::new();
-    walk(schema, value, &[], &mut mistakes);
-    mistakes
+pub(super) fn validate(schema: &Value, value: &Value) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
+    walk(schema, value, &[], &mut errors);
+    errors
 }
 
-fn walk(schema: &Value, value: &Value, path: &[Step], mistakes: &mut Vec<Mistake>) {
+fn walk(schema: &Value, value: &Value, path: &[Step], errors: &mut Vec<ValidationError>) {
     if let Some(why) = scalar(schema, value) {
-        return mistakes.push(Mistake::at(path.to_vec(), why));
+        return errors.push(ValidationError::at(path.to_vec(), why));
     }
     match value {
         Value::Object(table) => {
@@ -98,20 +98,21 @@
             for key in schema["required"].as_array().into_iter().flatten().filter_map(Value::as_str) {
                 if !table.contains_key(key) {
                     let needed = known(key).map_or(String::new(), meaning);
-                    mistakes.push(Mistake::at(below(path, key), format!("missing; needed is {needed}")));
+                    errors
+                        .push(ValidationError::at(below(path, key), format!("missing; needed is {needed}")));
                 }
             }
             for (key, value) in table {
                 match known(key) {
-                    Some(schema) => walk(schema, value, &below(path, key), mistakes),
-                    None => mistakes.push(unknown(schema, path, key)),
+                    Some(schema) => walk(schema, value, &below(path, key), errors),
+                    None => errors.push(unknown(schema, path, key)),
                 }
             }
         }
         Value::Array(elements) => {
             for (i, element) in elements.iter().enumerate() {
                 let path: Vec<Step> = path.iter().cloned().chain([Step::Element(i)]).collect();
-                walk(&schema["items"], element, &path, mistakes);
+                walk(&schema["items"], element, &path, errors);
             }
         }
         _ => {}
@@ -171,10 +172,10 @@
     text.chars().take(57).chain("...".chars()).collect()
 }
 
-fn unknown(around: &Value, path: &[Step], key: &str) -> Mistake {
+fn unknown(around: &Value, path: &[Step], key: &str) -> ValidationError {
     let known = around["properties"].as_object();
     let known: Vec<&str> = known.into_iter().flat_map(|p| p.keys().map(String::as_str)).collect();
-    Mistake::at(below(path, key), format!("no such key; allowed are {}", known.join(", ")))
+    ValidationError::at(below(path, key), format!("no such key; allowed are {}", known.join(", ")))
 }
 
 /// Returns the schema's description of a key, for use within a sentence.
--- a/crates/engine/src/counters/local.rs
+++ b/crates/engine/src/counters/local.rs
@@ -10,9 +10,9 @@
 
 /// Most counter names kept; beyond it calls with new names end as busy until others expire. Bounds the memory that a
 /// flood of names takes. Suffices for half a million accounts with two names each.
-const MOST_NAMES: usize = 1 << 20;
+const MAX_NAMES: usize = 1 << 20;
 /// Interval between purges of expired names, ms.
-const PURGE_EVERY: Millis = 5000.0;
+const PURGE_INTERVAL: Millis = 5000.0;
 
 #[derive(Debug, Default)]
 struct Sums {
@@ -23,11 +23,11 @@
 
 impl Sums {
     fn add(&mut self, now: Millis, call: &Call) -> CallEnd {
-        if now - self.purged >= PURGE_EVERY {
+        if now - self.purged >= PURGE_INTERVAL {
             self.purged = now;
             self.sums.retain(|_, (_, ends)| *ends > now);
         }
-        let full = self.sums.len() >= MOST_NAMES;
+        let full = self.sums.len() >= MAX_NAMES;
         match self.sums.get_mut(&call.name) {
             Some((total, ends)) if *ends > now => {
                 *total += call.add;
@@ -47,7 +47,7 @@
 pub struct CounterTotals(Arc<Mutex<Sums>>);
 
 impl CounterTotals {
-    /// Adds to a total and returns the new total, or [`CallEnd::Busy`] for a new name when [`MOST_NAMES`] are kept.
+    /// Adds to a total and returns the new total, or [`CallEnd::Busy`] for a new name when [`MAX_NAMES`] are kept.
     pub fn add(&self, now: Millis, call: &Call) -> CallEnd {
         // Each total is changed in one step, so a poisoned lock holds consistent totals.
         self.0.lock().unwrap_or_else(PoisonError::into_inner).add(now, call)
@@ -56,10 +56,10 @@
     /// Returns all unexpired names with their totals, sorted by name.
     pub fn snapshot(&self, now: Millis) -> Vec<(CountName, f64)> {
         let sums = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let living = sums.sums.iter().filter(|(_, (_, ends))| *ends > now);
-        let mut book: Vec<_> = living.map(|(name, (total, _))| (*name, *total)).collect();
-        book.sort_by_key(|(name, _)| *name);
-        book
+        let unexpired = sums.sums.iter().filter(|(_, (_, ends))| *ends > now);
+        let mut totals: Vec<_> = unexpired.map(|(name, (total, _))| (*name, *total)).collect();
+        totals.sort_by_key(|(name, _)| *name);
+        totals
     }
 }
 
--- a/crates/engine/src/counters/local/tests.rs
+++ b/crates/engine/src/counters/local/tests.rs
@@ -23,7 +23,7 @@
 #[test]
 fn new_names_beyond_the_limit_are_refused_and_known_names_still_count() {
     let mut sums = Sums::default();
-    for name in 0..MOST_NAMES as u64 {
+    for name in 0..MAX_NAMES as u64 {
         sums.add(1.0, &call(name, 1.0));
     }
     assert_eq!(sums.add(2.0, &call(u64::MAX, 1.0)), CallEnd::Busy);
--- a/crates/engine/src/counters/text.rs
+++ b/crates/engine/src/counters/text.rs
@@ -40,7 +40,7 @@
     call: Option<CallId>,
     at: Millis,
     /// Offset of the end of its line among all bytes ever queued on the connection.
-    ends: u64,
+    line_end: u64,
 }
 
 #[derive(Default)]
@@ -53,7 +53,7 @@
 
 /// State of one established connection.
 #[derive(Default)]
-struct Link {
+struct Connection {
     queue: RefCell<Queue>,
     wake: Notify,
     received: Cell<bool>,
@@ -65,14 +65,14 @@
     dead: Cell<bool>,
 }
 
-impl Link {
+impl Connection {
     fn push(&self, call: Option<CallId>, at: Millis, line: &[u8]) {
         self.last_queued.set(at);
         let mut queue = self.queue.borrow_mut();
         queue.out.extend_from_slice(line);
         queue.queued += line.len() as u64;
-        let ends = queue.queued;
-        queue.pending.push_back(PendingReply { call, at, ends });
+        let line_end = queue.queued;
+        queue.pending.push_back(PendingReply { call, at, line_end });
         self.wake.notify_one();
     }
 
@@ -87,8 +87,8 @@
     clock: Rc<dyn Clock>,
     ends: CallEndSink,
     address: Cell<Option<SocketAddr>>,
-    links: RefCell<[Option<Rc<Link>>; CONNECTIONS]>,
-    moved: [Notify; CONNECTIONS],
+    connections: RefCell<[Option<Rc<Connection>>; CONNECTIONS]>,
+    address_changed: [Notify; CONNECTIONS],
 }
 
 impl TextCounter {
@@ -99,12 +99,12 @@
             clock,
             ends,
             address: Cell::new(address),
-            links: RefCell::default(),
-            moved: std::array::from_fn(|_| Notify::new()),
+            connections: RefCell::default(),
+            address_changed: std::array::from_fn(|_| Notify::new()),
         });
         for index in 0..CONNECTIONS {
             let counter = counter.clone();
-            keep_running("counter", move || keep(counter.clone(), index));
+            keep_running("counter", move || keep_connected(counter.clone(), index));
         }
         counter
     }
@@ -113,37 +113,39 @@
     /// pending, so a call is neither lost nor sent twice.
     pub fn move_to(&self, address: Option<SocketAddr>) {
         if self.address.replace(address) != address {
-            self.moved.iter().for_each(Notify::notify_one);
+            self.address_changed.iter().for_each(Notify::notify_one);
         }
     }
 }
 
 impl Counter for TextCounter {
     fn begin(&self, call: Call) -> Result<(), CallEnd> {
-        let links = self.links.borrow();
+        let connections = self.connections.borrow();
         let first = (call.name.0 % CONNECTIONS as u64) as usize;
         // While the name's own connection is down its calls use another: otherwise one reset connection would look
         // like an unreachable counter.
-        let standing = (0..CONNECTIONS).filter_map(|i| links[(first + i) % CONNECTIONS].as_ref());
-        let link = standing.into_iter().find(|l| !l.dead.get()).ok_or(CallEnd::Unreachable)?;
-        if link.queue.borrow().pending.len() >= MAX_PENDING_REPLIES {
+        let standing = (0..CONNECTIONS).filter_map(|i| connections[(first + i) % CONNECTIONS].as_ref());
+        let connection = standing.into_iter().find(|l| !l.dead.get()).ok_or(CallEnd::Unreachable)?;
+        if connection.queue.borrow().pending.len() >= MAX_PENDING_REPLIES {
             return Err(CallEnd::Unreachable);
         }
         let line = format!("bump {:016x} {} {}\r\n", call.name.0, call.add, (call.ttl as u64).max(1));
-        link.push(Some(call.id), self.clock.now(), line.as_bytes());
+        connection.push(Some(call.id), self.clock.now(), line.as_bytes());
         Ok(())
     }
 
     /// Closes connections whose oldest reply is overdue and sends a ping on idle ones.
     fn upkeep(&self, now: Millis) {
-        for link in self.links.borrow().iter().flatten() {
-            let oldest = link.queue.borrow().pending.front().map(|o| now - o.at);
+        for connection in self.connections.borrow().iter().flatten() {
+            let oldest = connection.queue.borrow().pending.front().map(|o| now - o.at);
             match oldest {
                 Some(age) if age > REPLY_TIMEOUT.as_secs_f64() * 1000.0 => {
-                    link.dead.set(true);
-                    link.wake.notify_one();
+                    connection.dead.set(true);
+                    connection.wake.notify_one();
+                }
+                None if now - connection.last_queued.get() >= PING_INTERVAL => {
+                    connection.push(None, now, b"ping\r\n")
                 }
-                None if now - link.last_queued.get() >= PING_INTERVAL => link.push(None, now, b"ping\r\n"),
                 _ => {}
             }
         }
@@ -151,26 +153,26 @@
 }
 
 /// Keeps the connection at `index` open; does not return.
-async fn keep(counter: Rc<TextCounter>, index: usize) {
+async fn keep_connected(counter: Rc<TextCounter>, index: usize) {
     let mut pause = MIN_RECONNECT_DELAY;
     loop {
         let Some(address) = counter.address.get() else {
-            counter.moved[index].notified().await;
+            counter.address_changed[index].notified().await;
             continue;
         };
         if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             // With Nagle's algorithm a call would wait for the acknowledgement of the one before.
             let _ = stream.set_nodelay(true);
-            let (up, link) = (Instant::now(), Rc::new(Link::default()));
-            if let Some(before) = counter.links.borrow_mut()[index].replace(link.clone()) {
+            let (up, connection) = (Instant::now(), Rc::new(Connection::default()));
+            if let Some(before) = counter.connections.borrow_mut()[index].replace(connection.clone()) {
                 before.retire();
             }
-            let serving = tokio::task::spawn_local(serve(counter.clone(), stream, index, link.clone()));
+            let serving = tokio::task::spawn_local(serve(counter.clone(), stream, index, connection.clone()));
             tokio::select! {
                 _ = serving => {}
-                () = counter.moved[index].notified() => pause = MIN_RECONNECT_DELAY,
+                () = counter.address_changed[index].notified() => pause = MIN_RECONNECT_DELAY,
             }
-            if link.received.get() && up.elapsed() > MIN_RECONNECT_DELAY {
+            if connection.received.get() && up.elapsed() > MIN_RECONNECT_DELAY {
                 pause = MIN_RECONNECT_DELAY;
                 continue;
             }
@@ -185,20 +187,20 @@
 struct ConnectionGuard {
     counter: Rc<TextCounter>,
     index: usize,
-    link: Rc<Link>,
+    connection: Rc<Connection>,
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         {
-            let mut links = self.counter.links.borrow_mut();
-            if links[self.index].as_ref().is_some_and(|l| Rc::ptr_eq(l, &self.link)) {
-                links[self.index] = None;
+            let mut connections = self.counter.connections.borrow_mut();
+            if connections[self.index].as_ref().is_some_and(|l| Rc::ptr_eq(l, &self.connection)) {
+                connections[self.index] = None;
             }
         }
-        let queue = self.link.queue.take();
+        let queue = self.connection.queue.take();
         for o in queue.pending {
-            let end = if o.ends <= queue.written { CallEnd::Unknown } else { CallEnd::Unreachable };
+            let end = if o.line_end <= queue.written { CallEnd::Unknown } else { CallEnd::Unreachable };
             if let Some(call) = o.call {
                 (self.counter.ends)(call, end);
             }
@@ -206,9 +208,9 @@
     }
 }
 
-async fn serve(counter: Rc<TextCounter>, stream: TcpStream, index: usize, link: Rc<Link>) {
-    let guard = ConnectionGuard { counter, index, link };
-    if let Err(e) = exchange(&guard.counter, stream, &guard.link).await {
+async fn serve(counter: Rc<TextCounter>, stream: TcpStream, index: usize, connection: Rc<Connection>) {
+    let guard = ConnectionGuard { counter, index, connection };
+    if let Err(e) = exchange(&guard.counter, stream, &guard.connection).await {
         tracing::warn!("counter: connection {index} lost: {e}");
     }
 }
@@ -217,39 +219,43 @@
 ///
 /// # Errors
 /// The reason why the connection cannot be used any longer.
-async fn exchange(counter: &TextCounter, mut stream: TcpStream, link: &Link) -> Result<(), String> {
+async fn exchange(
+    counter: &TextCounter,
+    mut stream: TcpStream,
+    connection: &Connection,
+) -> Result<(), String> {
     let (mut reader, mut writer) = stream.split();
     let mut line = Vec::new();
-    let mut piece = [0u8; 2048];
+    let mut buffer = [0u8; 2048];
     let mut out = Vec::new();
     loop {
         {
-            let mut queue = link.queue.borrow_mut();
+            let mut queue = connection.queue.borrow_mut();
             if out.is_empty() {
                 std::mem::swap(&mut out, &mut queue.out);
             }
-            if link.retired.get() && out.is_empty() && queue.pending.is_empty() {
+            if connection.retired.get() && out.is_empty() && queue.pending.is_empty() {
                 return Ok(());
             }
         }
-        if link.dead.get() {
+        if connection.dead.get() {
             return Err("no answer".into());
         }
         tokio::select! {
             sent = writer.write(&out), if !out.is_empty() => {
                 let n = sent.map_err(|e| e.to_string())?;
                 out.drain(..n);
-                link.queue.borrow_mut().written += n as u64;
+                connection.queue.borrow_mut().written += n as u64;
             }
-            got = reader.read(&mut piece) => {
+            got = reader.read(&mut buffer) => {
                 let n = got.map_err(|e| e.to_string())?;
                 if n == 0 {
                     return Err("closed".into());
                 }
-                link.received.set(true);
-                for byte in &piece[..n] {
+                connection.received.set(true);
+                for byte in &buffer[..n] {
                     if *byte == b'\n' {
-                        handle_line(counter, link, &line)?;
+                        handle_line(counter, connection, &line)?;
                         line.clear();
                     } else {
                         line.push(*byte);
@@ -259,8 +265,8 @@
                     }
                 }
             }
-            () = link.wake.notified() => {}
-            () = tokio::time::sleep(REPLY_TIMEOUT), if link.retired.get() => return Err("no answer".into()),
+            () = connection.wake.notified() => {}
+            () = tokio::time::sleep(REPLY_TIMEOUT), if connection.retired.get() => return Err("no answer".into()),
         }
     }
 }
@@ -270,7 +276,7 @@
 /// # Errors
 /// The line is not the reply that is due. The connection is then closed, and the result of the call whose reply was due
 /// is as unknown as that of the calls behind it.
-fn handle_line(counter: &TextCounter, link: &Link, line: &[u8]) -> Result<(), String> {
+fn handle_line(counter: &TextCounter, connection: &Connection, line: &[u8]) -> Result<(), String> {
     let text = std::str::from_utf8(line).unwrap_or("?").trim();
     let end = match text.split_once(' ').map_or((text, None), |(a, b)| (a, Some(b))) {
         ("ok", Some(total)) => match total.trim().parse::<f64>() {
@@ -281,12 +287,12 @@
         ("pong", None) => None,
         _ => return Err(format!("answered {text:?}")),
     };
-    let call = match link.queue.borrow().pending.front() {
+    let call = match connection.queue.borrow().pending.front() {
         Some(pending) if pending.call.is_none() == end.is_none() => pending.call,
         Some(_) => return Err(format!("answered {text:?} out of turn")),
         None => return Err(format!("answered {text:?} to no call")),
     };
-    link.queue.borrow_mut().pending.pop_front();
+    connection.queue.borrow_mut().pending.pop_front();
     if let (Some(call), Some(end)) = (call, end) {
         (counter.ends)(call, end);
     }
--- a/crates/engine/src/members/agent.rs
+++ b/crates/engine/src/members/agent.rs
@@ -154,22 +154,22 @@
     known: Option<u64>,
     seed: u64,
 ) {
-    let at_hand = !agent.on_request;
+    let has_cache = !agent.on_request;
     let host = agent.address.to_string();
-    let mut state = Follower { told, host, dial, at_hand, since: known, backoff: Backoff::new(seed) };
+    let mut state = Follower { told, host, dial, has_cache, since: known, backoff: Backoff::new(seed) };
     loop {
-        let Err(e) = state.round().await;
+        let Err(e) = state.watch().await;
         let why = if e.is::<Busy>() {
             // An overloaded agent serves other callers too, whatever the settings say.
-            state.at_hand = false;
+            state.has_cache = false;
             RetryCause::Busy
-        } else if e.is::<NoAnswer>() && state.at_hand {
-            RetryCause::Away
+        } else if e.is::<NoAnswer>() && state.has_cache {
+            RetryCause::Unreachable
         } else {
             RetryCause::Failed
         };
         let pause = state.backoff.next(why);
-        if why != RetryCause::Away || state.backoff.failures % UNREACHABLE_LOG_INTERVAL == 1 {
+        if why != RetryCause::Unreachable || state.backoff.failures % UNREACHABLE_LOG_INTERVAL == 1 {
             tracing::warn!("discovery: {e}; retry in {} ms", pause.as_millis());
         }
         sleep(pause).await;
@@ -208,7 +208,9 @@
 ///
 /// # Errors
 /// [`NoAnswer::Silent`] after that time, [`NoAnswer::Broken`] if `answer` failed.
-async fn soon<T, E: std::fmt::Display>(answer: impl Future<Output = Result<T, E>>) -> Result<T, NoAnswer> {
+async fn with_request_timeout<T, E: std::fmt::Display>(
+    answer: impl Future<Output = Result<T, E>>,
+) -> Result<T, NoAnswer> {
     let answer = timeout(REQUEST_TIMEOUT, answer).await.map_err(|_| NoAnswer::Silent)?;
     answer.map_err(|e| NoAnswer::Broken(e.to_string()))
 }
@@ -229,7 +231,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RetryCause {
     /// No response from an agent that caches all lists.
-    Away,
+    Unreachable,
     /// Any other failure.
     Failed,
     /// The agent is overloaded.
@@ -250,25 +252,25 @@
     /// Returns the delay after one more failure: doubled each time, times a random factor of 0.5 to 1.5.
     fn next(&mut self, why: RetryCause) -> Duration {
         let (first, longest) = match why {
-            RetryCause::Away => UNREACHABLE_DELAYS,
+            RetryCause::Unreachable => UNREACHABLE_DELAYS,
             RetryCause::Failed => RETRY_DELAYS,
             RetryCause::Busy => OVERLOAD_DELAYS,
         };
         let usual = first.saturating_mul(1 << self.failures.min(10)).min(longest);
         self.failures += 1;
-        usual.mul_f64(0.5 + self.chance())
+        usual.mul_f64(0.5 + self.random_fraction())
     }
 
     /// Returns the time to wait for a response before a second call is made.
-    fn fresh(&mut self) -> Duration {
-        UNREACHABLE_DELAYS.1.mul_f64(0.5 + self.chance())
+    fn hedge_delay(&mut self) -> Duration {
+        UNREACHABLE_DELAYS.1.mul_f64(0.5 + self.random_fraction())
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    fn over(&mut self) {
+    fn reset(&mut self) {
         if std::mem::take(&mut self.failures) > 0 {
             tracing::info!("discovery: agent responds again");
         }
@@ -281,7 +283,7 @@
     host: String,
     dial: D,
     /// Whether the agent caches all lists, as far as is known. Cleared when the agent reports overload.
-    at_hand: bool,
+    has_cache: bool,
     /// Last version received without a gap; `None` if the complete list must be read.
     since: Option<u64>,
     backoff: Backoff,
@@ -289,7 +291,7 @@
 
 impl<D> Follower<D> {
     /// Runs one watch; returns only on failure.
-    async fn round<S: Stream>(&mut self) -> Result<Infallible, Failure>
+    async fn watch<S: Stream>(&mut self) -> Result<Infallible, Failure>
     where
         D: Dial<S>,
     {
@@ -304,12 +306,12 @@
             let frame = timeout(WATCH_TIMEOUT, body.frame()).await.map_err(|_| "watch timed out")?;
             let frame = frame.ok_or("watch closed")??;
             let Ok(data) = frame.into_data() else { continue };
-            self.backoff.over();
+            self.backoff.reset();
             lines.push(&data);
             while let Some(line) = lines.next() {
                 // The changes of an invalid line are unknown, so the complete list must be read.
                 let list = serde_json::from_slice(&line).inspect_err(|_| self.since = None)?;
-                self.take(&list);
+                self.apply(&list);
             }
             if lines.rest.len() > MAX_RESPONSE_BYTES {
                 self.since = None;
@@ -324,10 +326,10 @@
     {
         let answer = self.ask("/v1/servers").await?;
         let body = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect();
-        let body = soon(body).await?;
+        let body = with_request_timeout(body).await?;
         let list: ServerList = serde_json::from_slice(&body.to_bytes())?;
-        self.backoff.over();
-        self.take(&ServerList { complete: true, ..list });
+        self.backoff.reset();
+        self.apply(&ServerList { complete: true, ..list });
         Ok(self.since.unwrap_or(0))
     }
 
@@ -339,10 +341,10 @@
     {
         let call = || get(&self.dial, &self.host, path);
         let mut first = pin!(call());
-        if !self.at_hand {
+        if !self.has_cache {
             return first.await;
         }
-        if let Ok(answer) = timeout(self.backoff.fresh(), &mut first).await {
+        if let Ok(answer) = timeout(self.backoff.hedge_delay(), &mut first).await {
             return answer;
         }
         loop {
@@ -355,14 +357,14 @@
                     }
                     answer => return answer,
                 },
-                beside = timeout(self.backoff.fresh(), call()) => if let Ok(answer) = beside {
+                hedge = timeout(self.backoff.hedge_delay(), call()) => if let Ok(answer) = hedge {
                     return answer;
                 },
             }
         }
     }
 
-    fn take(&mut self, list: &ServerList) {
+    fn apply(&mut self, list: &ServerList) {
         self.since = Some(list.revision);
         (self.told)(list.news());
     }
@@ -370,7 +372,7 @@
 
 /// Sends a GET request to the agent on a new connection.
 async fn get<S: Stream>(dial: &impl Dial<S>, host: &str, path: &str) -> Result<Response<Incoming>, Failure> {
-    let stream = soon(dial()).await?;
+    let stream = with_request_timeout(dial()).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::task::spawn_local(async move {
         if let Err(e) = connection.await {
@@ -378,7 +380,7 @@
         }
     });
     let request = Request::get(path).header("host", host).body(Empty::<Bytes>::new())?;
-    let answer = soon(sender.send_request(request)).await?;
+    let answer = with_request_timeout(sender.send_request(request)).await?;
     match answer.status() {
         StatusCode::OK => Ok(answer),
         busy @ (StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) => Err(Busy(busy).into()),
--- a/crates/engine/src/members/agent/tests.rs
+++ b/crates/engine/src/members/agent/tests.rs
@@ -53,7 +53,7 @@
 
 /// How an agent handles calls that reach it while discovery is down.
 #[derive(Clone, Copy, Debug)]
-enum Down {
+enum OutageMode {
     /// Accepts them and answers once discovery is back.
     Holds,
     /// Accepts them and never answers.
@@ -66,7 +66,7 @@
 
 /// Calls and notification of one follower during an outage.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     /// Calls that arrived while discovery was down.
     calls: Cell<u32>,
     /// Calls that are open.
@@ -84,15 +84,15 @@
 
 /// Fake agent of one limiter: it sends nothing from `down` to `back`, and from `back` on serves a list in which the server
 /// drains.
-struct StandIn {
-    how: Down,
+struct FakeAgent {
+    how: OutageMode,
     start: Instant,
     down: Duration,
     back: Duration,
-    seen: Rc<Seen>,
+    seen: Rc<Observed>,
 }
 
-impl StandIn {
+impl FakeAgent {
     fn is_down(&self) -> bool {
         (self.down..self.back).contains(&self.start.elapsed())
     }
@@ -101,7 +101,7 @@
         let seen = &self.seen;
         if self.is_down() {
             seen.calls.set(seen.calls.get() + 1);
-            if matches!(self.how, Down::Refuses) {
+            if matches!(self.how, OutageMode::Refuses) {
                 return Err(std::io::ErrorKind::ConnectionRefused.into());
             }
         }
@@ -128,9 +128,9 @@
         if self.is_down() {
             sleep_until(self.start + self.back).await;
             match self.how {
-                Down::Holds => {}
-                Down::BreaksOff | Down::Refuses => return,
-                Down::Forgets => std::future::pending().await,
+                OutageMode::Holds => {}
+                OutageMode::BreaksOff | OutageMode::Refuses => return,
+                OutageMode::Forgets => std::future::pending().await,
             }
         }
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -153,16 +153,16 @@
 }
 
 /// Runs one follower through an outage of 8 s on a paused clock.
-fn outage(how: Down, on_request: bool, seed: u64) -> Rc<Seen> {
+fn outage(how: OutageMode, on_request: bool, seed: u64) -> Rc<Observed> {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_time().start_paused(true).build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async move {
-        let seen = Rc::new(Seen::default());
+        let seen = Rc::new(Observed::default());
         let start = Instant::now();
         // The outage begins at any point between two keep-alive lines.
         let down = Duration::from_millis(5000 + seed * 37 % 2000);
         let back = down + Duration::from_secs(8);
-        let agent = Rc::new(StandIn { how, start, down, back, seen: seen.clone() });
+        let agent = Rc::new(FakeAgent { how, start, down, back, seen: seen.clone() });
         let (hears, dials) = (seen.clone(), agent.clone());
         let told: MembershipSink = Rc::new(move |news| {
             let (News::Complete(members) | News::Changes(members) | News::Remembered(members)) = news;
@@ -186,7 +186,7 @@
     // Guards against retry delays that outlast an outage. When 23 servers began to drain 0.1 s after discovery's return,
     // 177 of 294 limiters were in a delay of up to 1.5 s that had begun during the outage, and 57 to 85 requests went to
     // draining servers. The bound is half of the 250 ms that the drain rule allows.
-    for how in [Down::Holds, Down::Forgets, Down::BreaksOff, Down::Refuses] {
+    for how in [OutageMode::Holds, OutageMode::Forgets, OutageMode::BreaksOff, OutageMode::Refuses] {
         for seed in 0..200 {
             let seen = outage(how, false, seed);
             let late = seen.told.get().expect("told");
@@ -203,7 +203,7 @@
 #[test]
 fn a_silent_shared_discovery_gets_one_call_at_a_time() {
     for seed in 0..50 {
-        let seen = outage(Down::Holds, true, seed);
+        let seen = outage(OutageMode::Holds, true, seed);
         assert!(seen.told.get().expect("told") <= Duration::from_millis(1500));
         assert!(seen.calls.get() <= 8, "seed {seed}: {} calls in 8 s", seen.calls.get());
         assert_eq!(seen.most_open.get(), 1);
--- a/crates/engine/src/upstreams/http1.rs
+++ b/crates/engine/src/upstreams/http1.rs
@@ -36,18 +36,18 @@
 use tokio::task::AbortHandle;
 
 /// A streamed response is aborted after this time without data from the server, or without the client reading any.
-const STALL: Duration = Duration::from_secs(10);
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Buffer size of a server connection, bytes; bounds the response head.
-const BUFFER: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 /// Largest valid value in a load report: far above any server's queue or utilization.
-const MOST_LOAD: f64 = 10_000.0;
+const MAX_LOAD: f64 = 10_000.0;
 /// Share of the servers' idle timeout after which an idle connection is closed here: well before the server closes it,
 /// as a request sent while the server closes is lost.
 const IDLE_SHARE: f64 = 0.6;
 
 /// Idle connections of a server that takes no new requests are kept this long, ms, in case it returns: a member whose
 /// session flaps is the same process, and a restarted process has closed them.
-const KEEP_OVER_FLAP: Millis = 1000.0;
+const PARKED_IDLE_TIMEOUT: Millis = 1000.0;
 
 /// Sets the headers of requests, interprets the heads of responses and limits their bodies.
 ///
@@ -61,7 +61,7 @@
     fn address(&self, job: &AttemptJob<Forward>, headers: &mut HeaderMap);
 
     /// Classifies a response by its head.
-    fn judge(&self, job: &AttemptJob<Forward>, head: &Parts) -> Verdict;
+    fn classify(&self, job: &AttemptJob<Forward>, head: &Parts) -> Verdict;
 
     /// Builds the answer for the client.
     fn answer(&self, head: Parts, body: Body) -> Self::Answer;
@@ -94,7 +94,7 @@
     /// Outcome of the attempt once the response is complete.
     pub outcome: Outcome,
     /// Whether the response is unusable: its body is not read and its connection is closed.
-    pub spoilt: bool,
+    pub unusable: bool,
     /// Whether the response may be passed to the client. With [`Outcome::Error`] it is used only if no attempt gives a
     /// better one.
     pub given: bool,
@@ -107,12 +107,12 @@
 impl Verdict {
     /// A usable response with a body, passed to the client if `outcome` is [`Outcome::Ok`].
     pub fn new(outcome: Outcome) -> Self {
-        Verdict { outcome, spoilt: false, given: outcome == Outcome::Ok, bodiless: false, keeps: None }
+        Verdict { outcome, unusable: false, given: outcome == Outcome::Ok, bodiless: false, keeps: None }
     }
 
     /// An unusable response.
-    pub fn spoilt(outcome: Outcome) -> Self {
-        Verdict { spoilt: true, given: false, ..Verdict::new(outcome) }
+    pub fn unusable(outcome: Outcome) -> Self {
+        Verdict { unusable: true, given: false, ..Verdict::new(outcome) }
     }
 }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    fn judge(&self, _: &AttemptJob<Forward>, head: &Parts) -> Verdict {
+    fn classify(&self, _: &AttemptJob<Forward>, head: &Parts) -> Verdict {
         let not_run = head.headers.get(NOT_RUN).is_some_and(|v| v.as_bytes() == b"1");
         Verdict::new(match head.status {
             StatusCode::OK => Outcome::Ok,
@@ -178,12 +178,12 @@
 /// for the response to this request. Bytes that arrived before the previous response was complete are in the parser,
 /// which closes the connection for them. Later bytes are in the socket, and the runtime may not have polled them yet, so
 /// the socket itself is peeked.
-struct Noted {
+struct WriteTracker {
     stream: TcpStream,
     wrote: Rc<Cell<bool>>,
 }
 
-impl AsyncRead for Noted {
+impl AsyncRead for WriteTracker {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -193,7 +193,7 @@
     }
 }
 
-impl AsyncWrite for Noted {
+impl AsyncWrite for WriteTracker {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.check()?;
         let done = Pin::new(&mut self.stream).poll_write(cx, buf);
@@ -225,7 +225,7 @@
     }
 }
 
-impl Noted {
+impl WriteTracker {
     fn check(&self) -> io::Result<()> {
         if self.wrote.get() {
             return Ok(());
@@ -322,12 +322,12 @@
     }
 
     /// Drops connections that are over the limit, idle for too long, closed by the server, or parked for
-    /// [`KEEP_OVER_FLAP`].
+    /// [`PARKED_IDLE_TIMEOUT`].
     fn sweep(&self, now: Millis) {
         while self.open.get() > self.most.get() && self.retire() {}
         let mut parked = self.parked.borrow_mut();
         self.idle.borrow_mut().retain(|server, waiting| {
-            if parked.get(server).is_some_and(|since| now - since >= KEEP_OVER_FLAP) {
+            if parked.get(server).is_some_and(|since| now - since >= PARKED_IDLE_TIMEOUT) {
                 return false;
             }
             waiting.retain(|c| !c.sender.is_closed() && now - c.idle_since < c.keeps);
@@ -337,7 +337,7 @@
         parked.retain(|server, _| idle.contains_key(server));
     }
 
-    /// Records which servers take no new requests. Their idle connections are dropped after [`KEEP_OVER_FLAP`] unless the
+    /// Records which servers take no new requests. Their idle connections are dropped after [`PARKED_IDLE_TIMEOUT`] unless the
     /// server returns; until then no request uses them, as none is sent to such a server.
     fn keep_only(&self, ready: &dyn Fn(ServerId) -> bool, now: Millis) {
         let mut parked = self.parked.borrow_mut();
@@ -376,8 +376,9 @@
             SockRef::from(&stream).set_tcp_user_timeout(self.unconfirmed).ok()?;
         }
         let wrote = Rc::new(Cell::new(false));
-        let io = TokioIo::new(Noted { stream, wrote: wrote.clone() });
-        let (sender, connection) = http1::Builder::new().max_buf_size(BUFFER).handshake(io).await.ok()?;
+        let io = TokioIo::new(WriteTracker { stream, wrote: wrote.clone() });
+        let (sender, connection) =
+            http1::Builder::new().max_buf_size(BUFFER_BYTES).handshake(io).await.ok()?;
         let task = tokio::task::spawn_local(async move {
             // The attempt in flight on the connection reports its error.
             let _ = connection.await;
@@ -393,7 +394,7 @@
     pool: Pool,
     dialect: D,
     /// Memory budget of response bodies.
-    rooms: BodyBudget,
+    body_budget: BodyBudget,
 }
 
 /// Upstream that reaches servers over HTTP/1.1.
@@ -425,8 +426,8 @@
     /// Creates an upstream for servers of `dialect`, without connections.
     pub fn with_dialect(dialect: D, clock: Rc<dyn Clock>, connections: Connections) -> Self {
         let pool = Pool::new(connections, dialect.unconfirmed());
-        let rooms = BodyBudget::new(connections.bodies_kib);
-        Http1 { shared: Rc::new(Shared { clock, pool, dialect, rooms }) }
+        let body_budget = BodyBudget::new(connections.bodies_kib);
+        Http1 { shared: Rc::new(Shared { clock, pool, dialect, body_budget }) }
     }
 }
 
@@ -436,7 +437,7 @@
 
     fn attempt(&self, job: AttemptJob<Forward>) -> LocalFuture<End<D::Answer>> {
         let shared = self.shared.clone();
-        Box::pin(async move { run(&shared, &job).await })
+        Box::pin(async move { run_attempt(&shared, &job).await })
     }
 
     fn keep_only(&self, ready: &dyn Fn(ServerId) -> bool) {
@@ -445,7 +446,7 @@
 
     fn set_limits(&self, connections: usize, bodies_kib: usize) {
         self.shared.pool.most.set(connections);
-        self.shared.rooms.resize(bodies_kib);
+        self.shared.body_budget.resize(bodies_kib);
     }
 
     fn upkeep(&self, now: Millis) {
@@ -453,8 +454,8 @@
     }
 }
 
-async fn run<D: Dialect>(shared: &Rc<Shared<D>>, job: &AttemptJob<Forward>) -> End<D::Answer> {
-    let gone = Rc::new(SendState::default());
+async fn run_attempt<D: Dialect>(shared: &Rc<Shared<D>>, job: &AttemptJob<Forward>) -> End<D::Answer> {
+    let send_state = Rc::new(SendState::default());
     loop {
         let kept = shared.pool.take(job.server, job.address, shared.clock.now());
         let fresh = kept.is_none();
@@ -476,19 +477,19 @@
             return End::without_answer(Outcome::ConnectFailed);
         }
         connection.wrote.set(false);
-        match connection.sender.try_send_request(request(&shared.dialect, job, &gone)).await {
+        match connection.sender.try_send_request(request(&shared.dialect, job, &send_state)).await {
             Ok(answer) => {
                 // A buffered body is sent with its head, and an empty one is never polled.
-                let sent = !job.request.body.is_stream() || gone.sent.get();
+                let sent = !job.request.body.is_stream() || send_state.sent.get();
                 return receive(shared, job, connection, answer, sent).await;
             }
             // The client's body failed or its buffer was dropped, which is no fault of the server.
-            Err(_) if gone.failed.get() => return End::without_answer(Outcome::NotSent),
+            Err(_) if send_state.failed.get() => return End::without_answer(Outcome::NotSent),
             // A partly written stream is an incomplete request, which no server runs.
-            Err(_) if job.request.body.is_stream() && !gone.sent.get() && connection.wrote.get() => {
+            Err(_) if job.request.body.is_stream() && !send_state.sent.get() && connection.wrote.get() => {
                 return End::without_answer(Outcome::ConnectFailed)
             }
-            Err(e) if connection.wrote.get() => return End::without_answer(broken(e.error())),
+            Err(e) if connection.wrote.get() => return End::without_answer(error_outcome(e.error())),
             // A pooled connection that closed before the first byte: nothing was sent, so another is tried.
             Err(_) if !fresh => {}
             Err(_) => return End::without_answer(Outcome::ConnectFailed),
@@ -499,10 +500,10 @@
 fn request<D: Dialect>(
     dialect: &D,
     job: &AttemptJob<Forward>,
-    gone: &Rc<SendState>,
+    send_state: &Rc<SendState>,
 ) -> hyper::Request<UploadBody<Forward>> {
     let forward = &job.request;
-    let body = UploadBody::new(forward.clone(), |f| &f.body, job.progress.clone(), gone.clone());
+    let body = UploadBody::new(forward.clone(), |f| &f.body, job.progress.clone(), send_state.clone());
     let mut request = hyper::Request::new(body);
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
@@ -513,7 +514,7 @@
 
 /// Returns the outcome of an attempt that may have run and has no usable response. An unparsable response is an error of
 /// a reachable server; as a reset it would count against the server as if it were gone.
-fn broken(e: &(dyn Error + 'static)) -> Outcome {
+fn error_outcome(e: &(dyn Error + 'static)) -> Outcome {
     match e.downcast_ref::<hyper::Error>() {
         Some(e) if !e.is_parse() && !e.is_parse_too_large() => Outcome::Reset,
         _ => Outcome::Error,
@@ -522,17 +523,17 @@
 
 /// Checks that the response has exactly one length header and is within `longest` bytes. Without a length header the
 /// body ends with the connection, so the head must announce the close; otherwise a truncated body would look complete.
-fn framed(head: &Parts, body: &Incoming, bodiless: bool, longest: u64) -> bool {
+fn has_valid_framing(head: &Parts, body: &Incoming, bodiless: bool, longest: u64) -> bool {
     let many = |name| head.headers.get_all(name).iter().count();
     let plain = match many(CONTENT_LENGTH) + many(TRANSFER_ENCODING) {
-        0 => bodiless || closes(head),
+        0 => bodiless || closes_connection(head),
         lengths => lengths == 1,
     };
     plain && !head.status.is_informational() && body.size_hint().lower() <= longest
 }
 
 /// Whether the connection closes after this response.
-fn closes(head: &Parts) -> bool {
+fn closes_connection(head: &Parts) -> bool {
     let values = head.headers.get_all(CONNECTION).iter();
     let mut options = values.flat_map(|v| v.as_bytes().split(|b| *b == b','));
     let mut said = |what: &[u8]| options.any(|option| option.trim_ascii().eq_ignore_ascii_case(what));
@@ -553,42 +554,42 @@
 ) -> End<D::Answer> {
     let (head, mut body) = answer.into_parts();
     let dialect = &shared.dialect;
-    let verdict = dialect.judge(job, &head);
-    if verdict.spoilt {
+    let verdict = dialect.classify(job, &head);
+    if verdict.unusable {
         return End::without_answer(verdict.outcome);
     }
-    if !framed(&head, &body, verdict.bodiless, dialect.longest()) {
+    if !has_valid_framing(&head, &body, verdict.bodiless, dialect.longest()) {
         return End::without_answer(Outcome::Error);
     }
     let load = dialect.load(&head.headers);
     let most = dialect.held();
-    let permit = shared.rooms.acquire_buffered(body.size_hint().exact(), most).await;
-    let held = match hold(&mut body, most).await {
+    let permit = shared.body_budget.acquire_buffered(body.size_hint().exact(), most).await;
+    let held = match buffer_body(&mut body, most).await {
         Ok(held) => held,
-        Err(e) => return End { outcome: broken(&e), answer: None, load },
+        Err(e) => return End { outcome: error_outcome(&e), answer: None, load },
     };
 
     // If the response came before the request was sent completely, the rest of the request still follows, so the
     // connection cannot be reused.
-    let kept = (!closes(&head) && sent).then(|| Kept {
+    let kept = (!closes_connection(&head) && sent).then(|| PoolReturn {
         shared: shared.clone(),
         server: job.server,
         may_send: job.may_send.clone(),
         keeps: verdict.keeps,
     });
-    let begun = Begun { connection, kept };
+    let response = ActiveResponse { connection, kept };
     let body = match held {
-        Held::Whole(bytes) => {
-            begun.over();
+        BufferedBody::Whole(bytes) => {
+            response.complete();
             Body::held(bytes, permit)
         }
-        Held::Start(_) if verdict.outcome != Outcome::Ok => {
+        BufferedBody::Start(_) if verdict.outcome != Outcome::Ok => {
             return End { outcome: Outcome::Error, answer: None, load }
         }
-        Held::Start(held) => {
+        BufferedBody::Start(held) => {
             let length = body.size_hint().exact().map(|left| left + held.len() as u64);
             let (feed, rest) = body::body_channel();
-            tokio::task::spawn_local(pass_on(body, held.len() as u64, dialect.longest(), feed, begun));
+            tokio::task::spawn_local(stream_body(body, held.len() as u64, dialect.longest(), feed, response));
             Body::Stream { held, length, rest, permit }
         }
     };
@@ -597,7 +598,7 @@
 }
 
 /// The buffered part of a response body: all of a short one, or the start of a long one.
-enum Held {
+enum BufferedBody {
     Whole(Bytes),
     Start(Bytes),
 }
@@ -606,23 +607,23 @@
 ///
 /// # Errors
 /// The connection failed or sent an invalid body.
-async fn hold(body: &mut Incoming, most: usize) -> Result<Held, hyper::Error> {
+async fn buffer_body(body: &mut Incoming, most: usize) -> Result<BufferedBody, hyper::Error> {
     if body.size_hint().lower() > most as u64 {
-        return Ok(Held::Start(Bytes::new()));
+        return Ok(BufferedBody::Start(Bytes::new()));
     }
     let mut start = BodyPrefix::default();
     while let Some(frame) = body.frame().await {
         let Ok(piece) = frame?.into_data() else { continue };
         start.push(piece);
         if start.is_longer_than(most) {
-            return Ok(Held::Start(start.finish()));
+            return Ok(BufferedBody::Start(start.finish()));
         }
     }
-    Ok(Held::Whole(start.finish()))
+    Ok(BufferedBody::Whole(start.finish()))
 }
 
 /// Returns a connection to the pool once its response is complete, if its server still takes requests.
-struct Kept<D> {
+struct PoolReturn<D> {
     shared: Rc<Shared<D>>,
     server: ServerId,
     may_send: Rc<dyn Fn() -> bool>,
@@ -630,14 +631,14 @@
 }
 
 /// A connection whose response has begun. Dropping it before the response is complete closes the connection.
-struct Begun<D> {
+struct ActiveResponse<D> {
     connection: Connection,
-    kept: Option<Kept<D>>,
+    kept: Option<PoolReturn<D>>,
 }
 
-impl<D> Begun<D> {
+impl<D> ActiveResponse<D> {
     /// Ends a complete response: pools the connection or closes it.
-    fn over(self) {
+    fn complete(self) {
         if let Some(kept) = self.kept.filter(|kept| (kept.may_send)()) {
             let now = kept.shared.clock.now();
             kept.shared.pool.put(kept.server, self.connection, kept.keeps, now);
@@ -647,22 +648,22 @@
 
 /// Streams a long body to `feed` with backpressure. Ends when the body is complete, the receiver is dropped, or an error
 /// ([`BodyError`]) is sent in place of the rest.
-async fn pass_on<D: Dialect>(
+async fn stream_body<D: Dialect>(
     mut body: Incoming,
     mut passed: u64,
     longest: u64,
     feed: BodySender,
-    begun: Begun<D>,
+    response: ActiveResponse<D>,
 ) {
     let why = loop {
         let frame = tokio::select! {
-            frame = tokio::time::timeout(STALL, body.frame()) => frame,
+            frame = tokio::time::timeout(STALL_TIMEOUT, body.frame()) => frame,
             () = feed.closed() => return,
         };
         let piece = match frame {
             Err(_) => break BodyError::Stalled,
             Ok(None) => {
-                begun.over();
+                response.complete();
                 return feed.finish();
             }
             Ok(Some(Err(_))) => break BodyError::Left,
@@ -676,13 +677,13 @@
         if passed > longest {
             break BodyError::TooLong;
         }
-        match tokio::time::timeout(STALL, feed.send(Ok(piece))).await {
+        match tokio::time::timeout(STALL_TIMEOUT, feed.send(Ok(piece))).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return,
             Err(_) => break BodyError::Stalled,
         }
     };
-    drop(begun);
+    drop(response);
     // Reports the truncation to the receiver, unless it was dropped.
     let _ = feed.send(Err(why)).await;
 }
@@ -693,7 +694,7 @@
     let value = |column: &String| {
         let mut fields = text.split(',').filter_map(|f| f.split_once('='));
         let (_, value) = fields.find(|(name, _)| name.trim() == column)?;
-        value.trim().parse::<f64>().ok().filter(|v| (0.0..=MOST_LOAD).contains(v))
+        value.trim().parse::<f64>().ok().filter(|v| (0.0..=MAX_LOAD).contains(v))
     };
     columns.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
 }
--- a/crates/engine/src/upstreams/http1/tests.rs
+++ b/crates/engine/src/upstreams/http1/tests.rs
@@ -24,11 +24,11 @@
             stream.writable().await.expect("a connection that is up");
             let _open = act(server);
             // No await from here on, so the runtime does not poll the socket and learns of neither bytes nor close.
-            let mut noted = Noted { stream, wrote: Rc::default() };
+            let mut tracker = WriteTracker { stream, wrote: Rc::default() };
             let mut cx = Context::from_waker(Waker::noop());
-            let wrote = Pin::new(&mut noted).poll_write(&mut cx, b"GET");
+            let wrote = Pin::new(&mut tracker).poll_write(&mut cx, b"GET");
             assert_eq!(matches!(wrote, Poll::Ready(Ok(3))), clean, "{wrote:?}");
-            assert_eq!(noted.wrote.get(), clean);
+            assert_eq!(tracker.wrote.get(), clean);
         });
     }
 }
--- a/crates/engine/src/upstreams/try_id.rs
+++ b/crates/engine/src/upstreams/try_id.rs
@@ -22,7 +22,7 @@
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 /// Prefix of hop-by-hop proxy headers.
-const PROXY: &str = "proxy-";
+const PROXY_PREFIX: &str = "proxy-";
 
 /// Header names of the dialect.
 #[derive(Clone, Debug)]
@@ -83,7 +83,7 @@
 
 impl TryIdDialect {
     /// Whether the response carries exactly one try id, that of this try.
-    fn names_the_try(&self, job: &AttemptJob<Forward>, answer: &HeaderMap) -> bool {
+    fn has_matching_try_id(&self, job: &AttemptJob<Forward>, answer: &HeaderMap) -> bool {
         let id = job.request.headers.get(&self.names.try_id);
         let mut told = answer.get_all(&self.names.try_id).iter();
         id.is_some() && told.next() == id && told.next().is_none()
@@ -125,30 +125,30 @@
         }
     }
 
-    fn judge(&self, job: &AttemptJob<Forward>, head: &Parts) -> Verdict {
-        if !self.names_the_try(job, &head.headers) {
-            return Verdict::spoilt(Outcome::Reset);
+    fn classify(&self, job: &AttemptJob<Forward>, head: &Parts) -> Verdict {
+        if !self.has_matching_try_id(job, &head.headers) {
+            return Verdict::unusable(Outcome::Reset);
         }
         let outcome = self.outcome(head);
         match outcome {
             // Another server now has the address, so the connection is not reused.
-            Outcome::ConnectFailed => return Verdict::spoilt(outcome),
+            Outcome::ConnectFailed => return Verdict::unusable(outcome),
             Outcome::Full => {}
             _ if head.headers.contains_key(CONTENT_ENCODING) || !self.is_sealed(head) => {
-                return Verdict::spoilt(Outcome::Error)
+                return Verdict::unusable(Outcome::Error)
             }
             _ => {}
         }
         let bodiless = job.request.method == Method::HEAD
             || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let given = matches!(outcome, Outcome::Ok | Outcome::Error);
-        Verdict { given, bodiless, keeps: keeps(&head.headers), ..Verdict::new(outcome) }
+        Verdict { given, bodiless, keeps: keep_alive_timeout(&head.headers), ..Verdict::new(outcome) }
     }
 
     fn answer(&self, mut head: Parts, body: Body) -> Response<Body> {
         // The framing of the server's connection does not apply to the client's connection.
         head.version = Version::HTTP_11;
-        strip(&mut head.headers);
+        remove_hop_headers(&mut head.headers);
         Response::from_parts(head, body)
     }
 
@@ -166,7 +166,7 @@
 }
 
 /// Parses the server's idle timeout, ms, from `Keep-Alive`; `None` if it states none, 0 if the value is invalid.
-fn keeps(headers: &HeaderMap) -> Option<Millis> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Millis> {
     let values = headers.get_all(&KEEP_ALIVE).iter().filter_map(|v| v.to_str().ok());
     let mut fields = values.flat_map(|v| v.split(',')).filter_map(|field| field.split_once('='));
     let (_, seconds) = fields.find(|(name, _)| name.trim().eq_ignore_ascii_case("timeout"))?;
@@ -175,10 +175,10 @@
 }
 
 /// Removes hop-by-hop headers and the headers listed in `Connection` (RFC 9110, 7.6.1).
-fn strip(headers: &mut HeaderMap) {
+fn remove_hop_headers(headers: &mut HeaderMap) {
     let values = headers.get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
     let named = values.flat_map(|v| v.split(',')).filter_map(|name| name.trim().parse::<HeaderName>().ok());
-    let proxy = headers.keys().filter(|name| name.as_str().starts_with(PROXY)).cloned();
+    let proxy = headers.keys().filter(|name| name.as_str().starts_with(PROXY_PREFIX)).cloned();
     // `Connection` must not remove `Content-Length` or `Host`: without the length the end of the message is unknown.
     let mut hop: Vec<HeaderName> =
         named.chain(proxy).filter(|n| *n != CONTENT_LENGTH && *n != HOST).collect();
@@ -192,7 +192,7 @@
 /// which the limiter answers itself.
 pub fn headers_on(headers: &HeaderMap) -> HeaderMap {
     let mut on = headers.clone();
-    strip(&mut on);
+    remove_hop_headers(&mut on);
     on.remove(EXPECT);
     on
 }
@@ -241,9 +241,9 @@
             ("timeout=soon", 0.0),
             ("timeout=-1", 0.0),
         ] {
-            assert_eq!(keeps(&headers(&[("keep-alive", text)])), Some(want), "{text}");
+            assert_eq!(keep_alive_timeout(&headers(&[("keep-alive", text)])), Some(want), "{text}");
         }
-        assert_eq!(keeps(&headers(&[("keep-alive", "max=3")])), None);
-        assert_eq!(keeps(&HeaderMap::new()), None);
+        assert_eq!(keep_alive_timeout(&headers(&[("keep-alive", "max=3")])), None);
+        assert_eq!(keep_alive_timeout(&HeaderMap::new()), None);
     }
 }
--- a/crates/engine/tests/house.rs
+++ b/crates/engine/tests/house.rs
@@ -17,9 +17,9 @@
 use std::sync::Arc;
 
 /// Time that stands until it is moved.
-struct Hand(Cell<Millis>);
+struct ManualClock(Cell<Millis>);
 
-impl Clock for Hand {
+impl Clock for ManualClock {
     fn now(&self) -> Millis {
         self.0.get()
     }
@@ -29,25 +29,25 @@
     }
 }
 
-struct Rig {
-    way: Http1<TryIdDialect>,
-    clock: Rc<Hand>,
+struct Harness {
+    upstream: Http1<TryIdDialect>,
+    clock: Rc<ManualClock>,
     server: Server,
 }
 
-impl Rig {
-    fn new(act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Rig {
+impl Harness {
+    fn new(act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Harness {
         let connections = Connections { idle: 10_000.0, connect_timeout: 1000.0, most: 16, bodies_kib: 4096 };
-        let clock = Rc::new(Hand(Cell::new(1e12)));
+        let clock = Rc::new(ManualClock(Cell::new(1e12)));
         let dialect = TryIdDialect { held: 64, ..TryIdDialect::default() };
-        Rig {
-            way: Http1::with_dialect(dialect, clock.clone(), connections),
+        Harness {
+            upstream: Http1::with_dialect(dialect, clock.clone(), connections),
             clock,
             server: Server::start(act),
         }
     }
 
-    async fn ask(&self, method: Method, id: &'static str) -> End<Response<Body>> {
+    async fn send(&self, method: Method, id: &'static str) -> End<Response<Body>> {
         let mut headers = HeaderMap::new();
         headers.insert("host", HeaderValue::from_static("shop.example"));
         headers.insert("try-id", HeaderValue::from_static(id));
@@ -63,11 +63,11 @@
             may_send: Rc::new(|| true),
             progress: Rc::new(|_| ()),
         };
-        self.way.attempt(job).await
+        self.upstream.attempt(job).await
     }
 
     async fn get(&self, id: &'static str) -> End<Response<Body>> {
-        self.ask(Method::GET, id).await
+        self.send(Method::GET, id).await
     }
 
     fn connections(&self) -> usize {
@@ -76,33 +76,33 @@
 }
 
 /// An answer to the try that asks.
-fn to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
+fn response_to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
     let (id, length) = (m.header("Try-Id").expect("a name"), body.len());
     format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
 
-fn sealed(m: &Message) -> Vec<u8> {
-    to(m, "200 OK", "Server-Seal: s\r\n", "well")
+fn sealed_success(m: &Message) -> Vec<u8> {
+    response_to(m, "200 OK", "Server-Seal: s\r\n", "well")
 }
 
-fn writes(status: &'static str, headers: &'static str) -> impl Fn(&Message) -> Act + Send + Sync {
-    move |m| Act::Write(to(m, status, headers, "said"))
+fn respond_with(status: &'static str, headers: &'static str) -> impl Fn(&Message) -> Act + Send + Sync {
+    move |m| Act::Write(response_to(m, status, headers, "said"))
 }
 
 /// Asks once, then again: how the first ended, and whether its connection was used for the second.
-async fn twice(rig: &Rig) -> (End<Response<Body>>, bool) {
-    let first = rig.get("a").await;
-    rig.get("b").await;
-    (first, rig.connections() == 1)
+async fn send_two(harness: &Harness) -> (End<Response<Body>>, bool) {
+    let first = harness.get("a").await;
+    harness.get("b").await;
+    (first, harness.connections() == 1)
 }
 
 #[test]
 fn a_server_is_told_the_host_its_name_and_the_time() {
     on_local_set(async {
-        let rig = Rig::new(|m| Act::Write(sealed(m)));
-        assert_eq!(rig.get("a").await.outcome, Outcome::Ok);
-        let seen = rig.server.seen.lock().expect("a lock").remove(0);
+        let harness = Harness::new(|m| Act::Write(sealed_success(m)));
+        assert_eq!(harness.get("a").await.outcome, Outcome::Ok);
+        let seen = harness.server.seen.lock().expect("a lock").remove(0);
         for (name, value) in [("Host", "shop.example"), ("Time-Left-Ms", "750"), ("Meant-Server", "s-1")] {
             let values: Vec<_> = seen.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).collect();
             assert_eq!(values.len(), 1, "{name}");
@@ -116,8 +116,8 @@
     on_local_set(async {
         let headers = "Server-Seal: s\r\nX-A: 1\r\nX-A: 2\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n\
              Keep-Alive: timeout=5\r\nProxy-Status: x\r\n";
-        let rig = Rig::new(writes("206 Some of it", headers));
-        let (end, kept) = twice(&rig).await;
+        let harness = Harness::new(respond_with("206 Some of it", headers));
+        let (end, kept) = send_two(&harness).await;
         assert!(end.outcome == Outcome::Ok && kept);
         let (head, body) = end.answer.expect("an answer").into_parts();
         assert_eq!(head.status, 206);
@@ -151,12 +151,12 @@
         ("500 No", "Connection: close\r\n", Error, true, false),
     ];
     on_local_set(async move {
-        for (status, headers, outcome, given, stays) in cases {
-            let rig = Rig::new(writes(status, headers));
-            let (end, stayed) = twice(&rig).await;
+        for (status, headers, outcome, given, expect_reuse) in cases {
+            let harness = Harness::new(respond_with(status, headers));
+            let (end, reused) = send_two(&harness).await;
             assert_eq!(
-                (end.outcome, end.answer.is_some(), stayed),
-                (outcome, given, stays),
+                (end.outcome, end.answer.is_some(), reused),
+                (outcome, given, expect_reuse),
                 "{status} {headers}"
             );
             if let Some(answer) = end.answer {
@@ -171,9 +171,9 @@
     on_local_set(async {
         for name in ["", "Try-Id: other\r\n"] {
             let answer = format!("HTTP/1.1 200 OK\r\n{name}Server-Seal: s\r\nContent-Length: 2\r\n\r\nno");
-            let rig = Rig::new(move |_| Act::Write(answer.clone().into_bytes()));
-            let (end, stayed) = twice(&rig).await;
-            assert!(end.outcome == Outcome::Reset && end.answer.is_none() && !stayed, "{name}");
+            let harness = Harness::new(move |_| Act::Write(answer.clone().into_bytes()));
+            let (end, reused) = send_two(&harness).await;
+            assert!(end.outcome == Outcome::Reset && end.answer.is_none() && !reused, "{name}");
         }
     });
 }
@@ -181,12 +181,13 @@
 #[test]
 fn a_surplus_answer_ends_its_connection_unused() {
     on_local_set(async {
-        let rig = Rig::new(|m| Act::Twice(sealed(m), std::time::Duration::ZERO, sealed(m)));
+        let harness =
+            Harness::new(|m| Act::Twice(sealed_success(m), std::time::Duration::ZERO, sealed_success(m)));
         for (asked, id) in ["a", "b", "c"].into_iter().enumerate() {
-            let end = rig.get(id).await;
+            let end = harness.get(id).await;
             let answer = end.answer.expect("an answer");
             assert_eq!(answer.headers()["try-id"], id);
-            assert_eq!((end.outcome, rig.connections()), (Outcome::Ok, asked + 1));
+            assert_eq!((end.outcome, harness.connections()), (Outcome::Ok, asked + 1));
         }
     });
 }
@@ -195,7 +196,7 @@
 fn a_body_that_is_cut_is_no_answer() {
     on_local_set(async {
         for coded in [false, true] {
-            let rig = Rig::new(move |m| {
+            let harness = Harness::new(move |m| {
                 let id = m.header("Try-Id").expect("a name");
                 let (length, body) = if coded {
                     ("Transfer-Encoding: chunked", "9\r\nsai")
@@ -206,7 +207,7 @@
                     format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\n{length}\r\n\r\n{body}");
                 Act::Close(text.into_bytes())
             });
-            let end = rig.get("a").await;
+            let end = harness.get("a").await;
             assert!(end.outcome == Outcome::Reset && end.answer.is_none(), "{:?}", end.outcome);
         }
     });
@@ -216,7 +217,7 @@
 fn a_long_body_is_passed_on_and_one_that_is_cut_never_looks_whole() {
     on_local_set(async {
         for (cut, length) in [(false, true), (true, true), (false, false), (true, false)] {
-            let rig = Rig::new(move |m| {
+            let harness = Harness::new(move |m| {
                 let (id, body) = (m.header("Try-Id").expect("a name"), "x".repeat(200));
                 let framing = if length { "Content-Length: 200" } else { "Transfer-Encoding: chunked" };
                 let coded = if length { body } else { format!("c8\r\n{body}\r\n0\r\n\r\n") };
@@ -226,7 +227,7 @@
                     false => Act::Write(format!("{head}{coded}").into_bytes()),
                 }
             });
-            let end = rig.get("a").await;
+            let end = harness.get("a").await;
             if cut && !length {
                 // All of it came with its head: it may be known to be cut before it counts as long.
                 if end.outcome == Outcome::Reset {
@@ -246,28 +247,28 @@
 #[test]
 fn answers_without_a_body_need_no_length() {
     on_local_set(async {
-        let rig = Rig::new(|m| {
+        let harness = Harness::new(|m| {
             let id = m.header("Try-Id").expect("a name");
             let status = if m.start.starts_with("HEAD") { "200 OK" } else { "204 No Content" };
             Act::Write(format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\nServer-Seal: s\r\n\r\n").into_bytes())
         });
         for method in [Method::HEAD, Method::GET, Method::DELETE] {
-            let end = rig.ask(method, "a").await;
+            let end = harness.send(method, "a").await;
             let answer = end.answer.expect("an answer");
             assert!(answer.body().whole().expect("a whole body").is_empty());
         }
-        assert_eq!(rig.connections(), 1);
+        assert_eq!(harness.connections(), 1);
     });
 }
 
 #[test]
 fn a_connection_is_left_well_before_its_server_closes_it() {
     on_local_set(async {
-        let rig = Rig::new(writes("200 OK", "Server-Seal: s\r\nKeep-Alive: timeout=2\r\n"));
+        let harness = Harness::new(respond_with("200 OK", "Server-Seal: s\r\nKeep-Alive: timeout=2\r\n"));
         for (passed, connections) in [(0.0, 1), (1100.0, 1), (1250.0, 2), (1100.0, 2)] {
-            rig.clock.0.set(rig.clock.now() + passed);
-            assert_eq!(rig.get("a").await.outcome, Outcome::Ok);
-            assert_eq!(rig.connections(), connections, "after {passed} ms");
+            harness.clock.0.set(harness.clock.now() + passed);
+            assert_eq!(harness.get("a").await.outcome, Outcome::Ok);
+            assert_eq!(harness.connections(), connections, "after {passed} ms");
         }
     });
 }
