--- a/crates/engine/src/classify/tests.rs
+++ b/crates/engine/src/classify/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn quotas_and_customers_are_read_strictly() {
+fn malformed_quotas_and_customers_are_rejected() {
     let read = |text| quota(text, 4.0, 5.0);
     assert_eq!(read("units=2,spread=3,first=1"), Some((2.0, 3.0)));
     assert_eq!(read("units=1.5, spread=5, first=4"), Some((1.5, 5.0)));
--- a/crates/engine/src/counters/text.rs
+++ b/crates/engine/src/counters/text.rs
@@ -57,7 +57,7 @@
     queue: RefCell<Queue>,
     wake: Notify,
     received: Cell<bool>,
-    /// When a line was last queued.
+    /// Time at which a line was last queued.
     last_queued: Cell<Millis>,
     /// Replaced by a newer connection; it closes once no reply is pending.
     retired: Cell<bool>,
--- a/crates/engine/tests/house.rs
+++ b/crates/engine/tests/house.rs
@@ -1,4 +1,4 @@
-//! Servers that name each try, against one that says what it is told to.
+//! Tests of the try-id dialect against a server with scripted responses.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Response};
@@ -16,7 +16,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Time that stands until it is moved.
+/// Clock that the test sets.
 struct ManualClock(Cell<Millis>);
 
 impl Clock for ManualClock {
@@ -75,7 +75,7 @@
     }
 }
 
-/// An answer to the try that asks.
+/// Returns a response with the try id of the request.
 fn response_to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
     let (id, length) = (m.header("Try-Id").expect("a name"), body.len());
     format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
@@ -90,7 +90,7 @@
     move |m| Act::Write(response_to(m, status, headers, "said"))
 }
 
-/// Asks once, then again: how the first ended, and whether its connection was used for the second.
+/// Sends two requests; returns the first result, and whether the second request reused its connection.
 async fn send_two(harness: &Harness) -> (End<Response<Body>>, bool) {
     let first = harness.get("a").await;
     harness.get("b").await;
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_server_is_told_the_host_its_name_and_the_time() {
+fn requests_carry_host_server_id_and_time_left() {
     on_local_set(async {
         let harness = Harness::new(|m| Act::Write(sealed_success(m)));
         assert_eq!(harness.get("a").await.outcome, Outcome::Ok);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_sealed_success_is_given_on_as_it_is() {
+fn a_sealed_success_is_forwarded_without_hop_by_hop_headers() {
     on_local_set(async {
         let headers = "Server-Seal: s\r\nX-A: 1\r\nX-A: 2\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n\
              Keep-Alive: timeout=5\r\nProxy-Status: x\r\n";
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn what_an_answer_means_and_whether_its_connection_stays() {
+fn response_head_decides_outcome_and_connection_reuse() {
     use Outcome::*;
     let cases = [
         ("200 OK", "Server-Seal: s\r\n", Ok, true, true),
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn an_answer_to_another_try_is_given_to_nobody() {
+fn a_response_without_the_matching_try_id_is_discarded() {
     on_local_set(async {
         for name in ["", "Try-Id: other\r\n"] {
             let answer = format!("HTTP/1.1 200 OK\r\n{name}Server-Seal: s\r\nContent-Length: 2\r\n\r\nno");
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_surplus_answer_ends_its_connection_unused() {
+fn a_duplicate_response_closes_its_connection_unused() {
     on_local_set(async {
         let harness =
             Harness::new(|m| Act::Twice(sealed_success(m), std::time::Duration::ZERO, sealed_success(m)));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_body_that_is_cut_is_no_answer() {
+fn a_truncated_short_body_is_a_reset() {
     on_local_set(async {
         for coded in [false, true] {
             let harness = Harness::new(move |m| {
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_long_body_is_passed_on_and_one_that_is_cut_never_looks_whole() {
+fn a_long_body_is_streamed_and_a_truncated_one_ends_with_an_error() {
     on_local_set(async {
         for (cut, length) in [(false, true), (true, true), (false, false), (true, false)] {
             let harness = Harness::new(move |m| {
@@ -229,7 +229,8 @@
             });
             let end = harness.get("a").await;
             if cut && !length {
-                // All of it came with its head: it may be known to be cut before it counts as long.
+                // The data arrived together with the head, so the truncation may be detected before the body counts as
+                // long.
                 if end.outcome == Outcome::Reset {
                     continue;
                 }
@@ -245,7 +246,7 @@
 }
 
 #[test]
-fn answers_without_a_body_need_no_length() {
+fn responses_without_a_body_need_no_length() {
     on_local_set(async {
         let harness = Harness::new(|m| {
             let id = m.header("Try-Id").expect("a name");
@@ -262,7 +263,7 @@
 }
 
 #[test]
-fn a_connection_is_left_well_before_its_server_closes_it() {
+fn an_idle_connection_is_dropped_before_the_servers_timeout() {
     on_local_set(async {
         let harness = Harness::new(respond_with("200 OK", "Server-Seal: s\r\nKeep-Alive: timeout=2\r\n"));
         for (passed, connections) in [(0.0, 1), (1100.0, 1), (1250.0, 2), (1100.0, 2)] {
