--- a/crates/engine/src/config/mod.rs
+++ b/crates/engine/src/config/mod.rs
@@ -78,8 +78,8 @@
             ConfigError::Unreadable(e) => write!(f, "{e}"),
             ConfigError::Malformed(e) => write!(f, "{}", e.to_string().trim_end()),
             ConfigError::Invalid(errors) => {
-                let told: Vec<String> = errors.iter().map(ToString::to_string).collect();
-                write!(f, "{}", told.join("; "))
+                let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
+                write!(f, "{}", texts.join("; "))
             }
         }
     }
--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -128,9 +128,9 @@
         ),
     ] {
         assert!(GOOD.contains(of), "{of}");
-        let told = lines(&GOOD.replacen(of, with, 1));
-        let found = told.iter().find(|l| l.starts_with(&format!("f.toml:{line}: {key}: ")));
-        assert!(found.is_some_and(|l| l.contains(allowed)), "{with}: {told:#?}");
+        let reported = lines(&GOOD.replacen(of, with, 1));
+        let found = reported.iter().find(|l| l.starts_with(&format!("f.toml:{line}: {key}: ")));
+        assert!(found.is_some_and(|l| l.contains(allowed)), "{with}: {reported:#?}");
     }
     let twice = lines(&format!("{GOOD}[[plans]]\nname = \"team\"\n"));
     assert_eq!(twice, ["f.toml:20: plans[1].name: \"team\" stands twice; each name may stand once"]);
@@ -140,8 +140,8 @@
 #[test]
 fn all_errors_are_reported_at_once_in_file_order() {
     let bad = GOOD.replace("aim_ms = 500", "aim_ms = -1").replace("rate = 5", "rat = 5");
-    let told = lines(&bad.replace("zone = \"b\"", "zone = \"c\""));
-    let keys: Vec<&str> = told.iter().map(|l| l.split(": ").nth(1).expect("a key")).collect();
+    let reported = lines(&bad.replace("zone = \"b\"", "zone = \"c\""));
+    let keys: Vec<&str> = reported.iter().map(|l| l.split(": ").nth(1).expect("a key")).collect();
     assert_eq!(keys, ["zone", "classes[0].aim_ms", "plans[0].rat"]);
     let empty = lines("");
     assert!(empty.iter().any(|l| l.contains("classes: missing")), "{empty:?}");
@@ -171,8 +171,8 @@
         ("OATBANK__NAME__0", "1", "no list stands here"),
         ("OATBANK__LIMITS", "much", "limits: \"much\" is not allowed; a table is"),
     ] {
-        let told = with(&[(variable, value)]).expect_err(variable).lines("f.toml");
-        assert!(told.iter().any(|l| l.starts_with(variable) && l.contains(says)), "{told:?}");
+        let reported = with(&[(variable, value)]).expect_err(variable).lines("f.toml");
+        assert!(reported.iter().any(|l| l.starts_with(variable) && l.contains(says)), "{reported:?}");
     }
 }
 
--- a/crates/engine/src/config/validation.rs
+++ b/crates/engine/src/config/validation.rs
@@ -123,9 +123,9 @@
 fn scalar(schema: &Value, value: &Value) -> Option<String> {
     let found = shown(value);
     if let Some(options) = schema["enum"].as_array() {
-        let told: Vec<String> = options.iter().map(ToString::to_string).collect();
+        let texts: Vec<String> = options.iter().map(ToString::to_string).collect();
         return (!options.contains(value))
-            .then(|| format!("{found} is not allowed; {} are", told.join(", ")));
+            .then(|| format!("{found} is not allowed; {} are", texts.join(", ")));
     }
     let wanted = schema["type"].as_str().unwrap_or_default();
     if !is_a(wanted, value) {
--- a/crates/engine/src/members/agent.rs
+++ b/crates/engine/src/members/agent.rs
@@ -142,13 +142,13 @@
 /// Whichever the agent answers on its return, the limiter learns of a drain well within the drain rule's time.
 ///
 /// Delays are randomized from `seed`, so that followers that failed together do not retry together.
-pub async fn follow(told: MembershipSink, agent: Agent, known: Option<u64>, seed: u64) {
-    follow_on(told, agent, async || TcpStream::connect(agent.address).await, known, seed).await;
+pub async fn follow(sink: MembershipSink, agent: Agent, known: Option<u64>, seed: u64) {
+    follow_on(sink, agent, async || TcpStream::connect(agent.address).await, known, seed).await;
 }
 
 /// Implements [`follow`] over connections that `dial` opens.
 async fn follow_on<S: Stream>(
-    told: MembershipSink,
+    sink: MembershipSink,
     agent: Agent,
     dial: impl Dial<S>,
     known: Option<u64>,
@@ -156,7 +156,7 @@
 ) {
     let has_cache = !agent.on_request;
     let host = agent.address.to_string();
-    let mut state = Follower { told, host, dial, has_cache, since: known, backoff: Backoff::new(seed) };
+    let mut state = Follower { sink, host, dial, has_cache, since: known, backoff: Backoff::new(seed) };
     loop {
         let Err(e) = state.watch().await;
         let why = if e.is::<Busy>() {
@@ -278,7 +278,7 @@
 }
 
 struct Follower<D> {
-    told: MembershipSink,
+    sink: MembershipSink,
     /// The agent's address.
     host: String,
     dial: D,
@@ -366,7 +366,7 @@
 
     fn apply(&mut self, list: &ServerList) {
         self.since = Some(list.revision);
-        (self.told)(list.news());
+        (self.sink)(list.news());
     }
 }
 
--- a/crates/engine/src/members/agent/tests.rs
+++ b/crates/engine/src/members/agent/tests.rs
@@ -76,7 +76,7 @@
     /// Calls that were answered once discovery was back.
     answered: Cell<u32>,
     /// Time from the return of discovery until the follower learned of the drain.
-    told: Cell<Option<Duration>>,
+    notified_after: Cell<Option<Duration>>,
 }
 
 const READY: &str = r#"{"revision":2,"complete":true,"members":[{"id":"s-1","phase":"Ready"}]}"#;
@@ -163,16 +163,18 @@
         let down = Duration::from_millis(5000 + seed * 37 % 2000);
         let back = down + Duration::from_secs(8);
         let agent = Rc::new(FakeAgent { how, start, down, back, seen: seen.clone() });
-        let (hears, dials) = (seen.clone(), agent.clone());
-        let told: MembershipSink = Rc::new(move |news| {
+        let (recorder, dialer) = (seen.clone(), agent.clone());
+        let sink: MembershipSink = Rc::new(move |news| {
             let (News::Complete(members) | News::Changes(members) | News::Remembered(members)) = news;
-            if hears.told.get().is_none() && members.iter().any(|m| m.state == ServerState::Draining) {
-                hears.told.set(Some(start.elapsed() - back));
+            if recorder.notified_after.get().is_none()
+                && members.iter().any(|m| m.state == ServerState::Draining)
+            {
+                recorder.notified_after.set(Some(start.elapsed() - back));
             }
         });
         let at = Agent { address: SocketAddr::from(([127, 0, 0, 1], 1)), on_request };
         let following = tokio::task::spawn_local(async move {
-            follow_on(told, at, async || dials.dial(), Some(1), seed).await;
+            follow_on(sink, at, async || dialer.dial(), Some(1), seed).await;
         });
         sleep_until(start + back + Duration::from_secs(4)).await;
         assert!(!following.is_finished());
@@ -189,8 +191,8 @@
     for how in [OutageMode::Holds, OutageMode::Forgets, OutageMode::BreaksOff, OutageMode::Refuses] {
         for seed in 0..200 {
             let seen = outage(how, false, seed);
-            let late = seen.told.get().expect("told");
-            assert!(late <= Duration::from_millis(125), "{how:?}, seed {seed}: told {late:?} late");
+            let late = seen.notified_after.get().expect("a notification");
+            assert!(late <= Duration::from_millis(125), "{how:?}, seed {seed}: notified after {late:?}");
             let (calls, open, answered) = (seen.calls.get(), seen.most_open.get(), seen.answered.get());
             assert!(calls <= 130, "{how:?}, seed {seed}: {calls} calls in 8 s");
             // Two open calls, and two previous ones that are being closed.
@@ -204,7 +206,7 @@
 fn a_silent_shared_discovery_gets_one_call_at_a_time() {
     for seed in 0..50 {
         let seen = outage(OutageMode::Holds, true, seed);
-        assert!(seen.told.get().expect("told") <= Duration::from_millis(1500));
+        assert!(seen.notified_after.get().expect("a notification") <= Duration::from_millis(1500));
         assert!(seen.calls.get() <= 8, "seed {seed}: {} calls in 8 s", seen.calls.get());
         assert_eq!(seen.most_open.get(), 1);
     }
--- a/crates/engine/src/members/fixed.rs
+++ b/crates/engine/src/members/fixed.rs
@@ -3,6 +3,6 @@
 use crate::ports::membership::{Member, MembershipSink, News};
 
 /// Reports the complete list, once.
-pub fn tell(told: &MembershipSink, members: Vec<Member>) {
-    told(News::Complete(members));
+pub fn tell(sink: &MembershipSink, members: Vec<Member>) {
+    sink(News::Complete(members));
 }
--- a/crates/engine/src/respond.rs
+++ b/crates/engine/src/respond.rs
@@ -34,18 +34,18 @@
 }
 
 impl RetryAfterFormat {
-    fn tell(self, headers: &mut HeaderMap, wait: Millis) {
+    fn set_headers(self, headers: &mut HeaderMap, wait: Millis) {
         if wait.is_nan() || wait <= 0.0 {
             return;
         }
         // Rounded up to the format's precision: a client never retries too early and never reads a wait of 0.
         let exact = format!("{:.3}", wait.ceil() / 1000.0);
         let whole = format!("{:.0}", (wait / 1000.0).ceil());
-        let told = match self {
+        let values = match self {
             RetryAfterFormat::Decimal => [(RETRY_AFTER, Some(exact)), (EXACT_RETRY_AFTER, None)],
             RetryAfterFormat::Standard => [(RETRY_AFTER, Some(whole)), (EXACT_RETRY_AFTER, Some(exact))],
         };
-        for (name, text) in told {
+        for (name, text) in values {
             if let Some(value) = text.and_then(|text| HeaderValue::try_from(text).ok()) {
                 headers.insert(name, value);
             }
@@ -60,7 +60,7 @@
     form: RetryAfterFormat,
 ) -> Response<B> {
     let mut response = plain(status, why);
-    form.tell(response.headers_mut(), wait);
+    form.set_headers(response.headers_mut(), wait);
     response
 }
 
--- a/crates/engine/src/upstreams/try_id.rs
+++ b/crates/engine/src/upstreams/try_id.rs
@@ -85,8 +85,8 @@
     /// Whether the response carries exactly one try id, that of this try.
     fn has_matching_try_id(&self, job: &AttemptJob<Forward>, answer: &HeaderMap) -> bool {
         let id = job.request.headers.get(&self.names.try_id);
-        let mut told = answer.get_all(&self.names.try_id).iter();
-        id.is_some() && told.next() == id && told.next().is_none()
+        let mut ids = answer.get_all(&self.names.try_id).iter();
+        id.is_some() && ids.next() == id && ids.next().is_none()
     }
 
     fn outcome(&self, head: &Parts) -> Outcome {
--- a/crates/engine/tests/house.rs
+++ b/crates/engine/tests/house.rs
@@ -237,8 +237,8 @@
             }
             assert_eq!(end.outcome, Outcome::Ok);
             let answer = end.answer.expect("an answer");
-            let told = answer.headers().get("content-length").is_some();
-            assert_eq!(told, length);
+            let has_length = answer.headers().get("content-length").is_some();
+            assert_eq!(has_length, length);
             let body = BodyExt::collect(answer.into_body()).await;
             assert_eq!(body.map(|b| b.to_bytes().len()).ok(), (!cut).then_some(200));
         }
