--- a/crates/engine/src/config/fleet.rs
+++ b/crates/engine/src/config/fleet.rs
@@ -209,7 +209,7 @@
     let known = |name: &str| table.peers.iter().any(|p| p.name == name);
     let names: Vec<&str> = table.peers.iter().map(|p| p.name.as_str()).collect();
     if let Some(twice) = names.iter().enumerate().find(|(i, n)| names[..*i].contains(*n)) {
-        errors.push(at("peers", format!("{:?} stands twice; each name may stand once", twice.1)));
+        errors.push(at("peers", format!("{:?} is a duplicate; each name must be unique", twice.1)));
     }
     match (&table.decider, &table.coordinator) {
         (Some(decider), None) if !known(decider) => {
@@ -217,29 +217,28 @@
             errors.push(at("decider", why));
         }
         (Some(_), Some(_)) => {
-            let why = "not allowed beside fleet.decider: it elects the one that decides; one of the two is";
+            let why = "not allowed together with fleet.decider, as it elects the decider; one of the two is";
             errors.push(at("coordinator", why.into()));
         }
         (None, None) => {
-            let why = "missing, and so is fleet.coordinator; one of the two must say who decides";
+            let why = "missing, and so is fleet.coordinator; one of the two is required";
             errors.push(at("decider", why.into()));
         }
         (None, Some(_)) if table.path.is_none() => {
-            let why = "missing beside fleet.coordinator; a folder as \"/limiters/fleet\" is wanted";
+            let why = "required with fleet.coordinator; a path such as \"/limiters/fleet\"";
             errors.push(at("path", why.into()));
         }
         (None, Some(_)) | (Some(_), None) => {}
     }
     for (key, given) in [("path", &table.path), ("auth", &table.auth)] {
         if given.is_some() && table.coordinator.is_none() {
-            errors.push(at(key, "allowed beside fleet.coordinator only".into()));
+            errors.push(at(key, "allowed only together with fleet.coordinator".into()));
         }
     }
     let me = file["name"].as_str().unwrap_or("oatbank");
     if !known(me) {
-        let why = format!(
-            "this limiter's name, {me:?}, is not among them; it must be, as the others' files have it"
-        );
+        let why =
+            format!("this limiter's name, {me:?}, is not among them; add it as in the other limiters' files");
         errors.push(at("peers", why));
     }
     if let Err(broken) = table.timing().check() {
@@ -301,7 +300,7 @@
         let mut errors = read.errors;
         for (key, rule) in read.value.as_object().into_iter().flatten() {
             if !RULES.contains(&key.as_str()) {
-                let why = format!("no rule of a fleet; {} are allowed", RULES.join(", "));
+                let why = format!("not a rule of a fleet; {} are allowed", RULES.join(", "));
                 errors.push(ValidationError::at(vec![Step::Key(key.clone())], why));
             }
             value.insert(key.clone(), rule.clone());
--- a/crates/engine/src/config/rules.rs
+++ b/crates/engine/src/config/rules.rs
@@ -49,8 +49,10 @@
         let Some(name) = key.map_or(element, |k| &element[k]).as_str() else { continue };
         if !seen.insert(name) {
             let path = key.map_or(path.clone(), |k| below(&path, k));
-            errors
-                .push(ValidationError::at(path, format!("{name:?} stands twice; each name may stand once")));
+            errors.push(ValidationError::at(
+                path,
+                format!("{name:?} is a duplicate; each name must be unique"),
+            ));
         }
     }
     errors
@@ -69,7 +71,7 @@
 fn class(path: &[Step], class: &Value) -> Vec<ValidationError> {
     let mut errors = Vec::new();
     if let (Some(aim), Some(_)) = (class["aim_ms"].as_f64(), class["deadline_ms"].as_f64()) {
-        errors.extend(at_least(path, class, "deadline_ms", aim.max(1.0), "beside its aim_ms"));
+        errors.extend(at_least(path, class, "deadline_ms", aim.max(1.0), "with its aim_ms"));
     }
     if class["repeat"] == "keyed" {
         errors.extend(at_least(path, class, "key_window_ms", 1.0, "where repeat is \"keyed\""));
@@ -132,7 +134,7 @@
     let Some(folder) = members["register"].as_str() else { return Vec::new() };
     let mut errors = Vec::new();
     if members["path"] == folder {
-        let why = "the engines' folder is not allowed; one of the limiters' own is";
+        let why = "the servers' folder is not allowed; a separate folder for limiters is";
         errors.push(ValidationError::at(below(&[members_step()], "register"), why));
     }
     let name = file["name"].as_str().unwrap_or("oatbank");
--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -117,7 +117,7 @@
             "[members]\nzookeeper = \"x:1\"\npath = \"/a\"\nregister = \"/a\"\n[[plans]]",
             18,
             "members.register",
-            "the limiters' own",
+            "a separate folder for limiters",
         ),
         (
             "name = \"x\"",
@@ -133,7 +133,7 @@
         assert!(found.is_some_and(|l| l.contains(allowed)), "{with}: {reported:#?}");
     }
     let twice = lines(&format!("{GOOD}[[plans]]\nname = \"team\"\n"));
-    assert_eq!(twice, ["f.toml:20: plans[1].name: \"team\" stands twice; each name may stand once"]);
+    assert_eq!(twice, ["f.toml:20: plans[1].name: \"team\" is a duplicate; each name must be unique"]);
     assert!(lines("name = ")[0].contains("line 1"));
 }
 
@@ -167,8 +167,8 @@
         ("OATBANK__PLANS__0__RATE", "-1", "plans[0].rate: -1 is not allowed; a number from 0"),
         ("OATBANK__PLANS__0__RAT", "1", "plans[0].rat: no such key"),
         ("OATBANK__PLANS__7__RATE", "1", "plans[7].rate: 0 to 1 are allowed here"),
-        ("OATBANK__PLANS__RATE", "1", "no table stands here"),
-        ("OATBANK__NAME__0", "1", "no list stands here"),
+        ("OATBANK__PLANS__RATE", "1", "but its parent is not a table"),
+        ("OATBANK__NAME__0", "1", "but its parent is not a list"),
         ("OATBANK__LIMITS", "much", "limits: \"much\" is not allowed; a table is"),
     ] {
         let reported = with(&[(variable, value)]).expect_err(variable).lines("f.toml");
--- a/crates/engine/src/config/text.rs
+++ b/crates/engine/src/config/text.rs
@@ -117,8 +117,8 @@
             let element = elements.get_mut(*i).ok_or_else(|| format!("0 to {there} are allowed here"))?;
             put(element, rest, new)
         }
-        (Step::Key(name), _) => Err(format!("{name:?} is a key, and no table stands here")),
-        (Step::Element(_), _) => Err("a number is an element, and no list stands here".into()),
+        (Step::Key(name), _) => Err(format!("{name:?} is a key, but its parent is not a table")),
+        (Step::Element(_), _) => Err("a number is an index, but its parent is not a list".into()),
     }
 }
 
