--- a/crates/engine/src/counters/text.rs
+++ b/crates/engine/src/counters/text.rs
@@ -144,7 +144,7 @@
                     connection.wake.notify_one();
                 }
                 None if now - connection.last_queued.get() >= PING_INTERVAL => {
-                    connection.push(None, now, b"ping\r\n")
+                    connection.push(None, now, b"ping\r\n");
                 }
                 _ => {}
             }
