--- a/crates/daemon/src/fleet/mod.rs
+++ b/crates/daemon/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::members::credentials;
 use apply::Applied;
-use oatbank_engine::config::{Base, Fleet as Settings, FleetPeer, FleetTree};
+use oatbank_engine::config::{Base, CoordinatorFolder, Fleet as Settings, FleetPeer};
 use oatbank_engine::engine::Engine;
 use oatbank_engine::ports::clock::Clock;
 use oatbank_engine::ports::membership::MembershipSink;
@@ -343,7 +343,7 @@
 }
 
 /// Creates the registers. A request times out after half a lease, which leaves time for another one.
-fn open_registers(tree: &FleetTree, lease: Millis) -> Rc<Registers> {
+fn open_registers(tree: &CoordinatorFolder, lease: Millis) -> Rc<Registers> {
     let config = oatbank_zookeeper::Config {
         cluster: tree.cluster.clone(),
         path: tree.path.clone(),
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -4,7 +4,7 @@
 use oatbank_engine::engine::{shutdown_timeout, Engine, Setup};
 use oatbank_engine::front::FrontLimits;
 use oatbank_engine::ports::clock::Clock;
-use oatbank_engine::respond::ComeBack;
+use oatbank_engine::respond::RetryAfterFormat;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::{Connections, Http1};
 use oatbank_limiter_core::interface::Millis;
@@ -45,7 +45,7 @@
     /// Timeout for opening a connection to a server, ms.
     pub connect_timeout: Millis,
     /// Format of the retry time in rejections.
-    pub come_back: ComeBack,
+    pub come_back: RetryAfterFormat,
     /// Inherited listening socket, used in place of a new one at `listen`.
     pub passed: Option<RawFd>,
     /// File descriptors reserved for optional features.
--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -6,11 +6,11 @@
 use crate::serve::{on_one_thread, Plan, Serving, Signals};
 use crate::{logging, members};
 use oatbank_engine::config::{self, Base, Config, ZooKeeper};
-use oatbank_engine::counters::{self, local::Numbers};
+use oatbank_engine::counters::{self, local::CounterTotals};
 use oatbank_engine::engine::Engine;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
 use oatbank_engine::ports::membership::MembershipSink;
-use oatbank_engine::respond::ComeBack;
+use oatbank_engine::respond::RetryAfterFormat;
 use oatbank_engine::supervise::keep_running;
 use oatbank_engine::upstreams::http1::Http1;
 use oatbank_membership::register::{Incarnation, Place};
@@ -60,7 +60,7 @@
         let engine = Serving::engine(&plan, clock.clone());
         engine.use_counter(counters::start(
             config.counter,
-            Numbers::default(),
+            CounterTotals::default(),
             clock.clone(),
             engine.call_end_sink(),
         ));
@@ -143,7 +143,7 @@
         limits: Limits { sockets, memory_mb },
         conn_idle: config.keep_idle,
         connect_timeout: config.connect_timeout,
-        come_back: ComeBack::Standard,
+        come_back: RetryAfterFormat::Standard,
         passed: None,
         others: 0,
     }
--- a/crates/engine/src/config/mod.rs
+++ b/crates/engine/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! A configuration of its own, without a platform: a TOML file with servers, classes, plans and a counter.
+//! Standalone configuration, without a platform: a TOML file with servers, classes, plans and a counter.
 //!
 //! ```
 //! let text = r#"
@@ -22,23 +22,23 @@
 //! # Ok::<(), oatbank_engine::config::ConfigError>(())
 //! ```
 //!
-//! | file | does |
+//! | module | contents |
 //! | --- | --- |
-//! | `text` | the text as a value, with the place of each key; environment variables laid over it |
-//! | `file` | the file's form, from which its JSON Schema is made; what it means to the engine |
-//! | `fleet` | the fleet's table, and configurations whose rules come from the fleet |
-//! | `rules` | what one key allows only together with another |
-//! | `mistake` | what is wrong, where, and what is allowed |
+//! | `text` | parsing of the text, with the location of each key; overrides by environment variables |
+//! | `file` | structure of the file, from which its JSON Schema is generated; conversion to engine settings |
+//! | `fleet` | the `[fleet]` table, and configurations whose rules come from the fleet |
+//! | `rules` | checks that involve several keys |
+//! | `validation` | validation against the schema, and validation errors |
 
 mod file;
 mod fleet;
-mod mistake;
 mod rules;
 mod text;
+mod validation;
 
 pub use file::{FileServers, ZooKeeper};
-pub use fleet::{Base, Fleet, FleetPeer, FleetTree, RULES};
-pub use mistake::{Mistake, Place};
+pub use fleet::{Base, CoordinatorFolder, Fleet, FleetPeer, RULES};
+pub use validation::{Place, ValidationError};
 
 use crate::engine::Setup;
 use crate::ports::membership::Member;
@@ -48,25 +48,25 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Environment variables that begin so override keys of the file.
+/// Prefix of environment variables that override keys of the file.
 pub const OVERRIDE: &str = "OATBANK__";
 
-/// Why a configuration is not taken.
+/// Error that prevents a configuration from being loaded.
 #[derive(Debug)]
 pub enum ConfigError {
     /// The file cannot be read.
     Unreadable(std::io::Error),
-    /// The text is no TOML; the message names line and column.
+    /// The text is not valid TOML; the message names line and column.
     Malformed(Box<toml::de::Error>),
-    /// Keys that are unknown, missing or hold what is not allowed: all of them.
-    Invalid(Vec<Mistake>),
+    /// All keys that are unknown, missing or invalid.
+    Invalid(Vec<ValidationError>),
 }
 
 impl ConfigError {
-    /// One line for each mistake, each with the file's name.
+    /// Returns one line for each error, each with the file's name.
     pub fn lines(&self, file: &str) -> Vec<String> {
         match self {
-            ConfigError::Invalid(mistakes) => mistakes.iter().map(|m| m.line(file)).collect(),
+            ConfigError::Invalid(errors) => errors.iter().map(|m| m.line(file)).collect(),
             other => vec![format!("{file}: {other}")],
         }
     }
@@ -77,9 +77,9 @@
         match self {
             ConfigError::Unreadable(e) => write!(f, "{e}"),
             ConfigError::Malformed(e) => write!(f, "{}", e.to_string().trim_end()),
-            ConfigError::Invalid(mistakes) => {
-                let told: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
-                write!(f, "{}", told.join("; "))
+            ConfigError::Invalid(errors) => {
+                let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
+                write!(f, "{}", texts.join("; "))
             }
         }
     }
@@ -87,14 +87,14 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Which counter keeps the accounts' numbers.
+/// Counter that keeps the accounts' usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterKind {
-    /// None: each limiter goes by what it sees itself.
+    /// No counter: each limiter counts only its own requests.
     None,
-    /// One within the process.
+    /// An in-process counter.
     Local,
-    /// One that speaks the platform's text protocol.
+    /// A counter at this address, over the platform's text protocol.
     Text(SocketAddr),
 }
 
@@ -108,40 +108,40 @@
     }
 }
 
-/// What a file says, checked.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The limiter's name, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// What the engine is told.
+    /// Settings of the engine.
     pub setup: Setup,
-    /// The servers; with [`Config::zookeeper`], those that count until it has told its first list.
+    /// The servers; with [`Config::zookeeper`], those used until its first list is read or beside that list.
     pub members: Vec<Member>,
-    /// Servers that get nothing new, wherever the list comes from.
+    /// Ids of servers that get no new requests, wherever the list comes from.
     pub suspended: BTreeSet<String>,
-    /// Zones of which less than all is used.
+    /// Zones of which only a share is used.
     pub left: Vec<ReducedZone>,
-    /// Where the list of servers comes from, if not from here.
+    /// ZooKeeper source of the list of servers, if there is one.
     pub zookeeper: Option<ZooKeeper>,
-    /// The fleet that this limiter is one of.
+    /// Fleet to which this limiter belongs.
     pub fleet: Option<Fleet>,
-    /// The counter.
+    /// Counter of the accounts' usage.
     pub counter: CounterKind,
-    /// Descriptors and memory in MB that the process may take.
+    /// File descriptors and memory in MB that the process may use.
     pub limits: (usize, f64),
-    /// A server closes a connection that stood idle this long, ms.
+    /// Idle timeout after which servers close a connection, ms.
     pub keep_idle: Millis,
-    /// A connection that is not up within this, ms, has failed.
+    /// Timeout of a connection attempt to a server, ms.
     pub connect_timeout: Millis,
 }
 
 impl Config {
-    /// Reads the file at `path`; of `variables`, those that begin with [`OVERRIDE`] override its keys.
+    /// Loads the file at `path`. Those of `variables` whose names begin with [`OVERRIDE`] override its keys.
     ///
     /// # Errors
-    /// When the file cannot be read or does not hold what a limiter needs.
+    /// The file cannot be read or is not a valid configuration.
     pub fn load(
         path: &str,
         variables: impl Iterator<Item = (String, String)>,
@@ -150,38 +150,41 @@
         Config::read(&text, variables)
     }
 
-    /// Reads the text of a configuration.
+    /// Parses the text of a configuration.
     ///
     /// # Errors
-    /// When it does not hold what a limiter needs; the error names every mistake with its line, its key and
-    /// what is allowed.
+    /// The text is not a valid configuration; the error lists every invalid key with its line and what is allowed.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         Config::read(text, std::iter::empty())
     }
 
     fn read(text: &str, variables: impl Iterator<Item = (String, String)>) -> Result<Config, ConfigError> {
         let read = text::Read::new(text, variables).map_err(|e| ConfigError::Malformed(Box::new(e)))?;
-        Config::made(read.value.clone(), read.mistakes, &read.places)
+        Config::from_value(read.value.clone(), read.errors, &read.places)
     }
 
-    /// The configuration that this value is.
-    fn made(value: Value, mut mistakes: Vec<Mistake>, places: &text::Places) -> Result<Config, ConfigError> {
-        mistakes.extend(mistake::against(&file::schema(), &value));
-        rules::check(&value, &mut mistakes);
-        if mistakes.is_empty() {
+    /// Validates a value and converts it to a configuration. `errors` holds those found earlier.
+    fn from_value(
+        value: Value,
+        mut errors: Vec<ValidationError>,
+        places: &text::Places,
+    ) -> Result<Config, ConfigError> {
+        errors.extend(validation::validate(&file::schema(), &value));
+        rules::check(&value, &mut errors);
+        if errors.is_empty() {
             match serde_json::from_value::<file::File>(value).map_err(|e| e.to_string()) {
                 Ok(file) => return file.config().map_err(|m| ConfigError::Invalid(vec![m])),
-                Err(why) => mistakes.push(Mistake::at(Vec::new(), why)),
+                Err(why) => errors.push(ValidationError::at(Vec::new(), why)),
             }
         }
-        for mistake in &mut mistakes {
-            mistake.place = places.of(&mistake.path);
+        for error in &mut errors {
+            error.place = places.of(&error.path);
         }
-        mistakes.sort_by(|a, b| a.place.cmp(&b.place));
-        Err(ConfigError::Invalid(mistakes))
+        errors.sort_by(|a, b| a.place.cmp(&b.place));
+        Err(ConfigError::Invalid(errors))
     }
 
-    /// The JSON Schema (2020-12) of the file's form.
+    /// Returns the JSON Schema (2020-12) of the file.
     pub fn schema() -> serde_json::Value {
         file::schema()
     }
--- a/crates/engine/src/config/tests.rs
+++ b/crates/engine/src/config/tests.rs
@@ -24,28 +24,30 @@
     Config::read(GOOD, variables.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())))
 }
 
-/// The mistakes of a text, as `check` shows them.
+/// Returns the errors of a text as the `check` command prints them.
 fn lines(text: &str) -> Vec<String> {
-    agrees_with_a_kept_validator(text);
+    assert_agrees_with_jsonschema(text);
     Config::parse(text).expect_err(text).lines("f.toml")
 }
 
-/// What the schema alone says of a text is what another reader of JSON Schema says of it, key by key.
-fn agrees_with_a_kept_validator(text: &str) {
+/// Asserts that validation against the schema reports the same keys as the `jsonschema` crate.
+fn assert_agrees_with_jsonschema(text: &str) {
     let Ok(read) = text::Read::new(text, std::iter::empty()) else { return };
     let schema = Config::schema();
-    let pointer = |path: &[mistake::Step]| {
-        let step = |s: &mistake::Step| match s {
-            mistake::Step::Key(name) => format!("/{name}"),
-            mistake::Step::Element(i) => format!("/{i}"),
+    let pointer = |path: &[validation::Step]| {
+        let step = |s: &validation::Step| match s {
+            validation::Step::Key(name) => format!("/{name}"),
+            validation::Step::Element(i) => format!("/{i}"),
         };
         path.iter().map(step).collect::<String>()
     };
-    let at = |m: &Mistake| match m.allowed.starts_with("missing") || m.allowed.starts_with("no such key") {
+    let at = |m: &ValidationError| match m.allowed.starts_with("missing")
+        || m.allowed.starts_with("no such key")
+    {
         true => pointer(&m.path[..m.path.len() - 1]),
         false => pointer(&m.path),
     };
-    let mut ours: Vec<String> = mistake::against(&schema, &read.value).iter().map(at).collect();
+    let mut ours: Vec<String> = validation::validate(&schema, &read.value).iter().map(at).collect();
     let validator = jsonschema::validator_for(&schema).expect("a schema");
     let mut theirs: Vec<String> =
         validator.iter_errors(&read.value).map(|e| e.instance_path().as_str().to_owned()).collect();
@@ -55,7 +57,7 @@
 }
 
 #[test]
-fn a_good_file_is_taken_with_its_defaults() {
+fn a_valid_file_is_loaded_with_defaults() {
     let config = Config::parse(GOOD).expect("a configuration");
     assert_eq!((config.counter, config.setup.settings.zone), (CounterKind::Local, 1));
     assert_eq!(config.setup.settings.classes[0].deadline, 2000.0);
@@ -64,7 +66,7 @@
 }
 
 #[test]
-fn each_mistake_is_told_with_its_line_its_key_and_what_is_allowed() {
+fn each_error_names_its_line_its_key_and_what_is_allowed() {
     for (of, with, line, key, allowed) in [
         ("burst = 10", "burst = 0", 18, "plans[0].burst", "a number over 0"),
         ("burst = 10", "burst = nan", 18, "plans[0].burst", "a number is from 0 to 1000000000"),
@@ -72,7 +74,13 @@
         ("rate = 5", "rate = -1", 17, "plans[0].rate", "a number from 0 to 1000000000"),
         ("rate = 5", "rate = \"much\"", 17, "plans[0].rate", "a number is from 0"),
         ("aim_ms = 500", "aim_ms = 5000", 12, "classes[0].deadline_ms", "a number from 5000"),
-        ("aim_ms = 500\n", "", 9, "classes[0].aim_ms", "missing; needed is an answer within this"),
+        (
+            "aim_ms = 500\n",
+            "",
+            9,
+            "classes[0].aim_ms",
+            "missing; needed is target latency, ms; an answer within it",
+        ),
         ("key_window_ms = 25000", "", 9, "classes[0].key_window_ms", "a number from 1"),
         ("zone = \"b\"", "zone = \"c\"", 4, "zone", "not among zones"),
         ("zone = \"a\"", "zone = \"c\"", 8, "servers[0].zone", "not among zones"),
@@ -109,7 +117,7 @@
             "[members]\nzookeeper = \"x:1\"\npath = \"/a\"\nregister = \"/a\"\n[[plans]]",
             18,
             "members.register",
-            "the limiters' own",
+            "a separate folder for limiters",
         ),
         (
             "name = \"x\"",
@@ -120,20 +128,20 @@
         ),
     ] {
         assert!(GOOD.contains(of), "{of}");
-        let told = lines(&GOOD.replacen(of, with, 1));
-        let found = told.iter().find(|l| l.starts_with(&format!("f.toml:{line}: {key}: ")));
-        assert!(found.is_some_and(|l| l.contains(allowed)), "{with}: {told:#?}");
+        let reported = lines(&GOOD.replacen(of, with, 1));
+        let found = reported.iter().find(|l| l.starts_with(&format!("f.toml:{line}: {key}: ")));
+        assert!(found.is_some_and(|l| l.contains(allowed)), "{with}: {reported:#?}");
     }
     let twice = lines(&format!("{GOOD}[[plans]]\nname = \"team\"\n"));
-    assert_eq!(twice, ["f.toml:20: plans[1].name: \"team\" stands twice; each name may stand once"]);
+    assert_eq!(twice, ["f.toml:20: plans[1].name: \"team\" is a duplicate; each name must be unique"]);
     assert!(lines("name = ")[0].contains("line 1"));
 }
 
 #[test]
-fn all_mistakes_are_told_at_once_in_the_files_order() {
+fn all_errors_are_reported_at_once_in_file_order() {
     let bad = GOOD.replace("aim_ms = 500", "aim_ms = -1").replace("rate = 5", "rat = 5");
-    let told = lines(&bad.replace("zone = \"b\"", "zone = \"c\""));
-    let keys: Vec<&str> = told.iter().map(|l| l.split(": ").nth(1).expect("a key")).collect();
+    let reported = lines(&bad.replace("zone = \"b\"", "zone = \"c\""));
+    let keys: Vec<&str> = reported.iter().map(|l| l.split(": ").nth(1).expect("a key")).collect();
     assert_eq!(keys, ["zone", "classes[0].aim_ms", "plans[0].rat"]);
     let empty = lines("");
     assert!(empty.iter().any(|l| l.contains("classes: missing")), "{empty:?}");
@@ -142,7 +150,7 @@
 }
 
 #[test]
-fn variables_override_keys_and_a_mistake_in_one_names_it() {
+fn variables_override_keys_and_their_errors_name_the_variable() {
     let config = with(&[
         ("OATBANK__LISTEN", "127.0.0.1:9"),
         ("OATBANK__PLANS__0__RATE", "7.5"),
@@ -159,20 +167,20 @@
         ("OATBANK__PLANS__0__RATE", "-1", "plans[0].rate: -1 is not allowed; a number from 0"),
         ("OATBANK__PLANS__0__RAT", "1", "plans[0].rat: no such key"),
         ("OATBANK__PLANS__7__RATE", "1", "plans[7].rate: 0 to 1 are allowed here"),
-        ("OATBANK__PLANS__RATE", "1", "no table stands here"),
-        ("OATBANK__NAME__0", "1", "no list stands here"),
+        ("OATBANK__PLANS__RATE", "1", "but its parent is not a table"),
+        ("OATBANK__NAME__0", "1", "but its parent is not a list"),
         ("OATBANK__LIMITS", "much", "limits: \"much\" is not allowed; a table is"),
     ] {
-        let told = with(&[(variable, value)]).expect_err(variable).lines("f.toml");
-        assert!(told.iter().any(|l| l.starts_with(variable) && l.contains(says)), "{told:?}");
+        let reported = with(&[(variable, value)]).expect_err(variable).lines("f.toml");
+        assert!(reported.iter().any(|l| l.starts_with(variable) && l.contains(says)), "{reported:?}");
     }
 }
 
 #[test]
-fn the_example_fits_the_schema_and_the_schema_knows_every_key() {
+fn the_example_matches_the_schema_and_the_schema_is_valid() {
     let text = include_str!("../../../../deploy/standalone.toml");
     let example: serde_json::Value = toml::from_str(text).expect("TOML");
-    assert_eq!(mistake::against(&Config::schema(), &example), []);
+    assert_eq!(validation::validate(&Config::schema(), &example), []);
     Config::parse(text).expect("the example");
     let schema = Config::schema();
     assert!(jsonschema::meta::is_valid(&schema));
--- a/crates/engine/src/counters/local.rs
+++ b/crates/engine/src/counters/local.rs
@@ -1,4 +1,4 @@
-//! A counter within the process, for one limiter alone or for several in one process.
+//! In-process counter, used by a single limiter or shared by several limiters of one process.
 
 use crate::ports::clock::Clock;
 use crate::ports::counter::{Call, CallEnd, CallEndSink, CallId, Counter};
@@ -8,26 +8,26 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 
-/// Names kept at most. Past it calls with new names are turned away until others have had their time:
-/// bounds the memory that a flood of names takes. At two names an account, half a million accounts.
-const MOST_NAMES: usize = 1 << 20;
-/// Names are looked through for those that have had their time this often, ms.
-const PURGE_EVERY: Millis = 5000.0;
+/// Most counter names kept; beyond it calls with new names end as busy until others expire. Bounds the memory that a
+/// flood of names takes. Suffices for half a million accounts with two names each.
+const MAX_NAMES: usize = 1 << 20;
+/// Interval between purges of expired names, ms.
+const PURGE_INTERVAL: Millis = 5000.0;
 
 #[derive(Debug, Default)]
 struct Sums {
-    /// Total, and when it is forgotten.
+    /// Total and expiry time of each name.
     sums: HashMap<CountName, (f64, Millis)>,
     purged: Millis,
 }
 
 impl Sums {
     fn add(&mut self, now: Millis, call: &Call) -> CallEnd {
-        if now - self.purged >= PURGE_EVERY {
+        if now - self.purged >= PURGE_INTERVAL {
             self.purged = now;
             self.sums.retain(|_, (_, ends)| *ends > now);
         }
-        let full = self.sums.len() >= MOST_NAMES;
+        let full = self.sums.len() >= MAX_NAMES;
         match self.sums.get_mut(&call.name) {
             Some((total, ends)) if *ends > now => {
                 *total += call.add;
@@ -42,38 +42,38 @@
     }
 }
 
-/// The numbers themselves; engines of one process may share them.
+/// The totals of an in-process counter; clones share them, also between engines.
 #[derive(Clone, Debug, Default)]
-pub struct Numbers(Arc<Mutex<Sums>>);
+pub struct CounterTotals(Arc<Mutex<Sums>>);
 
-impl Numbers {
-    /// Adds to a number, and tells its total.
+impl CounterTotals {
+    /// Adds to a total and returns the new total, or [`CallEnd::Busy`] for a new name when [`MAX_NAMES`] are kept.
     pub fn add(&self, now: Millis, call: &Call) -> CallEnd {
-        // A sum is changed in one step, so one that panicked beside it left nothing half done.
+        // Each total is changed in one step, so a poisoned lock holds consistent totals.
         self.0.lock().unwrap_or_else(PoisonError::into_inner).add(now, call)
     }
 
-    /// All names that live, with their totals; in the order of the names.
-    pub fn book(&self, now: Millis) -> Vec<(CountName, f64)> {
+    /// Returns all unexpired names with their totals, sorted by name.
+    pub fn snapshot(&self, now: Millis) -> Vec<(CountName, f64)> {
         let sums = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let living = sums.sums.iter().filter(|(_, (_, ends))| *ends > now);
-        let mut book: Vec<_> = living.map(|(name, (total, _))| (*name, *total)).collect();
-        book.sort_by_key(|(name, _)| *name);
-        book
+        let unexpired = sums.sums.iter().filter(|(_, (_, ends))| *ends > now);
+        let mut totals: Vec<_> = unexpired.map(|(name, (total, _))| (*name, *total)).collect();
+        totals.sort_by_key(|(name, _)| *name);
+        totals
     }
 }
 
-/// One engine's way to them. Every call is answered on the next turn of the event loop.
+/// One engine's access to [`CounterTotals`]. A call's result arrives on the next turn of the event loop.
 pub struct LocalCounter {
-    numbers: Numbers,
+    numbers: CounterTotals,
     clock: Rc<dyn Clock>,
     answers: UnboundedSender<(CallId, CallEnd)>,
 }
 
 impl LocalCounter {
-    /// Begins to answer, for as long as the engine's tasks run.
-    pub fn start(numbers: Numbers, clock: Rc<dyn Clock>, ends: CallEndSink) -> Rc<Self> {
-        // Holds no more than the engine has calls out: one a name at most.
+    /// Spawns the task that delivers results to `ends`, on the current local set.
+    pub fn start(numbers: CounterTotals, clock: Rc<dyn Clock>, ends: CallEndSink) -> Rc<Self> {
+        // Bounded by the engine's open calls: at most one for each name.
         let (answers, mut due) = unbounded_channel();
         tokio::task::spawn_local(async move {
             while let Some((call, end)) = due.recv().await {
@@ -90,7 +90,7 @@
         if matches!(end, CallEnd::Busy) {
             return Err(end);
         }
-        // Should nobody read any more, the engine's time-out ends the call.
+        // If the receiving task has ended, the engine's timeout ends the call.
         let _ = self.answers.send((call.id, end));
         Ok(())
     }
--- a/crates/engine/src/counters/mod.rs
+++ b/crates/engine/src/counters/mod.rs
@@ -1,4 +1,4 @@
-//! Ways to count.
+//! Implementations of the counter port.
 
 pub mod local;
 pub mod text;
@@ -6,15 +6,15 @@
 use crate::config::CounterKind;
 use crate::ports::clock::Clock;
 use crate::ports::counter::{CallEndSink, Counter};
-use local::{LocalCounter, Numbers};
+use local::{CounterTotals, LocalCounter};
 use std::rc::Rc;
 use text::TextCounter;
 
-/// Starts the counter that a configuration names, inside the engine's local set; `numbers` are those of a counter
-/// within the process.
+/// Starts the configured counter on the engine's local set, or returns `None` if there is none. `numbers` holds the
+/// totals of [`CounterKind::Local`] and is unused otherwise.
 pub fn start(
     kind: CounterKind,
-    numbers: Numbers,
+    numbers: CounterTotals,
     clock: Rc<dyn Clock>,
     ends: CallEndSink,
 ) -> Option<Rc<dyn Counter>> {
--- a/crates/engine/src/counters/text.rs
+++ b/crates/engine/src/counters/text.rs
@@ -1,5 +1,5 @@
-//! The platform's text protocol: lines written one behind another on a few kept connections, whose answers
-//! come back in order.
+//! Client of the platform's text counter protocol: requests are pipelined as lines on a few persistent connections,
+//! and each connection returns its replies in order.
 
 use crate::ports::clock::Clock;
 use crate::ports::counter::{Call, CallEnd, CallEndSink, CallId, Counter};
@@ -15,32 +15,32 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Connections kept. The counter answers a connection in order, so a call to a slow part of it holds up
-/// those behind; a name takes the same connection while that stands, so that its calls stay in order.
-const LINKS: usize = 4;
-/// Answers owed on a connection past which further calls are turned away: bounds what is kept for a
-/// counter that has fallen silent.
-const MOST_OWED: usize = 512;
-/// A connection whose oldest answer is owed for longer than this is dead.
-const DEAD_AFTER: Duration = Duration::from_millis(1000);
-/// An idle connection is spoken on this often, ms, before the counter closes it.
-const PING: Millis = 2000.0;
-/// Time for a connection to come up.
-const CONNECT: Duration = Duration::from_millis(500);
-/// First pause after a failure; doubles up to the other. A connection that worked for the first of the two
-/// is replaced at once: a counter that resets one has not gone.
-const PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest line the counter may send.
-const MOST_LINE: usize = 256;
+/// Number of persistent connections. The counter replies in order on each, so a slow call delays those behind it;
+/// several connections limit that. A name keeps to one connection while it is up, so that its calls stay in order.
+const CONNECTIONS: usize = 4;
+/// Most pending replies on a connection; further calls are refused. Bounds the memory kept for a counter that does
+/// not reply.
+const MAX_PENDING_REPLIES: usize = 512;
+/// A connection whose oldest reply is pending for longer than this is closed.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
+/// A connection idle for this long is sent a ping, ms, so that the counter does not close it.
+const PING_INTERVAL: Millis = 2000.0;
+/// Timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay before the first reconnect, doubled after each failure up to [`MAX_RECONNECT_DELAY`]. A connection that
+/// received data and lasted longer than this is replaced at once: a counter that resets one connection is still there.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
+/// Longest line that is accepted from the counter, bytes.
+const MAX_LINE_BYTES: usize = 256;
 
-/// An answer that a connection still owes.
-struct Owed {
-    /// None: a ping.
+/// A reply that is still to come on a connection.
+struct PendingReply {
+    /// The call; `None` for a ping.
     call: Option<CallId>,
     at: Millis,
-    /// Where its last byte ends among all that was ever queued on the connection.
-    ends: u64,
+    /// Offset of the end of its line among all bytes ever queued on the connection.
+    line_end: u64,
 }
 
 #[derive(Default)]
@@ -48,157 +48,159 @@
     out: Vec<u8>,
     queued: u64,
     written: u64,
-    owed: VecDeque<Owed>,
+    pending: VecDeque<PendingReply>,
 }
 
-/// One connection that is up.
+/// State of one established connection.
 #[derive(Default)]
-struct Link {
+struct Connection {
     queue: RefCell<Queue>,
-    woken: Notify,
-    heard: Cell<bool>,
-    /// When something was last queued.
-    spoke: Cell<Millis>,
-    /// Another has taken its place: it ends once it owes nothing.
+    wake: Notify,
+    received: Cell<bool>,
+    /// Time at which a line was last queued.
+    last_queued: Cell<Millis>,
+    /// Replaced by a newer connection; it closes once no reply is pending.
     retired: Cell<bool>,
-    /// Its answers stay out.
+    /// Its oldest reply is overdue; it takes no calls and closes.
     dead: Cell<bool>,
 }
 
-impl Link {
+impl Connection {
     fn push(&self, call: Option<CallId>, at: Millis, line: &[u8]) {
-        self.spoke.set(at);
+        self.last_queued.set(at);
         let mut queue = self.queue.borrow_mut();
         queue.out.extend_from_slice(line);
         queue.queued += line.len() as u64;
-        let ends = queue.queued;
-        queue.owed.push_back(Owed { call, at, ends });
-        self.woken.notify_one();
+        let line_end = queue.queued;
+        queue.pending.push_back(PendingReply { call, at, line_end });
+        self.wake.notify_one();
     }
 
     fn retire(&self) {
         self.retired.set(true);
-        self.woken.notify_one();
+        self.wake.notify_one();
     }
 }
 
-/// A counter that speaks the text protocol.
+/// Counter that is reached over the text protocol.
 pub struct TextCounter {
     clock: Rc<dyn Clock>,
     ends: CallEndSink,
     address: Cell<Option<SocketAddr>>,
-    links: RefCell<[Option<Rc<Link>>; LINKS]>,
-    moved: [Notify; LINKS],
+    connections: RefCell<[Option<Rc<Connection>>; CONNECTIONS]>,
+    address_changed: [Notify; CONNECTIONS],
 }
 
 impl TextCounter {
-    /// Begins to keep connections to `address` up, for as long as the engine's tasks run. Without an address
-    /// every call ends at once as [`CallEnd::Unreachable`].
+    /// Spawns the tasks that keep connections to `address` open, on the current local set. Without an address every
+    /// call ends at once as [`CallEnd::Unreachable`].
     pub fn start(address: Option<SocketAddr>, clock: Rc<dyn Clock>, ends: CallEndSink) -> Rc<Self> {
         let counter = Rc::new(TextCounter {
             clock,
             ends,
             address: Cell::new(address),
-            links: RefCell::default(),
-            moved: std::array::from_fn(|_| Notify::new()),
+            connections: RefCell::default(),
+            address_changed: std::array::from_fn(|_| Notify::new()),
         });
-        for index in 0..LINKS {
+        for index in 0..CONNECTIONS {
             let counter = counter.clone();
-            keep_running("counter", move || keep(counter.clone(), index));
+            keep_running("counter", move || keep_connected(counter.clone(), index));
         }
         counter
     }
 
-    /// From now on the counter is at another address. Each connection is used until its successor stands
-    /// and is read until it owes nothing: a call is neither lost nor made twice.
+    /// Moves to another address. Each connection is used until its successor is up and is read until no reply is
+    /// pending, so a call is neither lost nor sent twice.
     pub fn move_to(&self, address: Option<SocketAddr>) {
         if self.address.replace(address) != address {
-            self.moved.iter().for_each(Notify::notify_one);
+            self.address_changed.iter().for_each(Notify::notify_one);
         }
     }
 }
 
 impl Counter for TextCounter {
     fn begin(&self, call: Call) -> Result<(), CallEnd> {
-        let links = self.links.borrow();
-        let first = (call.name.0 % LINKS as u64) as usize;
-        // While a name's own connection is down its calls take another: one reset connection would else
-        // look like a counter that has gone.
-        let standing = (0..LINKS).filter_map(|i| links[(first + i) % LINKS].as_ref());
-        let link = standing.into_iter().find(|l| !l.dead.get()).ok_or(CallEnd::Unreachable)?;
-        if link.queue.borrow().owed.len() >= MOST_OWED {
+        let connections = self.connections.borrow();
+        let first = (call.name.0 % CONNECTIONS as u64) as usize;
+        // While the name's own connection is down its calls use another: otherwise one reset connection would look
+        // like an unreachable counter.
+        let standing = (0..CONNECTIONS).filter_map(|i| connections[(first + i) % CONNECTIONS].as_ref());
+        let connection = standing.into_iter().find(|l| !l.dead.get()).ok_or(CallEnd::Unreachable)?;
+        if connection.queue.borrow().pending.len() >= MAX_PENDING_REPLIES {
             return Err(CallEnd::Unreachable);
         }
         let line = format!("bump {:016x} {} {}\r\n", call.name.0, call.add, (call.ttl as u64).max(1));
-        link.push(Some(call.id), self.clock.now(), line.as_bytes());
+        connection.push(Some(call.id), self.clock.now(), line.as_bytes());
         Ok(())
     }
 
-    /// Gives up connections that have fallen silent, and speaks on those that stand idle.
+    /// Closes connections whose oldest reply is overdue and sends a ping on idle ones.
     fn upkeep(&self, now: Millis) {
-        for link in self.links.borrow().iter().flatten() {
-            let oldest = link.queue.borrow().owed.front().map(|o| now - o.at);
+        for connection in self.connections.borrow().iter().flatten() {
+            let oldest = connection.queue.borrow().pending.front().map(|o| now - o.at);
             match oldest {
-                Some(age) if age > DEAD_AFTER.as_secs_f64() * 1000.0 => {
-                    link.dead.set(true);
-                    link.woken.notify_one();
+                Some(age) if age > REPLY_TIMEOUT.as_secs_f64() * 1000.0 => {
+                    connection.dead.set(true);
+                    connection.wake.notify_one();
+                }
+                None if now - connection.last_queued.get() >= PING_INTERVAL => {
+                    connection.push(None, now, b"ping\r\n");
                 }
-                None if now - link.spoke.get() >= PING => link.push(None, now, b"ping\r\n"),
                 _ => {}
             }
         }
     }
 }
 
-/// Keeps one connection up.
-async fn keep(counter: Rc<TextCounter>, index: usize) {
-    let mut pause = PAUSE;
+/// Keeps the connection at `index` open; does not return.
+async fn keep_connected(counter: Rc<TextCounter>, index: usize) {
+    let mut pause = MIN_RECONNECT_DELAY;
     loop {
         let Some(address) = counter.address.get() else {
-            counter.moved[index].notified().await;
+            counter.address_changed[index].notified().await;
             continue;
         };
-        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
-            // Without it a call waits for the answer to the one before.
+        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+            // With Nagle's algorithm a call would wait for the acknowledgement of the one before.
             let _ = stream.set_nodelay(true);
-            let (up, link) = (Instant::now(), Rc::new(Link::default()));
-            if let Some(before) = counter.links.borrow_mut()[index].replace(link.clone()) {
+            let (up, connection) = (Instant::now(), Rc::new(Connection::default()));
+            if let Some(before) = counter.connections.borrow_mut()[index].replace(connection.clone()) {
                 before.retire();
             }
-            let serving = tokio::task::spawn_local(serve(counter.clone(), stream, index, link.clone()));
+            let serving = tokio::task::spawn_local(serve(counter.clone(), stream, index, connection.clone()));
             tokio::select! {
                 _ = serving => {}
-                () = counter.moved[index].notified() => pause = PAUSE,
+                () = counter.address_changed[index].notified() => pause = MIN_RECONNECT_DELAY,
             }
-            if link.heard.get() && up.elapsed() > PAUSE {
-                pause = PAUSE;
+            if connection.received.get() && up.elapsed() > MIN_RECONNECT_DELAY {
+                pause = MIN_RECONNECT_DELAY;
                 continue;
             }
         }
         tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_RECONNECT_DELAY);
     }
 }
 
-/// Takes a connection out of use whichever way it ends, and tells how what it owes has ended: written whole,
-/// it may have been added; else it was not.
-struct Ending {
+/// Removes a connection on drop, however it ends, and ends its pending calls: a call whose line was written whole may
+/// have been added ([`CallEnd::Unknown`]), any other was not ([`CallEnd::Unreachable`]).
+struct ConnectionGuard {
     counter: Rc<TextCounter>,
     index: usize,
-    link: Rc<Link>,
+    connection: Rc<Connection>,
 }
 
-impl Drop for Ending {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         {
-            let mut links = self.counter.links.borrow_mut();
-            if links[self.index].as_ref().is_some_and(|l| Rc::ptr_eq(l, &self.link)) {
-                links[self.index] = None;
+            let mut connections = self.counter.connections.borrow_mut();
+            if connections[self.index].as_ref().is_some_and(|l| Rc::ptr_eq(l, &self.connection)) {
+                connections[self.index] = None;
             }
         }
-        let queue = self.link.queue.take();
-        for o in queue.owed {
-            let end = if o.ends <= queue.written { CallEnd::Unknown } else { CallEnd::Unreachable };
+        let queue = self.connection.queue.take();
+        for o in queue.pending {
+            let end = if o.line_end <= queue.written { CallEnd::Unknown } else { CallEnd::Unreachable };
             if let Some(call) = o.call {
                 (self.counter.ends)(call, end);
             }
@@ -206,65 +208,75 @@
     }
 }
 
-async fn serve(counter: Rc<TextCounter>, stream: TcpStream, index: usize, link: Rc<Link>) {
-    let ending = Ending { counter, index, link };
-    if let Err(e) = converse(&ending.counter, stream, &ending.link).await {
-        tracing::warn!("counter: connection {index} is lost: {e}");
+async fn serve(counter: Rc<TextCounter>, stream: TcpStream, index: usize, connection: Rc<Connection>) {
+    let guard = ConnectionGuard { counter, index, connection };
+    if let Err(e) = exchange(&guard.counter, stream, &guard.connection).await {
+        tracing::warn!("counter: connection {index} lost: {e}");
     }
 }
 
-/// Writes calls and reads answers until the connection ends; an error tells why it could not go on.
-async fn converse(counter: &TextCounter, mut stream: TcpStream, link: &Link) -> Result<(), String> {
+/// Writes calls and reads replies until the connection is retired and no reply is pending.
+///
+/// # Errors
+/// The reason why the connection cannot be used any longer.
+async fn exchange(
+    counter: &TextCounter,
+    mut stream: TcpStream,
+    connection: &Connection,
+) -> Result<(), String> {
     let (mut reader, mut writer) = stream.split();
     let mut line = Vec::new();
-    let mut piece = [0u8; 2048];
+    let mut buffer = [0u8; 2048];
     let mut out = Vec::new();
     loop {
         {
-            let mut queue = link.queue.borrow_mut();
+            let mut queue = connection.queue.borrow_mut();
             if out.is_empty() {
                 std::mem::swap(&mut out, &mut queue.out);
             }
-            if link.retired.get() && out.is_empty() && queue.owed.is_empty() {
+            if connection.retired.get() && out.is_empty() && queue.pending.is_empty() {
                 return Ok(());
             }
         }
-        if link.dead.get() {
+        if connection.dead.get() {
             return Err("no answer".into());
         }
         tokio::select! {
             sent = writer.write(&out), if !out.is_empty() => {
                 let n = sent.map_err(|e| e.to_string())?;
                 out.drain(..n);
-                link.queue.borrow_mut().written += n as u64;
+                connection.queue.borrow_mut().written += n as u64;
             }
-            got = reader.read(&mut piece) => {
+            got = reader.read(&mut buffer) => {
                 let n = got.map_err(|e| e.to_string())?;
                 if n == 0 {
                     return Err("closed".into());
                 }
-                link.heard.set(true);
-                for byte in &piece[..n] {
+                connection.received.set(true);
+                for byte in &buffer[..n] {
                     if *byte == b'\n' {
-                        answered(counter, link, &line)?;
+                        handle_line(counter, connection, &line)?;
                         line.clear();
                     } else {
                         line.push(*byte);
                     }
-                    if line.len() > MOST_LINE {
-                        return Err("an endless line".into());
+                    if line.len() > MAX_LINE_BYTES {
+                        return Err("line too long".into());
                     }
                 }
             }
-            () = link.woken.notified() => {}
-            () = tokio::time::sleep(DEAD_AFTER), if link.retired.get() => return Err("no answer".into()),
+            () = connection.wake.notified() => {}
+            () = tokio::time::sleep(REPLY_TIMEOUT), if connection.retired.get() => return Err("no answer".into()),
         }
     }
 }
 
-/// Takes in one line. One that is no answer leaves unknown what it belonged to: the connection is given up,
-/// and the call whose answer was due, which was added, is in doubt like those behind it.
-fn answered(counter: &TextCounter, link: &Link, line: &[u8]) -> Result<(), String> {
+/// Handles one line from the counter.
+///
+/// # Errors
+/// The line is not the reply that is due. The connection is then closed, and the result of the call whose reply was due
+/// is as unknown as that of the calls behind it.
+fn handle_line(counter: &TextCounter, connection: &Connection, line: &[u8]) -> Result<(), String> {
     let text = std::str::from_utf8(line).unwrap_or("?").trim();
     let end = match text.split_once(' ').map_or((text, None), |(a, b)| (a, Some(b))) {
         ("ok", Some(total)) => match total.trim().parse::<f64>() {
@@ -275,12 +287,12 @@
         ("pong", None) => None,
         _ => return Err(format!("answered {text:?}")),
     };
-    let call = match link.queue.borrow().owed.front() {
-        Some(owed) if owed.call.is_none() == end.is_none() => owed.call,
+    let call = match connection.queue.borrow().pending.front() {
+        Some(pending) if pending.call.is_none() == end.is_none() => pending.call,
         Some(_) => return Err(format!("answered {text:?} out of turn")),
         None => return Err(format!("answered {text:?} to no call")),
     };
-    link.queue.borrow_mut().owed.pop_front();
+    connection.queue.borrow_mut().pending.pop_front();
     if let (Some(call), Some(end)) = (call, end) {
         (counter.ends)(call, end);
     }
--- a/crates/engine/src/upstreams/http1.rs
+++ b/crates/engine/src/upstreams/http1.rs
@@ -1,7 +1,7 @@
-//! Servers that are met over HTTP/1.1, and the connections kept to them.
+//! Upstream servers over HTTP/1.1, with a connection pool.
 //!
-//! Connections are kept here and not in a pooling client: such a client sends again by itself, and does not
-//! tell whether a request went out. What heads say is a [`Dialect`]'s.
+//! The pool is implemented here because a pooling client retries by itself and does not report whether a request was
+//! sent. A [`Dialect`] sets and interprets the headers.
 
 use crate::body::{
     self, Body, BodyBudget, BodyError, BodyPermit, BodyPrefix, BodySender, SendState, Upload, UploadBody,
@@ -35,87 +35,88 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// An answer that has begun and of which nothing comes for this long is given up; so is one that its client takes
-/// nothing of.
-const STALL: Duration = Duration::from_secs(10);
-/// Buffer of a server's connection: room for the longest head that is read.
-const BUFFER: usize = 16 * 1024;
-/// Largest figure of a load report that is believed: far above what any server holds.
-const MOST_LOAD: f64 = 10_000.0;
-/// Share of the servers' idle time after which a connection is retired here: well before they close it, as
-/// a request that crosses with the close is lost.
+/// A streamed response is aborted after this time without data from the server, or without the client reading any.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Buffer size of a server connection, bytes; bounds the response head.
+const BUFFER_BYTES: usize = 16 * 1024;
+/// Largest valid value in a load report: far above any server's queue or utilization.
+const MAX_LOAD: f64 = 10_000.0;
+/// Share of the servers' idle timeout after which an idle connection is closed here: well before the server closes it,
+/// as a request sent while the server closes is lost.
 const IDLE_SHARE: f64 = 0.6;
 
-/// Idle connections of a server that left the list are kept this long, ms, should it be back at once: a member whose
-/// session flaps is the same process, and one that did restart has closed them.
-const KEEP_OVER_FLAP: Millis = 1000.0;
+/// Idle connections of a server that takes no new requests are kept this long, ms, in case it returns: a member whose
+/// session flaps is the same process, and a restarted process has closed them.
+const PARKED_IDLE_TIMEOUT: Millis = 1000.0;
 
-/// What the heads of requests and answers say, and how much of an answer is held.
+/// Sets the headers of requests, interprets the heads of responses and limits their bodies.
 ///
-/// It decides on what was read of an answer; that nothing was written, that a body is whole and that a connection is
-/// free is seen to here.
+/// A dialect judges only a response head that was read. [`Http1`] itself detects unsent requests, incomplete bodies and
+/// connections that are free again.
 pub trait Dialect: 'static {
-    /// What an answer becomes.
+    /// Type of the answer that is passed to the client.
     type Answer: 'static;
 
-    /// Sets what a server is told beside what goes on from the client.
+    /// Adds the headers for the server to those forwarded from the client.
     fn address(&self, job: &AttemptJob<Forward>, headers: &mut HeaderMap);
 
-    /// What an answer's head means.
-    fn judge(&self, job: &AttemptJob<Forward>, head: &Parts) -> Verdict;
+    /// Classifies a response by its head.
+    fn classify(&self, job: &AttemptJob<Forward>, head: &Parts) -> Verdict;
 
-    /// Makes the answer that goes to the client.
+    /// Builds the answer for the client.
     fn answer(&self, head: Parts, body: Body) -> Self::Answer;
 
-    /// The values of the server's load report, in the order of the settings; none without one.
+    /// Returns the values of the server's load report in the order of the settings; empty if there is none.
     fn load(&self, _headers: &HeaderMap) -> Vec<f64> {
         Vec::new()
     }
 
-    /// An answer up to this many bytes is read whole before it counts; a longer one is passed on as it comes.
+    /// Largest body, bytes, that is buffered completely before the attempt ends; a longer one is streamed.
     fn held(&self) -> usize {
         MAX_BUFFERED_BYTES
     }
 
-    /// The longest answer that is passed on, bytes.
+    /// Largest body that is streamed, bytes.
     fn longest(&self) -> u64 {
         MAX_BODY_BYTES
     }
 
-    /// A connection on which a server confirms nothing for this long is broken; none: the system decides.
+    /// TCP user timeout: a connection whose sent data is not acknowledged for this long is broken. `None` leaves the
+    /// system's default.
     fn unconfirmed(&self) -> Option<Duration> {
         None
     }
 }
 
-/// What the head of an answer means.
+/// Classification of a response by its head.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Verdict {
-    /// How the attempt has ended, once the answer is whole.
+    /// Outcome of the attempt once the response is complete.
     pub outcome: Outcome,
-    /// Nothing more is read of it and its connection is closed.
-    pub spoilt: bool,
-    /// It may be given to a client. With [`Outcome::Error`] that is where nothing better comes.
+    /// Whether the response is unusable: its body is not read and its connection is closed.
+    pub unusable: bool,
+    /// Whether the response may be passed to the client. With [`Outcome::Error`] it is used only if no attempt gives a
+    /// better one.
     pub given: bool,
-    /// It has no body by its kind, whatever lengths it tells.
+    /// Whether the response has no body by its method or status, whatever its length headers say.
     pub bodiless: bool,
-    /// How long its server keeps the connection when idle, ms, where it tells that.
+    /// The server's idle timeout, ms, if it states one.
     pub keeps: Option<Millis>,
 }
 
 impl Verdict {
-    /// An answer with a body of which the outcome is this; given to the client if that is [`Outcome::Ok`].
+    /// A usable response with a body, passed to the client if `outcome` is [`Outcome::Ok`].
     pub fn new(outcome: Outcome) -> Self {
-        Verdict { outcome, spoilt: false, given: outcome == Outcome::Ok, bodiless: false, keeps: None }
+        Verdict { outcome, unusable: false, given: outcome == Outcome::Ok, bodiless: false, keeps: None }
     }
 
-    /// An answer that cannot be used.
-    pub fn spoilt(outcome: Outcome) -> Self {
-        Verdict { spoilt: true, given: false, ..Verdict::new(outcome) }
+    /// An unusable response.
+    pub fn unusable(outcome: Outcome) -> Self {
+        Verdict { unusable: true, given: false, ..Verdict::new(outcome) }
     }
 }
 
-/// The platform's servers.
+/// Dialect of the platform's servers.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
     /// Names of the values in a load report, in the order of the settings.
@@ -134,7 +135,7 @@
         }
     }
 
-    fn judge(&self, _: &AttemptJob<Forward>, head: &Parts) -> Verdict {
+    fn classify(&self, _: &AttemptJob<Forward>, head: &Parts) -> Verdict {
         let not_run = head.headers.get(NOT_RUN).is_some_and(|v| v.as_bytes() == b"1");
         Verdict::new(match head.status {
             StatusCode::OK => Outcome::Ok,
@@ -156,33 +157,33 @@
 const NOT_RUN: HeaderName = HeaderName::from_static("x-unprocessed");
 const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
-/// What goes on to a server, unchanged.
+/// The request that is forwarded to a server.
 pub struct Forward {
     /// Method of the request.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The forwarded headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Upload,
-    /// The body's room.
+    /// The body's share of the memory budget.
     pub permit: Option<BodyPermit>,
 }
 
-/// A stream that notes whether anything of the present request has been written. In doubt a request may
-/// have run, so the first byte counts: small messages go out in one piece.
+/// A stream that records whether any byte of the current request was written. From the first byte on the request may
+/// have run, as small messages are sent in one piece.
 ///
-/// Before that first byte it makes sure that nothing is left to be read: bytes that belong to no answer (a
-/// second copy, noise) would be taken for the answer to this request. What came before the answer was
-/// taken whole, the parser holds and gives its connection up for; what came later stands in the socket, and
-/// the runtime need not have heard of it yet, so the socket itself is asked.
-struct Noted {
+/// Before the first byte it checks that no unread data is left: stray bytes, such as a duplicate response, would be taken
+/// for the response to this request. Bytes that arrived before the previous response was complete are in the parser,
+/// which closes the connection for them. Later bytes are in the socket, and the runtime may not have polled them yet, so
+/// the socket itself is peeked.
+struct WriteTracker {
     stream: TcpStream,
     wrote: Rc<Cell<bool>>,
 }
 
-impl AsyncRead for Noted {
+impl AsyncRead for WriteTracker {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -192,7 +193,7 @@
     }
 }
 
-impl AsyncWrite for Noted {
+impl AsyncWrite for WriteTracker {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.check()?;
         let done = Pin::new(&mut self.stream).poll_write(cx, buf);
@@ -224,7 +225,7 @@
     }
 }
 
-impl Noted {
+impl WriteTracker {
     fn check(&self) -> io::Result<()> {
         if self.wrote.get() {
             return Ok(());
@@ -245,16 +246,16 @@
     }
 }
 
-/// A connection to a server. Dropped, it closes at once, whatever is out on it.
+/// A connection to a server. Dropping it closes it at once, even with a request in flight.
 struct Connection {
     sender: SendRequest<UploadBody<Forward>>,
     wrote: Rc<Cell<bool>>,
     task: AbortHandle,
     address: SocketAddr,
     idle_since: Millis,
-    /// It is used again within this, ms.
+    /// Longest idle time after which it is used again, ms.
     keeps: Millis,
-    /// Counts among the open ones while it lives.
+    /// Counts the connection as open until it is dropped.
     _slot: Slot,
 }
 
@@ -264,7 +265,7 @@
     }
 }
 
-/// A place among the connections that may be open.
+/// One of the limited number of open connections; dropping it frees the slot.
 struct Slot(Rc<Cell<usize>>);
 
 impl Drop for Slot {
@@ -273,10 +274,10 @@
     }
 }
 
-/// The connections that wait for a request.
+/// Pool of idle connections, and the limit on open ones.
 struct Pool {
     idle: RefCell<HashMap<ServerId, Vec<Connection>>>,
-    /// Since when servers with idle connections have taken nothing new.
+    /// Servers with idle connections that take no new requests, with the time since when.
     parked: RefCell<HashMap<ServerId, Millis>>,
     open: Rc<Cell<usize>>,
     most: Cell<usize>,
@@ -286,7 +287,7 @@
 }
 
 impl Pool {
-    /// An empty pool that opens `most` connections at most.
+    /// Creates an empty pool that opens at most `connections.most` connections.
     fn new(connections: Connections, unconfirmed: Option<Duration>) -> Self {
         Pool {
             idle: RefCell::default(),
@@ -299,7 +300,7 @@
         }
     }
 
-    /// The most recently used connection that still stands.
+    /// Takes the most recently used idle connection that is still open and not idle for too long.
     fn take(&self, server: ServerId, address: SocketAddr, now: Millis) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let waiting = idle.get_mut(&server)?;
@@ -311,7 +312,7 @@
         None
     }
 
-    /// Keeps a connection for its server's next request, of which the server says that it keeps it so long.
+    /// Returns an open connection to the pool. `keeps` is the server's idle timeout, ms, if it stated one.
     fn put(&self, server: ServerId, mut connection: Connection, keeps: Option<Millis>, now: Millis) {
         if !connection.sender.is_closed() {
             connection.idle_since = now;
@@ -320,12 +321,13 @@
         }
     }
 
-    /// Retires what has stood idle too long or was closed from the other side, and what is over the limit.
+    /// Drops connections that are over the limit, idle for too long, closed by the server, or parked for
+    /// [`PARKED_IDLE_TIMEOUT`].
     fn sweep(&self, now: Millis) {
         while self.open.get() > self.most.get() && self.retire() {}
         let mut parked = self.parked.borrow_mut();
         self.idle.borrow_mut().retain(|server, waiting| {
-            if parked.get(server).is_some_and(|since| now - since >= KEEP_OVER_FLAP) {
+            if parked.get(server).is_some_and(|since| now - since >= PARKED_IDLE_TIMEOUT) {
                 return false;
             }
             waiting.retain(|c| !c.sender.is_closed() && now - c.idle_since < c.keeps);
@@ -335,8 +337,8 @@
         parked.retain(|server, _| idle.contains_key(server));
     }
 
-    /// Notes which servers take nothing new: their idle connections go soon, unless they are back before. Until then
-    /// no request meets them, as none is sent to such a server.
+    /// Records which servers take no new requests. Their idle connections are dropped after [`PARKED_IDLE_TIMEOUT`] unless the
+    /// server returns; until then no request uses them, as none is sent to such a server.
     fn keep_only(&self, ready: &dyn Fn(ServerId) -> bool, now: Millis) {
         let mut parked = self.parked.borrow_mut();
         for server in self.idle.borrow().keys() {
@@ -348,7 +350,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for the longest, if there is one.
+    /// Closes the connection that has been idle for the longest; returns whether there was one.
     fn retire(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let waiting = idle.values_mut().filter(|w| !w.is_empty());
@@ -356,7 +358,7 @@
         oldest.map(|waiting| drop(waiting.remove(0))).is_some()
     }
 
-    /// A place for one more connection; at the limit the longest idle one gives way.
+    /// Reserves a slot for a connection. At the limit the longest idle connection is closed; `None` if none is idle.
     fn slot(&self) -> Option<Slot> {
         if self.open.get() >= self.most.get() && !self.retire() {
             return None;
@@ -374,10 +376,11 @@
             SockRef::from(&stream).set_tcp_user_timeout(self.unconfirmed).ok()?;
         }
         let wrote = Rc::new(Cell::new(false));
-        let io = TokioIo::new(Noted { stream, wrote: wrote.clone() });
-        let (sender, connection) = http1::Builder::new().max_buf_size(BUFFER).handshake(io).await.ok()?;
+        let io = TokioIo::new(WriteTracker { stream, wrote: wrote.clone() });
+        let (sender, connection) =
+            http1::Builder::new().max_buf_size(BUFFER_BYTES).handshake(io).await.ok()?;
         let task = tokio::task::spawn_local(async move {
-            // How it ends is seen by the attempt that is out on it.
+            // The attempt in flight on the connection reports its error.
             let _ = connection.await;
         });
         let task = task.abort_handle();
@@ -385,46 +388,46 @@
     }
 }
 
-/// What the attempts share.
+/// State shared by all attempts.
 struct Shared<D> {
     clock: Rc<dyn Clock>,
     pool: Pool,
     dialect: D,
-    /// For the bodies of answers.
-    rooms: BodyBudget,
+    /// Memory budget of response bodies.
+    body_budget: BodyBudget,
 }
 
-/// Servers over HTTP/1.1.
+/// Upstream that reaches servers over HTTP/1.1.
 pub struct Http1<D: Dialect = Platform> {
     shared: Rc<Shared<D>>,
 }
 
-/// How connections to servers are kept.
+/// Limits and timeouts of server connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Connections {
-    /// A server closes a connection that stood idle this long, ms.
+    /// Idle timeout of the servers, ms.
     pub idle: Millis,
-    /// A connection that is not up within this, ms, has failed.
+    /// Timeout of a connection attempt, ms.
     pub connect_timeout: Millis,
-    /// So many are open at most.
+    /// Largest number of open connections.
     pub most: usize,
-    /// The bodies of answers take so many KiB together.
+    /// Memory budget of all response bodies, KiB.
     pub bodies_kib: usize,
 }
 
 impl Http1 {
-    /// The platform's servers; no connections yet.
+    /// Creates an upstream for the platform's servers, without connections. `report` names the values of a load report.
     pub fn new(clock: Rc<dyn Clock>, connections: Connections, report: Vec<String>) -> Self {
-        Http1::speaking(Platform { report }, clock, connections)
+        Http1::with_dialect(Platform { report }, clock, connections)
     }
 }
 
 impl<D: Dialect> Http1<D> {
-    /// Servers of this dialect; no connections yet.
-    pub fn speaking(dialect: D, clock: Rc<dyn Clock>, connections: Connections) -> Self {
+    /// Creates an upstream for servers of `dialect`, without connections.
+    pub fn with_dialect(dialect: D, clock: Rc<dyn Clock>, connections: Connections) -> Self {
         let pool = Pool::new(connections, dialect.unconfirmed());
-        let rooms = BodyBudget::new(connections.bodies_kib);
-        Http1 { shared: Rc::new(Shared { clock, pool, dialect, rooms }) }
+        let body_budget = BodyBudget::new(connections.bodies_kib);
+        Http1 { shared: Rc::new(Shared { clock, pool, dialect, body_budget }) }
     }
 }
 
@@ -434,7 +437,7 @@
 
     fn attempt(&self, job: AttemptJob<Forward>) -> LocalFuture<End<D::Answer>> {
         let shared = self.shared.clone();
-        Box::pin(async move { run(&shared, &job).await })
+        Box::pin(async move { run_attempt(&shared, &job).await })
     }
 
     fn keep_only(&self, ready: &dyn Fn(ServerId) -> bool) {
@@ -443,7 +446,7 @@
 
     fn set_limits(&self, connections: usize, bodies_kib: usize) {
         self.shared.pool.most.set(connections);
-        self.shared.rooms.resize(bodies_kib);
+        self.shared.body_budget.resize(bodies_kib);
     }
 
     fn upkeep(&self, now: Millis) {
@@ -451,8 +454,8 @@
     }
 }
 
-async fn run<D: Dialect>(shared: &Rc<Shared<D>>, job: &AttemptJob<Forward>) -> End<D::Answer> {
-    let gone = Rc::new(SendState::default());
+async fn run_attempt<D: Dialect>(shared: &Rc<Shared<D>>, job: &AttemptJob<Forward>) -> End<D::Answer> {
+    let send_state = Rc::new(SendState::default());
     loop {
         let kept = shared.pool.take(job.server, job.address, shared.clock.now());
         let fresh = kept.is_none();
@@ -470,24 +473,24 @@
             continue;
         }
         if !(job.may_send)() {
-            // Told of a drain while the connection came up.
+            // The server began to drain while the connection was being opened.
             return End::without_answer(Outcome::ConnectFailed);
         }
         connection.wrote.set(false);
-        match connection.sender.try_send_request(request(&shared.dialect, job, &gone)).await {
+        match connection.sender.try_send_request(request(&shared.dialect, job, &send_state)).await {
             Ok(answer) => {
-                // A body that is held whole goes out with its head, and an empty one is never asked for.
-                let sent = !job.request.body.is_stream() || gone.sent.get();
+                // A buffered body is sent with its head, and an empty one is never polled.
+                let sent = !job.request.body.is_stream() || send_state.sent.get();
                 return receive(shared, job, connection, answer, sent).await;
             }
-            // It was the client that broke off, or nothing is held any more: no server's fault.
-            Err(_) if gone.failed.get() => return End::without_answer(Outcome::NotSent),
-            // Part of a stream is no request: it has not run before its last byte was written.
-            Err(_) if job.request.body.is_stream() && !gone.sent.get() && connection.wrote.get() => {
+            // The client's body failed or its buffer was dropped, which is no fault of the server.
+            Err(_) if send_state.failed.get() => return End::without_answer(Outcome::NotSent),
+            // A partly written stream is an incomplete request, which no server runs.
+            Err(_) if job.request.body.is_stream() && !send_state.sent.get() && connection.wrote.get() => {
                 return End::without_answer(Outcome::ConnectFailed)
             }
-            Err(e) if connection.wrote.get() => return End::without_answer(broken(e.error())),
-            // A kept connection that had been closed before the first byte: nothing was sent on it.
+            Err(e) if connection.wrote.get() => return End::without_answer(error_outcome(e.error())),
+            // A pooled connection that closed before the first byte: nothing was sent, so another is tried.
             Err(_) if !fresh => {}
             Err(_) => return End::without_answer(Outcome::ConnectFailed),
         }
@@ -497,10 +500,10 @@
 fn request<D: Dialect>(
     dialect: &D,
     job: &AttemptJob<Forward>,
-    gone: &Rc<SendState>,
+    send_state: &Rc<SendState>,
 ) -> hyper::Request<UploadBody<Forward>> {
     let forward = &job.request;
-    let body = UploadBody::new(forward.clone(), |f| &f.body, job.progress.clone(), gone.clone());
+    let body = UploadBody::new(forward.clone(), |f| &f.body, job.progress.clone(), send_state.clone());
     let mut request = hyper::Request::new(body);
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
@@ -509,29 +512,28 @@
     request
 }
 
-/// How an attempt has ended that may have run and has no answer. An answer that cannot be used is an error of
-/// the server's, which can be reached: taken for a reset it would count against a server as if it had gone,
-/// though any server may spoil one.
-fn broken(e: &(dyn Error + 'static)) -> Outcome {
+/// Returns the outcome of an attempt that may have run and has no usable response. An unparsable response is an error of
+/// a reachable server; as a reset it would count against the server as if it were gone.
+fn error_outcome(e: &(dyn Error + 'static)) -> Outcome {
     match e.downcast_ref::<hyper::Error>() {
         Some(e) if !e.is_parse() && !e.is_parse_too_large() => Outcome::Reset,
         _ => Outcome::Error,
     }
 }
 
-/// The head's lengths agree with each other and with the most that is taken. Without any the body ends with its
-/// connection, and the head has to say that this ends: else nobody knows whether more is to come.
-fn framed(head: &Parts, body: &Incoming, bodiless: bool, longest: u64) -> bool {
+/// Checks that the response has exactly one length header and is within `longest` bytes. Without a length header the
+/// body ends with the connection, so the head must announce the close; otherwise a truncated body would look complete.
+fn has_valid_framing(head: &Parts, body: &Incoming, bodiless: bool, longest: u64) -> bool {
     let many = |name| head.headers.get_all(name).iter().count();
     let plain = match many(CONTENT_LENGTH) + many(TRANSFER_ENCODING) {
-        0 => bodiless || closes(head),
+        0 => bodiless || closes_connection(head),
         lengths => lengths == 1,
     };
     plain && !head.status.is_informational() && body.size_hint().lower() <= longest
 }
 
-/// The connection ends with this answer.
-fn closes(head: &Parts) -> bool {
+/// Whether the connection closes after this response.
+fn closes_connection(head: &Parts) -> bool {
     let values = head.headers.get_all(CONNECTION).iter();
     let mut options = values.flat_map(|v| v.as_bytes().split(|b| *b == b','));
     let mut said = |what: &[u8]| options.any(|option| option.trim_ascii().eq_ignore_ascii_case(what));
@@ -541,8 +543,8 @@
     }
 }
 
-/// Reads an answer whole where it is short: only then is it known to be one, and its connection free. One that is
-/// spoilt ends its connection at once, however much is still to come. A long one is passed on as it comes.
+/// Reads a response. A short one is buffered completely, as only then is it known to be complete and its connection
+/// free. An unusable one closes its connection at once. A long one is streamed.
 async fn receive<D: Dialect>(
     shared: &Rc<Shared<D>>,
     job: &AttemptJob<Forward>,
@@ -552,41 +554,42 @@
 ) -> End<D::Answer> {
     let (head, mut body) = answer.into_parts();
     let dialect = &shared.dialect;
-    let verdict = dialect.judge(job, &head);
-    if verdict.spoilt {
+    let verdict = dialect.classify(job, &head);
+    if verdict.unusable {
         return End::without_answer(verdict.outcome);
     }
-    if !framed(&head, &body, verdict.bodiless, dialect.longest()) {
+    if !has_valid_framing(&head, &body, verdict.bodiless, dialect.longest()) {
         return End::without_answer(Outcome::Error);
     }
     let load = dialect.load(&head.headers);
     let most = dialect.held();
-    let permit = shared.rooms.acquire_buffered(body.size_hint().exact(), most).await;
-    let held = match hold(&mut body, most).await {
+    let permit = shared.body_budget.acquire_buffered(body.size_hint().exact(), most).await;
+    let held = match buffer_body(&mut body, most).await {
         Ok(held) => held,
-        Err(e) => return End { outcome: broken(&e), answer: None, load },
+        Err(e) => return End { outcome: error_outcome(&e), answer: None, load },
     };
 
-    // One whose request was answered before it was whole has the rest of it on the way.
-    let kept = (!closes(&head) && sent).then(|| Kept {
+    // If the response came before the request was sent completely, the rest of the request still follows, so the
+    // connection cannot be reused.
+    let kept = (!closes_connection(&head) && sent).then(|| PoolReturn {
         shared: shared.clone(),
         server: job.server,
         may_send: job.may_send.clone(),
         keeps: verdict.keeps,
     });
-    let begun = Begun { connection, kept };
+    let response = ActiveResponse { connection, kept };
     let body = match held {
-        Held::Whole(bytes) => {
-            begun.over();
+        BufferedBody::Whole(bytes) => {
+            response.complete();
             Body::held(bytes, permit)
         }
-        Held::Start(_) if verdict.outcome != Outcome::Ok => {
+        BufferedBody::Start(_) if verdict.outcome != Outcome::Ok => {
             return End { outcome: Outcome::Error, answer: None, load }
         }
-        Held::Start(held) => {
+        BufferedBody::Start(held) => {
             let length = body.size_hint().exact().map(|left| left + held.len() as u64);
             let (feed, rest) = body::body_channel();
-            tokio::task::spawn_local(pass_on(body, held.len() as u64, dialect.longest(), feed, begun));
+            tokio::task::spawn_local(stream_body(body, held.len() as u64, dialect.longest(), feed, response));
             Body::Stream { held, length, rest, permit }
         }
     };
@@ -594,45 +597,48 @@
     End { outcome: verdict.outcome, answer, load }
 }
 
-/// What there is of an answer once it is known to be short or long.
-enum Held {
+/// The buffered part of a response body: all of a short one, or the start of a long one.
+enum BufferedBody {
     Whole(Bytes),
     Start(Bytes),
 }
 
-/// Reads an answer until it is whole or longer than what is held; of one that says so itself, nothing.
-async fn hold(body: &mut Incoming, most: usize) -> Result<Held, hyper::Error> {
+/// Reads a body until it is complete or longer than `most` bytes. If its stated length is longer, nothing is read.
+///
+/// # Errors
+/// The connection failed or sent an invalid body.
+async fn buffer_body(body: &mut Incoming, most: usize) -> Result<BufferedBody, hyper::Error> {
     if body.size_hint().lower() > most as u64 {
-        return Ok(Held::Start(Bytes::new()));
+        return Ok(BufferedBody::Start(Bytes::new()));
     }
     let mut start = BodyPrefix::default();
     while let Some(frame) = body.frame().await {
         let Ok(piece) = frame?.into_data() else { continue };
         start.push(piece);
         if start.is_longer_than(most) {
-            return Ok(Held::Start(start.finish()));
+            return Ok(BufferedBody::Start(start.finish()));
         }
     }
-    Ok(Held::Whole(start.finish()))
+    Ok(BufferedBody::Whole(start.finish()))
 }
 
-/// Where a connection goes when its answer is whole: to the idle ones of this server, if that is still in use.
-struct Kept<D> {
+/// Returns a connection to the pool once its response is complete, if its server still takes requests.
+struct PoolReturn<D> {
     shared: Rc<Shared<D>>,
     server: ServerId,
     may_send: Rc<dyn Fn() -> bool>,
     keeps: Option<Millis>,
 }
 
-/// A connection whose answer has begun, and where it goes once that is whole; dropped before, it closes.
-struct Begun<D> {
+/// A connection whose response has begun. Dropping it before the response is complete closes the connection.
+struct ActiveResponse<D> {
     connection: Connection,
-    kept: Option<Kept<D>>,
+    kept: Option<PoolReturn<D>>,
 }
 
-impl<D> Begun<D> {
-    /// The answer is whole.
-    fn over(self) {
+impl<D> ActiveResponse<D> {
+    /// Ends a complete response: pools the connection or closes it.
+    fn complete(self) {
         if let Some(kept) = self.kept.filter(|kept| (kept.may_send)()) {
             let now = kept.shared.clock.now();
             kept.shared.pool.put(kept.server, self.connection, kept.keeps, now);
@@ -640,23 +646,24 @@
     }
 }
 
-/// Passes a long answer on as it comes, no faster than it is taken. When whoever takes it leaves, it ends.
-async fn pass_on<D: Dialect>(
+/// Streams a long body to `feed` with backpressure. Ends when the body is complete, the receiver is dropped, or an error
+/// ([`BodyError`]) is sent in place of the rest.
+async fn stream_body<D: Dialect>(
     mut body: Incoming,
     mut passed: u64,
     longest: u64,
     feed: BodySender,
-    begun: Begun<D>,
+    response: ActiveResponse<D>,
 ) {
     let why = loop {
         let frame = tokio::select! {
-            frame = tokio::time::timeout(STALL, body.frame()) => frame,
+            frame = tokio::time::timeout(STALL_TIMEOUT, body.frame()) => frame,
             () = feed.closed() => return,
         };
         let piece = match frame {
             Err(_) => break BodyError::Stalled,
             Ok(None) => {
-                begun.over();
+                response.complete();
                 return feed.finish();
             }
             Ok(Some(Err(_))) => break BodyError::Left,
@@ -670,24 +677,24 @@
         if passed > longest {
             break BodyError::TooLong;
         }
-        match tokio::time::timeout(STALL, feed.send(Ok(piece))).await {
+        match tokio::time::timeout(STALL_TIMEOUT, feed.send(Ok(piece))).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return,
             Err(_) => break BodyError::Stalled,
         }
     };
-    drop(begun);
-    // Who takes it is told that it is not whole, unless it has left.
+    drop(response);
+    // Reports the truncation to the receiver, unless it was dropped.
     let _ = feed.send(Err(why)).await;
 }
 
-/// The values of a load report in the order of the settings; none if one is missing or makes no sense.
+/// Returns the values of a load report in the order of the settings; empty if one is missing or out of range.
 fn load_report(headers: &HeaderMap, columns: &[String]) -> Vec<f64> {
     let Some(text) = headers.get(LOAD).and_then(|v| v.to_str().ok()) else { return Vec::new() };
     let value = |column: &String| {
         let mut fields = text.split(',').filter_map(|f| f.split_once('='));
         let (_, value) = fields.find(|(name, _)| name.trim() == column)?;
-        value.trim().parse::<f64>().ok().filter(|v| (0.0..=MOST_LOAD).contains(v))
+        value.trim().parse::<f64>().ok().filter(|v| (0.0..=MAX_LOAD).contains(v))
     };
     columns.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
 }
--- a/crates/engine/tests/house.rs
+++ b/crates/engine/tests/house.rs
@@ -1,4 +1,4 @@
-//! Servers that name each try, against one that says what it is told to.
+//! Tests of the try-id dialect against a server with scripted responses.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Response};
@@ -6,8 +6,8 @@
 use oatbank_engine::body::Body;
 use oatbank_engine::ports::clock::{Clock, SystemClock};
 use oatbank_engine::ports::upstream::{AttemptJob, End, Upstream};
-use oatbank_engine::upstreams::house::House;
 use oatbank_engine::upstreams::http1::{Connections, Forward, Http1};
+use oatbank_engine::upstreams::try_id::TryIdDialect;
 use oatbank_limiter_core::interface::{Millis, Outcome, ServerId};
 use oatbank_testkit::conformance::on_local_set;
 use oatbank_testkit::{Act, Message, Server};
@@ -16,10 +16,10 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Time that stands until it is moved.
-struct Hand(Cell<Millis>);
+/// Clock that the test sets.
+struct ManualClock(Cell<Millis>);
 
-impl Clock for Hand {
+impl Clock for ManualClock {
     fn now(&self) -> Millis {
         self.0.get()
     }
@@ -29,21 +29,25 @@
     }
 }
 
-struct Rig {
-    way: Http1<House>,
-    clock: Rc<Hand>,
+struct Harness {
+    upstream: Http1<TryIdDialect>,
+    clock: Rc<ManualClock>,
     server: Server,
 }
 
-impl Rig {
-    fn new(act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Rig {
+impl Harness {
+    fn new(act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Harness {
         let connections = Connections { idle: 10_000.0, connect_timeout: 1000.0, most: 16, bodies_kib: 4096 };
-        let clock = Rc::new(Hand(Cell::new(1e12)));
-        let house = House { held: 64, ..House::default() };
-        Rig { way: Http1::speaking(house, clock.clone(), connections), clock, server: Server::start(act) }
+        let clock = Rc::new(ManualClock(Cell::new(1e12)));
+        let dialect = TryIdDialect { held: 64, ..TryIdDialect::default() };
+        Harness {
+            upstream: Http1::with_dialect(dialect, clock.clone(), connections),
+            clock,
+            server: Server::start(act),
+        }
     }
 
-    async fn ask(&self, method: Method, id: &'static str) -> End<Response<Body>> {
+    async fn send(&self, method: Method, id: &'static str) -> End<Response<Body>> {
         let mut headers = HeaderMap::new();
         headers.insert("host", HeaderValue::from_static("shop.example"));
         headers.insert("try-id", HeaderValue::from_static(id));
@@ -59,11 +63,11 @@
             may_send: Rc::new(|| true),
             progress: Rc::new(|_| ()),
         };
-        self.way.attempt(job).await
+        self.upstream.attempt(job).await
     }
 
     async fn get(&self, id: &'static str) -> End<Response<Body>> {
-        self.ask(Method::GET, id).await
+        self.send(Method::GET, id).await
     }
 
     fn connections(&self) -> usize {
@@ -71,34 +75,34 @@
     }
 }
 
-/// An answer to the try that asks.
-fn to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
+/// Returns a response with the try id of the request.
+fn response_to(m: &Message, status: &str, headers: &str, body: &str) -> Vec<u8> {
     let (id, length) = (m.header("Try-Id").expect("a name"), body.len());
     format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
 
-fn sealed(m: &Message) -> Vec<u8> {
-    to(m, "200 OK", "Server-Seal: s\r\n", "well")
+fn sealed_success(m: &Message) -> Vec<u8> {
+    response_to(m, "200 OK", "Server-Seal: s\r\n", "well")
 }
 
-fn writes(status: &'static str, headers: &'static str) -> impl Fn(&Message) -> Act + Send + Sync {
-    move |m| Act::Write(to(m, status, headers, "said"))
+fn respond_with(status: &'static str, headers: &'static str) -> impl Fn(&Message) -> Act + Send + Sync {
+    move |m| Act::Write(response_to(m, status, headers, "said"))
 }
 
-/// Asks once, then again: how the first ended, and whether its connection was used for the second.
-async fn twice(rig: &Rig) -> (End<Response<Body>>, bool) {
-    let first = rig.get("a").await;
-    rig.get("b").await;
-    (first, rig.connections() == 1)
+/// Sends two requests; returns the first result, and whether the second request reused its connection.
+async fn send_two(harness: &Harness) -> (End<Response<Body>>, bool) {
+    let first = harness.get("a").await;
+    harness.get("b").await;
+    (first, harness.connections() == 1)
 }
 
 #[test]
-fn a_server_is_told_the_host_its_name_and_the_time() {
+fn requests_carry_host_server_id_and_time_left() {
     on_local_set(async {
-        let rig = Rig::new(|m| Act::Write(sealed(m)));
-        assert_eq!(rig.get("a").await.outcome, Outcome::Ok);
-        let seen = rig.server.seen.lock().expect("a lock").remove(0);
+        let harness = Harness::new(|m| Act::Write(sealed_success(m)));
+        assert_eq!(harness.get("a").await.outcome, Outcome::Ok);
+        let seen = harness.server.seen.lock().expect("a lock").remove(0);
         for (name, value) in [("Host", "shop.example"), ("Time-Left-Ms", "750"), ("Meant-Server", "s-1")] {
             let values: Vec<_> = seen.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).collect();
             assert_eq!(values.len(), 1, "{name}");
@@ -108,12 +112,12 @@
 }
 
 #[test]
-fn a_sealed_success_is_given_on_as_it_is() {
+fn a_sealed_success_is_forwarded_without_hop_by_hop_headers() {
     on_local_set(async {
         let headers = "Server-Seal: s\r\nX-A: 1\r\nX-A: 2\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n\
              Keep-Alive: timeout=5\r\nProxy-Status: x\r\n";
-        let rig = Rig::new(writes("206 Some of it", headers));
-        let (end, kept) = twice(&rig).await;
+        let harness = Harness::new(respond_with("206 Some of it", headers));
+        let (end, kept) = send_two(&harness).await;
         assert!(end.outcome == Outcome::Ok && kept);
         let (head, body) = end.answer.expect("an answer").into_parts();
         assert_eq!(head.status, 206);
@@ -127,7 +131,7 @@
 }
 
 #[test]
-fn what_an_answer_means_and_whether_its_connection_stays() {
+fn response_head_decides_outcome_and_connection_reuse() {
     use Outcome::*;
     let cases = [
         ("200 OK", "Server-Seal: s\r\n", Ok, true, true),
@@ -147,12 +151,12 @@
         ("500 No", "Connection: close\r\n", Error, true, false),
     ];
     on_local_set(async move {
-        for (status, headers, outcome, given, stays) in cases {
-            let rig = Rig::new(writes(status, headers));
-            let (end, stayed) = twice(&rig).await;
+        for (status, headers, outcome, given, expect_reuse) in cases {
+            let harness = Harness::new(respond_with(status, headers));
+            let (end, reused) = send_two(&harness).await;
             assert_eq!(
-                (end.outcome, end.answer.is_some(), stayed),
-                (outcome, given, stays),
+                (end.outcome, end.answer.is_some(), reused),
+                (outcome, given, expect_reuse),
                 "{status} {headers}"
             );
             if let Some(answer) = end.answer {
@@ -163,35 +167,36 @@
 }
 
 #[test]
-fn an_answer_to_another_try_is_given_to_nobody() {
+fn a_response_without_the_matching_try_id_is_discarded() {
     on_local_set(async {
         for name in ["", "Try-Id: other\r\n"] {
             let answer = format!("HTTP/1.1 200 OK\r\n{name}Server-Seal: s\r\nContent-Length: 2\r\n\r\nno");
-            let rig = Rig::new(move |_| Act::Write(answer.clone().into_bytes()));
-            let (end, stayed) = twice(&rig).await;
-            assert!(end.outcome == Outcome::Reset && end.answer.is_none() && !stayed, "{name}");
+            let harness = Harness::new(move |_| Act::Write(answer.clone().into_bytes()));
+            let (end, reused) = send_two(&harness).await;
+            assert!(end.outcome == Outcome::Reset && end.answer.is_none() && !reused, "{name}");
         }
     });
 }
 
 #[test]
-fn a_surplus_answer_ends_its_connection_unused() {
+fn a_duplicate_response_closes_its_connection_unused() {
     on_local_set(async {
-        let rig = Rig::new(|m| Act::Twice(sealed(m), std::time::Duration::ZERO, sealed(m)));
+        let harness =
+            Harness::new(|m| Act::Twice(sealed_success(m), std::time::Duration::ZERO, sealed_success(m)));
         for (asked, id) in ["a", "b", "c"].into_iter().enumerate() {
-            let end = rig.get(id).await;
+            let end = harness.get(id).await;
             let answer = end.answer.expect("an answer");
             assert_eq!(answer.headers()["try-id"], id);
-            assert_eq!((end.outcome, rig.connections()), (Outcome::Ok, asked + 1));
+            assert_eq!((end.outcome, harness.connections()), (Outcome::Ok, asked + 1));
         }
     });
 }
 
 #[test]
-fn a_body_that_is_cut_is_no_answer() {
+fn a_truncated_short_body_is_a_reset() {
     on_local_set(async {
         for coded in [false, true] {
-            let rig = Rig::new(move |m| {
+            let harness = Harness::new(move |m| {
                 let id = m.header("Try-Id").expect("a name");
                 let (length, body) = if coded {
                     ("Transfer-Encoding: chunked", "9\r\nsai")
@@ -202,17 +207,17 @@
                     format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\n{length}\r\n\r\n{body}");
                 Act::Close(text.into_bytes())
             });
-            let end = rig.get("a").await;
+            let end = harness.get("a").await;
             assert!(end.outcome == Outcome::Reset && end.answer.is_none(), "{:?}", end.outcome);
         }
     });
 }
 
 #[test]
-fn a_long_body_is_passed_on_and_one_that_is_cut_never_looks_whole() {
+fn a_long_body_is_streamed_and_a_truncated_one_ends_with_an_error() {
     on_local_set(async {
         for (cut, length) in [(false, true), (true, true), (false, false), (true, false)] {
-            let rig = Rig::new(move |m| {
+            let harness = Harness::new(move |m| {
                 let (id, body) = (m.header("Try-Id").expect("a name"), "x".repeat(200));
                 let framing = if length { "Content-Length: 200" } else { "Transfer-Encoding: chunked" };
                 let coded = if length { body } else { format!("c8\r\n{body}\r\n0\r\n\r\n") };
@@ -222,17 +227,18 @@
                     false => Act::Write(format!("{head}{coded}").into_bytes()),
                 }
             });
-            let end = rig.get("a").await;
+            let end = harness.get("a").await;
             if cut && !length {
-                // All of it came with its head: it may be known to be cut before it counts as long.
+                // The data arrived together with the head, so the truncation may be detected before the body counts as
+                // long.
                 if end.outcome == Outcome::Reset {
                     continue;
                 }
             }
             assert_eq!(end.outcome, Outcome::Ok);
             let answer = end.answer.expect("an answer");
-            let told = answer.headers().get("content-length").is_some();
-            assert_eq!(told, length);
+            let has_length = answer.headers().get("content-length").is_some();
+            assert_eq!(has_length, length);
             let body = BodyExt::collect(answer.into_body()).await;
             assert_eq!(body.map(|b| b.to_bytes().len()).ok(), (!cut).then_some(200));
         }
@@ -240,30 +246,30 @@
 }
 
 #[test]
-fn answers_without_a_body_need_no_length() {
+fn responses_without_a_body_need_no_length() {
     on_local_set(async {
-        let rig = Rig::new(|m| {
+        let harness = Harness::new(|m| {
             let id = m.header("Try-Id").expect("a name");
             let status = if m.start.starts_with("HEAD") { "200 OK" } else { "204 No Content" };
             Act::Write(format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\nServer-Seal: s\r\n\r\n").into_bytes())
         });
         for method in [Method::HEAD, Method::GET, Method::DELETE] {
-            let end = rig.ask(method, "a").await;
+            let end = harness.send(method, "a").await;
             let answer = end.answer.expect("an answer");
             assert!(answer.body().whole().expect("a whole body").is_empty());
         }
-        assert_eq!(rig.connections(), 1);
+        assert_eq!(harness.connections(), 1);
     });
 }
 
 #[test]
-fn a_connection_is_left_well_before_its_server_closes_it() {
+fn an_idle_connection_is_dropped_before_the_servers_timeout() {
     on_local_set(async {
-        let rig = Rig::new(writes("200 OK", "Server-Seal: s\r\nKeep-Alive: timeout=2\r\n"));
+        let harness = Harness::new(respond_with("200 OK", "Server-Seal: s\r\nKeep-Alive: timeout=2\r\n"));
         for (passed, connections) in [(0.0, 1), (1100.0, 1), (1250.0, 2), (1100.0, 2)] {
-            rig.clock.0.set(rig.clock.now() + passed);
-            assert_eq!(rig.get("a").await.outcome, Outcome::Ok);
-            assert_eq!(rig.connections(), connections, "after {passed} ms");
+            harness.clock.0.set(harness.clock.now() + passed);
+            assert_eq!(harness.get("a").await.outcome, Outcome::Ok);
+            assert_eq!(harness.connections(), connections, "after {passed} ms");
         }
     });
 }
