--- a/crates/daemon/tests/membership.rs
+++ b/crates/daemon/tests/membership.rs
@@ -125,7 +125,9 @@
     let done = Command::new(OATBANK).args(["members", "--config", file.path()]).output().expect("oatbank");
     let text = String::from_utf8_lossy(&done.stdout).into_owned();
     assert!(done.status.success(), "{text}");
-    for part in ["s-00000001", "ready", "127.0.0.1:9001", "zone a", "left out: no usable address", "1 members"] {
+    for part in
+        ["s-00000001", "ready", "127.0.0.1:9001", "zone a", "left out: no usable address", "1 members"]
+    {
         assert!(text.contains(part), "no {part:?} in {text}");
     }
     let mut command = Command::new(OATBANK);
