--- a/crates/testkit/src/message.rs
+++ b/crates/testkit/src/message.rs
@@ -1,8 +1,8 @@
-//! HTTP messages as plain text.
+//! Minimal HTTP/1.1 message parsing and formatting.
 
 use std::io::BufRead;
 
-/// A message as it came over a socket.
+/// An HTTP message: start line, headers and body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub start: String,
@@ -16,11 +16,11 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("start line without a status code")
     }
 }
 
-/// Reads one message with a stated length or in chunks; none at the end of the connection.
+/// Reads one message with a Content-Length or chunked body. Returns `None` if the connection ends or fails.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
     let mut line = String::new();
@@ -42,7 +42,7 @@
         message.body = read_chunks(reader)?;
         return Some(message);
     }
-    let length = message.header("content-length").map_or(0, |l| l.parse().expect("a length"));
+    let length = message.header("content-length").map_or(0, |l| l.parse().expect("invalid Content-Length"));
     message.body = vec![0; length];
     reader.read_exact(&mut message.body).ok()?;
     Some(message)
@@ -58,7 +58,7 @@
         let from = body.len();
         body.resize(from + size, 0);
         reader.read_exact(&mut body[from..]).ok()?;
-        // Behind each chunk, and behind the last one where no trailers stand, there is an empty line.
+        // An empty line follows each chunk, and also the last one if there are no trailers.
         line.clear();
         reader.read_line(&mut line).ok()?;
         if size == 0 {
@@ -67,6 +67,7 @@
     }
 }
 
+/// Formats a response and adds its Content-Length. Each line in `headers` ends with CRLF.
 pub fn answer(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut all =
         format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -1,5 +1,5 @@
-//! Several real processes of `oatbank serve` that are one fleet, with a link for each direction between two of them, and
-//! clients that ask all of them all the time.
+//! A fleet of real `oatbank serve` processes, with a faulty link for each direction between two of them and clients
+//! that send requests to all of them continuously.
 
 mod link;
 pub mod seen;
@@ -18,17 +18,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What the processes of a rig are started with.
+/// Configuration of a rig.
 pub struct Plan {
-    /// The program.
+    /// Path of the `oatbank` executable.
     pub program: String,
     pub limiters: usize,
-    /// Keys of their `[fleet]`, as `on_lapse = "refuse"`; without, they are no fleet.
+    /// Keys of the `[fleet]` section, such as `on_lapse = "refuse"`. If `None`, the limiters run without a fleet.
     pub terms: Option<String>,
-    /// The rules in each one's file.
+    /// Rules written to each limiter's configuration file.
     pub rules: String,
     pub seed: u64,
-    /// A coordinator elects the decider; without, the first one decides.
+    /// Whether a coordinator elects the decider. Otherwise limiter 0 is the decider.
     pub elected: bool,
 }
 
@@ -37,30 +37,30 @@
     address: SocketAddr,
     control: SocketAddr,
     stopped: bool,
-    /// A process that stands still goes on then, if [`Rig::wake`] is called.
+    /// When [`Rig::wake`] resumes a stopped process.
     wakes: Option<Instant>,
 }
 
-/// A fleet of processes.
+/// A running fleet. Dropping it kills the processes and stops the clients.
 pub struct Rig {
     plan: Plan,
-    /// Each limiter has an address of its own there, by its number, so that its way can be cut alone.
+    /// Has one endpoint per limiter, at the limiter's index, so that each can be cut off separately.
     pub coordinator: Option<Coordinator>,
-    /// By from and to.
+    /// Links by sender and receiver index.
     links: BTreeMap<(usize, usize), Link>,
     files: Vec<Scratch>,
     processes: Vec<Process>,
-    /// Lines of the logs with when each was read, by process.
+    /// Log lines: when each was read, the process index and the text.
     pub log: Arc<Mutex<Vec<(Instant, usize, String)>>>,
     clients: Vec<Arc<Mutex<Option<SocketAddr>>>>,
     asking: Arc<AtomicBool>,
-    /// Answers of the clients, by status; 0 where none came.
+    /// Number of responses by HTTP status. Requests without a response count under 0.
     pub answers: Arc<Mutex<BTreeMap<u16, u64>>>,
     asked: Arc<AtomicU64>,
 }
 
 impl Rig {
-    /// Starts all processes.
+    /// Starts all processes and waits until they serve.
     pub fn start(plan: Plan) -> Rig {
         let pairs: Vec<(usize, usize)> = (0..plan.limiters)
             .flat_map(|a| (0..plan.limiters).map(move |b| (a, b)))
@@ -90,15 +90,15 @@
         rig
     }
 
-    /// Starts a process that does not run.
+    /// Starts a process that is not running and waits until it serves.
     pub fn begin(&mut self, n: usize) {
         let mut command = Command::new(&self.plan.program);
         command.args(["serve", "--config", self.files[n].path()]).stderr(Stdio::piped());
-        let mut child = command.spawn().expect("oatbank");
-        let mut lines = BufReader::new(child.stderr.take().expect("a log")).lines();
+        let mut child = command.spawn().expect("starting oatbank failed");
+        let mut lines = BufReader::new(child.stderr.take().expect("stderr is not piped")).lines();
         let (mut control, mut listen) = (None, None);
         let address = loop {
-            let line = lines.next().expect("a line of the log").expect("text");
+            let line = lines.next().expect("oatbank ended before it served").expect("reading the log failed");
             let after = |mark: &str| line.split_once(mark).and_then(|(_, rest)| address(rest));
             control = control.or(after("operators call at "));
             listen = listen.or(after(" limiters at "));
@@ -109,26 +109,26 @@
         let log = self.log.clone();
         std::thread::spawn(move || {
             let all = lines.map_while(Result::ok);
-            all.for_each(|line| log.lock().expect("a lock").push((Instant::now(), n, line)));
+            all.for_each(|line| log.lock().expect("lock poisoned").push((Instant::now(), n, line)));
         });
         if let Some(listen) = listen {
             self.links.iter().filter(|((_, to), _)| *to == n).for_each(|(_, link)| link.lead_to(listen));
         }
         let control = control.unwrap_or(address);
         self.processes[n] = Process { child: Some(child), address, control, stopped: false, wakes: None };
-        *self.clients[n].lock().expect("a lock") = Some(address);
+        *self.clients[n].lock().expect("lock poisoned") = Some(address);
     }
 
-    /// Kills a process outright.
+    /// Kills a process with SIGKILL.
     pub fn kill(&mut self, n: usize) {
-        *self.clients[n].lock().expect("a lock") = None;
+        *self.clients[n].lock().expect("lock poisoned") = None;
         if let Some(mut child) = self.processes[n].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// How many there are.
+    /// Returns the number of limiters.
     pub fn limiters(&self) -> usize {
         self.plan.limiters
     }
@@ -137,13 +137,13 @@
         self.processes[n].child.is_some()
     }
 
-    /// Stops a process where it stands.
+    /// Suspends a process with SIGSTOP.
     pub fn stop(&mut self, n: usize) {
         self.signal(n, "-STOP");
         self.processes[n].stopped = true;
     }
 
-    /// Stops a process, if it runs, until [`Rig::wake`] is called after this span.
+    /// Suspends a process, if it is running. [`Rig::wake`] resumes it once `span` has passed.
     pub fn stop_for(&mut self, n: usize, span: Duration) {
         if self.runs(n) {
             self.stop(n);
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Lets those go on whose time has come.
+    /// Resumes the processes whose [`Rig::stop_for`] span has passed.
     pub fn wake(&mut self) {
         let now = Instant::now();
         let due = |p: &Process| p.wakes.is_some_and(|at| at <= now);
@@ -159,19 +159,19 @@
         due.into_iter().for_each(|n| self.go_on(n));
     }
 
-    /// It stands still.
+    /// Returns whether a process is suspended.
     pub fn stands_still(&self, n: usize) -> bool {
         self.processes[n].stopped
     }
 
-    /// Starts one of those that do not run.
+    /// Starts the first process that is not running, if any.
     pub fn begin_one(&mut self) {
         if let Some(gone) = (0..self.plan.limiters).find(|n| !self.runs(*n)) {
             self.begin(gone);
         }
     }
 
-    /// All links are well, and all processes run.
+    /// Clears all link faults, resumes suspended processes and starts those not running.
     pub fn calm(&mut self) {
         self.faults(Fault::default(), |_, _| true);
         for n in 0..self.plan.limiters {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Lets it go on.
+    /// Resumes a suspended process with SIGCONT.
     pub fn go_on(&mut self, n: usize) {
         if self.processes[n].stopped {
             self.signal(n, "-CONT");
@@ -193,11 +193,11 @@
     fn signal(&self, n: usize, name: &str) {
         if let Some(child) = &self.processes[n].child {
             let pid = child.id().to_string();
-            assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
+            assert!(Command::new("kill").args([name, &pid]).status().expect("running kill failed").success());
         }
     }
 
-    /// Replaces the rules in a limiter's file, and tells it.
+    /// Replaces the rules in a limiter's configuration file and sends it SIGHUP.
     pub fn reload(&mut self, n: usize, rules: &str) {
         self.plan.rules = rules.to_owned();
         let decides = decides(self.coordinator.as_ref(), n);
@@ -205,39 +205,39 @@
         self.signal(n, "-HUP");
     }
 
-    /// What happens to datagrams from one to another from now on.
+    /// Sets the fault of the link between two limiters.
     pub fn fault(&self, from: usize, to: usize, fault: Fault) {
         if let Some(link) = self.links.get(&(from, to)) {
             link.set(fault);
         }
     }
 
-    /// The same on all links that `which` names.
+    /// Sets the fault of all links whose sender and receiver satisfy `which`.
     pub fn faults(&self, fault: Fault, which: impl Fn(usize, usize) -> bool) {
         self.links.iter().filter(|((a, b), _)| which(*a, *b)).for_each(|(_, link)| link.set(fault));
     }
 
-    /// Datagrams that have come through all links.
+    /// Returns the number of datagrams forwarded over all links.
     pub fn carried(&self) -> u64 {
         self.links.values().map(Link::carried).sum()
     }
 
-    /// Where operators call a limiter.
+    /// Returns a limiter's control address.
     pub fn control(&self, n: usize) -> SocketAddr {
         self.processes[n].control
     }
 
-    /// Where clients connect to it.
+    /// Returns the address at which a limiter serves clients.
     pub fn address(&self, n: usize) -> SocketAddr {
         self.processes[n].address
     }
 
-    /// The process of a limiter, while it runs.
+    /// Returns the process id of a limiter, or `None` if it is not running.
     pub fn pid(&self, n: usize) -> Option<u32> {
         self.processes[n].child.as_ref().map(Child::id)
     }
 
-    /// A call about the fleet at a limiter that runs: status and text. Without an answer 0.
+    /// Sends a request below `/v1/fleet/` to a limiter. Returns status and body, or 0 and an empty text without a response.
     pub fn call(&self, n: usize, method: &str, path: &str, body: &str) -> (u16, String) {
         let at = self.control(n);
         let call = || -> Option<(u16, String)> {
@@ -254,14 +254,14 @@
         call().unwrap_or_default()
     }
 
-    /// Clients that ask every limiter all the time, one each, with this pause between two requests.
+    /// Starts one client per limiter that sends requests continuously, with `pause` between them.
     pub fn ask_all(&self, class: &'static str, pause: Duration) {
         for slot in &self.clients {
             let (slot, asking) = (slot.clone(), self.asking.clone());
             let (answers, asked) = (self.answers.clone(), self.asked.clone());
             std::thread::spawn(move || {
                 while asking.load(Ordering::SeqCst) {
-                    let Some(at) = *slot.lock().expect("a lock") else {
+                    let Some(at) = *slot.lock().expect("lock poisoned") else {
                         std::thread::sleep(pause);
                         continue;
                     };
@@ -279,7 +279,7 @@
     }
 }
 
-/// Asks over one connection until it breaks.
+/// Sends requests over one connection until it fails or `go_on` returns false.
 fn ask(
     at: SocketAddr,
     class: &str,
@@ -291,13 +291,13 @@
     let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_millis(300)) else {
         return std::thread::sleep(pause);
     };
-    // A process that stands still answers when it goes on: its clients wait for it, and are not told apart.
+    // A suspended process responds once it is resumed; the timeout is long enough for clients to wait for that.
     let _ = stream.set_read_timeout(Some(Duration::from_secs(40)));
     let Ok(clone) = stream.try_clone() else { return };
     let mut reader = BufReader::new(clone);
     while go_on() {
         let id = asked.fetch_add(1, Ordering::SeqCst);
-        // What must not run twice is no GET.
+        // Requests that must not run twice are sent as POST.
         let method = if class == "order" { "POST" } else { "GET" };
         let request = format!(
             "{method} /{class}?customer=00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {id:016x}\r\n\
@@ -306,7 +306,7 @@
         let written = stream.write_all(request.as_bytes()).is_ok();
         let answer = if written { read_message(&mut reader) } else { None };
         let status = answer.as_ref().map_or(0, |a| a.status());
-        *answers.lock().expect("a lock").entry(status).or_default() += 1;
+        *answers.lock().expect("lock poisoned").entry(status).or_default() += 1;
         if answer.is_none() {
             return;
         }
@@ -314,12 +314,12 @@
     }
 }
 
-/// The first address in a text.
+/// Parses the socket address at the start of a text.
 fn address(text: &str) -> Option<SocketAddr> {
     text.split(|c: char| !(c.is_ascii_digit() || ".:".contains(c))).next()?.trim_end_matches(':').parse().ok()
 }
 
-/// The keys that say who decides.
+/// Returns the `[fleet]` keys that select the decider.
 fn decides(coordinator: Option<&Coordinator>, n: usize) -> String {
     match coordinator {
         Some(coordinator) => {
--- a/crates/testkit/src/rig/zones.rs
+++ b/crates/testkit/src/rig/zones.rs
@@ -1,15 +1,15 @@
-//! Three zones of three engines behind a rig's limiters, which stand in zone a, and what came of their requests.
+//! Three zones of three engines behind a rig whose limiters are in zone a, and statistics of their requests.
 
 use super::Rig;
 use crate::Fleet;
 use std::time::Duration;
 
-/// Engines of a zone; those of a are the first.
+/// Number of engines per zone. The engines of zone a come first.
 pub const EACH: usize = 3;
-/// The zones, in the order of the engines.
+/// Zone names, in the order of the engines.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// The rules of a fleet whose limiters stand in zone a. Requests of class "order" must not run twice.
+/// Returns the rules of a fleet whose limiters are in zone a. Requests of class "order" must not run twice.
 pub fn rules(engines: &Fleet) -> String {
     let mut text = String::from("zone = \"a\"\nzones = [\"a\", \"b\", \"c\"]\n");
     for (n, address) in engines.addresses.iter().enumerate() {
@@ -20,7 +20,7 @@
             rate = 1000000\nburst = 1000000\n[cold]\nwarm_after_ms = 1000\nshare = 0.5\n"
 }
 
-/// What came so far: requests at the engines of each zone, answers that were served, and all.
+/// Counters: requests received by the engines of each zone, responses with status 200, and all responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Came {
     pub zones: [usize; 3],
@@ -32,7 +32,7 @@
     pub fn so_far(engines: &Fleet, rig: &Rig) -> Came {
         let met = engines.met();
         let zone = |n: usize| met[n * EACH..(n + 1) * EACH].iter().map(|m| m.requests).sum();
-        let answers = rig.answers.lock().expect("a lock");
+        let answers = rig.answers.lock().expect("lock poisoned");
         Came {
             zones: [0, 1, 2].map(zone),
             served: answers.get(&200).copied().unwrap_or(0),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What came between two moments.
+    /// Returns the difference from an earlier reading.
     pub fn since(&self, before: &Came) -> Came {
         Came {
             zones: [0, 1, 2].map(|n| self.zones[n] - before.zones[n]),
@@ -49,25 +49,25 @@
         }
     }
 
-    /// The part of the attempts that went to a zone.
+    /// Returns the fraction of attempts that went to a zone.
     pub fn part(&self, zone: usize) -> f64 {
         self.zones[zone] as f64 / (self.zones.iter().sum::<usize>() as f64).max(1.0)
     }
 
-    /// The part of the answers that were served.
+    /// Returns the fraction of responses with status 200.
     pub fn goodput(&self) -> f64 {
         self.served as f64 / (self.answers as f64).max(1.0)
     }
 }
 
-/// What comes in this time from now on.
+/// Sleeps for `span` and returns the counts of that time.
 pub fn look(engines: &Fleet, rig: &Rig, span: Duration) -> Came {
     let before = Came::so_far(engines, rig);
     std::thread::sleep(span);
     Came::so_far(engines, rig).since(&before)
 }
 
-/// The share of a zone that the revision in force at the decider uses, by its status; 1 where it is not named.
+/// Returns the share that the decider reports for a zone, or `None` if the call fails or the zone is not listed.
 pub fn share(rig: &Rig, decider: usize, zone: &str) -> Option<f64> {
     let (status, text) = rig.call(decider, "GET", "zones", "");
     let rows: serde_json::Value = serde_json::from_str(&text).ok().filter(|_| status == 200)?;
--- a/crates/testkit/src/zookeeper/jute.rs
+++ b/crates/testkit/src/zookeeper/jute.rs
@@ -1,6 +1,6 @@
-//! Jute records: big-endian integers, and byte strings and vectors behind their length.
+//! Jute encoding: big-endian integers, and length-prefixed byte strings and vectors.
 
-/// Reads a record; none where it ends too early or a length makes no sense.
+/// Decodes a record. Methods return `None` if the input is truncated or malformed.
 pub struct Reader<'a>(pub &'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -22,7 +22,7 @@
         Some(self.take(1)?[0] != 0)
     }
 
-    /// A length of -1 stands for none, which is read as empty.
+    /// Reads a byte string. A negative length, which encodes null, yields an empty vector.
     pub fn buffer(&mut self) -> Option<Vec<u8>> {
         let n = self.int()?;
         Some(self.take(usize::try_from(n.max(0)).ok()?)?.to_vec())
@@ -36,7 +36,7 @@
         (0..self.int()?.max(0)).map(|_| self.string()).collect()
     }
 
-    /// A list of permissions, which is read past.
+    /// Skips a list of ACL entries.
     pub fn acls(&mut self) -> Option<()> {
         for _ in 0..self.int()?.max(0) {
             self.int()?;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Writes a record.
+/// Encodes a record.
 #[derive(Default)]
 pub struct Writer(pub Vec<u8>);
 
@@ -81,7 +81,7 @@
         self
     }
 
-    /// The record behind its length.
+    /// Returns the record prefixed with its length.
     pub fn frame(&self) -> Vec<u8> {
         let mut frame = (self.0.len() as u32).to_be_bytes().to_vec();
         frame.extend(&self.0);
--- a/crates/testkit/src/zookeeper/mod.rs
+++ b/crates/testkit/src/zookeeper/mod.rs
@@ -1,7 +1,7 @@
-//! A stand-in for a ZooKeeper ensemble: the published client protocol over loopback, with faults on command.
+//! A fake ZooKeeper ensemble that speaks the client protocol over loopback and injects faults on request.
 //!
-//! Written from the protocol's public description (Jute records, length-prefixed frames). One tree, any number of
-//! addresses; sessions, ephemeral and sequential nodes, one-shot and persistent watches, multi.
+//! Written from the protocol's public description (Jute records, length-prefixed frames). All endpoints share one
+//! tree. Supports sessions, ephemeral and sequential nodes, one-shot and persistent watches, and multi.
 
 mod jute;
 mod server;
--- a/crates/testkit/src/zookeeper/server.rs
+++ b/crates/testkit/src/zookeeper/server.rs
@@ -1,4 +1,4 @@
-//! The addresses of the stand-in, its sessions, and its faults.
+//! Endpoints, sessions and fault injection of the fake ensemble.
 
 use super::jute::{Reader, Writer};
 use super::tree::{Change, Tree, BAD_ARGUMENTS};
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 const UNIMPLEMENTED: i32 = -6;
-/// Longest frame that is read.
+/// Maximum accepted frame size, in bytes.
 const MOST_FRAME: usize = 4 << 20;
 
-/// Watches of one connection.
+/// Watched paths of one connection, by watch type.
 #[derive(Default)]
 struct Watches {
     data: HashSet<String>,
@@ -24,7 +24,7 @@
 }
 
 impl Watches {
-    /// The protocol's event for a change, if some watch hears of it; one-shot ones are used up.
+    /// Returns the event type and path if a watch matches the change, and removes the matching one-shot watches.
     fn hear(&mut self, change: &Change) -> Option<(i32, String)> {
         let (kind, path) = match change {
             Change::Created(path) => (1, path),
@@ -34,7 +34,7 @@
         };
         let once = match kind {
             1 => self.exist.remove(path),
-            // A deletion uses up all three, and is told once.
+            // A deletion triggers all three kinds of one-shot watch but sends a single event.
             2 => self.data.remove(path) | self.exist.remove(path) | self.child.remove(path),
             3 => self.data.remove(path) | self.exist.remove(path),
             _ => self.child.remove(path),
@@ -65,13 +65,13 @@
     tree: Tree,
     sessions: HashMap<i64, Session>,
     connections: HashMap<u64, Connection>,
-    /// What a lagging address still shows, by address.
+    /// Stale trees served by lagging endpoints, by endpoint index.
     lagging: HashMap<usize, Tree>,
     next: i64,
 }
 
 impl State {
-    /// Tells all connections whose address has heard of it.
+    /// Sends watch events to the connections of all endpoints that are not lagging.
     fn spread(&mut self, changes: &[Change]) {
         for connection in self.connections.values_mut() {
             if !self.lagging.contains_key(&connection.endpoint) {
@@ -99,45 +99,45 @@
     for (kind, path) in changes.iter().filter_map(|c| connection.watches.hear(c)).collect::<Vec<_>>() {
         let mut out = Writer::default();
         out.int(-1).long(-1).int(0).int(kind).int(3).buffer(path.as_bytes());
-        // A client that has gone hears nothing.
+        // Write errors are ignored: the client may have disconnected.
         let _ = connection.stream.write_all(&out.frame());
     }
 }
 
-/// Faults of one address.
+/// Faults injected at one endpoint.
 #[derive(Default)]
 struct Faults {
     refuse: AtomicBool,
-    /// Answers wait this long, ms.
+    /// Delay before each reply, in milliseconds.
     late: AtomicU64,
-    /// The next answer is no answer.
+    /// Corrupts the next reply.
     spoil: AtomicBool,
     frozen: Mutex<bool>,
     thawed: Condvar,
 }
 
-/// One address of the ensemble.
+/// One server address of the ensemble.
 pub struct Endpoint {
     pub address: SocketAddr,
     faults: Arc<Faults>,
 }
 
-/// The ensemble.
+/// A fake ZooKeeper ensemble whose endpoints share one tree.
 pub struct Coordinator {
     state: Arc<Mutex<State>>,
     pub endpoints: Vec<Endpoint>,
 }
 
 impl Coordinator {
-    /// An ensemble of so many addresses, with an empty tree.
+    /// Starts an ensemble with the given number of endpoints and an empty tree.
     pub fn start(addresses: usize) -> Coordinator {
         let state = Arc::new(Mutex::new(State { next: 0x5e55_0000, ..State::default() }));
         let endpoints = (0..addresses).map(|index| Endpoint::start(state.clone(), index)).collect();
         let weak = Arc::downgrade(&state);
         std::thread::spawn(move || {
-            // Sessions end on the stand-in's clock, for as long as it lives.
+            // Expires sessions until the coordinator is dropped.
             while let Some(state) = weak.upgrade() {
-                let mut locked = state.lock().expect("a lock");
+                let mut locked = state.lock().expect("lock poisoned");
                 let over = locked.sessions.iter().filter(|(_, s)| s.heard.elapsed() > s.timeout);
                 let over: Vec<i64> = over.map(|(id, _)| *id).collect();
                 over.into_iter().for_each(|id| locked.end_session(id));
@@ -150,16 +150,16 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("a lock")
+        self.state.lock().expect("lock poisoned")
     }
 
-    /// The addresses as clients name them.
+    /// Returns the connect string: all endpoint addresses, separated by commas.
     pub fn cluster(&self) -> String {
         self.endpoints.iter().map(|e| e.address.to_string()).collect::<Vec<_>>().join(",")
     }
 
-    /// Writes a node as an operator would; with its folders, persistent. When this returns, all that watch it
-    /// have been written to.
+    /// Creates or overwrites a persistent node and creates its missing ancestors. Watch events have been written
+    /// to the connections when this returns.
     pub fn put(&self, path: &str, data: &[u8]) {
         let mut state = self.lock();
         let mut changes = Vec::new();
@@ -168,14 +168,14 @@
             let _ = state.tree.create(&folder, Vec::new(), 0, 0, &mut changes);
         }
         if state.tree.get(path).is_ok() {
-            state.tree.set(path, data.to_vec(), -1, &mut changes).expect("a node");
+            state.tree.set(path, data.to_vec(), -1, &mut changes).expect("updating the node failed");
         } else {
-            state.tree.create(path, data.to_vec(), 0, 0, &mut changes).expect("a new node");
+            state.tree.create(path, data.to_vec(), 0, 0, &mut changes).expect("creating the node failed");
         }
         state.spread(&changes);
     }
 
-    /// Deletes a node; false if there was none.
+    /// Deletes a node. Returns false if it does not exist or has children.
     pub fn delete(&self, path: &str) -> bool {
         let (mut state, mut changes) = (self.lock(), Vec::new());
         let done = state.tree.delete(path, -1, &mut changes).is_ok();
@@ -183,59 +183,59 @@
         done
     }
 
-    /// What a node holds.
+    /// Returns the data of a node, or `None` if it does not exist.
     pub fn get(&self, path: &str) -> Option<Vec<u8>> {
         self.lock().tree.get(path).ok().map(|n| n.data.clone())
     }
 
-    /// Names in a folder.
+    /// Returns the names of a node's children; empty if the node does not exist.
     pub fn children(&self, path: &str) -> Vec<String> {
         let state = self.lock();
         state.tree.children(path).map(|c| c.iter().map(|n| (*n).to_owned()).collect()).unwrap_or_default()
     }
 
-    /// Sessions that stand.
+    /// Returns the ids of the live sessions.
     pub fn sessions(&self) -> Vec<i64> {
         self.lock().sessions.keys().copied().collect()
     }
 
-    /// Ends a session as if its time were over.
+    /// Ends a session as if it had timed out.
     pub fn expire(&self, session: i64) {
         self.lock().end_session(session);
     }
 
-    /// Cuts all connections; sessions go on.
+    /// Closes all connections but keeps the sessions.
     pub fn cut(&self) {
         let state = self.lock();
         state.connections.values().for_each(|c| _ = c.stream.shutdown(Shutdown::Both));
     }
 
-    /// Forgets all nodes and sessions, as a service set up anew.
+    /// Drops all nodes, sessions and connections, as if the service had been reinstalled.
     pub fn lose_tree(&self) {
         let mut state = self.lock();
         (state.tree, state.sessions) = Default::default();
         state.connections.values().for_each(|c| _ = c.stream.shutdown(Shutdown::Both));
     }
 
-    /// The tree as it stands, to come back to with [`Coordinator::restore`].
+    /// Returns a copy of the tree for [`Coordinator::restore`].
     pub fn snapshot(&self) -> Tree {
         self.lock().tree.clone()
     }
 
-    /// Sets the history back; sessions and connections end.
+    /// Rolls the tree back to a snapshot. Sessions and connections end.
     pub fn restore(&self, tree: Tree) {
         self.lose_tree();
         self.lock().tree = tree;
     }
 
-    /// From now on this address shows what is now, whatever happens; or, again, what is.
+    /// Freezes the endpoint's view of the tree at its current state, or returns it to the live tree.
     pub fn lag(&self, endpoint: usize, lags: bool) {
         let mut state = self.lock();
         if lags {
             let now = state.tree.clone();
             state.lagging.insert(endpoint, now);
         } else if state.lagging.remove(&endpoint).is_some() {
-            // Its clients have missed events: they are cut, and hear by their watches on the next connection.
+            // The clients missed events. Closing their connections makes them set their watches again and catch up.
             let of = state.connections.values().filter(|c| c.endpoint == endpoint);
             of.for_each(|c| _ = c.stream.shutdown(Shutdown::Both));
         }
@@ -244,8 +244,8 @@
 
 impl Endpoint {
     fn start(state: Arc<Mutex<State>>, index: usize) -> Endpoint {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port failed");
+        let address = listener.local_addr().expect("no local address");
         let faults = Arc::new(Faults::default());
         let there = faults.clone();
         std::thread::spawn(move || {
@@ -257,30 +257,30 @@
                 let number = (index as u64) << 32 | n as u64;
                 std::thread::spawn(move || {
                     let _ = converse(&state, &faults, stream, index, number);
-                    state.lock().expect("a lock").connections.remove(&number);
+                    state.lock().expect("lock poisoned").connections.remove(&number);
                 });
             }
         });
         Endpoint { address, faults }
     }
 
-    /// New connections are closed at once.
+    /// Sets whether new connections are closed immediately.
     pub fn refuse(&self, refuses: bool) {
         self.faults.refuse.store(refuses, Ordering::SeqCst);
     }
 
-    /// Nothing is read or answered until it thaws.
+    /// Sets whether requests are held unanswered until the endpoint is unfrozen.
     pub fn freeze(&self, frozen: bool) {
-        *self.faults.frozen.lock().expect("a lock") = frozen;
+        *self.faults.frozen.lock().expect("lock poisoned") = frozen;
         self.faults.thawed.notify_all();
     }
 
-    /// Answers come so much later.
+    /// Delays each reply by the given time.
     pub fn late(&self, by: Duration) {
         self.faults.late.store(by.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// The next answer is spoilt.
+    /// Corrupts the next reply.
     pub fn spoil(&self) {
         self.faults.spoil.store(true, Ordering::SeqCst);
     }
@@ -296,7 +296,7 @@
     Some(frame)
 }
 
-/// One client's connection, to its end.
+/// Serves one client connection until it closes.
 fn converse(
     state: &Mutex<State>,
     faults: &Faults,
@@ -309,19 +309,19 @@
     let session = connect(state, &mut stream, &hello, endpoint, number)?;
     loop {
         let frame = read_frame(&mut stream)?;
-        let mut frozen = faults.frozen.lock().expect("a lock");
+        let mut frozen = faults.frozen.lock().expect("lock poisoned");
         while *frozen {
-            frozen = faults.thawed.wait(frozen).expect("a lock");
+            frozen = faults.thawed.wait(frozen).expect("lock poisoned");
         }
         drop(frozen);
         std::thread::sleep(Duration::from_millis(faults.late.load(Ordering::SeqCst)));
-        let mut state = state.lock().expect("a lock");
+        let mut state = state.lock().expect("lock poisoned");
         state.sessions.get_mut(&session)?.heard = Instant::now();
         let (mut reply, closes) = Request { state: &mut state, session, endpoint, number }.serve(&frame)?;
         if faults.spoil.swap(false, Ordering::SeqCst) {
             reply.0.iter_mut().for_each(|byte| *byte ^= 0x5a);
         }
-        // Under the lock, so that answers and events come in the order of the tree's history.
+        // Written under the lock so that replies and events arrive in zxid order.
         stream.write_all(&reply.frame()).ok()?;
         if closes {
             state.end_session(session);
@@ -340,9 +340,9 @@
     let mut hello = Reader(hello);
     let (_, seen, timeout) = (hello.int()?, hello.long()?, hello.int()?);
     let (asked, password) = (hello.long()?, hello.buffer()?);
-    let mut state = state.lock().expect("a lock");
+    let mut state = state.lock().expect("lock poisoned");
     if seen > state.view(endpoint).zxid {
-        // A client that has seen more than this address is to try another.
+        // The client has seen a newer zxid than this endpoint and must try another one.
         return None;
     }
     let timeout = timeout.clamp(100, 60_000);
@@ -371,7 +371,7 @@
     Some(id)
 }
 
-/// A request being served.
+/// Context of a request: its session, endpoint and connection.
 struct Request<'a> {
     state: &'a mut State,
     session: i64,
@@ -380,7 +380,7 @@
 }
 
 impl Request<'_> {
-    /// The reply, and whether the session closes; none where the frame cannot be read.
+    /// Returns the reply and whether the session closes, or `None` if the frame is malformed.
     fn serve(&mut self, frame: &[u8]) -> Option<(Writer, bool)> {
         let mut input = Reader(frame);
         let (xid, kind) = (input.int()?, input.int()?);
@@ -456,7 +456,7 @@
         Some(done)
     }
 
-    /// All or nothing.
+    /// Applies a list of operations atomically.
     fn multi(
         &mut self,
         input: &mut Reader<'_>,
@@ -488,7 +488,7 @@
             }
             Some((at, code)) => {
                 for i in 0..results.len() {
-                    // Before the one that failed: rolled back; behind it: not tried.
+                    // 0 for operations before the failed one, which were rolled back; -2 for later ones, which are not applied.
                     let code = if i < at {
                         0
                     } else if i == at {
@@ -504,7 +504,7 @@
         Some(Ok(()))
     }
 
-    /// Watches of an earlier connection; what has changed since is told at once.
+    /// Restores the watches of an earlier connection and immediately sends events for changes it missed.
     fn set_watches(&mut self, kind: i32, input: &mut Reader<'_>) -> Option<Result<(), i32>> {
         let seen = input.long()?;
         let (data, exist, child) = (input.strings()?, input.strings()?, input.strings()?);
@@ -538,7 +538,7 @@
     }
 }
 
-/// An operation that changes the tree.
+/// Executes a create, delete, set or check operation on the tree.
 fn write(
     tree: &mut Tree,
     kind: i32,
--- a/crates/testkit/src/zookeeper/tree.rs
+++ b/crates/testkit/src/zookeeper/tree.rs
@@ -1,4 +1,4 @@
-//! The tree that all addresses share.
+//! The node tree shared by all endpoints.
 
 use super::jute::Writer;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 pub const NOT_EMPTY: i32 = -111;
 pub const BAD_ARGUMENTS: i32 = -8;
 
-/// What the protocol tells of a node beside its data.
+/// Node metadata that the protocol returns along with the data.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stat {
     pub czxid: i64,
@@ -27,7 +27,7 @@
     pub stat: Stat,
 }
 
-/// A change that watches hear of.
+/// A change that triggers watches, with the path of the affected node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     Created(String),
@@ -36,7 +36,7 @@
     Children(String),
 }
 
-/// Nodes by path; the root is "".
+/// Nodes keyed by path. The root is stored under the empty string.
 #[derive(Clone, Debug)]
 pub struct Tree {
     pub zxid: i64,
@@ -84,7 +84,7 @@
         Ok(names.filter(|name| !name.contains('/')).collect())
     }
 
-    /// Creates a node; flags as in the protocol: 1 is ephemeral, 2 sequential. Its path comes back.
+    /// Creates a node and returns its path. `flags` is a bit set as in the protocol: 1 is ephemeral, 2 is sequential.
     pub fn create(
         &mut self,
         path_asked: &str,
@@ -93,7 +93,7 @@
         session: i64,
         changes: &mut Vec<Change>,
     ) -> Result<String, i32> {
-        // A sequential name may end in a slash before its number is added.
+        // The requested path of a sequential node may end in a slash, because the sequence number is appended.
         let above = parent(path_asked).to_owned();
         let folder = self.nodes.get(&above).ok_or(NO_NODE)?;
         if folder.stat.owner != 0 {
@@ -154,12 +154,12 @@
         Ok(())
     }
 
-    /// Removes what a session owned.
+    /// Deletes the ephemeral nodes of a session.
     pub fn end_session(&mut self, session: i64, changes: &mut Vec<Change>) {
         let owned = self.nodes.iter().filter(|(_, n)| n.stat.owner == session && session != 0);
         let owned: Vec<String> = owned.map(|(key, _)| key.clone()).collect();
         for key in owned {
-            // An ephemeral node has no children, and is there.
+            // Cannot fail: the node exists and ephemeral nodes have no children.
             let _ = self.delete(&key, -1, changes);
         }
     }
