--- a/crates/testkit/src/counter.rs
+++ b/crates/testkit/src/counter.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the counter service that speaks the platform's text protocol.
+//! A fake counter service that speaks the platform's text protocol.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -6,12 +6,13 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A counter that adds up, and lets `twist` change an answer: the call's line and total in, bytes out.
+/// A counter that adds amounts. `twist` can replace a response: it receives the request line and the total and
+/// returns the bytes to send.
 pub struct Counter {
     pub address: SocketAddr,
-    /// Sum of all amounts that calls have added.
+    /// Sum of all added amounts.
     pub added: Arc<Mutex<f64>>,
-    /// Total of each name.
+    /// Totals by name.
     pub totals: Arc<Mutex<BTreeMap<String, f64>>>,
     pub calls: Arc<AtomicUsize>,
     pub connections: Arc<AtomicUsize>,
@@ -19,8 +20,8 @@
 
 impl Counter {
     pub fn start(twist: impl Fn(usize, f64) -> Vec<u8> + Send + Sync + 'static) -> Counter {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port failed");
+        let address = listener.local_addr().expect("no local address");
         let (calls, connections) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
         let totals = Arc::new(Mutex::new(BTreeMap::<String, f64>::new()));
         let added = Arc::new(Mutex::new(0.0));
@@ -32,15 +33,15 @@
                 let sum = sum.clone();
                 let (totals, calls, twist) = (book.clone(), calls_there.clone(), twist.clone());
                 std::thread::spawn(move || {
-                    let reader = BufReader::new(stream.try_clone().expect("a clone"));
+                    let reader = BufReader::new(stream.try_clone().expect("cloning the socket failed"));
                     for line in reader.lines().map_while(Result::ok) {
                         let words: Vec<&str> = line.split(' ').collect();
                         let bytes = match words[..] {
                             ["bump", name, add, _] => {
-                                let add: f64 = add.parse().expect("an amount");
-                                *sum.lock().expect("a lock") += add;
+                                let add: f64 = add.parse().expect("invalid amount");
+                                *sum.lock().expect("lock poisoned") += add;
                                 let total = {
-                                    let mut totals = totals.lock().expect("a lock");
+                                    let mut totals = totals.lock().expect("lock poisoned");
                                     let total = totals.entry(name.to_owned()).or_default();
                                     *total += add;
                                     *total
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Many small engines in one thread: each listens at an address of its own, answers at once and notes when it was met.
+//! Many small fake engines on one thread. Each has its own address, responds immediately and records its requests.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -7,49 +7,49 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What one engine has seen.
+/// Requests recorded by one engine.
 #[derive(Clone, Debug, Default)]
 pub struct Met {
     pub requests: usize,
     pub first: Option<Instant>,
     pub last: Option<Instant>,
-    /// When each request came, if that is kept.
+    /// Arrival time of each request, if recording is enabled.
     pub times: Vec<Instant>,
-    /// Requests whose id had come before, here or to another engine, if that is kept.
+    /// Number of requests whose id had already reached any engine, if recording is enabled.
     pub again: usize,
 }
 
-/// How an engine behaves.
+/// Behaviour of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Ill {
-    /// It answers at once.
+    /// Responds immediately.
     #[default]
     Well,
-    /// This share of its answers, spread evenly, is an error.
+    /// Responds with an error to this fraction of requests, evenly spread.
     Failing(f64),
-    /// It answers nothing.
+    /// Never responds.
     Silent,
-    /// It answers after this.
+    /// Responds after this delay.
     Slow(Duration),
 }
 
-/// The engines. They end with the process.
+/// A set of fake engines, which run until the process exits.
 pub struct Fleet {
     pub addresses: Vec<SocketAddr>,
     met: Arc<Mutex<Vec<Met>>>,
     ill: Arc<Mutex<Vec<Ill>>>,
 }
 
-/// Ids of requests that came to any engine.
+/// Ids of the requests that reached any engine.
 type Ids = Arc<Mutex<HashSet<String>>>;
 
 impl Fleet {
-    /// So many engines, on loopback.
+    /// Starts the given number of engines on loopback.
     pub fn start(engines: usize) -> Fleet {
         Fleet::start_with(engines, false)
     }
 
-    /// The same, and they keep when each request came.
+    /// Starts engines that also record arrival times and repeated request ids.
     pub fn start_and_keep(engines: usize) -> Fleet {
         Fleet::start_with(engines, true)
     }
@@ -61,15 +61,19 @@
         let ill = Arc::new(Mutex::new(vec![Ill::Well; engines]));
         let (how, ids) = (ill.clone(), Ids::default());
         std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("building the runtime failed");
             runtime.block_on(async move {
                 let mut listeners = Vec::new();
                 for _ in 0..engines {
-                    listeners.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
+                    listeners.push(
+                        TcpListener::bind("127.0.0.1:0").await.expect("binding a loopback port failed"),
+                    );
                 }
-                let addresses = listeners.iter().map(|l| l.local_addr().expect("an address")).collect();
-                tell.send(addresses).expect("who asked");
+                let addresses = listeners.iter().map(|l| l.local_addr().expect("no local address")).collect();
+                tell.send(addresses).expect("receiver dropped");
                 for (which, listener) in listeners.into_iter().enumerate() {
                     let ids = keep.then(|| ids.clone());
                     tokio::spawn(accept(listener, which, there.clone(), how.clone(), ids));
@@ -77,22 +81,22 @@
                 std::future::pending::<()>().await;
             });
         });
-        Fleet { addresses: told.recv().expect("addresses"), met, ill }
+        Fleet { addresses: told.recv().expect("engine thread ended during startup"), met, ill }
     }
 
-    /// These engines behave so from now on.
+    /// Sets the behaviour of a range of engines.
     pub fn fall(&self, engines: std::ops::Range<usize>, ill: Ill) {
-        self.ill.lock().expect("a lock")[engines].fill(ill);
+        self.ill.lock().expect("lock poisoned")[engines].fill(ill);
     }
 
-    /// What each engine has seen so far.
+    /// Returns the requests recorded so far, by engine.
     pub fn met(&self) -> Vec<Met> {
-        self.met.lock().expect("a lock").clone()
+        self.met.lock().expect("lock poisoned").clone()
     }
 
-    /// How long after `at` the last request came to an engine.
+    /// Returns how long after `at` the last request reached an engine, or `None` if none came after it.
     pub fn last_after(&self, which: usize, at: Instant) -> Option<Duration> {
-        self.met.lock().expect("a lock")[which].last.and_then(|last| last.checked_duration_since(at))
+        self.met.lock().expect("lock poisoned")[which].last.and_then(|last| last.checked_duration_since(at))
     }
 }
 
@@ -108,7 +112,7 @@
     }
 }
 
-/// Answers requests without a body.
+/// Serves one connection. Requests must not have a body.
 async fn serve(
     mut stream: TcpStream,
     which: usize,
@@ -125,7 +129,7 @@
         let again = ids.as_ref().is_some_and(|ids| came_before(&head, ids));
         head.clear();
         let count = {
-            let mut met = met.lock().expect("a lock");
+            let mut met = met.lock().expect("lock poisoned");
             met[which].requests += 1;
             let now = Instant::now();
             met[which].first.get_or_insert(now);
@@ -136,11 +140,11 @@
             }
             met[which].requests
         };
-        let ill = ill.lock().expect("a lock")[which];
+        let ill = ill.lock().expect("lock poisoned")[which];
         let good: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade";
         let bad: &[u8] = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\nlost";
         let answer = match ill {
-            // By the golden ratio: evenly spread, and in step with nothing.
+            // Multiples of the golden ratio spread failures evenly, without a period that could align with the requests.
             Ill::Failing(share) if (count as f64 * 0.618_033_988_749_895).fract() < share => bad,
             Ill::Silent => continue,
             Ill::Slow(by) => {
@@ -155,9 +159,9 @@
     }
 }
 
-/// Whether a request's id has come before.
+/// Records a request's id and returns whether it was already known.
 fn came_before(head: &[u8], ids: &Ids) -> bool {
     let head = String::from_utf8_lossy(head).to_ascii_lowercase();
     let id = head.lines().find_map(|line| line.strip_prefix("x-correlation-id:"));
-    id.is_some_and(|id| !ids.lock().expect("a lock").insert(id.trim().to_owned()))
+    id.is_some_and(|id| !ids.lock().expect("lock poisoned").insert(id.trim().to_owned()))
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for all that a limiter meets, on loopback; the daemon started against them; and the suites that
-//! every implementation of a port is run through.
+//! Fakes of every service that a limiter talks to, on loopback; helpers that start the daemon against them; and
+//! conformance suites for the implementations of each port.
 
 pub mod client;
 pub mod conformance;
--- a/crates/testkit/src/limiter.rs
+++ b/crates/testkit/src/limiter.rs
@@ -1,4 +1,4 @@
-//! The real daemon, started against stand-ins.
+//! Starts the real daemon against fake services.
 
 use crate::client::Client;
 use crate::wait::{eventually, PATIENCE};
@@ -9,27 +9,27 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a limiter is started with.
+/// Configuration of a limiter process.
 pub struct Setup {
     pub listen: String,
     pub discovery: SocketAddr,
     pub counter: SocketAddr,
     pub known: String,
     pub sockets: usize,
-    /// The shell's limit on descriptors.
+    /// Limit on open file descriptors (`ulimit -n`).
     pub descriptors: Option<usize>,
     pub conn_idle: f64,
     pub gateways: usize,
     pub plan: &'static str,
-    /// The second address is on, at a port of its own.
+    /// Enables the control address, on a port of its own.
     pub control: bool,
-    /// Clients' listening socket, handed over as descriptor 3.
+    /// Listening socket for clients, passed as file descriptor 3.
     pub passed: Option<Arc<TcpListener>>,
-    /// More that the environment holds.
+    /// Additional environment variables.
     pub env: Vec<(String, String)>,
 }
 
-/// A plan whose quota no test reaches.
+/// A plan with a quota that no test exhausts.
 pub const WIDE: &str = r#"{"name":"team","rate":100000,"store_size":100000}"#;
 
 impl Setup {
@@ -82,12 +82,12 @@
         )
     }
 
-    /// Starts the limiter at the path `program` and waits until it says that it can serve.
+    /// Starts the limiter at the path `program` and waits until it is ready to serve.
     pub fn start(&self, program: &str) -> Limiter {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let name = format!("oatbank-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
         let path = std::env::temp_dir().join(name);
-        std::fs::write(&path, self.config()).expect("a configuration");
+        std::fs::write(&path, self.config()).expect("writing the configuration failed");
         let mut command = match self.descriptors {
             Some(n) => {
                 let mut shell = Command::new("/bin/sh");
@@ -97,28 +97,30 @@
             None => Command::new(program),
         };
         if let Some(listener) = &self.passed {
-            // The shell makes descriptor 3 of its standard input.
+            // The shell duplicates its standard input to descriptor 3.
             command = Command::new("/bin/sh");
             command.arg("-c").arg(format!("exec {program} 3<&0 0</dev/null")).env("PROXY_PASSED_SOCKET", "3");
-            command.stdin(std::os::fd::OwnedFd::from(listener.try_clone().expect("a clone")));
+            command
+                .stdin(std::os::fd::OwnedFd::from(listener.try_clone().expect("cloning the socket failed")));
         }
         command.env("PROXY_CONFIG", &path).envs(self.env.iter().cloned()).stderr(Stdio::piped());
-        let mut child = command.spawn().expect("the limiter");
-        let mut log = BufReader::new(child.stderr.take().expect("a log")).lines();
+        let mut child = command.spawn().expect("starting the limiter failed");
+        let mut log = BufReader::new(child.stderr.take().expect("stderr is not piped")).lines();
         let mut control = None;
         let address = loop {
-            let line = log.next().expect("a line of the log").expect("text");
+            let line =
+                log.next().expect("the limiter ended before it served").expect("reading the log failed");
             if let Some((_, address)) = line.split_once("operators call at ") {
-                control = Some(address.parse().expect("an address"));
+                control = Some(address.parse().expect("invalid address in the log"));
             }
             if let Some((_, address)) = line.split_once(" serves ") {
-                break address.parse().expect("an address");
+                break address.parse().expect("invalid address in the log");
             }
         };
         let said = Arc::new(Mutex::new(Vec::new()));
         let saying = said.clone();
         std::thread::spawn(move || {
-            log.map_while(Result::ok).for_each(|line| saying.lock().expect("a lock").push(line));
+            log.map_while(Result::ok).for_each(|line| saying.lock().expect("lock poisoned").push(line));
         });
         let limiter = Limiter { child, address, control, path, said };
         match (limiter.control, &self.passed) {
@@ -133,7 +135,7 @@
 pub struct Limiter {
     pub child: Child,
     pub address: SocketAddr,
-    /// The second address.
+    /// Control address, if enabled.
     pub control: Option<SocketAddr>,
     path: std::path::PathBuf,
     said: Arc<Mutex<Vec<String>>>,
@@ -144,44 +146,44 @@
         Client::connect(self.address)
     }
 
-    /// A call at the second address: its status and text.
+    /// Sends a request to the control address. Returns status and body.
     pub fn call(&self, method: &str, path: &str) -> (u16, String) {
-        let address = self.control.expect("a second address");
+        let address = self.control.expect("the control address is not enabled");
         let answer =
             Client::connect(address).raw(format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
-        let answer = answer.expect("an answer");
-        (answer.status(), String::from_utf8(answer.body).expect("text"))
+        let answer = answer.expect("no response");
+        (answer.status(), String::from_utf8(answer.body).expect("body is not UTF-8"))
     }
 
-    /// How many lines of the log have these words, since it said where it serves.
+    /// Returns the number of log lines since startup that contain `words`.
     pub fn said(&self, words: &str) -> usize {
-        self.said.lock().expect("a lock").iter().filter(|line| line.contains(words)).count()
+        self.said.lock().expect("lock poisoned").iter().filter(|line| line.contains(words)).count()
     }
 
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the file of the configuration and tells the limiter.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
-        std::fs::write(&self.path, config).expect("a configuration");
+        std::fs::write(&self.path, config).expect("writing the configuration failed");
         self.signal("-HUP");
     }
 
-    /// Sends a signal by the name that `kill` knows it by, as `-STOP`.
+    /// Sends a signal, given as an option of `kill` such as `-STOP`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
+        assert!(Command::new("kill").args([name, &pid]).status().expect("running kill failed").success());
     }
 
-    /// Waits for the process and gives its exit code.
+    /// Waits for the process to exit and returns its exit code, or `None` if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         let end = Instant::now() + PATIENCE;
         loop {
-            if let Some(status) = self.child.try_wait().expect("a status") {
+            if let Some(status) = self.child.try_wait().expect("waiting for the process failed") {
                 return status.code();
             }
-            assert!(Instant::now() < end, "the limiter does not end");
+            assert!(Instant::now() < end, "the limiter did not exit in time");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/testkit/src/rig/zones.rs
+++ b/crates/testkit/src/rig/zones.rs
@@ -67,7 +67,8 @@
     Came::so_far(engines, rig).since(&before)
 }
 
-/// Returns the share that the decider reports for a zone, or `None` if the call fails or the zone is not listed.
+/// Returns the share that the decider reports for a zone, or `None` if the call fails or its response does not list the
+/// zone. The decider reports 1 for a zone that the revision in force does not name.
 pub fn share(rig: &Rig, decider: usize, zone: &str) -> Option<f64> {
     let (status, text) = rig.call(decider, "GET", "zones", "");
     let rows: serde_json::Value = serde_json::from_str(&text).ok().filter(|_| status == 200)?;
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a server.
+//! A fake backend server with scripted behaviour.
 
 use crate::message::{answer, read_message, Message};
 use std::io::{BufReader, Write};
@@ -8,35 +8,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a server does with a request.
+/// Action of a server on a request.
 pub enum Act {
     /// Writes these bytes.
     Write(Vec<u8>),
-    /// Waits, then writes.
+    /// Waits, then writes these bytes.
     Late(Duration, Vec<u8>),
     /// Writes these bytes and closes.
     Close(Vec<u8>),
-    /// Writes bytes, waits, and writes others that nobody asked for.
+    /// Writes a response, waits, and writes further unsolicited bytes.
     Twice(Vec<u8>, Duration, Vec<u8>),
-    /// Says nothing until the limiter closes.
+    /// Writes nothing until the limiter closes the connection.
     Silence,
 }
 
-/// A server whose `act` decides on each request.
+/// A server whose `act` callback selects the action for each request.
 pub struct Server {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<Message>>>,
     pub connections: Arc<AtomicUsize>,
-    /// How long each connection had been quiet when the limiter closed it; nothing where the server did.
+    /// Idle time of each connection when the limiter closed it. Connections closed by the server are not reported.
     pub closed: Receiver<Duration>,
-    /// The second write of each [`Act::Twice`] is done.
+    /// Receives a message after the second write of each [`Act::Twice`].
     pub wrote: Receiver<()>,
 }
 
 impl Server {
     pub fn start(act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Server {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port failed");
+        let address = listener.local_addr().expect("no local address");
         let seen = Arc::new(Mutex::new(Vec::new()));
         let connections = Arc::new(AtomicUsize::new(0));
         let (sender, closed) = channel();
@@ -58,7 +58,7 @@
     }
 
     pub fn count(&self) -> usize {
-        self.seen.lock().expect("a lock").len()
+        self.seen.lock().expect("lock poisoned").len()
     }
 }
 
@@ -69,14 +69,14 @@
     closed: &Sender<Duration>,
     wrote: &Sender<()>,
 ) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+    let mut reader = BufReader::new(stream.try_clone().expect("cloning the socket failed"));
     loop {
         let quiet = Instant::now();
         let Some(message) = read_message(&mut reader) else {
             let _ = closed.send(quiet.elapsed());
             return;
         };
-        seen.lock().expect("a lock").push(message.clone());
+        seen.lock().expect("lock poisoned").push(message.clone());
         match act(&message) {
             Act::Write(bytes) => _ = stream.write_all(&bytes),
             Act::Twice(bytes, wait, more) => {
@@ -95,8 +95,8 @@
             }
             Act::Close(bytes) => {
                 let _ = stream.write_all(&bytes);
-                // Not just dropped: a process that another thread is starting holds every descriptor until it
-                // has become its own program, and so long the connection would stay open.
+                // Dropping the socket is not enough: a child forked by another thread holds a copy of the
+                // descriptor until it calls exec, which would keep the connection open.
                 let _ = stream.shutdown(std::net::Shutdown::Both);
                 drop((stream, reader));
                 let _ = closed.send(Duration::ZERO);
--- a/crates/testkit/src/wait.rs
+++ b/crates/testkit/src/wait.rs
@@ -1,20 +1,20 @@
-//! Waiting for events.
+//! Polling for conditions with a timeout.
 
 use std::time::{Duration, Instant};
 
-/// Longest that anything here is waited for.
+/// Default timeout.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
-/// Waits until something holds.
+/// Waits up to [`PATIENCE`] until a condition holds. Panics on timeout.
 pub fn eventually(what: &str, holds: impl FnMut() -> bool) {
     within(PATIENCE, what, holds);
 }
 
-/// Waits for so long until something holds.
+/// Waits up to `patience` until a condition holds. Panics on timeout.
 pub fn within(patience: Duration, what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + patience;
     while !holds() {
-        assert!(Instant::now() < end, "never: {what}");
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
