--- a/crates/testkit/src/conformance/clock.rs
+++ b/crates/testkit/src/conformance/clock.rs
@@ -1,8 +1,8 @@
-//! What every clock must keep.
+//! Conformance suite for clocks.
 
 use oatbank_engine::ports::clock::Clock;
 
-/// Holds a clock to its guarantees.
+/// Checks that a clock is monotonic and never wakes a waiter early.
 pub async fn suite(clock: &dyn Clock) {
     let first = clock.now();
     let mut last = first;
@@ -14,7 +14,8 @@
     for after in [0.0, 0.4, 3.0, 20.0] {
         let at = clock.now() + after;
         clock.until(at).await;
-        // The runtime counts in whole ms, rounded up; the least step of a f64 at Unix times is far below.
+        // Tolerates f64 rounding. The runtime rounds delays up to whole milliseconds, and the resolution of an
+        // f64 at Unix times is far below 0.001 ms.
         assert!(clock.now() >= at - 0.001, "woken {} ms early", at - clock.now());
     }
     clock.until(first).await;
--- a/crates/testkit/src/conformance/membership.rs
+++ b/crates/testkit/src/conformance/membership.rs
@@ -1,4 +1,4 @@
-//! What every source of the list must keep.
+//! Conformance suite for membership sources.
 
 use super::until;
 use oatbank_engine::ports::membership::{Member, MembershipSink, News};
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A list put together from what a source tells, as the engine does it.
+/// A member list built from the news of a source, in the same way as the engine does.
 #[derive(Clone, Default)]
 pub struct Seen(Rc<RefCell<Option<BTreeMap<String, Member>>>>);
 
 impl Seen {
-    /// Where a source tells its news.
+    /// Returns the sink for a source's news.
     pub fn told(&self) -> MembershipSink {
         let seen = self.0.clone();
         Rc::new(move |news| {
@@ -22,7 +22,7 @@
                     *seen = Some(members.into_iter().map(|m| (m.id.clone(), m)).collect());
                 }
                 News::Changes(members) => {
-                    let list = seen.as_mut().expect("changes were told before any list");
+                    let list = seen.as_mut().expect("changes were reported before a complete list");
                     for m in members {
                         match m.state {
                             ServerState::Gone => _ = list.remove(&m.id),
@@ -30,12 +30,12 @@
                         }
                     }
                 }
-                News::Remembered(_) => panic!("a source tells what is, not what was"),
+                News::Remembered(_) => panic!("a source must not report a remembered list"),
             }
         })
     }
 
-    /// Waits until the source has told a list in which exactly these are ready, and none without an address.
+    /// Waits until exactly these members are ready. Panics if any listed member has no address.
     pub async fn ready(&self, ids: &[&str]) {
         let ready = |m: &&Member| m.state == ServerState::Ready;
         until(&format!("a list in which {ids:?} are ready"), || {
@@ -45,15 +45,15 @@
         })
         .await;
         let seen = self.0.borrow();
-        let list = seen.as_ref().expect("a list");
+        let list = seen.as_ref().expect("no list was reported");
         assert!(list.values().all(|m| m.address.is_some()), "a server without an address");
     }
 }
 
-/// A change of the origin, and who is ready once it is told.
+/// A change of the origin, and the ids that are ready once it is reported.
 pub type Step<'a> = (Box<dyn FnOnce()>, Vec<&'a str>);
 
-/// Holds a source to its origin through a script: each step changes the origin and names who is ready then.
+/// Checks that a source follows its origin: applies each step and waits for the members that it names.
 pub async fn suite(seen: &Seen, steps: Vec<Step<'_>>) {
     for (change, ready) in steps {
         change();
--- a/crates/testkit/src/conformance/upstream.rs
+++ b/crates/testkit/src/conformance/upstream.rs
@@ -1,4 +1,4 @@
-//! What every way to a server must keep.
+//! Conformance suite for upstreams.
 
 use super::until;
 use oatbank_engine::ports::upstream::{AttemptJob, End, Upstream};
@@ -8,32 +8,32 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A server's behaviour that the suite asks for.
+/// Server behaviour that the suite requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers well.
+    /// Responds successfully.
     Answers,
-    /// Answers with an error after it has run the request.
+    /// Runs the request and responds with an error.
     Fails,
-    /// Turns the request away unseen.
+    /// Rejects the request without running it.
     TurnsAway,
-    /// Ends without an answer once it has the request.
+    /// Closes the connection without a response after receiving the request.
     Breaks,
-    /// Says nothing.
+    /// Never responds.
     Silent,
 }
 
-/// An implementation with a stand-in behind it.
+/// An implementation connected to a fake server.
 pub trait UnderTest {
-    /// The implementation.
+    /// Type of the implementation.
     type Way: Upstream;
-    /// It.
+    /// Returns the implementation.
     fn way(&self) -> &Self::Way;
-    /// A server of this behaviour and the request for it.
+    /// Returns the address of a server with this behaviour and a request for it.
     fn server(&self, behaviour: Behaviour) -> (SocketAddr, <Self::Way as Upstream>::Request);
-    /// Requests that have reached servers so far.
+    /// Returns the number of requests that have reached servers.
     fn reached(&self) -> usize;
-    /// Attempts whose being called off was noticed at the server.
+    /// Returns the number of attempts whose cancellation the server has noticed.
     fn called_off(&self) -> usize;
 }
 
@@ -57,7 +57,7 @@
         .await
 }
 
-/// Holds an implementation to its guarantees.
+/// Checks the outcome of each behaviour, the permission check before sending, and cancellation.
 pub async fn suite<T: UnderTest>(test: &T) {
     let yes: Rc<dyn Fn() -> bool> = Rc::new(|| true);
     for (behaviour, outcomes) in [
@@ -70,13 +70,13 @@
         let end = attempt(test, behaviour, yes.clone()).await;
         assert!(outcomes.contains(&end.outcome), "{behaviour:?} ended as {:?}", end.outcome);
         assert_eq!(end.answer.is_some() && end.outcome == Outcome::Ok, behaviour == Behaviour::Answers);
-        assert_eq!(test.reached(), before + 1, "{behaviour:?}: a request goes out once");
+        assert_eq!(test.reached(), before + 1, "{behaviour:?}: the request must be sent once");
     }
     asks_before_sending(test).await;
     called_off(test, yes).await;
 }
 
-/// Nothing is sent once the server may be sent nothing.
+/// Checks that nothing is sent when `may_send` returns false.
 async fn asks_before_sending<T: UnderTest>(test: &T) {
     let asked = Rc::new(Cell::new(0));
     let (before, counted) = (test.reached(), asked.clone());
@@ -85,12 +85,12 @@
         false
     });
     let end = attempt(test, Behaviour::Answers, no).await;
-    assert_eq!(end.outcome, Outcome::ConnectFailed, "told of a drain");
-    assert!(asked.get() > 0, "sent without asking");
-    assert_eq!(test.reached(), before, "sent to a server that drains");
+    assert_eq!(end.outcome, Outcome::ConnectFailed, "the server is draining");
+    assert!(asked.get() > 0, "may_send was not called");
+    assert_eq!(test.reached(), before, "sent to a draining server");
 }
 
-/// An attempt whose future is dropped is given up towards the server too.
+/// Checks that dropping an attempt's future also cancels it at the server.
 async fn called_off<T: UnderTest>(test: &T, yes: Rc<dyn Fn() -> bool>) {
     let (reached, noticed) = (test.reached(), test.called_off());
     let (address, request) = test.server(Behaviour::Silent);
@@ -100,9 +100,9 @@
     let mut attempting = Box::pin(test.way().attempt(job));
     tokio::select! {
         end = &mut attempting => panic!("a silent server ended as {:?}", end.outcome),
-        () = until("the request at the server", || test.reached() == reached + 1) => {}
+        () = until("the request to reach the server", || test.reached() == reached + 1) => {}
     }
     drop(attempting);
-    until("the server notices", || test.called_off() > noticed).await;
+    until("the server to notice the cancellation", || test.called_off() > noticed).await;
     assert_eq!(test.reached(), reached + 1);
 }
