--- a/benches/src/scale/bad_day.rs
+++ b/benches/src/scale/bad_day.rs
@@ -1,11 +1,12 @@
-//! What a bad day costs: all followers gone and back at one moment, and all core machines restarted under them.
+//! Cost of mass failures: all followers reconnect at once, and all core machines restart under their followers.
 
 use super::gauge::{self, Party, Usage};
 use super::sweep::{fits, followers, show, Load, Point, Rig};
 use oatbank_local_cluster::cluster::{Role, CORE};
 use std::time::{Duration, Instant};
 
-/// What one role used between two readings, all processes together; peak memory is the busiest one's.
+/// Returns the usage of a role between two readings: CPU time and bytes sent summed over its processes, and the highest
+/// peak memory of any of them.
 fn used(
     parties: &[Party],
     before: &[Usage],
@@ -24,7 +25,7 @@
     used
 }
 
-/// All followers end and come back.
+/// Stops all followers, starts them again and measures until the last one has the full state.
 fn come_back(rig: &mut Rig, load: &Load, point: &mut Point) -> Result<(), String> {
     rig.hollows.clear();
     std::thread::sleep(Duration::from_secs(1));
@@ -34,7 +35,7 @@
     rig.hollows = followers(&rig.cluster, load)?;
     rig.until_known(load)?;
     point.insert(("back", "s until the last knows all".into()), began.elapsed().as_secs_f64());
-    // Who follows now is told from whom it follows: read with them.
+    // The new followers are included in the reading so that their connections are attributed to their role.
     let (parties, mut earlier) = (rig.parties(), before);
     let after = read(&parties)?;
     earlier.resize(after.len(), Usage::default());
@@ -44,7 +45,7 @@
     Ok(())
 }
 
-/// All programs of the core are killed and started; until an order after it is in force at the last follower.
+/// Kills and restarts all core processes and measures until the last follower applies a subsequent command.
 fn restart(rig: &mut Rig, load: &Load, point: &mut Point) -> Result<(), String> {
     rig.cluster.kill_all(&rig.cluster.core());
     let began = Instant::now();
@@ -69,7 +70,7 @@
     Ok(())
 }
 
-/// Both, at several numbers of followers; false where the first of them fails.
+/// Runs both scenarios for each number of followers. Returns false if no size was completed.
 pub fn all(sizes: &[usize], held: &Load, tell: &mut dyn FnMut(&str)) -> bool {
     let mut points = Vec::new();
     for size in sizes {
--- a/benches/src/scale/gauge.rs
+++ b/benches/src/scale/gauge.rs
@@ -1,6 +1,6 @@
-//! What processes use: processor time, memory, disk, and bytes by whom they speak with. The system's own counts of each
-//! connection are read, so nothing stands in the way of what is measured. A connection that ended between two
-//! readings is not counted.
+//! Resource usage of processes: CPU time, memory, disk, and traffic by the role of the peer. Traffic is read from the
+//! kernel's connection counters, so no proxy distorts the measurement. Connections that close between two readings are
+//! not counted.
 
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::{BTreeMap, HashMap};
@@ -9,25 +9,25 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A process that is measured, with what it is.
+/// A measured process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Party {
-    /// Its role.
+    /// Role of the process.
     pub role: &'static str,
-    /// Its process.
+    /// Process id.
     pub pid: u32,
 }
 
-/// Bytes and segments with data, one way each.
+/// Bytes and data segments of a connection, in each direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flow {
-    /// Bytes that came in.
+    /// Bytes received.
     pub bytes_in: u64,
-    /// Bytes that went out and were taken.
+    /// Bytes sent and acknowledged.
     pub bytes_out: u64,
-    /// Segments with data that came in: one for each short message, on a quiet connection.
+    /// Data segments received. On an otherwise idle connection, a short message is one segment.
     pub messages_in: u64,
-    /// The same that went out.
+    /// Data segments sent.
     pub messages_out: u64,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// One connection's end.
+/// One endpoint of a connection.
 #[derive(Clone, Copy, Debug)]
 struct End {
     inode: u64,
@@ -49,21 +49,21 @@
     flow: Flow,
 }
 
-/// What one process has used so far.
+/// Cumulative usage of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
-    /// Processor time.
+    /// CPU time.
     pub cpu: Duration,
-    /// The most memory that it held, bytes.
+    /// Peak resident memory, in bytes.
     pub peak: u64,
-    /// Connections open now.
+    /// Number of open connections to other measured processes.
     pub open: usize,
-    /// By connection: the other side's role, and what went over it.
+    /// Role of the peer and traffic, by the inode of the connection's socket.
     ends: HashMap<u64, (&'static str, Flow)>,
 }
 
 impl Usage {
-    /// What went over connections since an earlier reading, by the other side's role.
+    /// Returns the traffic since an earlier reading, by the role of the peer.
     pub fn flows_since(&self, before: &Usage) -> BTreeMap<&'static str, Flow> {
         let mut flows: BTreeMap<&'static str, Flow> = BTreeMap::new();
         for (inode, (role, flow)) in &self.ends {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Asks the kernel for all connections (`sock_diag`: one request, answered in parts).
+/// Queries the kernel for all connections. `sock_diag` answers one request with several messages.
 fn connections() -> io::Result<Vec<End>> {
     const DUMP: u16 = 20;
     const DONE: u16 = 3;
@@ -88,7 +88,7 @@
     request.extend(DUMP.to_ne_bytes());
     request.extend(0x301u16.to_ne_bytes());
     request.extend([1u32, 0].map(u32::to_ne_bytes).concat());
-    // IPv4, TCP, with the connections' counts, in any state.
+    // IPv4, TCP, including `tcp_info`, in any state.
     request.extend([2, 6, 1 << 1, 0]);
     request.extend(u32::MAX.to_ne_bytes());
     request.resize(72, 0);
@@ -109,7 +109,8 @@
     }
 }
 
-/// A number of this width in the machine's own order; 0 beyond the end.
+/// Reads an integer of `width` bytes in the kernel's native byte order, assumed to be little-endian. Returns 0 if it
+/// lies beyond the end of the buffer.
 fn number(bytes: &[u8], at: usize, width: usize) -> u64 {
     let mut whole = [0; 8];
     if let Some(part) = bytes.get(at..at + width) {
@@ -118,7 +119,7 @@
     u64::from_le_bytes(whole)
 }
 
-/// Reads `inet_diag_msg` and the `tcp_info` behind it.
+/// Parses an `inet_diag_msg` and the `tcp_info` that follows it.
 fn end(message: &[u8]) -> Option<End> {
     const INFO: u64 = 2;
     let fixed = message.get(..72)?;
@@ -153,17 +154,17 @@
     files.filter_map(link).collect()
 }
 
-/// The most memory that a process held, bytes; 0 once it has ended.
+/// Returns the peak resident memory of a process in bytes, or 0 if it has ended.
 pub fn peak(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap_or_default();
     line.split_whitespace().next().and_then(|kb| kb.parse::<u64>().ok()).unwrap_or(0) * 1024
 }
 
-/// Reads all of these at about one moment.
+/// Reads the usage of all parties at approximately the same time.
 ///
 /// # Errors
-/// When connections cannot be asked for.
+/// Fails if the kernel's connection query fails.
 pub fn read(parties: &[Party]) -> io::Result<Vec<Usage>> {
     let mut owner: HashMap<u64, usize> = HashMap::new();
     for (at, party) in parties.iter().enumerate() {
@@ -182,7 +183,7 @@
         .collect();
     for end in &ends {
         let Some(own) = owned.get(&(end.local, end.remote)).filter(|_| end.inode != 0) else { continue };
-        // Who listens has no other side.
+        // Listening sockets and connections to unmeasured processes have no known peer.
         let Some(other) = owned.get(&(end.remote, end.local)) else { continue };
         all[*own].open += 1;
         all[*own].ends.insert(end.inode, (parties[*other].role, end.flow));
@@ -190,7 +191,7 @@
     Ok(all)
 }
 
-/// Bytes of all files in a folder.
+/// Returns the total size of the files directly in a directory, in bytes.
 pub fn disk(folder: &Path) -> u64 {
     let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
     entries.filter_map(|entry| entry.metadata().ok()).filter(|m| m.is_file()).map(|m| m.len()).sum()
--- a/benches/src/scale/load.rs
+++ b/benches/src/scale/load.rs
@@ -1,4 +1,4 @@
-//! Configurations, changes and beats of any size.
+//! Generators of configurations, configuration changes and server heartbeats of any size.
 
 use oatbank_local_cluster::http::HttpConnection;
 use std::fmt::Write;
@@ -10,20 +10,20 @@
 
 const COLUMNS: &str =
     r#"["name","hostName","pathStart","routeKind","giveUpMs","targetMs","rank","tries","keyless","service"]"#;
-/// Routes of one host.
+/// Number of routes per host.
 const OF_HOST: usize = 33;
-/// Connections by which the servers of one core machine speak: each server's words go over one of them.
+/// Maximum number of connections to one core machine, shared by the heartbeats of its servers.
 const WIRES: usize = 48;
 const PATIENCE: Duration = Duration::from_secs(10);
 
-/// How much of what stands in a configuration.
+/// Number of entries of each kind in a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Routes.
+    /// Number of routes.
     pub routes: usize,
-    /// Tenants, each with a key of its own.
+    /// Number of tenants, each with its own key.
     pub tenants: usize,
-    /// Services.
+    /// Number of services.
     pub services: usize,
 }
 
@@ -46,7 +46,7 @@
     out
 }
 
-/// The body that puts a configuration of this size, as the first one.
+/// Returns the request body that sets the first configuration.
 pub fn configuration(size: Size, version: u64) -> String {
     let routes = rows(size.routes, |out, nth| route(out, nth, size.services, 2000));
     let services = rows(size.services, |out, nth| _ = write!(out, "[\"svc-{nth:04}\",\"/health\"]"));
@@ -59,12 +59,12 @@
     )
 }
 
-/// A tenant's key.
+/// Returns the key of the tenant with this index.
 pub fn key(nth: usize) -> String {
     format!("{:016x}", (nth as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// The body that changes one route on top of a version.
+/// Returns the request body that changes one route on top of version `built_on`.
 pub fn change(size: Size, version: u64, built_on: u64) -> String {
     let mut row = String::new();
     let nth = version as usize * 7919 % size.routes.max(1);
@@ -74,7 +74,7 @@
     )
 }
 
-/// A call as it goes over the wire.
+/// Formats an HTTP POST request.
 pub fn post(path: &str, body: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: control\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
@@ -82,31 +82,31 @@
     )
 }
 
-/// What servers are made up.
+/// Simulated servers.
 #[derive(Clone, Debug)]
 pub struct Servers {
-    /// How many.
+    /// Number of servers.
     pub many: usize,
-    /// Of so many services.
+    /// Number of services they are distributed over.
     pub services: usize,
-    /// Zones, gone round.
+    /// Zones, assigned round-robin.
     pub zones: Vec<String>,
-    /// Each speaks up so often.
+    /// Heartbeat interval of each server.
     pub every: Duration,
-    /// So many a second leave, each replaced at once by one of another id.
+    /// Servers per second that leave and are immediately replaced by one with a new id.
     pub churn: f64,
 }
 
-/// Servers that beat, all of them from this process.
+/// Sends the heartbeats of simulated servers from threads of this process until dropped.
 pub struct Beats {
     ends: Arc<AtomicBool>,
-    /// Words acknowledged, and words that were not.
+    /// Number of acknowledged and of unacknowledged requests.
     acknowledged: Arc<[AtomicU64; 2]>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Beats {
-    /// Each server speaks with one of these core machines.
+    /// Starts sending. Each server is assigned to one of these core machines.
     pub fn start(servers: &Servers, controls: &[SocketAddr]) -> Beats {
         let (ends, acknowledged) =
             (Arc::new(AtomicBool::new(false)), Arc::new([AtomicU64::new(0), AtomicU64::new(0)]));
@@ -126,7 +126,7 @@
         Beats { ends, acknowledged, threads }
     }
 
-    /// Words acknowledged so far, and words that were not.
+    /// Returns the number of acknowledged and of unacknowledged requests so far.
     pub fn acknowledged(&self) -> (u64, u64) {
         (self.acknowledged[0].load(Ordering::Relaxed), self.acknowledged[1].load(Ordering::Relaxed))
     }
@@ -139,10 +139,10 @@
     }
 }
 
-/// The servers of one core machine.
+/// Sends the heartbeats of the servers assigned to one core machine.
 struct Speaker {
     servers: Servers,
-    /// Each with its life and its words in it.
+    /// Index, incarnation and number of heartbeats of each server.
     said: Vec<(usize, u64, u64)>,
     to: SocketAddr,
     wires: Vec<HttpConnection>,
@@ -155,7 +155,7 @@
         let (began, mut beaten, mut left) = (Instant::now(), 0, 0);
         while !ends.load(Ordering::Relaxed) {
             let now = began.elapsed().as_secs_f64();
-            // All speak up at the start, and then each at its time.
+            // Each server sends one heartbeat at the start and then one per interval.
             let due = self.said.len() + (now / every * self.said.len() as f64) as usize;
             while left < (now * self.servers.churn) as usize && !self.said.is_empty() {
                 self.replace(left % self.said.len());
@@ -198,7 +198,7 @@
         self.say(vec![heartbeat]);
     }
 
-    /// Says all of these, and hears what they are answered with.
+    /// Sends these requests, waits for the responses and counts them.
     fn say(&mut self, call_count: Vec<String>) {
         let until = Instant::now() + PATIENCE;
         while self.wires.len() < call_count.len().min(WIRES) {
@@ -230,36 +230,36 @@
     }
 }
 
-/// An operator that changes one route after the other.
+/// An operator that changes one route at a time.
 pub struct Operator {
     size: Size,
     to: SocketAddr,
     connection: Option<HttpConnection>,
-    /// The version in force.
+    /// Version of the last acknowledged configuration; 0 if none.
     pub version: u64,
 }
 
-/// An order that was acknowledged.
+/// An acknowledged operator command.
 #[derive(Clone, Copy, Debug)]
 pub struct OperatorCommand {
-    /// Its version.
+    /// Configuration version.
     pub version: u64,
-    /// When it was sent.
+    /// Time of the first attempt.
     pub sent: Instant,
-    /// When it was acknowledged.
+    /// Time of the acknowledgement.
     pub acked: Instant,
 }
 
 impl Operator {
-    /// At this core machine.
+    /// Creates an operator that sends to this core machine.
     pub fn new(size: Size, to: SocketAddr) -> Operator {
         Operator { size, to, connection: None, version: 0 }
     }
 
-    /// Puts the first configuration, or changes one route; what it was answered last where it is not taken.
+    /// Sets the first configuration, or changes one route. Tries up to four times.
     ///
     /// # Errors
-    /// How it was answered.
+    /// Returns the last response or connection error if no attempt is acknowledged.
     pub fn order(&mut self) -> Result<OperatorCommand, String> {
         let version = self.version + 1;
         let call = match self.version {
@@ -267,7 +267,7 @@
             on => post("/settings/change", &change(self.size, version, on)),
         };
         let (sent, mut last) = (Instant::now(), String::new());
-        // The same again is the same order: a repeat is answered as the first one.
+        // Repeating a command is idempotent: a repeat receives the same response as the first attempt.
         for _ in 0..4 {
             match self.say(&call) {
                 Ok((200, _)) => {
--- a/benches/src/scale/mod.rs
+++ b/benches/src/scale/mod.rs
@@ -1,17 +1,18 @@
-//! What each role costs as one quantity grows with the others held: real core machines and a few real proxies, hollow
-//! followers by the hundred, generators of beats and changes. `docs/CAPACITY.md` rests on it.
+//! Measures the cost of each role as one quantity grows while the others are constant, with real core machines, a few
+//! real proxies, hundreds of simulated followers, and generators of heartbeats and changes. `docs/CAPACITY.md` is based
+//! on these measurements.
 //!
-//! | module | does |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`fit`] | a line and a power through measured points, and how well they fit |
-//! | [`formulas`] | what a measured slope comes to at another size |
-//! | [`page`] | the worked-out rows of the page |
-//! | [`gauge`] | processor time, memory and bytes of processes, by whom they speak with |
-//! | [`load`] | configurations, changes and beats |
-//! | [`hollow`] | followers that take in and digest all news and serve nobody |
-//! | [`sweep`] | one quantity at several sizes |
-//! | [`bad_day`] | followers that all come back, and core machines that all restart |
-//! | [`decisions`] | each decision alone, in process |
+//! | [`fit`] | least-squares fits of measured points |
+//! | [`formulas`] | extrapolation of measured slopes to another size |
+//! | [`page`] | computed rows of the capacity page |
+//! | [`gauge`] | CPU time, memory and traffic of processes |
+//! | [`load`] | generators of configurations, changes and heartbeats |
+//! | [`hollow`] | followers that process all updates but serve no clients |
+//! | [`sweep`] | measurement of one quantity at several sizes |
+//! | [`bad_day`] | mass reconnects of followers and restarts of core machines |
+//! | [`decisions`] | in-process cost of each decision |
 
 pub mod bad_day;
 pub mod decisions;
