--- a/benches/src/scale/hollow.rs
+++ b/benches/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! Followers that hold a session and take in and digest all news as a proxy does, and serve nobody. Many share a
-//! process and its one thread.
+//! Simulated followers, which hold a session and process all updates as a proxy does but serve no clients. Many share one
+//! single-threaded process.
 
 use oatbank_cluster_state::clock::MonotonicClock;
 use oatbank_cluster_state::cluster_view::ClusterView;
@@ -17,32 +17,34 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// As a proxy's session: how long an answer may be held, ms, and when the next core machine is asked.
+/// Longest time in milliseconds for which a registry may hold a response, as in a proxy's session.
 const HOLD: u32 = 600;
+/// Delay before a follower connects to the next core machine, as in a proxy's session.
 const AGAIN: Duration = Duration::from_millis(60);
+/// Interval between status lines.
 const TELL: Duration = Duration::from_millis(500);
 
-/// What one process of followers is.
+/// Configuration of one process of followers.
 #[derive(Clone, Debug)]
 pub struct Cast {
-    /// What their names begin with.
+    /// Prefix of the followers' names.
     pub name: String,
-    /// How many there are.
+    /// Number of followers.
     pub many: usize,
-    /// So many of them hold their sessions and take in nothing.
+    /// Number of followers that hold a session but discard all updates.
     pub deaf: usize,
-    /// Where registries answer.
+    /// Addresses of the registries.
     pub registries: Vec<SocketAddr>,
-    /// Zones with their regions, gone round.
+    /// Zones and their regions, assigned round-robin.
     pub zones: Vec<(String, String)>,
-    /// Servers speak up about this often, ms.
+    /// Approximate heartbeat interval of servers, in milliseconds.
     pub heartbeat_interval: f64,
-    /// Each follower says so often a second how a server fares, by a word that makes none doubtful by itself.
+    /// Server observations that each follower sends per second. One observation alone does not make a server suspect.
     pub observations: f64,
 }
 
 impl Cast {
-    /// As arguments of the process.
+    /// Formats the configuration as command-line arguments.
     fn words(&self) -> Vec<String> {
         let list = |items: Vec<String>| items.join(",");
         vec![
@@ -56,7 +58,7 @@
         ]
     }
 
-    /// From the arguments of the process.
+    /// Parses the configuration from command-line arguments. Returns `None` if they are invalid.
     pub fn read(words: &[String]) -> Option<Cast> {
         let [name, many, deaf, registries, zones, heartbeat_interval, observations] = words else {
             return None;
@@ -74,16 +76,16 @@
     }
 }
 
-/// What the followers of one process have taken in.
+/// Progress of the followers of one process.
 struct Tally {
     versions: RefCell<Vec<u64>>,
     least: Cell<u64>,
-    /// Calls that were answered.
+    /// Number of calls that received a response.
     call_count: Cell<u64>,
 }
 
 impl Tally {
-    /// The follower `nth` acts by this version now; whether the last one acts by a newer one with it.
+    /// Records the version applied by follower `nth`. Returns the lowest version of all followers if it has increased.
     fn takes(&self, nth: usize, version: u64) -> Option<u64> {
         let mut versions = self.versions.borrow_mut();
         if std::mem::replace(&mut versions[nth], version) > self.least.get() {
@@ -94,13 +96,13 @@
     }
 }
 
-/// The number of a configuration's version, read off its beginning; 0 for none.
+/// Parses the version number at the start of a configuration. Returns 0 if there is none.
 fn version(config: &str) -> u64 {
     let digits = config.strip_prefix("{\"version\":\"r").and_then(|rest| rest.split('"').next());
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// What a follower says of a server, each time of another one of a few.
+/// Builds an observation of a server. Consecutive observations cycle through four servers.
 fn observation(observer: &str, incarnation: u64, seq: u32) -> ObservationRow {
     ObservationRow {
         server: format!("i-{:06x}-0000", seq % 4),
@@ -114,9 +116,9 @@
     }
 }
 
-/// Holds one follower's session, without end.
+/// Runs one follower's session forever.
 async fn hold_ms(cast: Rc<Cast>, nth: usize, view: Rc<ClusterView>, tally: Rc<Tally>) {
-    // What a deaf one hears goes where nobody looks.
+    // A follower that discards updates writes them to a view that nothing reads.
     let ear = if nth < cast.deaf {
         ClusterView::new(MonotonicClock::start(), cast.heartbeat_interval)
     } else {
@@ -157,10 +159,13 @@
     }
 }
 
-/// Runs all followers of a process, until its input ends.
+/// Runs all followers of a process. Exits when standard input is closed.
 pub fn run(cast: Cast) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    // Who started this process has ended: so does it.
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("building the runtime failed");
+    // Standard input closes when the parent process ends.
     std::thread::spawn(|| {
         let _ = std::io::stdin().read_line(&mut String::new());
         std::process::exit(0);
@@ -205,16 +210,16 @@
     }
 }
 
-/// What a process of followers said of itself.
+/// Status reported by a process of followers.
 #[derive(Clone, Debug, Default)]
 pub struct Said {
-    /// When all of its followers acted by a version, or a newer one.
+    /// Time at which all followers of the process had applied a version or a newer one.
     pub all: BTreeMap<u64, Instant>,
-    /// Calls that were answered.
+    /// Number of calls that received a response.
     pub call_count: u64,
-    /// Servers that the least knowing of them knows.
+    /// Lowest number of servers known to any of the followers.
     pub servers: usize,
-    /// Followers without any configuration.
+    /// Number of followers without a configuration.
     pub limiters_behind: usize,
 }
 
@@ -233,23 +238,23 @@
         }
     }
 
-    /// When all of its followers acted by this version.
+    /// Returns when all followers had applied this version or a newer one.
     pub fn in_force(&self, version: u64) -> Option<Instant> {
         self.all.range(version..).next().map(|(_, at)| *at)
     }
 }
 
-/// A process of followers.
+/// A child process that runs followers. Dropping it kills the process.
 pub struct Hollow {
     child: Child,
     said: Arc<Mutex<Said>>,
 }
 
 impl Hollow {
-    /// Starts one: this program once more.
+    /// Starts the current executable as a process of followers.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Fails if the process cannot be started.
     pub fn start(cast: &Cast) -> std::io::Result<Hollow> {
         let own = std::env::current_exe()?;
         let mut child = Command::new(own)
@@ -269,12 +274,12 @@
         Ok(Hollow { child, said })
     }
 
-    /// Its process.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it said so far.
+    /// Returns the latest reported status.
     pub fn said(&self) -> Said {
         self.said.lock().map(|said| said.clone()).unwrap_or_default()
     }
--- a/benches/src/scale/sweep.rs
+++ b/benches/src/scale/sweep.rs
@@ -1,4 +1,4 @@
-//! One quantity at several sizes, all others held: the real system under load, measured from outside.
+//! Measures the real system under load from outside, varying one quantity while all others are constant.
 
 use super::fit;
 use super::gauge::{self, Party, Usage};
@@ -10,35 +10,35 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// Followers that share a process at most.
+/// Maximum number of followers per process.
 const SHARED: usize = 500;
 
-/// All quantities, at the sizes at which they are held while another grows.
+/// Values of all quantities. The defaults apply while another quantity is swept.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Core machines.
+    /// Number of core machines.
     pub cores: usize,
-    /// Real proxies.
+    /// Number of real proxies.
     pub proxies: usize,
-    /// Hollow followers.
+    /// Number of simulated followers.
     pub followers: usize,
-    /// So many of them take in nothing.
+    /// Number of followers that discard all updates.
     pub deaf: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// Their words a second, all together.
+    /// Heartbeats of all servers per second.
     pub beats: f64,
-    /// Servers a second that are replaced.
+    /// Servers replaced per second.
     pub churn: f64,
-    /// Words of followers on how servers fare, a second, all together.
+    /// Server observations sent by all followers per second.
     pub observations: f64,
-    /// What stands in the configuration.
+    /// Size of the configuration.
     pub size: Size,
-    /// Changes of the configuration a second.
+    /// Configuration changes per second.
     pub changes: f64,
-    /// Measured for so long.
+    /// Duration of the measurement.
     pub span: Duration,
-    /// How long followers may take to know all there is.
+    /// Timeout for all followers to receive the full state.
     pub patience: Duration,
 }
 
@@ -61,32 +61,32 @@
     }
 }
 
-/// What is swept.
+/// A quantity that can be swept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quantity {
-    /// Hollow followers.
+    /// Number of simulated followers.
     Followers,
-    /// Servers, with all their words together as many a second as before.
+    /// Number of servers, at a constant total heartbeat rate.
     Servers,
-    /// Words of the same servers a second.
+    /// Heartbeats per second of a constant number of servers.
     Beats,
-    /// Servers replaced a second.
+    /// Number of servers replaced per second.
     Churn,
-    /// Words of followers on how servers fare, a second.
+    /// Server observations sent by followers per second.
     Notices,
-    /// Services.
+    /// Number of services.
     Services,
-    /// Routes.
+    /// Number of routes.
     Routes,
-    /// Tenants.
+    /// Number of tenants.
     Tenants,
-    /// Changes of the configuration a second.
+    /// Configuration changes per second.
     Changes,
-    /// Core machines.
+    /// Number of core machines.
     Cores,
 }
 
-/// All of them with their names and the sizes they are swept at.
+/// All quantities with their names and the sizes to sweep.
 pub const ALL: [(Quantity, &str, &[f64]); 10] = [
     (Quantity::Followers, "followers", &[60.0, 125.0, 250.0, 500.0, 1000.0]),
     (Quantity::Servers, "servers", &[1000.0, 4000.0, 16_000.0, 40_000.0, 80_000.0]),
@@ -101,7 +101,7 @@
 ];
 
 impl Quantity {
-    /// This load with so much of the quantity.
+    /// Returns the load `held` with this quantity set to `size`.
     pub fn at(self, size: f64, held: &Load) -> Load {
         let mut load = held.clone();
         let count = size as usize;
@@ -121,20 +121,20 @@
     }
 }
 
-/// What was measured at one size, by role and resource, for each process of the role, or each follower.
+/// Measurements at one size by role and resource, each per process of the role or per follower.
 pub type Point = BTreeMap<(&'static str, String), f64>;
 
-/// Servers speak up about this often.
+/// Returns the heartbeat interval of each server.
 fn heartbeat_interval(load: &Load) -> Duration {
     Duration::from_secs_f64(load.servers as f64 / load.beats.max(0.1))
 }
 
-/// Zones with their regions.
+/// Returns the zones and their regions.
 fn zones() -> Vec<(String, String)> {
     ZONES.iter().map(|(zone, region)| ((*zone).into(), (*region).into())).collect()
 }
 
-/// Starts the hollow followers.
+/// Starts the processes of simulated followers.
 pub(super) fn followers(cluster: &LocalCluster, load: &Load) -> Result<Vec<Hollow>, String> {
     let registries = cluster.cores().map(|core| cluster.inner(core, INNER_REGISTRY)).collect::<Vec<_>>();
     let hollows = (0..load.followers.div_ceil(SHARED)).map(|at| {
@@ -156,7 +156,7 @@
     hollows.collect::<Result<Vec<_>, _>>().map_err(|e| e.to_string())
 }
 
-/// The system under a load.
+/// A running system under load.
 pub(super) struct Rig {
     pub(super) cluster: LocalCluster,
     pub(super) hollows: Vec<Hollow>,
@@ -165,7 +165,7 @@
 }
 
 impl Rig {
-    /// Starts all, and waits until every follower knows all there is.
+    /// Starts the system and waits until every follower has the full state.
     pub(super) fn start(load: &Load) -> Result<Rig, String> {
         let every = heartbeat_interval(load);
         let (cores, proxies, beat_every_ms) = (load.cores, load.proxies, every.as_millis() as u64);
@@ -226,7 +226,7 @@
         parties
     }
 
-    /// Changes the configuration at a rate for so long.
+    /// Changes the configuration at the load's rate for the duration of the measurement.
     fn change(&mut self, load: &Load) -> Result<Vec<OperatorCommand>, String> {
         let (began, mut operator_command) = (Instant::now(), Vec::new());
         while began.elapsed() < load.span {
@@ -240,7 +240,7 @@
         Ok(operator_command)
     }
 
-    /// When the last follower acted by each of these.
+    /// Returns when the last follower had applied each of these commands.
     pub(super) fn in_force(
         &self,
         operator_command: &[OperatorCommand],
@@ -263,13 +263,13 @@
     }
 }
 
-/// Measures one load.
+/// Starts the system under a load and measures it.
 ///
 /// # Errors
-/// How the system ended before all followers knew all there is.
+/// Describes the failure if the system cannot be measured, for example if followers do not receive the full state.
 pub fn measure(load: &Load) -> Result<Point, String> {
     let mut rig = Rig::start(load)?;
-    // What starting alone costs is over.
+    // Excludes the cost of startup from the measurement.
     std::thread::sleep(Duration::from_secs(2));
     let parties = rig.parties();
     let call_count = |rig: &Rig| rig.hollows.iter().map(|h| h.said().call_count).sum::<u64>();
@@ -349,7 +349,7 @@
     point
 }
 
-/// One point as text, a line for each role.
+/// Formats one point, with a line for each role.
 pub fn show(quantity: &str, size: f64, point: &Point) -> String {
     let mut out = String::new();
     let mut last = "";
@@ -363,7 +363,7 @@
     out
 }
 
-/// The fits of all that was measured at three sizes or more.
+/// Formats the fits of everything measured at three or more sizes.
 pub fn fits(quantity: &str, points: &[(f64, Point)]) -> String {
     let mut all: BTreeMap<&(&'static str, String), Vec<(f64, f64)>> = BTreeMap::new();
     for (size, point) in points {
@@ -389,8 +389,8 @@
     out
 }
 
-/// Sweeps a quantity, with a line for each size as it is measured; false where nothing was measured at the first
-/// size. A later size that ends the system is a result: it says where.
+/// Sweeps a quantity and reports each size as it is measured. Returns false if the first size could not be measured. A
+/// failure at a later size is a valid result: it shows the limit of the system.
 pub fn sweep(quantity: Quantity, name: &str, sizes: &[f64], held: &Load, tell: &mut dyn FnMut(&str)) -> bool {
     let mut points = Vec::new();
     for size in sizes {
