--- a/crates/daemon/src/fleet/api.rs
+++ b/crates/daemon/src/fleet/api.rs
@@ -134,7 +134,7 @@
             ),
             ProposalOutcome::NotDecider(Some(decider)) => {
                 let name = self.name(*decider);
-                (StatusCode::MISDIRECTED_REQUEST, "not decider", format!("{name} is the decider; call its fleet.control"))
+                (StatusCode::MISDIRECTED_REQUEST, "not decider", format!("{name} decides; call its fleet.control"))
             }
             ProposalOutcome::NotDecider(None) => {
                 (StatusCode::SERVICE_UNAVAILABLE, "no decider", "no decider is known at present".into())
