--- a/crates/daemon/tests/streams.rs
+++ b/crates/daemon/tests/streams.rs
@@ -1,8 +1,9 @@
 //! Streaming of long request and response bodies: forwarded as they arrive, and never treated as complete if they break.
 
 use oatbank_testkit::*;
+use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc;
 use std::time::Duration;
 
@@ -157,7 +158,10 @@
 
 #[test]
 fn an_upload_is_retried_after_a_refused_connection_and_a_broken_one_never_runs() {
-    let nobody = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
+    // Bound but not listening: connections are refused, and no other process or test can take the port meanwhile.
+    let reserved = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    reserved.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+    let nobody = reserved.local_addr().ok().and_then(|a| a.as_socket()).expect("an address");
     let server = Server::start(|m| Act::Write(answer("200 OK", "", &m.body)));
     let (limiter, _discovery, _counter) =
         before(&[member("s-1", nobody, "Ready"), member("s-2", server.address, "Ready")]);
